--- /dev/null
+++ b/fleet/frame/compatibility_test.go
@@ -0,0 +1,103 @@
+//go:build !fleetlater
+
+package frame
+
+import (
+	"bytes"
+	"encoding/hex"
+	"errors"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"ryerill/fleet/member"
+)
+
+// kinds are messages as members send them, in the order of their kinds.
+func kinds() []*member.Message {
+	head := member.Head{Name: "c1", Epoch: 1_700_000_000_000, Inc: 7, Status: member.Alive, Tagged: 5}
+	other := member.Record{Head: member.Head{Name: "c2", Epoch: 1_700_000_000_001, Inc: 3, Status: member.Suspect, Tagged: 2}, By: "c1"}
+	whole := member.Record{Head: member.Head{Name: "c3", Epoch: 1_700_000_000_002, Inc: 9, Status: member.Left, Tagged: 9}, By: "c3",
+		Tags: &member.Tags{Address: "127.0.0.1:7400", Zone: "z1", Tier: 2, Pools: []string{"main", "more"}, Program: "v1", Settings: "0123456789abcdef", Phase: member.Leaving,
+			Least: 1, Most: 1, Later: "\xa1\x18\x64\x65later"}}
+	return []*member.Message{
+		{Kind: member.Ping, Seq: 1, From: head, Target: "c2", Digest: 0x1122334455667788, Counted: 0x99, News: []member.Record{other}},
+		{Kind: member.Ack, Seq: 1, From: head, Target: "c2", Digest: 1, News: []member.Record{whole}},
+		{Kind: member.PingReq, Seq: 2, From: head, Target: "c3"},
+		{Kind: member.Nack, Seq: 2, From: head},
+		{Kind: member.Gossip, From: head, News: []member.Record{other, whole}},
+		{Kind: member.Heads, From: head, Digest: 2, News: []member.Record{{Head: other.Head}, {Head: whole.Head}}},
+		{Kind: member.Delta, From: head, News: []member.Record{whole}, Want: []string{"c2", "c4"}},
+		{Kind: member.Rest, From: head, News: []member.Record{whole, other}},
+		{Kind: member.Shared, From: head, Target: "c2", Digest: 3, Counted: 4, Share: []byte("what is shared")},
+		{Kind: member.Rolling, From: head, Target: "c2", Digest: 3, Counted: 4, Share: []byte("of a rollout")},
+		{Kind: member.Fetch, From: head},
+		{Kind: member.Fetched, From: head, Share: []byte("a state")},
+	}
+}
+
+// Each kind of frame is written as the recorded program wrote it, and read as it meant it.
+func TestRecordedFramesAreReadAndWrittenAlike(t *testing.T) {
+	file := filepath.Join("testdata", "compatibility", "frames.hex")
+	key := []byte("a-key-of-more-than-sixteen-bytes")
+	writer, err := New("recorded", [][]byte{key})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var now bytes.Buffer
+	for _, m := range kinds() {
+		text, err := writer.Encode(m)
+		if err != nil {
+			t.Fatal(err)
+		}
+		now.WriteString(hex.EncodeToString(text) + "\n")
+	}
+	want, err := os.ReadFile(file)
+	if errors.Is(err, os.ErrNotExist) && os.Getenv("RYERILL_RECORD") != "" {
+		want = now.Bytes()
+		if err = os.MkdirAll(filepath.Dir(file), 0o755); err == nil {
+			err = os.WriteFile(file, want, 0o644)
+		}
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(now.Bytes(), want) {
+		t.Errorf("written\n%swas\n%s", now.Bytes(), want)
+	}
+	reader, err := New("recorded", [][]byte{key})
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := bytes.Split(bytes.TrimSpace(want), []byte("\n"))
+	if len(lines) != len(kinds()) {
+		t.Fatalf("%d frames", len(lines))
+	}
+	for i, m := range kinds() {
+		text, err := hex.DecodeString(string(lines[i]))
+		if err != nil {
+			t.Fatal(err)
+		}
+		got, err := reader.Decode(text, MaxPiece)
+		if err != nil || !reflect.DeepEqual(got, m) {
+			t.Errorf("kind %d: %v\n%+v\n%+v", m.Kind, err, got, m)
+		}
+		if int(m.Kind) != i+1 {
+			t.Errorf("kind %d has the number %d", i+1, m.Kind)
+		}
+	}
+}
+
+// The levels and the names of faults are told to other programs and to operators.
+func TestRecordedLevelsAndFaults(t *testing.T) {
+	if Version != 1 || LeastLevel != 1 || Level != 1 || MaxDatagram != 1200 {
+		t.Errorf("version %d, levels %d to %d, datagrams of %d bytes", Version, LeastLevel, Level, MaxDatagram)
+	}
+	names := []string{"of another version", "of another fleet", "by a key that is not known", "its code does not fit", "torn", "too large", "seen before"}
+	for i, err := range Faults {
+		if err.Error() != names[i] {
+			t.Errorf("fault %d is %q, and was %q", i, err, names[i])
+		}
+	}
+}
--- /dev/null
+++ b/word/compatibility_test.go
@@ -0,0 +1,35 @@
+package word
+
+import (
+	"bytes"
+	"errors"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+)
+
+// The file of the recorded program is read as it meant it, and written to the letter.
+func TestRecordedOrdersAreReadAndWrittenAlike(t *testing.T) {
+	want := Word{Version: 9, Out: map[string]time.Duration{"s1": 1_700_000_000_000_001 * time.Microsecond, "a/b": time.Second},
+		Back: map[string]time.Duration{"s2": 1_700_000_000_000_002 * time.Microsecond}, Drain: 1_700_000_000_000_003 * time.Microsecond}
+	file := filepath.Join("testdata", "compatibility", "orders.json")
+	text, err := os.ReadFile(file)
+	if errors.Is(err, os.ErrNotExist) && os.Getenv("RYERILL_RECORD") != "" {
+		text = Encode(want)
+		if err = os.MkdirAll(filepath.Dir(file), 0o755); err == nil {
+			err = os.WriteFile(file, text, 0o644)
+		}
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := Decode(text)
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("%v\n%+v\n%+v", err, got, want)
+	}
+	if now := Encode(want); !bytes.Equal(now, text) {
+		t.Errorf("written %s\nwas     %s", now, text)
+	}
+}
