--- a/fleet/allot/allot.go
+++ b/fleet/allot/allot.go
@@ -56,21 +56,21 @@
 
 // AskKey identifies an ask for good: it is answered once, however often it comes.
 type AskKey struct {
-	Name  string // of the copy that asks
-	Epoch uint64
-	Seq   uint64
+	Name  string `json:"Name"` // of the copy that asks
+	Epoch uint64 `json:"Epoch"`
+	Seq   uint64 `json:"Seq"`
 }
 
 // Message is what copies say to each other about budgets.
 type Message struct {
-	Grant  bool // else an ask,
-	Back   bool // or the return of what Key had asked for
-	Key    AskKey
-	From   string // of the copy that grants, with its epoch
-	Epoch  uint64
-	Budget string
-	Amount float64
-	Renews uint64 // the ask whose loan is to go on; 0 is none
+	Grant  bool    `json:"Grant"` // else an ask,
+	Back   bool    `json:"Back"`  // or the return of what Key had asked for
+	Key    AskKey  `json:"Key"`
+	From   string  `json:"From"` // of the copy that grants, with its epoch
+	Epoch  uint64  `json:"Epoch"`
+	Budget string  `json:"Budget"`
+	Amount float64 `json:"Amount"`
+	Renews uint64  `json:"Renews"` // the ask whose loan is to go on; 0 is none
 }
 
 // Action is something that the host is to do.
@@ -154,7 +154,14 @@
 }
 
 // Figures count what happened.
-type Figures struct{ Asks, Grants, Empty, Late, Again, Bad uint64 }
+type Figures struct {
+	Asks   uint64 `json:"Asks"`
+	Grants uint64 `json:"Grants"`
+	Empty  uint64 `json:"Empty"`
+	Late   uint64 `json:"Late"`
+	Again  uint64 `json:"Again"`
+	Bad    uint64 `json:"Bad"`
+}
 
 // New returns a copy's side. One that restarts without knowing what it had lent keeps
 // back what it may have, until that would be over.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -111,11 +111,15 @@
 
 // Figures count what passed since the start.
 type Figures struct {
-	FramesIn, FramesOut, BytesIn, BytesOut uint64
-	Exchanges, ExchangesRefused            uint64 // that others began
-	ExchangeBytes                          uint64
-	Bad                                    map[string]uint64 // frames by what was wrong with them
-	Unsent                                 uint64
+	FramesIn         uint64            `json:"FramesIn"`
+	FramesOut        uint64            `json:"FramesOut"`
+	BytesIn          uint64            `json:"BytesIn"`
+	BytesOut         uint64            `json:"BytesOut"`
+	Exchanges        uint64            `json:"Exchanges"` // that others began
+	ExchangesRefused uint64            `json:"ExchangesRefused"`
+	ExchangeBytes    uint64            `json:"ExchangeBytes"`
+	Bad              map[string]uint64 `json:"Bad"` // frames by what was wrong with them
+	Unsent           uint64            `json:"Unsent"`
 }
 
 // New opens the sockets of a fleet's host. Nobody is spoken to before Run.
--- a/fleet/member/member.go
+++ b/fleet/member/member.go
@@ -106,7 +106,16 @@
 
 // Figures count what happened since the start.
 type Figures struct {
-	Probes, Failed, Suspected, Refuted, Stalls, Exchanges, BadRecords, NoRoom, Stale, Twins uint64
+	Probes     uint64 `json:"Probes"`
+	Failed     uint64 `json:"Failed"`
+	Suspected  uint64 `json:"Suspected"`
+	Refuted    uint64 `json:"Refuted"`
+	Stalls     uint64 `json:"Stalls"`
+	Exchanges  uint64 `json:"Exchanges"`
+	BadRecords uint64 `json:"BadRecords"`
+	NoRoom     uint64 `json:"NoRoom"`
+	Stale      uint64 `json:"Stale"`
+	Twins      uint64 `json:"Twins"`
 }
 
 // Member is one copy's knowledge of the fleet. It is not safe for concurrent use.
--- a/fleet/member/record.go
+++ b/fleet/member/record.go
@@ -65,16 +65,16 @@
 
 // Tags is what a member says of itself, beyond that it is there.
 type Tags struct {
-	Address  string // for datagrams and exchanges, as the member itself names it
-	Zone     string
-	Tier     int
-	Pools    []string
-	Program  string // version of the program
-	Settings string // hash of the settings
-	Phase    Phase
-	Least    uint8 // the levels of what copies say to each other that it speaks: see package frame
-	Most     uint8
-	Later    string // what it says that this program does not know, as it came; handed on
+	Address  string   `json:"Address"` // for datagrams and exchanges, as the member itself names it
+	Zone     string   `json:"Zone"`
+	Tier     int      `json:"Tier"`
+	Pools    []string `json:"Pools"`
+	Program  string   `json:"Program"`  // version of the program
+	Settings string   `json:"Settings"` // hash of the settings
+	Phase    Phase    `json:"Phase"`
+	Least    uint8    `json:"Least"` // the levels of what copies say to each other that it speaks: see package frame
+	Most     uint8    `json:"Most"`
+	Later    string   `json:"Later"` // what it says that this program does not know, as it came; handed on
 }
 
 // Bound cuts what is longer than others would take, and tells whether it did.
@@ -111,11 +111,11 @@
 // Head orders what is said of a member. Of two, the newer holds wherever both
 // have come, in whatever order: that is why views become equal.
 type Head struct {
-	Name   string
-	Epoch  uint64 // of the member's start: a restart is another one
-	Inc    uint32 // raised by the member alone, to refute or to change its tags
-	Status Status
-	Tagged uint32 // the incarnation at which its tags last changed
+	Name   string `json:"Name"`
+	Epoch  uint64 `json:"Epoch"` // of the member's start: a restart is another one
+	Inc    uint32 `json:"Inc"`   // raised by the member alone, to refute or to change its tags
+	Status Status `json:"Status"`
+	Tagged uint32 `json:"Tagged"` // the incarnation at which its tags last changed
 }
 
 // Newer tells whether h overrides o, which is of the same name.
@@ -135,8 +135,8 @@
 // are known, if they are of the incarnation Tagged.
 type Record struct {
 	Head
-	Tags *Tags // never changed once told
-	By   string
+	Tags *Tags  `json:"Tags"` // never changed once told
+	By   string `json:"By"`
 }
 
 // sound tells whether a record can be true at all.
--- a/fleet/rollout/judge.go
+++ b/fleet/rollout/judge.go
@@ -14,13 +14,13 @@
 
 // Guards say what a stage must not cost, and how sure one has to be.
 type Guards struct {
-	Goodput float64 // points of goodput, as a part of 1, that must not be lost
-	Latency float64 // part by which answers must not become slower
-	Wrong   float64 // chance that a harmless change is stopped, over a whole plan
-	Missed  float64 // chance that a change that costs as much as Goodput passes a stage
+	Goodput float64 `json:"Goodput"` // points of goodput, as a part of 1, that must not be lost
+	Latency float64 `json:"Latency"` // part by which answers must not become slower
+	Wrong   float64 `json:"Wrong"`   // chance that a harmless change is stopped, over a whole plan
+	Missed  float64 `json:"Missed"`  // chance that a change that costs as much as Goodput passes a stage
 
-	Attempts float64 // part by which calls to providers for each request must not grow
-	Memory   float64 // part by which a copy's memory must not lie above that of unchanged ones, and 16 MB
+	Attempts float64 `json:"Attempts"` // part by which calls to providers for each request must not grow
+	Memory   float64 `json:"Memory"`   // part by which a copy's memory must not lie above that of unchanged ones, and 16 MB
 }
 
 func (g *Guards) complete() {
@@ -53,20 +53,20 @@
 
 // Report is what one copy did in one span.
 type Report struct {
-	Name    string
-	Zone    string
-	Pool    string
-	Span    uint64  // number of the span by a clock that all know about alike
-	Asked   float64 // worth asked for
-	Good    float64 // worth answered in time
-	Answers float64
-	Took    float64 // seconds that answers took, in all
-
-	Requests float64 // that ended,
-	Attempts float64 // and calls to providers that did
-	Memory   float64 // MB that the process holds; 0 is not known
-	Plan     string  // that it was told last, and why it could not
-	Refused  string
+	Name    string  `json:"Name"`
+	Zone    string  `json:"Zone"`
+	Pool    string  `json:"Pool"`
+	Span    uint64  `json:"Span"`  // number of the span by a clock that all know about alike
+	Asked   float64 `json:"Asked"` // worth asked for
+	Good    float64 `json:"Good"`  // worth answered in time
+	Answers float64 `json:"Answers"`
+	Took    float64 `json:"Took"` // seconds that answers took, in all
+
+	Requests float64 `json:"Requests"` // that ended,
+	Attempts float64 `json:"Attempts"` // and calls to providers that did
+	Memory   float64 `json:"Memory"`   // MB that the process holds; 0 is not known
+	Plan     string  `json:"Plan"`     // that it was told last, and why it could not
+	Refused  string  `json:"Refused"`
 }
 
 func (r *Report) sound() bool {
@@ -256,12 +256,18 @@
 
 // Point is what one span came to, over all places: for people, and for charts.
 type Point struct {
-	Span               uint64
-	Old, Changed       float64 // goodput of unchanged and of changed copies
-	OldTook, Took      float64 // seconds that an answer took
-	OldTries, Tries    float64 // calls to providers for each request
-	OldMemory, Memory  float64 // MB, the largest
-	Evidence, Up, Down float64 // of lower goodput, and between which bounds too little is known
+	Span      uint64  `json:"Span"`
+	Old       float64 `json:"Old"` // goodput of unchanged and of changed copies
+	Changed   float64 `json:"Changed"`
+	OldTook   float64 `json:"OldTook"` // seconds that an answer took
+	Took      float64 `json:"Took"`
+	OldTries  float64 `json:"OldTries"` // calls to providers for each request
+	Tries     float64 `json:"Tries"`
+	OldMemory float64 `json:"OldMemory"` // MB, the largest
+	Memory    float64 `json:"Memory"`
+	Evidence  float64 `json:"Evidence"` // of lower goodput, and between which bounds too little is known
+	Up        float64 `json:"Up"`
+	Down      float64 `json:"Down"`
 }
 
 const (
--- a/fleet/rollout/lead.go
+++ b/fleet/rollout/lead.go
@@ -42,28 +42,28 @@
 
 // Stage is one step of a plan.
 type Stage struct {
-	Count   int           // copies that are changed by its end, in all; 0 is by Part
-	Part    float64       // part of all copies
-	PerZone bool          // one of each zone at least
-	Soak    time.Duration // they are watched for so long
+	Count   int           `json:"Count"`   // copies that are changed by its end, in all; 0 is by Part
+	Part    float64       `json:"Part"`    // part of all copies
+	PerZone bool          `json:"PerZone"` // one of each zone at least
+	Soak    time.Duration `json:"Soak"`    // they are watched for so long
 }
 
 // Plan is what a person wants.
 type Plan struct {
-	ID      string
-	Kind    Kind
-	Target  string // the settings' hash, or the program's version
-	Text    []byte // the settings
-	Stages  []Stage
-	Away    int           // copies that may be on their way at once
-	Watch   time.Duration // how long copies are compared before the first is changed
-	Wait    time.Duration // how long a copy may take to change and be ready
-	Unknown time.Duration // how much longer than its soak a stage is watched while too little is known
-	Back    bool          // go back if a stage does worse; else stop and wait for a person
-	Expires time.Duration // since it was taken; nothing new begins after it
-	Guards  Guards
-	Least   uint8 // levels of what copies say to each other that the program speaks; 0 is not stated
-	Most    uint8
+	ID      string        `json:"ID"`
+	Kind    Kind          `json:"Kind"`
+	Target  string        `json:"Target"` // the settings' hash, or the program's version
+	Text    []byte        `json:"Text"`   // the settings
+	Stages  []Stage       `json:"Stages"`
+	Away    int           `json:"Away"`    // copies that may be on their way at once
+	Watch   time.Duration `json:"Watch"`   // how long copies are compared before the first is changed
+	Wait    time.Duration `json:"Wait"`    // how long a copy may take to change and be ready
+	Unknown time.Duration `json:"Unknown"` // how much longer than its soak a stage is watched while too little is known
+	Back    bool          `json:"Back"`    // go back if a stage does worse; else stop and wait for a person
+	Expires time.Duration `json:"Expires"` // since it was taken; nothing new begins after it
+	Guards  Guards        `json:"Guards"`
+	Least   uint8         `json:"Least"` // levels of what copies say to each other that the program speaks; 0 is not stated
+	Most    uint8         `json:"Most"`
 }
 
 // Phase is what a plan is at.
@@ -98,18 +98,18 @@
 // State is a plan's progress. Of two the one of the higher number holds, and of one
 // number the later version.
 type State struct {
-	Plan    Plan
-	Fence   uint64 // of who wrote it
-	Version uint64
-	Leader  string
-	Phase   Phase
-	Stage   int
-	Reason  string
-	Chosen  []string // copies that are to be changed by now, in order
-	Failed  []string // that could not, or did worse
-	History []string
-	Age     time.Duration // since the plan was taken
-	StageAt time.Duration // Age when the stage's soak began
+	Plan    Plan          `json:"Plan"`
+	Fence   uint64        `json:"Fence"` // of who wrote it
+	Version uint64        `json:"Version"`
+	Leader  string        `json:"Leader"`
+	Phase   Phase         `json:"Phase"`
+	Stage   int           `json:"Stage"`
+	Reason  string        `json:"Reason"`
+	Chosen  []string      `json:"Chosen"` // copies that are to be changed by now, in order
+	Failed  []string      `json:"Failed"` // that could not, or did worse
+	History []string      `json:"History"`
+	Age     time.Duration `json:"Age"`     // since the plan was taken
+	StageAt time.Duration `json:"StageAt"` // Age when the stage's soak began
 }
 
 // Newer tells whether s overrides o.
@@ -135,15 +135,15 @@
 
 // Message is what copies say to each other about rollouts.
 type Message struct {
-	Kind   MessageKind
-	From   string
-	Fence  uint64
-	Target string // Order: what the one it is for is to hold
-	Back   bool   // Order: what it held before
-	Plan   string
-	State  *State
-	Report *Report
-	Seq    uint64
+	Kind   MessageKind `json:"Kind"`
+	From   string      `json:"From"`
+	Fence  uint64      `json:"Fence"`
+	Target string      `json:"Target"` // Order: what the one it is for is to hold
+	Back   bool        `json:"Back"`   // Order: what it held before
+	Plan   string      `json:"Plan"`
+	State  *State      `json:"State"`
+	Report *Report     `json:"Report"`
+	Seq    uint64      `json:"Seq"`
 }
 
 // MessageKind tells what a message is for.
--- a/fleet/share/share.go
+++ b/fleet/share/share.go
@@ -110,7 +110,14 @@
 }
 
 // Figures count what passed.
-type Figures struct{ PacketsIn, PacketsOut, BytesIn, BytesOut, Bad, Unsent uint64 }
+type Figures struct {
+	PacketsIn  uint64 `json:"PacketsIn"`
+	PacketsOut uint64 `json:"PacketsOut"`
+	BytesIn    uint64 `json:"BytesIn"`
+	BytesOut   uint64 `json:"BytesOut"`
+	Bad        uint64 `json:"Bad"`
+	Unsent     uint64 `json:"Unsent"`
+}
 
 // New returns a copy's side.
 func New(cfg Config, now time.Duration) (*Share, error) {
--- a/fleet/verdict/verdict.go
+++ b/fleet/verdict/verdict.go
@@ -37,17 +37,17 @@
 // Evidence is what one copy saw of one server, as counts that decay: a part of
 // the latest calls, and how many they were.
 type Evidence struct {
-	Reporter string
-	Epoch    uint64
-	Version  uint64
-	Zone     string // of the reporter
-	Server   uint64
-	Since    int64 // the server's start: evidence on another start is worth nothing
-	Calls    float64
-	Errors   float64 // part failed or was turned away
-	Hangs    float64 // part that did not answer in time, or could not be reached
-	Slow     float64 // latency against the reporter's other servers
-	Peers    float64 // part of the calls to its other servers that failed
+	Reporter string  `json:"Reporter"`
+	Epoch    uint64  `json:"Epoch"`
+	Version  uint64  `json:"Version"`
+	Zone     string  `json:"Zone"` // of the reporter
+	Server   uint64  `json:"Server"`
+	Since    int64   `json:"Since"` // the server's start: evidence on another start is worth nothing
+	Calls    float64 `json:"Calls"`
+	Errors   float64 `json:"Errors"` // part failed or was turned away
+	Hangs    float64 `json:"Hangs"`  // part that did not answer in time, or could not be reached
+	Slow     float64 `json:"Slow"`   // latency against the reporter's other servers
+	Peers    float64 `json:"Peers"`  // part of the calls to its other servers that failed
 }
 
 func (e *Evidence) sound() bool {
--- a/observe.go
+++ b/observe.go
@@ -94,10 +94,10 @@
 // Learnt is what a Balancer has found out of its tier that the next one at its
 // place need not find out again. Slices are by class.
 type Learnt struct {
-	Limit float64   // on calls in flight
-	Rate  float64   // calls served a second
-	Usual []float64 // usual latency, seconds
-	Fails []float64 // part of the calls that failed of late
+	Limit float64   `json:"Limit"` // on calls in flight
+	Rate  float64   `json:"Rate"`  // calls served a second
+	Usual []float64 `json:"Usual"` // usual latency, seconds
+	Fails []float64 `json:"Fails"` // part of the calls that failed of late
 }
 
 // Learnt tells what has been found out.
