--- a/config/file.go
+++ b/config/file.go
@@ -171,7 +171,7 @@
 	if err != nil {
 		return Config{}, nil, err
 	}
-	override(f, getenv)
+	overrideFromEnv(f, getenv)
 	f.Complete()
 	cfg, problems := f.build()
 	cfg.Text = text
@@ -193,9 +193,9 @@
 	return cfg, warnings, errors.Join(faults...)
 }
 
-// override lays what the environment says over a file, as for the platform's
+// overrideFromEnv lays what the environment says over a file, as for the platform's
 // form: the name, and the address of its only listener and its only directory.
-func override(f *File, getenv func(string) string) (keys []string) {
+func overrideFromEnv(f *File, getenv func(string) string) (keys []string) {
 	set := func(key, variable string, to *string) {
 		if v := getenv(variable); v != "" {
 			*to = v
--- a/config/show.go
+++ b/config/show.go
@@ -57,7 +57,7 @@
 	stated := map[string]bool{}
 	flatten("", reflect.ValueOf(*f), func(key, _ string) { stated[key] = true })
 	set := map[string]bool{}
-	for _, key := range override(f, getenv) {
+	for _, key := range overrideFromEnv(f, getenv) {
 		set[key] = true
 	}
 	f.Complete()
--- a/consumer/conn.go
+++ b/consumer/conn.go
@@ -394,8 +394,8 @@
 
 func (c *conn) write(head []byte, body *buffer.Body) bool {
 	c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
-	message := body.AppendTo(net.Buffers{head})
-	_, err := message.WriteTo(c.nc)
+	buffers := body.AppendTo(net.Buffers{head})
+	_, err := buffers.WriteTo(c.nc)
 	return err == nil
 }
 
--- a/provider/stream.go
+++ b/provider/stream.go
@@ -34,10 +34,10 @@
 // write writes the request.
 func (p *Pool) write(conn *conn, c *Call) written {
 	r := c.Request
-	message := net.Buffers{encode(r, time.Until(c.Until))}
+	buffers := net.Buffers{encode(r, time.Until(c.Until))}
 	if r.Rest == nil {
-		message = r.Body.AppendTo(message)
-		if _, err := message.WriteTo(conn.TCPConn); err != nil {
+		buffers = r.Body.AppendTo(buffers)
+		if _, err := buffers.WriteTo(conn.TCPConn); err != nil {
 			return failed
 		}
 		return whole
@@ -46,13 +46,13 @@
 	defer p.buffers.PutBlock(block)
 	chunked := r.Length == invocation.Unknown
 	if chunked {
-		message = framing.AppendChunk(message, r.Body.AppendTo(nil))
+		buffers = framing.AppendChunk(buffers, r.Body.AppendTo(nil))
 	} else {
-		message = r.Body.AppendTo(message)
+		buffers = r.Body.AppendTo(buffers)
 	}
 	for last := false; ; {
 		c.within(conn, time.Now().Add(progress))
-		if _, err := message.WriteTo(conn.TCPConn); err != nil {
+		if _, err := buffers.WriteTo(conn.TCPConn); err != nil {
 			if p.answered(conn) {
 				return heard
 			}
@@ -65,12 +65,12 @@
 			return heard
 		}
 		n, err := r.Rest.Read(block[:])
-		message = net.Buffers{block[:n]}
+		buffers = net.Buffers{block[:n]}
 		if chunked {
-			message = framing.AppendChunk(nil, message)
+			buffers = framing.AppendChunk(nil, buffers)
 		}
 		if last = errors.Is(err, io.EOF); last && chunked {
-			message = append(message, []byte(framing.LastChunk))
+			buffers = append(buffers, []byte(framing.LastChunk))
 		}
 		if err != nil && !last {
 			return unheard
