--- a/consumer/crossings_test.go
+++ b/downstream/crossings_test.go
@@ -1,4 +1,4 @@
-package consumer
+package downstream
 
 import (
 	"bufio"
--- a/consumer/names.go
+++ b/downstream/names.go
@@ -1,6 +1,6 @@
 // Package consumer stands at the consumers' side: it listens, reads
 // invocations from connections and writes their answers.
-package consumer
+package downstream
 
 import (
 	"net/http"
--- a/proxy/core.go
+++ b/proxy/core.go
@@ -9,8 +9,8 @@
 
 	"ryerill"
 	"ryerill/config"
-	"ryerill/consumer"
 	"ryerill/directory"
+	"ryerill/downstream"
 	"ryerill/invocation"
 	"ryerill/provider"
 	"ryerill/word"
@@ -32,7 +32,7 @@
 type core struct {
 	log       *slog.Logger
 	clock     clock
-	names     consumer.Names
+	names     downstream.Names
 	rooms     *rooms
 	pool      *provider.Pool
 	directory *directory.Client // nil where the configuration lists the providers
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -8,8 +8,8 @@
 
 	"ryerill"
 	"ryerill/config"
-	"ryerill/consumer"
 	"ryerill/directory"
+	"ryerill/downstream"
 	"ryerill/internal/buffer"
 	"ryerill/provider"
 	"ryerill/word"
@@ -79,7 +79,7 @@
 }
 
 // Names are the words of the pool's settings.
-func (c *core) Names() *consumer.Names { return &c.names }
+func (c *core) Names() *downstream.Names { return &c.names }
 
 // Hold takes room for a body.
 func (c *core) Hold(bytes int) (give func(), ok bool) {
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"ryerill/config"
-	"ryerill/consumer"
+	"ryerill/downstream"
 	"ryerill/fleet"
 	"ryerill/fleet/rollout"
 	"ryerill/internal/buffer"
@@ -32,7 +32,7 @@
 // their answers out.
 type front interface {
 	// Serve hands invocations over until ctx ends and all of them have been answered.
-	Serve(ctx context.Context, services consumer.Services) error
+	Serve(ctx context.Context, services downstream.Services) error
 	Address() string
 	SetMaxConnections(connections int)
 	// Drain empties the front, counted from since, or ends that if it is zero.
@@ -169,7 +169,7 @@
 
 func (p *Proxy) listen(l config.Listener, listeners int) (*listener, error) {
 	// With a door comes a second process beside this one at an upgrade.
-	s, err := consumer.Listen(l.Address, p.connections(listeners), p.cfg.Mgmt != "", p.buffers)
+	s, err := downstream.Listen(l.Address, p.connections(listeners), p.cfg.Mgmt != "", p.buffers)
 	if err != nil {
 		return nil, fmt.Errorf("listener %s: %w", l.Name, err)
 	}
@@ -222,7 +222,7 @@
 }
 
 // Find returns the way of a request by the present routes.
-func (p *Proxy) Find(req *http.Request, class string) (consumer.Way, error) {
+func (p *Proxy) Find(req *http.Request, class string) (downstream.Way, error) {
 	return p.present.Load().Find(req, class)
 }
 
--- a/proxy/services.go
+++ b/proxy/services.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ryerill/config"
-	"ryerill/consumer"
+	"ryerill/downstream"
 	"ryerill/route"
 )
 
@@ -52,9 +52,9 @@
 }
 
 // Find returns the way of a request.
-func (s *services) Find(req *http.Request, class string) (consumer.Way, error) {
+func (s *services) Find(req *http.Request, class string) (downstream.Way, error) {
 	if s.all != nil {
-		return consumer.Way{Service: s.all, Class: s.ways[0].class, Target: req.RequestURI}, nil
+		return downstream.Way{Service: s.all, Class: s.ways[0].class, Target: req.RequestURI}, nil
 	}
 	path, _, _ := strings.Cut(req.RequestURI, "?")
 	q := route.Request{Host: req.Host, Path: path, Method: req.Method, Class: class, Header: func(name string) (string, bool) {
@@ -66,9 +66,9 @@
 	}}
 	i, err := s.table.Find(&q)
 	if err != nil {
-		return consumer.Way{}, err
+		return downstream.Way{}, err
 	}
-	return consumer.Way{Service: s.ways[i].core, Class: s.ways[i].class, Target: s.table.Target(i, req.RequestURI)}, nil
+	return downstream.Way{Service: s.ways[i].core, Class: s.ways[i].class, Target: s.table.Target(i, req.RequestURI)}, nil
 }
 
 // Longest is the longest deadline of all classes.
