--- a/proxy/core.go
+++ b/proxy/core.go
@@ -12,7 +12,7 @@
 	"ryerill/directory"
 	"ryerill/downstream"
 	"ryerill/invocation"
-	"ryerill/provider"
+	"ryerill/upstream"
 	"ryerill/word"
 )
 
@@ -34,7 +34,7 @@
 	clock     clock
 	names     downstream.Names
 	rooms     *rooms
-	pool      *provider.Pool
+	pool      *upstream.Pool
 	directory *directory.Client // nil where the configuration lists the providers
 	end       context.CancelFunc
 	figures   *figures
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -11,7 +11,7 @@
 	"ryerill/directory"
 	"ryerill/downstream"
 	"ryerill/internal/buffer"
-	"ryerill/provider"
+	"ryerill/upstream"
 	"ryerill/word"
 )
 
@@ -27,7 +27,7 @@
 		cfg:       cfg,
 		settings:  settings,
 		rooms:     r,
-		pool:      provider.NewPool(&r.sockets, settings.IdleClose, b.Limits.ConnectTimeout, buffers),
+		pool:      upstream.NewPool(&r.sockets, settings.IdleClose, b.Limits.ConnectTimeout, buffers),
 		end:       end,
 		balancer:  ryerill.New(settings.Balancer, seed),
 		open:      make(map[ryerill.RequestID]*entry),
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -22,8 +22,8 @@
 	"ryerill/config"
 	"ryerill/directory"
 	"ryerill/invocation"
-	"ryerill/provider"
 	"ryerill/route"
+	"ryerill/upstream"
 )
 
 const patience = 20 * time.Second // for what must come; no test waits so long unless it fails
@@ -503,7 +503,7 @@
 func TestProvidersThatAreGoneAreForgotten(t *testing.T) {
 	t.Parallel()
 	c := &core{log: slog.New(slog.DiscardHandler), clock: clock{time.Now()}, balancer: ryerill.New(ryerill.Config{}, 1),
-		pool:      provider.NewPool(&(&rooms{}).sockets, time.Second, time.Second, nil),
+		pool:      upstream.NewPool(&(&rooms{}).sockets, time.Second, time.Second, nil),
 		providers: make(map[ryerill.ServerID]*target), seen: map[string]struct{}{}}
 	e := directory.Endpoint{Name: "first", Address: "127.0.0.1:1", Status: directory.Ready}
 	c.list(ryerill.ListFull, directory.List{Snapshot: true, Endpoints: []directory.Endpoint{e}})
--- a/proxy/route.go
+++ b/proxy/route.go
@@ -9,7 +9,7 @@
 
 	"ryerill"
 	"ryerill/directory"
-	"ryerill/provider"
+	"ryerill/upstream"
 )
 
 // target is a provider as calls find it.
@@ -29,7 +29,7 @@
 
 // call is an invoker call with what booking it needs.
 type call struct {
-	provider.Call
+	upstream.Call
 	entry   *entry
 	attempt int
 	server  ryerill.ServerID
@@ -60,7 +60,7 @@
 	if k.timeout = time.Until(until); e.inv.Request.Rest != nil {
 		until = e.until // its time counts from its last byte
 	}
-	k.Call = provider.Call{Request: e.inv.Request, Provider: uint64(t.id), Address: t.address, Until: until, OutBy: time.Now().Add(a.Within), MayStart: t.ready.Load,
+	k.Call = upstream.Call{Request: e.inv.Request, Provider: uint64(t.id), Address: t.address, Until: until, OutBy: time.Now().Add(a.Within), MayStart: t.ready.Load,
 		Written: func() time.Time { return c.wrote(k) }}
 	go c.send(k)
 }
--- a/provider/stream.go
+++ b/upstream/stream.go
@@ -1,4 +1,4 @@
-package provider
+package upstream
 
 import (
 	"errors"
