--- a/config/config.go
+++ b/config/config.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"time"
 
-	"ryerill/directory"
+	"ryerill/discovery"
 	"ryerill/route"
 )
 
@@ -69,7 +69,7 @@
 type Pool struct {
 	Name      string
 	Directory string         // address of the directory; empty is none, and Known is the whole list
-	Known     directory.List // the providers as last heard of, perhaps long ago
+	Known     discovery.List // the providers as last heard of, perhaps long ago
 	Settings  Settings
 	Guarantee Shares
 	Weight    float64
@@ -210,7 +210,7 @@
 		bad("limits.sockets", cfg.Limits.Sockets, fmt.Sprintf("%d or more", least))
 	}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
-		if pool.Known, err = directory.Parse(file.Known); err != nil {
+		if pool.Known, err = discovery.Parse(file.Known); err != nil {
 			problems = append(problems, fmt.Errorf("known: %w", err))
 		}
 	}
--- a/config/file.go
+++ b/config/file.go
@@ -10,7 +10,7 @@
 
 	"ryerill"
 	"ryerill/budget"
-	"ryerill/directory"
+	"ryerill/discovery"
 	"ryerill/internal/yamlfile"
 	"ryerill/invocation"
 	"ryerill/ops"
@@ -497,7 +497,7 @@
 		c.bad(at+".zone", p.Zone, "one of the pool's zones: "+strings.Join(p.Zones, ", ")+yamlfile.Near(p.Zone, p.Zones))
 	}
 	seen := map[string]int{}
-	out.Known = directory.List{Index: 1, Snapshot: true, Endpoints: []directory.Endpoint{}}
+	out.Known = discovery.List{Index: 1, Snapshot: true, Endpoints: []discovery.Endpoint{}}
 	for i, e := range p.Providers {
 		here := fmt.Sprintf("%s.providers[%d]", at, i)
 		c.name(here+".name", e.Name, seen, i)
@@ -505,7 +505,7 @@
 		if e.Zone != "" && !slices.Contains(p.Zones, e.Zone) {
 			c.bad(here+".zone", e.Zone, "one of the pool's zones: "+strings.Join(p.Zones, ", ")+yamlfile.Near(e.Zone, p.Zones))
 		}
-		out.Known.Endpoints = append(out.Known.Endpoints, directory.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Group: e.Group, Status: directory.Ready, Weight: 1})
+		out.Known.Endpoints = append(out.Known.Endpoints, discovery.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Group: e.Group, Status: discovery.Ready, Weight: 1})
 	}
 	b := &out.Settings.Balancer
 	b.Tier, b.Tiers, b.Self, b.GroupSize, b.Zone = p.Tier, p.Tiers, p.Copy, p.Copies, max(slices.Index(p.Zones, p.Zone), 0)
--- a/config/show.go
+++ b/config/show.go
@@ -11,7 +11,7 @@
 	"github.com/invopop/jsonschema"
 
 	"ryerill"
-	"ryerill/directory"
+	"ryerill/discovery"
 	"ryerill/internal/yamlfile"
 )
 
@@ -173,7 +173,7 @@
 		out.Tenants = append(out.Tenants, TenantFile{Name: t.Name, Quota: t.Quota, Share: t.Share})
 	}
 	for _, e := range p.Known.Endpoints {
-		if e.Status == directory.Ready {
+		if e.Status == discovery.Ready {
 			out.Providers = append(out.Providers, ProviderFile{Name: e.Name, Address: e.Address, Zone: e.Zone, Group: e.Group})
 		}
 	}
--- a/directory/crossings_test.go
+++ b/discovery/crossings_test.go
@@ -1,4 +1,4 @@
-package directory
+package discovery
 
 import (
 	"bufio"
--- a/directory/list.go
+++ b/discovery/list.go
@@ -1,6 +1,6 @@
 // Package directory asks the directory for the list of providers and watches
 // its changes.
-package directory
+package discovery
 
 import (
 	"encoding/json"
--- a/lab/live/directory.go
+++ b/lab/live/directory.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"ryerill/directory"
+	"ryerill/discovery"
 )
 
 // registry is a stand-in for the directory of one tier. Each proxy has an
@@ -73,13 +73,13 @@
 }
 
 // list is what has changed since a version, or the whole list, as a zone sees it.
-func (g *registry) list(zone int, since uint64, whole bool) directory.List {
-	list := directory.List{Index: g.version, Snapshot: whole, Endpoints: []directory.Endpoint{}}
+func (g *registry) list(zone int, since uint64, whole bool) discovery.List {
+	list := discovery.List{Index: g.version, Snapshot: whole, Endpoints: []discovery.Endpoint{}}
 	for _, e := range g.entries {
-		if whole && e.status == directory.Gone || !whole && e.version <= since {
+		if whole && e.status == discovery.Gone || !whole && e.version <= since {
 			continue
 		}
-		list.Endpoints = append(list.Endpoints, directory.Endpoint{Name: e.p.name, Address: e.p.addresses[zone],
+		list.Endpoints = append(list.Endpoints, discovery.Endpoint{Name: e.p.name, Address: e.p.addresses[zone],
 			Zone: g.run.w.Network.Zones[e.p.zone], Type: "machine", Group: e.p.group, Status: e.status, Weight: 1, SinceMS: e.sinceMS})
 	}
 	return list
@@ -191,7 +191,7 @@
 	var words []word
 	for _, e := range g.entries {
 		if whole || e.version > since {
-			words = append(words, word{e.p.name, e.status == directory.Ready})
+			words = append(words, word{e.p.name, e.status == discovery.Ready})
 		}
 	}
 	g.mu.Unlock()
--- a/lab/live/live.go
+++ b/lab/live/live.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"ryerill"
-	"ryerill/directory"
+	"ryerill/discovery"
 	"ryerill/lab/load"
 	"ryerill/lab/measure"
 	"ryerill/lab/node"
@@ -139,7 +139,7 @@
 				return err
 			}
 			r.tiers[t] = append(r.tiers[t], p)
-			r.registries[t].know(p, directory.Ready)
+			r.registries[t].know(p, discovery.Ready)
 		}
 	}
 	for i := range r.w.Tiers[0].Proxies {
@@ -364,7 +364,7 @@
 func (r *run) patience() time.Duration { return r.w.Rules.Slack + onSockets + 20*time.Millisecond }
 
 // known is the list of a tier's providers as its directory has it.
-func (r *run) known(tier, zone int) directory.List {
+func (r *run) known(tier, zone int) discovery.List {
 	g := r.registries[tier]
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/lab/live/overhead.go
+++ b/lab/live/overhead.go
@@ -25,7 +25,7 @@
 	"golang.org/x/sys/unix"
 
 	"ryerill/config"
-	"ryerill/directory"
+	"ryerill/discovery"
 	"ryerill/lab/measure"
 )
 
@@ -274,14 +274,14 @@
 
 type static struct {
 	address string
-	list    directory.List
+	list    discovery.List
 }
 
 // staticDirectory lists one address under several names, for ever.
 func staticDirectory(back string) (static, func(), error) {
-	s := static{list: directory.List{Index: 1, Snapshot: true}}
+	s := static{list: discovery.List{Index: 1, Snapshot: true}}
 	for i := range costProviders {
-		s.list.Endpoints = append(s.list.Endpoints, directory.Endpoint{Name: fmt.Sprintf("p-%d", i), Address: back, Zone: "z", Status: directory.Ready, Weight: 1})
+		s.list.Endpoints = append(s.list.Endpoints, discovery.Endpoint{Name: fmt.Sprintf("p-%d", i), Address: back, Zone: "z", Status: discovery.Ready, Weight: 1})
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -296,7 +296,7 @@
 			case <-time.After(time.Duration(min(wait, 60_000)) * time.Millisecond):
 			case <-r.Context().Done():
 			}
-			list.Snapshot, list.Endpoints = false, []directory.Endpoint{}
+			list.Snapshot, list.Endpoints = false, []discovery.Endpoint{}
 		}
 		json.NewEncoder(w).Encode(list)
 	})}
--- a/lab/live/trouble.go
+++ b/lab/live/trouble.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"ryerill/directory"
+	"ryerill/discovery"
 	"ryerill/lab/load"
 	"ryerill/lab/node"
 	"ryerill/lab/world"
@@ -155,7 +155,7 @@
 			if !r.until(ctx, noticed) {
 				return
 			}
-			g.know(p, directory.Gone)
+			g.know(p, discovery.Gone)
 		}
 		if r.until(ctx, t.At+t.For) {
 			p.stop()
@@ -189,7 +189,7 @@
 		p.mu.Unlock()
 	}
 	if r.until(ctx, time.Since(r.began)+r.w.Directory.Add) {
-		r.registries[p.tier].know(p, directory.Ready)
+		r.registries[p.tier].know(p, discovery.Ready)
 	}
 }
 
@@ -226,7 +226,7 @@
 		if !r.until(ctx, start+lag) {
 			return
 		}
-		r.registries[p.tier].know(p, directory.Terminating)
+		r.registries[p.tier].know(p, discovery.Terminating)
 	}
 	if !r.until(ctx, start+t.Drain) {
 		return
@@ -245,7 +245,7 @@
 	p.stop()
 	go func() {
 		if r.until(ctx, start+r.w.Directory.Lag) {
-			r.registries[p.tier].know(p, directory.Gone)
+			r.registries[p.tier].know(p, discovery.Gone)
 		}
 	}()
 	if !r.until(ctx, start+t.Pause) {
--- a/proxy/core.go
+++ b/proxy/core.go
@@ -9,7 +9,7 @@
 
 	"ryerill"
 	"ryerill/config"
-	"ryerill/directory"
+	"ryerill/discovery"
 	"ryerill/downstream"
 	"ryerill/invocation"
 	"ryerill/upstream"
@@ -35,7 +35,7 @@
 	names     downstream.Names
 	rooms     *rooms
 	pool      *upstream.Pool
-	directory *directory.Client // nil where the configuration lists the providers
+	directory *discovery.Client // nil where the configuration lists the providers
 	end       context.CancelFunc
 	figures   *figures
 	tallies   []*tally // by class
--- a/proxy/crossings_test.go
+++ b/proxy/crossings_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/goleak"
 
 	"ryerill/config"
-	"ryerill/directory"
+	"ryerill/discovery"
 )
 
 // leavesAfter is how long after its client has left a request may still be sent on.
@@ -147,7 +147,7 @@
 			t.Parallel()
 			s := newScene(t, class, func(cfg *config.Config) { cfg.Pools[0].Settings.Balancer.Limits.ConnectTimeout = patience })
 			defer s.end()
-			var list []directory.Endpoint
+			var list []discovery.Endpoint
 			for i, name := range []string{"s1", "s2", "t1", "cold"} {
 				list = append(list, s.peers[i].endpoint(name, []int{1, 1, 2, 1}[i]))
 			}
@@ -155,14 +155,14 @@
 			c := s.core()
 			for _, e := range list { // as a list would have told it
 				e.Address = s.deaf.Addr().String()
-				c.Listed(directory.List{Index: 1, Endpoints: []directory.Endpoint{e}})
+				c.Listed(discovery.List{Index: 1, Endpoints: []discovery.Endpoint{e}})
 			}
 			s.write(s.text("serve", ""))
 			until(t, "a call out", func() bool { return s.inFlight() == 1 })
 			if gone {
-				c.Listed(directory.List{Index: 2, Snapshot: true})
+				c.Listed(discovery.List{Index: 2, Snapshot: true})
 			}
-			c.Listed(directory.List{Index: 3, Snapshot: true, Endpoints: list})
+			c.Listed(discovery.List{Index: 3, Snapshot: true, Endpoints: list})
 			heard := s.hearOut() // whoever has the address now
 			if got := s.answer(); got != http.StatusOK {
 				t.Errorf("answered %d", got)
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -8,7 +8,7 @@
 
 	"ryerill"
 	"ryerill/config"
-	"ryerill/directory"
+	"ryerill/discovery"
 	"ryerill/downstream"
 	"ryerill/internal/buffer"
 	"ryerill/upstream"
@@ -70,9 +70,9 @@
 	switch {
 	case cfg.Directory == "":
 	case settings.Pushed:
-		c.directory = directory.NewAgentClient(life, cfg.Directory, known, buffers, c)
+		c.directory = discovery.NewAgentClient(life, cfg.Directory, known, buffers, c)
 	default:
-		c.directory = directory.NewClient(life, cfg.Directory, known, buffers, c)
+		c.directory = discovery.NewClient(life, cfg.Directory, known, buffers, c)
 	}
 	c.list(kind, cfg.Known)
 	return c
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -20,7 +20,7 @@
 
 	"ryerill"
 	"ryerill/config"
-	"ryerill/directory"
+	"ryerill/discovery"
 	"ryerill/invocation"
 	"ryerill/route"
 	"ryerill/upstream"
@@ -88,8 +88,8 @@
 	}
 }
 
-func (b *backend) endpoint(name string, cell int) directory.Endpoint {
-	return directory.Endpoint{Name: name, Address: b.Addr().String(), Zone: "a", Group: cell, Status: directory.Ready}
+func (b *backend) endpoint(name string, cell int) discovery.Endpoint {
+	return discovery.Endpoint{Name: name, Address: b.Addr().String(), Zone: "a", Group: cell, Status: discovery.Ready}
 }
 
 func says(text string) func(net.Conn, *http.Request) {
@@ -148,9 +148,9 @@
 	}
 }
 
-func encode(t *testing.T, index uint64, snapshot bool, list ...directory.Endpoint) string {
+func encode(t *testing.T, index uint64, snapshot bool, list ...discovery.Endpoint) string {
 	t.Helper()
-	text, err := json.Marshal(directory.List{Index: index, Snapshot: snapshot, Endpoints: append([]directory.Endpoint{}, list...)})
+	text, err := json.Marshal(discovery.List{Index: index, Snapshot: snapshot, Endpoints: append([]discovery.Endpoint{}, list...)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -158,14 +158,14 @@
 }
 
 // start runs a proxy that knows some providers and returns its address.
-func start(t *testing.T, change func(*config.Config), known ...directory.Endpoint) string {
+func start(t *testing.T, change func(*config.Config), known ...discovery.Endpoint) string {
 	t.Helper()
 	return run(t, change, known...).Address()
 }
 
 // run runs a proxy that knows some providers.
 // Classes: read is safe, pay is keyed within a cell, burn is unsafe.
-func run(t *testing.T, change func(*config.Config), known ...directory.Endpoint) *Proxy {
+func run(t *testing.T, change func(*config.Config), known ...discovery.Endpoint) *Proxy {
 	t.Helper()
 	p, stop := runUntil(t, change, known...)
 	t.Cleanup(func() { stop() })
@@ -174,7 +174,7 @@
 
 // runUntil does so until it is stopped, which may be said more than once and
 // returns when Run has.
-func runUntil(t *testing.T, change func(*config.Config), known ...directory.Endpoint) (p *Proxy, stop func()) {
+func runUntil(t *testing.T, change func(*config.Config), known ...discovery.Endpoint) (p *Proxy, stop func()) {
 	t.Helper()
 	class := func(name string, e ryerill.Effect) ryerill.Class {
 		return ryerill.Class{Name: name, Aim: 2 * time.Second, Deadline: 20 * time.Second, Worth: 1, LateWorth: 0.5,
@@ -183,7 +183,7 @@
 	cfg := config.Config{Name: "n1", Limits: config.Limits{Cores: 1, Memory: 64 << 20, Sockets: 256},
 		Listeners: []config.Listener{{Name: "main", Address: "127.0.0.1:0"}},
 		Routes:    []config.Route{{Rule: route.Rule{Name: "main", Pool: "main"}}},
-		Pools: []config.Pool{{Name: "main", Directory: "127.0.0.1:1", Known: directory.List{Index: 1, Snapshot: true, Endpoints: known},
+		Pools: []config.Pool{{Name: "main", Directory: "127.0.0.1:1", Known: discovery.List{Index: 1, Snapshot: true, Endpoints: known},
 			Settings: config.Settings{Zones: []string{"a"}, IdleClose: time.Minute, Balancer: ryerill.Config{
 				Classes: []ryerill.Class{class("read", ryerill.Safe), class("pay", ryerill.Keyed), class("burn", ryerill.Unsafe)},
 				Tiers:   1, GroupSize: 1, Subscribe: true,
@@ -333,7 +333,7 @@
 	}
 	t.Run("connection refused", func(t *testing.T) {
 		t.Parallel()
-		nobody := directory.Endpoint{Name: "s1", Address: "127.0.0.1:1", Zone: "a", Status: directory.Ready}
+		nobody := discovery.Endpoint{Name: "s1", Address: "127.0.0.1:1", Zone: "a", Status: discovery.Ready}
 		if status, _ := dial(t, start(t, nil, nobody)).ask(request("burn", 10_000)); status != 503 {
 			t.Errorf("answered %d", status)
 		}
@@ -411,11 +411,11 @@
 	t.Parallel()
 	for _, tc := range []struct {
 		name string
-		list func(directory.Endpoint) string
+		list func(discovery.Endpoint) string
 	}{
-		{"draining", func(e directory.Endpoint) string { e.Status = directory.Terminating; return encode(t, 2, false, e) }},
-		{"gone", func(e directory.Endpoint) string { e.Status = directory.Gone; return encode(t, 2, false, e) }},
-		{"left out of a whole list", func(directory.Endpoint) string { return encode(t, 2, true) }},
+		{"draining", func(e discovery.Endpoint) string { e.Status = discovery.Terminating; return encode(t, 2, false, e) }},
+		{"gone", func(e discovery.Endpoint) string { e.Status = discovery.Gone; return encode(t, 2, false, e) }},
+		{"left out of a whole list", func(discovery.Endpoint) string { return encode(t, 2, true) }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
@@ -445,18 +445,18 @@
 	t.Parallel()
 	b := newBackend(t, says(okay))
 	ready, draining := b.endpoint("s1", 1), b.endpoint("s1", 1)
-	draining.Status = directory.Terminating
+	draining.Status = discovery.Terminating
 	for _, tc := range []struct {
 		name   string
-		known  []directory.Endpoint
+		known  []discovery.Endpoint
 		before string // what the agent says first, "" if it fails then
 		moved  bool   // the rest is said by another agent
 	}{
-		{name: "known", known: []directory.Endpoint{ready}, before: encode(t, 1, false)},
+		{name: "known", known: []discovery.Endpoint{ready}, before: encode(t, 1, false)},
 		{name: "nothing known", before: encode(t, 1, true, ready)},
-		{name: "known long ago", known: []directory.Endpoint{{Name: "s0", Address: "127.0.0.1:1", Status: directory.Ready}}, before: encode(t, 1, true, ready)},
-		{name: "down at the start", known: []directory.Endpoint{ready}},
-		{name: "moved", known: []directory.Endpoint{ready}, before: encode(t, 1, false), moved: true},
+		{name: "known long ago", known: []discovery.Endpoint{{Name: "s0", Address: "127.0.0.1:1", Status: discovery.Ready}}, before: encode(t, 1, true, ready)},
+		{name: "down at the start", known: []discovery.Endpoint{ready}},
+		{name: "moved", known: []discovery.Endpoint{ready}, before: encode(t, 1, false), moved: true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := newRegistry(t)
@@ -505,12 +505,12 @@
 	c := &core{log: slog.New(slog.DiscardHandler), clock: clock{time.Now()}, balancer: ryerill.New(ryerill.Config{}, 1),
 		pool:      upstream.NewPool(&(&rooms{}).sockets, time.Second, time.Second, nil),
 		providers: make(map[ryerill.ServerID]*target), seen: map[string]struct{}{}}
-	e := directory.Endpoint{Name: "first", Address: "127.0.0.1:1", Status: directory.Ready}
-	c.list(ryerill.ListFull, directory.List{Snapshot: true, Endpoints: []directory.Endpoint{e}})
+	e := discovery.Endpoint{Name: "first", Address: "127.0.0.1:1", Status: discovery.Ready}
+	c.list(ryerill.ListFull, discovery.List{Snapshot: true, Endpoints: []discovery.Endpoint{e}})
 	for i := range 100 {
-		gone := directory.Endpoint{Name: e.Name, Status: directory.Gone}
+		gone := discovery.Endpoint{Name: e.Name, Status: discovery.Gone}
 		e.Name = fmt.Sprint("s", i)
-		c.list(ryerill.ListChanges, directory.List{Index: uint64(i), Endpoints: []directory.Endpoint{gone, e}})
+		c.list(ryerill.ListChanges, discovery.List{Index: uint64(i), Endpoints: []discovery.Endpoint{gone, e}})
 	}
 	if len(c.providers) != 1 || c.providers[serverID(e.Name)] == nil {
 		t.Errorf("%d providers are known", len(c.providers))
--- a/proxy/route.go
+++ b/proxy/route.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"ryerill"
-	"ryerill/directory"
+	"ryerill/discovery"
 	"ryerill/upstream"
 )
 
@@ -85,7 +85,7 @@
 }
 
 // Listed takes in what the directory answered.
-func (c *core) Listed(list directory.List) {
+func (c *core) Listed(list discovery.List) {
 	kind := ryerill.ListChanges
 	if list.Snapshot {
 		kind = ryerill.ListFull
@@ -111,15 +111,15 @@
 // list takes in what is known of the providers. Those that are gone are
 // forgotten with their idle connections: new ones come under new ids all day,
 // and an address may pass from one to another.
-func (c *core) list(kind ryerill.ListKind, list directory.List) {
+func (c *core) list(kind ryerill.ListKind, list discovery.List) {
 	if kind != ryerill.ListChanges {
 		for _, t := range c.providers {
 			t.ready.Store(false)
 		}
 	}
 	servers := make([]ryerill.Server, 0, len(list.Endpoints))
-	states := map[string]ryerill.ServerState{directory.Ready: ryerill.Ready,
-		directory.Terminating: ryerill.Draining, directory.Gone: ryerill.Gone}
+	states := map[string]ryerill.ServerState{discovery.Ready: ryerill.Ready,
+		discovery.Terminating: ryerill.Draining, discovery.Gone: ryerill.Gone}
 	listed := make(map[ryerill.ServerID]bool, len(list.Endpoints))
 	for i := range list.Endpoints {
 		e := &list.Endpoints[i]
@@ -132,7 +132,7 @@
 			t = &target{id: serverID(e.Name), address: e.Address}
 			c.providers[t.id] = t
 		}
-		listed[t.id] = e.Status != directory.Gone
+		listed[t.id] = e.Status != discovery.Gone
 		t.listed = listing{e.Name, ryerill.Server{ID: t.id, State: states[e.Status], Cell: e.Group, Weight: e.Weight,
 			Zone: index(c.settings.Zones, e.Zone), Kind: index(c.settings.Kinds, e.Type),
 			Started: time.Duration(e.SinceMS) * time.Millisecond}}
--- a/proxy/stages_test.go
+++ b/proxy/stages_test.go
@@ -16,7 +16,7 @@
 	"go.uber.org/goleak"
 
 	"ryerill/config"
-	"ryerill/directory"
+	"ryerill/discovery"
 )
 
 // seen is a request as a provider got it whole.
@@ -75,7 +75,7 @@
 	s := &scene{t: t, class: class, ms: 15_000, arrived: make(chan string, 64), release: make(chan struct{}),
 		ledger: map[string][]seen{}, out: map[string]time.Time{}}
 	s.free = sync.OnceFunc(func() { close(s.release) })
-	var known []directory.Endpoint
+	var known []discovery.Endpoint
 	for i, name := range []string{"s1", "s2", "t1", "cold"} {
 		b := newBackend(t, s.behave(name))
 		s.peers = append(s.peers, b)
