--- a/architecture_test.go
+++ b/architecture_test.go
@@ -24,7 +24,7 @@
 )
 
 // strangers must not import each other: what they share lies in invocation.
-var strangers = [][2]string{{"downstream", "upstream"}, {"upstream", "downstream"}, {"invocation", "downstream"}, {"invocation", "upstream"}}
+var strangers = [][2]string{{"downstream", "upstream"}, {"upstream", "downstream"}, {"message", "downstream"}, {"message", "upstream"}}
 
 type source struct {
 	dir     string
@@ -114,7 +114,7 @@
 // serving are the packages of the process that serves. The platform refuses it other
 // programs and copies that the kernel makes between sockets; one to io.Discard is none.
 var serving = []string{".", "budget", "config", "downstream", "discovery", "drain", "internal/buffer", "internal/command",
-	"internal/framing", "internal/http1", "internal/logging", "internal/socket", "internal/wordfile", "invocation", "ops", "upstream", "proxy", "route", "word",
+	"internal/framing", "internal/http1", "internal/logging", "internal/socket", "internal/wordfile", "message", "ops", "upstream", "proxy", "route", "word",
 	"fleet", "internal/chance", "fleet/member", "fleet/view", "fleet/frame", "fleet/allot", "fleet/tally", "fleet/verdict", "fleet/share", "fleet/rollout"}
 
 func TestNothingThatServesForksOrSplices(t *testing.T) {
--- a/config/file.go
+++ b/config/file.go
@@ -12,7 +12,7 @@
 	"ryerill/budget"
 	"ryerill/discovery"
 	"ryerill/internal/yamlfile"
-	"ryerill/invocation"
+	"ryerill/message"
 	"ryerill/ops"
 	"ryerill/route"
 )
@@ -290,7 +290,7 @@
 			least = 2 // its connection to the directory is one of them
 		}
 		set(&p.Guarantee.Sockets, max(share.Sockets/n, least))
-		set(&p.Guarantee.BodiesKB, max(share.Bodies/n, invocation.MaxHeld)>>10)
+		set(&p.Guarantee.BodiesKB, max(share.Bodies/n, message.MaxHeld)>>10)
 		set(&p.Guarantee.Open, max(share.Open/n, 1))
 		set(&p.Guarantee.WorkPerS, f.Machine.WorkPerS/n)
 		longest := time.Duration(0)
--- a/downstream/conn.go
+++ b/downstream/conn.go
@@ -13,7 +13,7 @@
 	"ryerill/internal/framing"
 	"ryerill/internal/http1"
 	"ryerill/internal/socket"
-	"ryerill/invocation"
+	"ryerill/message"
 )
 
 // state is what a connection is at.
@@ -246,7 +246,7 @@
 	inv.Left = c.server.left(inv.Left)
 	rest, _ := inv.Request.Rest.(*upload)
 	closes := req.Close || c.old
-	inv.Reply = func(a invocation.Answer) { go c.answer(a, id, closes, rest, answered) }
+	inv.Reply = func(a message.Answer) { go c.answer(a, id, closes, rest, answered) }
 	left := inv.Left
 	if rest == nil {
 		c.nc.SetReadDeadline(inv.Taken.Add(left + leaveMargin))
@@ -320,7 +320,7 @@
 }
 
 // invocation reads what is left of a request whose head is in, and finds its way.
-func (c *conn) invocation(req *http.Request, frame framing.Body) (way Way, inv *invocation.Invocation, err error) {
+func (c *conn) invocation(req *http.Request, frame framing.Body) (way Way, inv *message.Invocation, err error) {
 	if way, err = c.server.find(req); err != nil {
 		return way, nil, err
 	}
@@ -329,8 +329,8 @@
 	}
 	give := func() {}
 	if size := frame.Length; size > 0 || frame.Chunked {
-		if size = min(size, invocation.MaxHeld); frame.Chunked {
-			size = invocation.MaxHeld
+		if size = min(size, message.MaxHeld); frame.Chunked {
+			size = message.MaxHeld
 		}
 		var ok bool
 		if give, ok = way.Service.Hold(int(size)); !ok {
@@ -342,7 +342,7 @@
 		c.taken()
 		length := frame.Length
 		if frame.Chunked {
-			length = invocation.Unknown
+			length = message.Unknown
 		}
 		if inv, err = way.parse(req, body, rest, length, time.Now()); err == nil {
 			inv.Request.Done = give
@@ -356,7 +356,7 @@
 
 // answer writes a final answer and tells the reader whether the connection
 // goes on.
-func (c *conn) answer(a invocation.Answer, id string, closes bool, rest *upload, answered chan<- bool) {
+func (c *conn) answer(a message.Answer, id string, closes bool, rest *upload, answered chan<- bool) {
 	defer a.Response.Free()
 	c.server.release(id, c)
 	early := rest != nil && !rest.abandon()
@@ -455,7 +455,7 @@
 	c.server.mu.Unlock()
 	block := c.server.buffers.Block()
 	defer c.server.buffers.PutBlock(block)
-	for left := int64(invocation.MaxBody); left > 0; {
+	for left := int64(message.MaxBody); left > 0; {
 		c.server.mu.Lock()
 		now := time.Now()
 		if !c.gone {
--- a/downstream/crossings_test.go
+++ b/downstream/crossings_test.go
@@ -18,7 +18,7 @@
 	"ryerill"
 	"ryerill/drain"
 	"ryerill/internal/buffer"
-	"ryerill/invocation"
+	"ryerill/message"
 )
 
 const longWait = 20 * time.Second // for what must come; no test waits so long unless it fails
@@ -26,7 +26,7 @@
 // holding takes each invocation and answers it when the test says so.
 type holding struct {
 	prompt
-	taken   chan *invocation.Invocation
+	taken   chan *message.Invocation
 	left    chan uint64
 	expired chan uint64
 	plan    func(killed time.Duration) drain.Plan
@@ -34,20 +34,20 @@
 	mu     sync.Mutex
 	last   uint64
 	ending map[uint64]bool // answered or left
-	open   map[uint64]*invocation.Invocation
+	open   map[uint64]*message.Invocation
 }
 
 func newHolding(deadline time.Duration) *holding {
 	return &holding{prompt: prompt{Names{Classes: []string{"read", "burn"}, Effects: []ryerill.Effect{ryerill.Safe, ryerill.Unsafe},
-		Deadlines: []time.Duration{deadline, deadline}}}, taken: make(chan *invocation.Invocation, 64), left: make(chan uint64, 64),
-		expired: make(chan uint64, 64), plan: drain.Ending, ending: map[uint64]bool{}, open: map[uint64]*invocation.Invocation{}}
+		Deadlines: []time.Duration{deadline, deadline}}}, taken: make(chan *message.Invocation, 64), left: make(chan uint64, 64),
+		expired: make(chan uint64, 64), plan: drain.Ending, ending: map[uint64]bool{}, open: map[uint64]*message.Invocation{}}
 }
 
 func (h *holding) Find(req *http.Request, _ string) (Way, error) {
 	return Way{Service: h, Target: req.RequestURI}, nil
 }
 func (h *holding) Ending(killed time.Duration) drain.Plan { return h.plan(killed) }
-func (h *holding) Take(inv *invocation.Invocation) uint64 {
+func (h *holding) Take(inv *message.Invocation) uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.last++
@@ -65,7 +65,7 @@
 func (h *holding) Expire(ticket uint64) {
 	if !h.over(ticket) {
 		h.expired <- ticket
-		h.open[ticket].Reply(invocation.Answer{Verdict: invocation.Overdue})
+		h.open[ticket].Reply(message.Answer{Verdict: message.Overdue})
 	}
 }
 
@@ -84,7 +84,7 @@
 	inv := h.open[ticket]
 	h.mu.Unlock()
 	if !h.over(ticket) {
-		inv.Reply(invocation.Answer{Verdict: invocation.Served})
+		inv.Reply(message.Answer{Verdict: message.Served})
 	}
 }
 
--- a/downstream/head.go
+++ b/downstream/head.go
@@ -7,7 +7,7 @@
 
 	"ryerill/internal/framing"
 	"ryerill/internal/http1"
-	"ryerill/invocation"
+	"ryerill/message"
 )
 
 // once are the headers that a request may carry once at most: of two, a
@@ -56,7 +56,7 @@
 		return bad(err.Error())
 	case body.Chunked && !strings.HasSuffix(lines[0], " HTTP/1.1"):
 		return bad("Transfer-Encoding before HTTP/1.1")
-	case body.Length > invocation.MaxBody:
+	case body.Length > message.MaxBody:
 		return framing.Body{}, &httpError{http.StatusRequestEntityTooLarge, "the body is too large"}
 	}
 	return body, nil
--- a/downstream/http.go
+++ b/downstream/http.go
@@ -17,7 +17,7 @@
 	"ryerill/internal/buffer"
 	"ryerill/internal/framing"
 	"ryerill/internal/http1"
-	"ryerill/invocation"
+	"ryerill/message"
 	"ryerill/route"
 )
 
@@ -30,7 +30,7 @@
 	maxID     = 256       // bytes of a Req-Id
 	maxLeft   = time.Hour // no consumer is believed to wait longer
 
-	chunkedMost = 8 * invocation.MaxBody // bytes of a body in chunks, with their framing: one for each byte is six
+	chunkedMost = 8 * message.MaxBody // bytes of a body in chunks, with their framing: one for each byte is six
 )
 
 // httpError is an answer to what is not an invocation that can be taken in.
@@ -89,7 +89,7 @@
 	}
 	c.comesIn()
 	src := f.Reader(c.r)
-	body, whole, err := c.server.buffers.ReadPart(src, invocation.MaxHeld+1, nil)
+	body, whole, err := c.server.buffers.ReadPart(src, message.MaxHeld+1, nil)
 	switch {
 	case err != nil:
 		body.Free()
@@ -98,7 +98,7 @@
 		c.pace = pace{}
 		return body, nil, nil
 	}
-	return body, newUpload(c, src, invocation.MaxBody-int64(body.Len())), nil
+	return body, newUpload(c, src, message.MaxBody-int64(body.Len())), nil
 }
 
 // find returns the way of a request.
@@ -141,20 +141,20 @@
 
 // parse turns a request into an invocation. Where it can't, what it was given
 // is still the caller's.
-func (w *Way) parse(req *http.Request, body *buffer.Body, rest *upload, length int64, taken time.Time) (*invocation.Invocation, error) {
+func (w *Way) parse(req *http.Request, body *buffer.Body, rest *upload, length int64, taken time.Time) (*message.Invocation, error) {
 	inv, err := w.Service.Names().read(req, body, taken, w.Class)
 	if err != nil {
 		return nil, err
 	}
-	inv.Request = &invocation.Request{Method: req.Method, Target: w.Target, Host: req.Host, Header: req.Header, Body: body, Length: length}
+	inv.Request = &message.Request{Method: req.Method, Target: w.Target, Host: req.Host, Header: req.Header, Body: body, Length: length}
 	if rest != nil {
 		inv.Request.Rest = rest
 	}
 	return inv, nil
 }
 
-func (n *Names) read(req *http.Request, body *buffer.Body, taken time.Time, class string) (*invocation.Invocation, error) {
-	bad := func(text string) (*invocation.Invocation, error) { return nil, &httpError{http.StatusBadRequest, text} }
+func (n *Names) read(req *http.Request, body *buffer.Body, taken time.Time, class string) (*message.Invocation, error) {
+	bad := func(text string) (*message.Invocation, error) { return nil, &httpError{http.StatusBadRequest, text} }
 	id := req.Header.Get(http1.HeaderID)
 	switch {
 	case req.ProtoMajor != 1:
@@ -170,7 +170,7 @@
 			kind = first
 		}
 	}
-	inv := &invocation.Invocation{Class: slices.Index(n.Classes, kind), Tenant: slices.Index(n.Tenants, req.Header.Get(http1.HeaderOwner)),
+	inv := &message.Invocation{Class: slices.Index(n.Classes, kind), Tenant: slices.Index(n.Tenants, req.Header.Get(http1.HeaderOwner)),
 		Repeat: req.Header.Get(http1.HeaderRetry) == "1", Write: req.Method != http.MethodGet, Taken: taken}
 	switch {
 	case inv.Class < 0:
@@ -215,7 +215,7 @@
 	b = append(strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(code), 10), ' ')
 	b = append(append(b, http.StatusText(code)...), "\r\n"...)
 	switch {
-	case length != invocation.Unknown:
+	case length != message.Unknown:
 		b = append(strconv.AppendInt(append(b, "Content-Length: "...), length, 10), "\r\n"...)
 	case !old:
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
@@ -232,13 +232,13 @@
 }
 
 // status is the status code of a verdict.
-func status(v invocation.Verdict) int {
+func status(v message.Verdict) int {
 	switch v {
-	case invocation.Served:
+	case message.Served:
 		return http.StatusOK
-	case invocation.Refused:
+	case message.Refused:
 		return http.StatusServiceUnavailable
-	case invocation.Overdue:
+	case message.Overdue:
 		return http.StatusGatewayTimeout
 	}
 	return http.StatusBadGateway
--- a/downstream/names.go
+++ b/downstream/names.go
@@ -8,7 +8,7 @@
 
 	"ryerill"
 	"ryerill/drain"
-	"ryerill/invocation"
+	"ryerill/message"
 )
 
 // Names are the words of the settings that headers carry, by index.
@@ -22,7 +22,7 @@
 
 // Service is what a request goes to.
 type Service interface {
-	invocation.Intake
+	message.Intake
 	Names() *Names
 
 	// Hold takes room for a body of so many bytes at most, and returns what gives
--- a/downstream/server_test.go
+++ b/downstream/server_test.go
@@ -15,7 +15,7 @@
 	"ryerill/drain"
 	"ryerill/internal/buffer"
 	"ryerill/internal/socket"
-	"ryerill/invocation"
+	"ryerill/message"
 )
 
 // A request that has reached this machine counts as taken: giving up its
@@ -145,8 +145,8 @@
 func (p prompt) Find(req *http.Request, _ string) (Way, error) {
 	return Way{Service: p, Target: req.RequestURI}, nil
 }
-func (prompt) Take(inv *invocation.Invocation) uint64 {
-	inv.Reply(invocation.Answer{Verdict: invocation.Served})
+func (prompt) Take(inv *message.Invocation) uint64 {
+	inv.Reply(message.Answer{Verdict: message.Served})
 	return 0
 }
 func (prompt) Leave(uint64) bool { return false }
@@ -215,7 +215,7 @@
 func (s torn) Find(req *http.Request, _ string) (Way, error) {
 	return Way{Service: s, Target: req.RequestURI}, nil
 }
-func (torn) Take(inv *invocation.Invocation) uint64 {
+func (torn) Take(inv *message.Invocation) uint64 {
 	go io.Copy(io.Discard, inv.Request.Rest)
 	return 1
 }
--- a/downstream/stream.go
+++ b/downstream/stream.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"ryerill/internal/framing"
-	"ryerill/invocation"
+	"ryerill/message"
 )
 
 const (
@@ -142,8 +142,8 @@
 }
 
 // stream writes an answer whose body is still coming.
-func (c *conn) stream(code int, r *invocation.Response, closes bool) bool {
-	chunked := r.Length == invocation.Unknown && !c.old
+func (c *conn) stream(code int, r *message.Response, closes bool) bool {
+	chunked := r.Length == message.Unknown && !c.old
 	c.nc.SetReadDeadline(time.Time{}) // it may take longer than the consumer would have waited for its beginning
 	whole := c.write(head(code, r.Length, c.old, r.Header, 0, closes), nil) &&
 		(r.Body.Len() == 0 || c.part(r.Body.AppendTo(nil), chunked)) && c.pass(r.Rest, chunked)
--- a/invocation/invocation.go
+++ b/message/invocation.go
@@ -2,7 +2,7 @@
 // brought it in and whatever protocol carries it on: a front makes Invocations
 // and is given Answers, a back sends Requests and returns Responses, and neither
 // knows the other.
-package invocation
+package message
 
 import (
 	"io"
--- a/proxy/book.go
+++ b/proxy/book.go
@@ -5,18 +5,18 @@
 
 	"ryerill"
 	"ryerill/config"
-	"ryerill/invocation"
+	"ryerill/message"
 )
 
 // book notes how an invoker call ended. The first answer that served goes to
 // the consumer at once and ends the invocation.
-func (c *core) book(k *call, outcome ryerill.Outcome, response *invocation.Response) {
+func (c *core) book(k *call, outcome ryerill.Outcome, response *message.Response) {
 	e := k.entry
 	e.out--
 	if response != nil { // what an answer cost is known only now
 		c.rooms.work.used.Add(int64(config.Cost(response.Body.Len())))
 	}
-	if outcome != ryerill.OK || !c.relay(e, invocation.Answer{Verdict: invocation.Served, Response: response}) {
+	if outcome != ryerill.OK || !c.relay(e, message.Answer{Verdict: message.Served, Response: response}) {
 		response.Free()
 	}
 	c.booked.ended(k.server, outcome)
@@ -34,13 +34,13 @@
 }
 
 // counted books the one end of an invocation in the figures.
-func (c *core) counted(e *entry, v invocation.Verdict) {
+func (c *core) counted(e *entry, v message.Verdict) {
 	if e.taken {
 		c.figures.inflight.Add(-1)
 	}
 	c.tallies[e.inv.Class].ended(v)
 	if c.booked != nil {
-		c.booked.answered(&c.settings.Balancer.Classes[e.inv.Class], v == invocation.Served, time.Since(e.inv.Taken))
+		c.booked.answered(&c.settings.Balancer.Classes[e.inv.Class], v == message.Served, time.Since(e.inv.Taken))
 	}
 }
 
--- a/proxy/core.go
+++ b/proxy/core.go
@@ -11,7 +11,7 @@
 	"ryerill/config"
 	"ryerill/discovery"
 	"ryerill/downstream"
-	"ryerill/invocation"
+	"ryerill/message"
 	"ryerill/upstream"
 	"ryerill/word"
 )
@@ -65,7 +65,7 @@
 // entry is an invocation that has not been answered or has invoker calls out.
 type entry struct {
 	id    ryerill.RequestID
-	inv   *invocation.Invocation
+	inv   *message.Invocation
 	until time.Time // the consumer gives up
 	calls []*call
 	out   int  // calls out
@@ -114,9 +114,9 @@
 	case ryerill.Send:
 		c.route(a)
 	case ryerill.Refuse:
-		c.relay(c.open[a.Request], invocation.Answer{Verdict: invocation.Refused, RetryAfter: a.Wait})
+		c.relay(c.open[a.Request], message.Answer{Verdict: message.Refused, RetryAfter: a.Wait})
 	case ryerill.Fail:
-		c.relay(c.open[a.Request], invocation.Answer{Verdict: invocation.Failed})
+		c.relay(c.open[a.Request], message.Answer{Verdict: message.Failed})
 	case ryerill.Cancel:
 		if e := c.open[a.Request]; e != nil && a.Attempt < len(e.calls) {
 			e.calls[a.Attempt].Cancel()
--- a/proxy/figures.go
+++ b/proxy/figures.go
@@ -4,7 +4,7 @@
 	"sync"
 	"sync/atomic"
 
-	"ryerill/invocation"
+	"ryerill/message"
 	"ryerill/ops"
 )
 
@@ -47,11 +47,11 @@
 }
 
 // ended books the one end of an invocation.
-func (t *tally) ended(v invocation.Verdict) {
+func (t *tally) ended(v message.Verdict) {
 	switch v {
-	case invocation.Served:
+	case message.Served:
 		t.success.Add(1)
-	case invocation.Refused:
+	case message.Refused:
 		t.busy.Add(1)
 	default:
 		t.failure.Add(1)
@@ -67,9 +67,9 @@
 	switch {
 	case t == nil:
 	case refused:
-		t.ended(invocation.Refused)
+		t.ended(message.Refused)
 	default:
-		t.ended(invocation.Failed)
+		t.ended(message.Failed)
 	}
 }
 
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -21,7 +21,7 @@
 	"ryerill"
 	"ryerill/config"
 	"ryerill/discovery"
-	"ryerill/invocation"
+	"ryerill/message"
 	"ryerill/route"
 	"ryerill/upstream"
 )
@@ -348,13 +348,13 @@
 		figures: &figures{}, tallies: []*tally{{}}}
 	c.rooms.open.allowed.Store(2)
 	c.rooms.work.allowed.Store(2)
-	answers := make(chan invocation.Answer, 2)
+	answers := make(chan message.Answer, 2)
 	for range 2 {
-		c.Take(&invocation.Invocation{Taken: time.Now(), Left: time.Hour, Reply: func(a invocation.Answer) { answers <- a },
-			Request: &invocation.Request{Method: "GET", Target: "/", Host: "x"}})
+		c.Take(&message.Invocation{Taken: time.Now(), Left: time.Hour, Reply: func(a message.Answer) { answers <- a },
+			Request: &message.Request{Method: "GET", Target: "/", Host: "x"}})
 	}
 	for range 2 {
-		if a := <-answers; a.Verdict != invocation.Failed {
+		if a := <-answers; a.Verdict != message.Failed {
 			t.Errorf("answered %+v", a)
 		}
 	}
--- a/proxy/relay.go
+++ b/proxy/relay.go
@@ -6,18 +6,18 @@
 	"time"
 
 	"ryerill/config"
-	"ryerill/invocation"
+	"ryerill/message"
 )
 
 // relay gives an invocation its final answer, unless it has had one or nobody
 // waits for it. It reports whether it did.
-func (c *core) relay(e *entry, a invocation.Answer) bool {
+func (c *core) relay(e *entry, a message.Answer) bool {
 	if e == nil || e.done {
 		return false
 	}
 	e.done = true
-	if a.Verdict == invocation.Failed && !time.Now().Before(e.until) {
-		a.Verdict = invocation.Overdue
+	if a.Verdict == message.Failed && !time.Now().Before(e.until) {
+		a.Verdict = message.Overdue
 	}
 	if a.Response != nil && a.Response.Rest != nil {
 		c.follow(e, a.Response)
@@ -43,7 +43,7 @@
 }
 
 // follow books an invocation whose answer has begun to go on at the answer's end.
-func (c *core) follow(e *entry, r *invocation.Response) {
+func (c *core) follow(e *entry, r *message.Response) {
 	f, before := &followed{ReadCloser: r.Rest}, r.Done
 	r.Rest = f
 	r.Done = func() {
@@ -52,9 +52,9 @@
 		}
 		c.rooms.work.used.Add(int64(config.Cost(f.bytes)))
 		if f.whole {
-			c.counted(e, invocation.Served)
+			c.counted(e, message.Served)
 		} else {
-			c.counted(e, invocation.Failed)
+			c.counted(e, message.Failed)
 		}
 	}
 }
--- a/proxy/takein.go
+++ b/proxy/takein.go
@@ -5,7 +5,7 @@
 
 	"ryerill"
 	"ryerill/config"
-	"ryerill/invocation"
+	"ryerill/message"
 )
 
 // longestUpload bounds how long the rest of a request may take to come in. The
@@ -17,11 +17,11 @@
 const noRoom = 500 * time.Millisecond
 
 // Take takes an invocation in. From here on it is owed one final answer.
-func (c *core) Take(inv *invocation.Invocation) uint64 {
+func (c *core) Take(inv *message.Invocation) uint64 {
 	if !c.rooms.work.Take(1+config.Cost(inv.Request.Body.Len())) || !c.rooms.open.Take(1) {
 		inv.Request.Free()
-		c.tallies[inv.Class].ended(invocation.Refused)
-		inv.Reply(invocation.Answer{Verdict: invocation.Refused, RetryAfter: noRoom})
+		c.tallies[inv.Class].ended(message.Refused)
+		inv.Reply(message.Answer{Verdict: message.Refused, RetryAfter: noRoom})
 		return 0 // the ticket of none: the Balancer's ids begin at 1
 	}
 	c.mu.Lock()
@@ -67,7 +67,7 @@
 	defer c.mu.Unlock()
 	if !e.done {
 		c.log.Warn("an invocation's time is over with its call out")
-		e.inv.Reply(invocation.Answer{Verdict: invocation.Overdue})
+		e.inv.Reply(message.Answer{Verdict: message.Overdue})
 		c.depart(e)
 	}
 }
@@ -76,7 +76,7 @@
 // connection is not sent on, also where what runs may not be cancelled.
 func (c *core) depart(e *entry) {
 	e.done = true
-	c.counted(e, invocation.Failed)
+	c.counted(e, message.Failed)
 	for _, k := range e.calls {
 		k.Withdraw()
 	}
--- a/upstream/call.go
+++ b/upstream/call.go
@@ -15,7 +15,7 @@
 	"ryerill/internal/framing"
 	"ryerill/internal/http1"
 	"ryerill/internal/socket"
-	"ryerill/invocation"
+	"ryerill/message"
 )
 
 const (
@@ -25,7 +25,7 @@
 
 // Call is one invoker call: one attempt at one provider. It is used once.
 type Call struct {
-	Request  *invocation.Request
+	Request  *message.Request
 	Provider uint64 // who is called: an address may pass to another
 	Address  string
 	Until    time.Time   // the proxy stops waiting
@@ -138,7 +138,7 @@
 
 // Do makes the call and returns how it ended, and the answer if it served. It
 // sends once at most.
-func (p *Pool) Do(c *Call) (ryerill.Outcome, *invocation.Response) {
+func (p *Pool) Do(c *Call) (ryerill.Outcome, *message.Response) {
 	conn, err := p.get(c)
 	switch {
 	case err != nil && c.release():
@@ -182,7 +182,7 @@
 
 // exchange writes the request and reads the answer, whole unless it is long. It
 // reports whether the connection may be used again.
-func (p *Pool) exchange(conn *conn, c *Call) (outcome ryerill.Outcome, response *invocation.Response, again bool) {
+func (p *Pool) exchange(conn *conn, c *Call) (outcome ryerill.Outcome, response *message.Response, again bool) {
 	if c.Request.Rest != nil && c.Request.Rest.Spent() {
 		return ryerill.Moot, nil, false // part of it is gone
 	}
@@ -218,7 +218,7 @@
 			continue
 		}
 		frame, err := framing.Judge(head)
-		if err != nil || frame.Length > invocation.MaxBody {
+		if err != nil || frame.Length > message.MaxBody {
 			return ryerill.Reset, nil, false
 		}
 		keep := out == whole && frame.Stated && !resp.Close && resp.ProtoAtLeast(1, 1)
@@ -228,8 +228,8 @@
 		// What an error says is of no account, but read it must be if the connection is to be used again.
 		if resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified {
 			keep = keep || out == whole && !resp.Close && resp.ProtoAtLeast(1, 1)
-		} else if conn.limit.N = 3 * invocation.MaxHeld; keep {
-			body, err := p.buffers.ReadBody(frame.Reader(conn.r), invocation.MaxHeld)
+		} else if conn.limit.N = 3 * message.MaxHeld; keep {
+			body, err := p.buffers.ReadBody(frame.Reader(conn.r), message.MaxHeld)
 			keep = err == nil
 			body.Free()
 		}
--- a/upstream/provider_test.go
+++ b/upstream/provider_test.go
@@ -13,7 +13,7 @@
 
 	"ryerill"
 	"ryerill/internal/buffer"
-	"ryerill/invocation"
+	"ryerill/message"
 )
 
 const okay = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -75,7 +75,7 @@
 func (r *room) used() int  { return int(r.most.Load() - r.left.Load()) }
 
 func newCall(address string) *Call {
-	return &Call{Request: &invocation.Request{Method: "GET", Target: "/x", Host: "h"}, Address: address,
+	return &Call{Request: &message.Request{Method: "GET", Target: "/x", Host: "h"}, Address: address,
 		Until: time.Now().Add(20 * time.Second), MayStart: func() bool { return true }}
 }
 
@@ -167,7 +167,7 @@
 	p := NewPool(newRoom(8), time.Hour, 5*time.Second, buffers)
 	t.Cleanup(func() { l.Close(); p.Close() })
 	c := newCall(l.Addr().String())
-	c.Request = &invocation.Request{Method: "POST", Target: "/x", Host: "h", Body: body}
+	c.Request = &message.Request{Method: "POST", Target: "/x", Host: "h", Body: body}
 	return p, c
 }
 
--- a/upstream/request.go
+++ b/upstream/request.go
@@ -6,17 +6,17 @@
 	"time"
 
 	"ryerill/internal/http1"
-	"ryerill/invocation"
+	"ryerill/message"
 )
 
 // encode writes the head of a request that may take up to left. Method, target,
 // headers and body are passed on as they are.
-func encode(r *invocation.Request, left time.Duration) []byte {
+func encode(r *message.Request, left time.Duration) []byte {
 	head := make([]byte, 0, 512)
 	head = append(append(append(append(head, r.Method...), ' '), r.Target...), " HTTP/1.1\r\nHost: "...)
 	head = append(append(head, r.Host...), "\r\n"...)
 	head = http1.AppendHeader(head, r.Header)
-	if r.Rest != nil && r.Length == invocation.Unknown {
+	if r.Rest != nil && r.Length == message.Unknown {
 		head = append(head, "Transfer-Encoding: chunked\r\n"...)
 	} else if length := int64(r.Body.Len()); r.Rest != nil || length > 0 || r.Method != http.MethodGet {
 		if r.Rest != nil {
--- a/upstream/stream.go
+++ b/upstream/stream.go
@@ -13,7 +13,7 @@
 	"ryerill/internal/buffer"
 	"ryerill/internal/framing"
 	"ryerill/internal/socket"
-	"ryerill/invocation"
+	"ryerill/message"
 )
 
 const (
@@ -44,7 +44,7 @@
 	}
 	block := p.buffers.Block()
 	defer p.buffers.PutBlock(block)
-	chunked := r.Length == invocation.Unknown
+	chunked := r.Length == message.Unknown
 	if chunked {
 		buffers = framing.AppendChunk(buffers, r.Body.AppendTo(nil))
 	} else {
@@ -85,27 +85,27 @@
 
 // served reads the body of an answer that served: whole if it is short, else its
 // beginning, and the connection goes with what follows.
-func (p *Pool) served(conn *conn, c *Call, header http.Header, frame framing.Body, keep bool) (ryerill.Outcome, *invocation.Response, bool) {
+func (p *Pool) served(conn *conn, c *Call, header http.Header, frame framing.Body, keep bool) (ryerill.Outcome, *message.Response, bool) {
 	length := frame.Length
 	if !frame.Stated || frame.Chunked {
-		length = invocation.Unknown
+		length = message.Unknown
 	}
 	conn.limit.N = math.MaxInt64
 	body := frame.Reader(conn.r)
-	rest := &download{pool: p, conn: conn, body: body, keep: keep, left: invocation.MaxBody}
-	response := &invocation.Response{Header: header, Rest: rest, Length: length}
+	rest := &download{pool: p, conn: conn, body: body, keep: keep, left: message.MaxBody}
+	response := &message.Response{Header: header, Rest: rest, Length: length}
 	hold := int(length)
-	if length == invocation.Unknown {
-		hold = invocation.MaxHeld
+	if length == message.Unknown {
+		hold = message.MaxHeld
 	}
-	if hold > invocation.MaxHeld || p.bodies != nil && !p.bodies.Take(hold) {
+	if hold > message.MaxHeld || p.bodies != nil && !p.bodies.Take(hold) {
 		return ryerill.OK, response, false // it goes on as it comes
 	}
 	if p.bodies != nil {
 		response.Done = func() { p.bodies.Give(hold) }
 	}
 	var enough func() bool
-	if length == invocation.Unknown {
+	if length == message.Unknown {
 		began := time.Now()
 		enough = func() bool {
 			if conn.r.Buffered() == 0 { // who waits for more must not hold back what there is
@@ -119,7 +119,7 @@
 			return time.Since(began) > holdBack
 		}
 	}
-	part, all, err := p.buffers.ReadPart(body, invocation.MaxHeld+1, enough)
+	part, all, err := p.buffers.ReadPart(body, message.MaxHeld+1, enough)
 	response.Body, rest.left = part, rest.left-int64(part.Len())
 	switch {
 	case err != nil:
