--- a/internal/wordfile/exhaustion_test.go
+++ b/internal/overridestore/exhaustion_test.go
@@ -1,4 +1,4 @@
-package wordfile
+package overridestore
 
 import (
 	"errors"
--- a/internal/wordfile/wordfile.go
+++ b/internal/overridestore/wordfile.go
@@ -1,6 +1,6 @@
 // Package wordfile keeps the operators' word in a file that all processes of one
 // proxy share: written beside and renamed, so that no reader meets half of it.
-package wordfile
+package overridestore
 
 import (
 	"context"
--- a/proxy/fleet.go
+++ b/proxy/fleet.go
@@ -14,7 +14,7 @@
 	"ryerill/fleet"
 	"ryerill/fleet/member"
 	"ryerill/fleet/view"
-	"ryerill/internal/wordfile"
+	"ryerill/internal/overridestore"
 )
 
 // again is how often a second process tries to take the fleet's address over from
@@ -117,7 +117,7 @@
 
 // succeeded tells whether another process of this proxy serves.
 func (p *Proxy) succeeded() bool {
-	return slices.ContainsFunc(p.siblings.Others(), func(s wordfile.Sibling) bool { return s.State == wordfile.Serving })
+	return slices.ContainsFunc(p.siblings.Others(), func(s overridestore.Sibling) bool { return s.State == overridestore.Serving })
 }
 
 // sayPhase tells the fleet what this process is at.
@@ -129,7 +129,7 @@
 	p.mu.Lock()
 	phase := member.Starting
 	switch {
-	case p.ending || p.state == wordfile.Leaving:
+	case p.ending || p.state == overridestore.Leaving:
 		phase = member.Leaving
 	case p.word.Drain != 0:
 		phase = member.Draining
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -22,7 +22,7 @@
 	"ryerill/fleet"
 	"ryerill/fleet/rollout"
 	"ryerill/internal/buffer"
-	"ryerill/internal/wordfile"
+	"ryerill/internal/overridestore"
 	"ryerill/ops"
 	"ryerill/override"
 	"ryerill/route"
@@ -64,11 +64,11 @@
 
 	figures  figures
 	door     *ops.Door // nil is none
-	kept     *wordfile.Store
-	siblings *wordfile.Siblings
+	kept     *overridestore.Store
+	siblings *overridestore.Siblings
 	second   bool // another process of this proxy was there first
 	lives    int  // processes of this proxy, and this one
-	state    wordfile.State
+	state    overridestore.State
 	teach    sync.Once
 	taught   chan struct{} // closed once another process has told what it has learnt
 	onShare  func(part float64)
@@ -109,7 +109,7 @@
 // finds another process of the same proxy listens in Run, when it is ready to serve.
 func New(cfg config.Config, options ...Option) (*Proxy, error) {
 	p := &Proxy{cfg: cfg, log: slog.Default(), buffers: new(buffer.Pool), failed: make(chan error, 1),
-		machine: newMachine(cfg.Shared()), parting: make(map[*core]struct{}), lives: 1, state: wordfile.Starting, taught: make(chan struct{}), onShare: func(float64) {}}
+		machine: newMachine(cfg.Shared()), parting: make(map[*core]struct{}), lives: 1, state: overridestore.Starting, taught: make(chan struct{}), onShare: func(float64) {}}
 	for _, option := range options {
 		option(p)
 	}
@@ -118,14 +118,14 @@
 	}
 	path := ""
 	if cfg.Mgmt != "" {
-		if path = wordfile.Path(cfg.Scratch, cfg.Name, cfg.Listeners[0].Address); path == "" {
+		if path = overridestore.Path(cfg.Scratch, cfg.Name, cfg.Listeners[0].Address); path == "" {
 			p.log.Warn("what staff order lasts only as long as this process", "reason", config.EnvScratch+" is not set")
 		}
 	}
-	p.kept = wordfile.Open(path, p.log, p.obey)
+	p.kept = overridestore.Open(path, p.log, p.obey)
 	p.word = p.kept.Word()
 	var err error
-	if p.siblings, err = wordfile.Enlist(path, p.log); err != nil { // serving goes before being known
+	if p.siblings, err = overridestore.Enlist(path, p.log); err != nil { // serving goes before being known
 		p.log.Warn("an upgrade will not find this process", "error", err)
 	}
 	if cfg.Mgmt != "" {
@@ -280,7 +280,7 @@
 	}
 	p.ready = true
 	p.mu.Unlock()
-	p.say(wordfile.Serving)
+	p.say(overridestore.Serving)
 	p.sayPhase()
 	if len(cfg.Pools) > 1 || cfg.Pools[0].Settings.AnyPath {
 		go p.machine.run(side)
@@ -291,7 +291,7 @@
 	case err = <-p.failed:
 	}
 	stop()
-	p.say(wordfile.Leaving)
+	p.say(overridestore.Leaving)
 	p.mu.Lock()
 	p.ending = true
 	p.mu.Unlock()
