--- a/ops/ops.go
+++ b/admin/ops.go
@@ -2,7 +2,7 @@
 // how a proxy does and tell it what to do. It speaks HTTP/1.1, one call to a
 // connection. It knows no provider and no directory: what it is asked it passes
 // on to a Staff, whose methods must not wait for either.
-package ops
+package admin
 
 import (
 	"bufio"
--- a/ops/ops_test.go
+++ b/admin/ops_test.go
@@ -1,4 +1,4 @@
-package ops
+package admin
 
 import (
 	"bufio"
--- a/architecture_test.go
+++ b/architecture_test.go
@@ -114,7 +114,7 @@
 // serving are the packages of the process that serves. The platform refuses it other
 // programs and copies that the kernel makes between sockets; one to io.Discard is none.
 var serving = []string{".", "budget", "config", "downstream", "discovery", "drain", "internal/buffer", "internal/command",
-	"internal/framing", "internal/http1", "internal/logging", "internal/socket", "internal/overridestore", "message", "ops", "upstream", "proxy", "route", "override",
+	"internal/framing", "internal/http1", "internal/logging", "internal/socket", "internal/overridestore", "message", "admin", "upstream", "proxy", "route", "override",
 	"fleet", "internal/chance", "fleet/member", "fleet/view", "fleet/frame", "fleet/allot", "fleet/tally", "fleet/verdict", "fleet/share", "fleet/rollout"}
 
 func TestNothingThatServesForksOrSplices(t *testing.T) {
--- a/config/file.go
+++ b/config/file.go
@@ -9,11 +9,11 @@
 	"time"
 
 	"ryerill"
+	"ryerill/admin"
 	"ryerill/budget"
 	"ryerill/discovery"
 	"ryerill/internal/yamlfile"
 	"ryerill/message"
-	"ryerill/ops"
 	"ryerill/route"
 )
 
@@ -602,7 +602,7 @@
 func spareSockets(mgmt string, fleet bool) int {
 	n := sparedAlways
 	if mgmt != "" {
-		n += ops.Descriptors
+		n += admin.Descriptors
 	}
 	if fleet {
 		n += fleetDescriptors
--- a/proxy/figures.go
+++ b/proxy/figures.go
@@ -4,8 +4,8 @@
 	"sync"
 	"sync/atomic"
 
+	"ryerill/admin"
 	"ryerill/message"
-	"ryerill/ops"
 )
 
 // mostClasses bounds the classes that are counted apart over all reloads; what
@@ -74,13 +74,13 @@
 }
 
 // Stats are the figures as they stand.
-func (p *Proxy) Stats() ops.Stats {
+func (p *Proxy) Stats() admin.Stats {
 	f := &p.figures
-	s := ops.Stats{Calls: map[string]ops.Calls{}, BackendCalls: f.calls.Load(), Inflight: f.inflight.Load(),
+	s := admin.Stats{Calls: map[string]admin.Calls{}, BackendCalls: f.calls.Load(), Inflight: f.inflight.Load(),
 		ReconfigOK: f.reloaded.Load(), ReconfigFail: f.notReloaded.Load()}
 	f.mu.Lock()
 	for name, t := range f.classes {
-		s.Calls[name] = ops.Calls{Success: t.success.Load(), Busy: t.busy.Load(), Failure: t.failure.Load()}
+		s.Calls[name] = admin.Calls{Success: t.success.Load(), Busy: t.busy.Load(), Failure: t.failure.Load()}
 	}
 	f.mu.Unlock()
 	listed := map[string]bool{} // by name, and whether one pool at least avoids it
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -17,13 +17,13 @@
 	"sync/atomic"
 	"time"
 
+	"ryerill/admin"
 	"ryerill/config"
 	"ryerill/downstream"
 	"ryerill/fleet"
 	"ryerill/fleet/rollout"
 	"ryerill/internal/buffer"
 	"ryerill/internal/overridestore"
-	"ryerill/ops"
 	"ryerill/override"
 	"ryerill/route"
 )
@@ -63,7 +63,7 @@
 	failed  chan error
 
 	figures  figures
-	door     *ops.Door // nil is none
+	door     *admin.Door // nil is none
 	kept     *overridestore.Store
 	siblings *overridestore.Siblings
 	second   bool // another process of this proxy was there first
@@ -129,7 +129,7 @@
 		p.log.Warn("an upgrade will not find this process", "error", err)
 	}
 	if cfg.Mgmt != "" {
-		if p.door, err = ops.Listen(cfg.Mgmt); err != nil {
+		if p.door, err = admin.Listen(cfg.Mgmt); err != nil {
 			p.door = nil
 			p.Close()
 			return nil, fmt.Errorf("proxy %s: %w", cfg.Name, &config.AddressError{Key: "mgmt", Value: cfg.Mgmt, Err: err})
--- a/proxy/staff.go
+++ b/proxy/staff.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"ryerill"
-	"ryerill/ops"
+	"ryerill/admin"
 	"ryerill/override"
 )
 
@@ -52,7 +52,7 @@
 // Down takes a provider out until Up.
 func (p *Proxy) Down(id string) error {
 	if !p.knows(id) {
-		return fmt.Errorf("%q: %w", id, ops.ErrUnknown)
+		return fmt.Errorf("%q: %w", id, admin.ErrUnknown)
 	}
 	return p.kept.Change(func(w override.Word, now time.Duration) (override.Word, error) { return w.TakeOut(id, now) })
 }
@@ -61,7 +61,7 @@
 func (p *Proxy) Up(id string) error {
 	return p.kept.Change(func(w override.Word, now time.Duration) (override.Word, error) {
 		if !w.IsOut(id) && !p.knows(id) {
-			return w, fmt.Errorf("%q: %w", id, ops.ErrUnknown)
+			return w, fmt.Errorf("%q: %w", id, admin.ErrUnknown)
 		}
 		return w.CallBack(id, now), nil
 	})
--- a/proxy/staff_test.go
+++ b/proxy/staff_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"ryerill"
+	"ryerill/admin"
 	"ryerill/config"
-	"ryerill/ops"
 )
 
 // door opens the operators' door, with the word kept in a directory.
@@ -28,7 +28,7 @@
 	return dial(t, p.Door()).ask(fmt.Sprintf("%s /ops/%s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body))
 }
 
-func figuresOf(t *testing.T, p *Proxy) (s ops.Stats) {
+func figuresOf(t *testing.T, p *Proxy) (s admin.Stats) {
 	t.Helper()
 	_, text := order(t, p, "GET", "stats", "")
 	if err := json.Unmarshal([]byte(text), &s); err != nil {
@@ -77,16 +77,16 @@
 	with := func(class, mode string) string {
 		return strings.Replace(request(class, 15000), "Req-Owner: nobody", "X-Mode: "+mode, 1)
 	}
-	want := map[string]ops.Calls{"read": {}, "pay": {}, "burn": {}}
+	want := map[string]admin.Calls{"read": {}, "pay": {}, "burn": {}}
 	for _, step := range []struct {
 		class, mode string
-		add         ops.Calls
-	}{{"read", "", ops.Calls{Success: 1}}, {"read", "again", ops.Calls{Success: 1}}, {"pay", "", ops.Calls{Success: 1}},
-		{"burn", "full", ops.Calls{Busy: 1}}, {"burn", "error", ops.Calls{Failure: 1}}, {"pay", "error", ops.Calls{Failure: 1}}} {
+		add         admin.Calls
+	}{{"read", "", admin.Calls{Success: 1}}, {"read", "again", admin.Calls{Success: 1}}, {"pay", "", admin.Calls{Success: 1}},
+		{"burn", "full", admin.Calls{Busy: 1}}, {"burn", "error", admin.Calls{Failure: 1}}, {"pay", "error", admin.Calls{Failure: 1}}} {
 		for range 3 {
 			dial(t, p.Address()).ask(with(step.class, step.mode))
 			w := want[step.class]
-			want[step.class] = ops.Calls{Success: w.Success + step.add.Success, Busy: w.Busy + step.add.Busy, Failure: w.Failure + step.add.Failure}
+			want[step.class] = admin.Calls{Success: w.Success + step.add.Success, Busy: w.Busy + step.add.Busy, Failure: w.Failure + step.add.Failure}
 		}
 	}
 	// What is no invocation counts by its class, and what breaks off or names no class of ours not at all.
