--- a/config/file.go
+++ b/config/file.go
@@ -10,8 +10,8 @@
 
 	"ryerill"
 	"ryerill/admin"
-	"ryerill/budget"
 	"ryerill/discovery"
+	"ryerill/fairshare"
 	"ryerill/internal/yamlfile"
 	"ryerill/message"
 	"ryerill/route"
@@ -633,10 +633,10 @@
 }
 
 // Claims are the pools' claims on one kind of what they share.
-func Claims(pools []Pool, pick func(Shares) int) map[string]budget.Claim {
-	claims := map[string]budget.Claim{}
+func Claims(pools []Pool, pick func(Shares) int) map[string]fairshare.Claim {
+	claims := map[string]fairshare.Claim{}
 	for _, p := range pools {
-		claims[p.Name] = budget.Claim{Guarantee: pick(p.Guarantee), Weight: p.Weight}
+		claims[p.Name] = fairshare.Claim{Guarantee: pick(p.Guarantee), Weight: p.Weight}
 	}
 	return claims
 }
--- a/budget/budget.go
+++ b/fairshare/budget.go
@@ -7,7 +7,7 @@
 // The package is pure. A [Ledger] is stepped by its host some times a second
 // with what each pool uses and wants; in between, a pool may take up to its
 // allowance without asking anybody, so that no lock is shared on a request's way.
-package budget
+package fairshare
 
 import (
 	"cmp"
--- a/budget/budget_test.go
+++ b/fairshare/budget_test.go
@@ -1,4 +1,4 @@
-package budget
+package fairshare
 
 import (
 	"fmt"
--- a/proxy/machine.go
+++ b/proxy/machine.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
-	"ryerill/budget"
 	"ryerill/config"
+	"ryerill/fairshare"
 )
 
 // rebalance is how often what is lent among pools is looked at.
@@ -48,7 +48,7 @@
 type machine struct {
 	mu      sync.Mutex
 	total   config.Shares
-	ledgers [3]*budget.Ledger
+	ledgers [3]*fairshare.Ledger
 	pools   map[string]*rooms
 	claims  []config.Pool          // of the pools that routes lead to
 	leaving map[string]config.Pool // that finish what they have
@@ -69,7 +69,7 @@
 func newMachine(total config.Shares) *machine {
 	m := &machine{total: total, pools: map[string]*rooms{}, leaving: map[string]config.Pool{}, parts: 1}
 	for k := range kinds {
-		m.ledgers[k] = budget.NewLedger(kinds[k].share(total))
+		m.ledgers[k] = fairshare.NewLedger(kinds[k].share(total))
 	}
 	return m
 }
@@ -89,7 +89,7 @@
 	defer m.mu.Unlock()
 	if len(pools) > 1 {
 		for k := range kinds {
-			if budget.Guaranteed(config.Claims(pools, kinds[k].share)) > kinds[k].share(m.total) {
+			if fairshare.Guaranteed(config.Claims(pools, kinds[k].share)) > kinds[k].share(m.total) {
 				return false
 			}
 		}
@@ -115,7 +115,7 @@
 	defer m.mu.Unlock()
 	m.parts = parts
 	for k := range kinds {
-		m.ledgers[k] = budget.NewLedger(kinds[k].share(m.total) / parts)
+		m.ledgers[k] = fairshare.NewLedger(kinds[k].share(m.total) / parts)
 	}
 	m.setLocked()
 }
@@ -142,12 +142,12 @@
 				claims[name] = c
 			}
 		}
-		rest := total - budget.Guaranteed(claims)
+		rest := total - fairshare.Guaranteed(claims)
 		for _, name := range slices.Sorted(maps.Keys(m.leaving)) {
 			p := m.leaving[name]
 			own := min(kinds[k].share(p.Guarantee)/m.parts, rest)
 			rest -= own
-			claims[name] = budget.Claim{Guarantee: own, Weight: p.Weight}
+			claims[name] = fairshare.Claim{Guarantee: own, Weight: p.Weight}
 		}
 		ledger.Set(claims)
 	}
@@ -189,10 +189,10 @@
 	m.workLocked()
 	gone := map[string]int{}
 	for k, ledger := range m.ledgers {
-		usage := make(map[string]budget.Usage, len(m.pools))
+		usage := make(map[string]fairshare.Usage, len(m.pools))
 		for name, r := range m.pools {
 			g := kinds[k].gauge(r)
-			usage[name] = budget.Usage{Used: int(g.used.Load()), Wanted: int(min(g.denied.Swap(0), int64(kinds[k].share(m.total))))}
+			usage[name] = fairshare.Usage{Used: int(g.used.Load()), Wanted: int(min(g.denied.Swap(0), int64(kinds[k].share(m.total))))}
 		}
 		allowed := ledger.Step(usage)
 		for name, r := range m.pools {
@@ -233,13 +233,13 @@
 	}
 	claims := config.Claims(m.claims, func(s config.Shares) int { return span(s.Work) })
 	for name, p := range m.leaving {
-		claims[name] = budget.Claim{Weight: p.Weight}
+		claims[name] = fairshare.Claim{Weight: p.Weight}
 	}
-	usage := make(map[string]budget.Usage, len(m.pools))
+	usage := make(map[string]fairshare.Usage, len(m.pools))
 	for name, r := range m.pools {
-		usage[name] = budget.Usage{Used: int(r.work.used.Swap(0)), Wanted: int(min(r.work.denied.Swap(0), int64(span(m.total.Work))))}
+		usage[name] = fairshare.Usage{Used: int(r.work.used.Swap(0)), Wanted: int(min(r.work.denied.Swap(0), int64(span(m.total.Work))))}
 	}
-	for name, n := range budget.Rates(span(m.total.Work), claims, usage) {
+	for name, n := range fairshare.Rates(span(m.total.Work), claims, usage) {
 		if r := m.pools[name]; r != nil {
 			r.work.allowed.Store(int64(n))
 		}
