--- a/config/fleet.go
+++ b/config/fleet.go
@@ -9,7 +9,7 @@
 
 	"ryerill/fleet"
 	"ryerill/fleet/frame"
-	"ryerill/fleet/member"
+	"ryerill/fleet/membership"
 )
 
 // FleetFile switches the fleet on: what this proxy and its copies tell each other.
@@ -79,11 +79,11 @@
 		}
 	}
 	b := f.Fleet
-	if b.Name == "" || len(b.Name) > member.MaxName {
-		c.bad("fleet.name", b.Name, fmt.Sprintf("a name of at most %d bytes", member.MaxName))
+	if b.Name == "" || len(b.Name) > membership.MaxName {
+		c.bad("fleet.name", b.Name, fmt.Sprintf("a name of at most %d bytes", membership.MaxName))
 	}
-	if f.Name == "" || len(f.Name) > member.MaxName {
-		c.bad("name", f.Name, fmt.Sprintf("a name of at most %d bytes that no other proxy of the fleet has", member.MaxName))
+	if f.Name == "" || len(f.Name) > membership.MaxName {
+		c.bad("name", f.Name, fmt.Sprintf("a name of at most %d bytes that no other proxy of the fleet has", membership.MaxName))
 	}
 	c.address("fleet.listen", b.Listen)
 	if b.Advertise != "" {
@@ -119,8 +119,8 @@
 		}
 	}
 	slices.Sort(pools)
-	if !member.FitPools(pools) {
-		c.bad("fleet", len(pools), fmt.Sprintf("at most %d pools beside it, with %d bytes of names: each copy tells which it has", member.MaxPools, member.MaxPoolBytes))
+	if !membership.FitPools(pools) {
+		c.bad("fleet", len(pools), fmt.Sprintf("at most %d pools beside it, with %d bytes of names: each copy tells which it has", membership.MaxPools, membership.MaxPoolBytes))
 	}
 	tier := 0
 	if len(f.Pools) > 0 {
--- a/fleet/exchange.go
+++ b/fleet/exchange.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"ryerill/fleet/frame"
-	"ryerill/fleet/member"
+	"ryerill/fleet/membership"
 )
 
 // accept takes in the exchanges that others begin.
@@ -45,17 +45,17 @@
 	defer func() { <-f.slots }()
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(exchangeTime))
-	heads, err := f.receive(conn, member.Heads, member.Fetch)
+	heads, err := f.receive(conn, membership.Heads, membership.Fetch)
 	if err != nil {
 		return
 	}
-	if heads.Kind == member.Fetch {
+	if heads.Kind == membership.Fetch {
 		f.answerFetch(conn)
 		return
 	}
 	f.mu.Lock()
 	f.figures.Exchanges++
-	replies := f.handle(member.Event{Kind: member.Asked, Message: heads})
+	replies := f.handle(membership.Event{Kind: membership.Asked, Message: heads})
 	f.mu.Unlock()
 	if len(replies) == 0 || f.deliver(conn, replies[0]) != nil {
 		return
@@ -63,20 +63,20 @@
 	if len(replies[0].Want) == 0 {
 		return
 	}
-	if rest, err := f.receive(conn, member.Rest); err == nil {
+	if rest, err := f.receive(conn, membership.Rest); err == nil {
 		f.mu.Lock()
-		f.handle(member.Event{Kind: member.Finished, Message: rest})
+		f.handle(membership.Event{Kind: membership.Finished, Message: rest})
 		f.mu.Unlock()
 	}
 }
 
 // exchange carries out one that begins here.
-func (f *Fleet) exchange(address string, heads *member.Message, number uint64) {
+func (f *Fleet) exchange(address string, heads *membership.Message, number uint64) {
 	defer f.all.Done()
 	broken := func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.handle(member.Event{Kind: member.Broken, Exchange: number})
+		f.handle(membership.Event{Kind: membership.Broken, Exchange: number})
 	}
 	conn, err := net.DialTimeout("tcp", address, dialTime)
 	if err != nil {
@@ -89,13 +89,13 @@
 		broken()
 		return
 	}
-	delta, err := f.receive(conn, member.Delta)
+	delta, err := f.receive(conn, membership.Delta)
 	if err != nil {
 		broken()
 		return
 	}
 	f.mu.Lock()
-	replies := f.handle(member.Event{Kind: member.Answered, Message: delta, Exchange: number})
+	replies := f.handle(membership.Event{Kind: membership.Answered, Message: delta, Exchange: number})
 	f.mu.Unlock()
 	if len(replies) > 0 && len(delta.Want) > 0 {
 		f.deliver(conn, replies[0])
@@ -103,7 +103,7 @@
 }
 
 // deliver writes one message, after its length.
-func (f *Fleet) deliver(w io.Writer, m *member.Message) error {
+func (f *Fleet) deliver(w io.Writer, m *membership.Message) error {
 	f.mu.Lock()
 	text, err := f.codec.Encode(m)
 	f.figures.ExchangeBytes += uint64(len(text))
@@ -119,7 +119,7 @@
 }
 
 // receive reads one message of some kinds.
-func (f *Fleet) receive(conn net.Conn, kinds ...member.MessageKind) (*member.Message, error) {
+func (f *Fleet) receive(conn net.Conn, kinds ...membership.MessageKind) (*membership.Message, error) {
 	var size [4]byte
 	if _, err := io.ReadFull(conn, size[:]); err != nil {
 		return nil, err
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -20,7 +20,7 @@
 	"time"
 
 	"ryerill/fleet/frame"
-	"ryerill/fleet/member"
+	"ryerill/fleet/membership"
 	"ryerill/fleet/share"
 	"ryerill/fleet/view"
 )
@@ -86,10 +86,10 @@
 	budgets   map[string]float64
 	zones     int
 	codec     *frame.Codec
-	member    *member.Member
+	member    *membership.Member
 	view      *view.View
-	tags      member.Tags
-	actions   []member.Action
+	tags      membership.Tags
+	actions   []membership.Action
 	timer     *time.Timer
 	viewed    time.Time
 	ended     bool
@@ -144,14 +144,14 @@
 	f := &Fleet{cfg: cfg, log: log, udp: udp, tcp: tcp, start: now, places: places, codec: codec, slots: make(chan struct{}, mostExchanges),
 		said: map[string]time.Time{}, credit: mostBurst, creditAt: now, view: view.New(cfg.Copies)}
 	f.figures.Bad = map[string]uint64{}
-	f.tags = member.Tags{Address: cfg.Advertise, Zone: cfg.Zone, Tier: cfg.Tier, Pools: cfg.Pools, Program: cfg.Program, Settings: cfg.Settings, Phase: member.Starting,
+	f.tags = membership.Tags{Address: cfg.Advertise, Zone: cfg.Zone, Tier: cfg.Tier, Pools: cfg.Pools, Program: cfg.Program, Settings: cfg.Settings, Phase: membership.Starting,
 		Least: frame.LeastLevel, Most: frame.Level, Later: frame.Later}
 	known := f.remembered()
 	f.recalled = known
-	f.member = member.New(member.Config{Name: cfg.Name, Epoch: max(drawEpoch(now), known.Epoch+1), Seed: cfg.Seed ^ uint64(now.UnixNano()), Tags: f.tags,
+	f.member = membership.New(membership.Config{Name: cfg.Name, Epoch: max(drawEpoch(now), known.Epoch+1), Seed: cfg.Seed ^ uint64(now.UnixNano()), Tags: f.tags,
 		Seeds: cfg.Seeds, Period: cfg.Period, Budget: cfg.Budget})
 	f.knew = len(cfg.Seeds) == 0 || len(known.Members) > 0 && !known.Left
-	if f.member.Handle(0, member.Event{Kind: member.Recall, Records: known.Members}, nil); known.Sure {
+	if f.member.Handle(0, membership.Event{Kind: membership.Recall, Records: known.Members}, nil); known.Sure {
 		f.view.Trust()
 	}
 	return f, f.startShare(known)
@@ -198,8 +198,8 @@
 func (f *Fleet) Run(ctx context.Context) {
 	f.mu.Lock()
 	f.timer = time.AfterFunc(time.Hour, f.tick)
-	f.handle(member.Event{Kind: member.Retag, Tags: f.tags}) // what was said before there was anybody to hear it
-	f.handle(member.Event{Kind: member.Begin})
+	f.handle(membership.Event{Kind: membership.Retag, Tags: f.tags}) // what was said before there was anybody to hear it
+	f.handle(membership.Event{Kind: membership.Begin})
 	f.mu.Unlock()
 	f.log.Info("fleet", "fleet", f.cfg.Fleet, "copy", f.cfg.Name, "at", f.Address(), "known as", f.cfg.Advertise, "copies written", f.cfg.Copies)
 	if f.share != nil {
@@ -228,7 +228,7 @@
 	abandoned := f.abandoned
 	f.phases = true
 	if !abandoned {
-		f.handle(member.Event{Kind: member.Depart})
+		f.handle(membership.Event{Kind: membership.Depart})
 	}
 	f.mu.Unlock()
 	if !abandoned {
@@ -243,7 +243,7 @@
 }
 
 // Say changes what this copy says of itself: its phase, and the hash of its settings.
-func (f *Fleet) Say(phase member.Phase, settings string) {
+func (f *Fleet) Say(phase membership.Phase, settings string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if settings == "" {
@@ -253,7 +253,7 @@
 		return
 	}
 	if f.tags.Phase, f.tags.Settings = phase, settings; f.timer != nil && !f.phases {
-		f.handle(member.Event{Kind: member.Retag, Tags: f.tags})
+		f.handle(membership.Event{Kind: membership.Retag, Tags: f.tags})
 	}
 }
 
@@ -275,7 +275,7 @@
 	}
 	f.tags.Pools = pools
 	if f.timer != nil && !f.phases {
-		f.handle(member.Event{Kind: member.Retag, Tags: f.tags})
+		f.handle(membership.Event{Kind: membership.Retag, Tags: f.tags})
 	}
 }
 
@@ -293,28 +293,28 @@
 func (f *Fleet) Forget(name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if r, known := f.member.Find(name); !known || r.Status != member.Dead {
+	if r, known := f.member.Find(name); !known || r.Status != membership.Dead {
 		return fmt.Errorf("%q: %w", name, ErrNotDead)
 	}
-	f.handle(member.Event{Kind: member.Forget, Name: name})
+	f.handle(membership.Event{Kind: membership.Forget, Name: name})
 	return nil
 }
 
 func (f *Fleet) tick() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.handle(member.Event{Kind: member.Tick})
+	f.handle(membership.Event{Kind: membership.Tick})
 	if laterKind != 0 && !f.ended {
 		for _, m := range f.member.Members() {
 			if !m.Self && m.Tags != nil {
-				f.send(m.Name, m.Tags.Address, &member.Message{Kind: laterKind, From: f.member.Self().Head, Target: m.Name, Digest: f.member.Digest(), Share: []byte("later")})
+				f.send(m.Name, m.Tags.Address, &membership.Message{Kind: laterKind, From: f.member.Self().Head, Target: m.Name, Digest: f.member.Digest(), Share: []byte("later")})
 			}
 		}
 	}
 }
 
 // handle hands an event over and carries out what follows. The mutex is held.
-func (f *Fleet) handle(ev member.Event) (replies []*member.Message) {
+func (f *Fleet) handle(ev membership.Event) (replies []*membership.Message) {
 	if f.ended {
 		return nil
 	}
@@ -322,12 +322,12 @@
 	for i := range f.actions {
 		a := &f.actions[i]
 		switch a.Kind {
-		case member.Send:
+		case membership.Send:
 			f.send(a.Name, a.Address, a.Message)
-		case member.Dial:
+		case membership.Dial:
 			f.all.Add(1)
 			go f.exchange(f.reach(a.Name, a.Address), a.Message, a.Exchange)
-		case member.Reply:
+		case membership.Reply:
 			replies = append(replies, a.Message)
 		default:
 			f.tell(a)
@@ -368,7 +368,7 @@
 
 func (f *Fleet) anyChange() bool {
 	for i := range f.actions {
-		if k := f.actions[i].Kind; k == member.Changed || k == member.Displaced {
+		if k := f.actions[i].Kind; k == membership.Changed || k == membership.Displaced {
 			return true
 		}
 	}
@@ -388,7 +388,7 @@
 }
 
 // send sends a datagram. One that can't be sent is like one that is lost.
-func (f *Fleet) send(name, address string, m *member.Message) {
+func (f *Fleet) send(name, address string, m *membership.Message) {
 	text, err := f.codec.Encode(m)
 	to, parsed := netip.ParseAddrPort(f.reach(name, address))
 	if err == nil && parsed == nil && len(text) <= frame.MaxDatagram {
@@ -411,10 +411,10 @@
 }
 
 // tell logs what a person should know: one line for each change of a member.
-func (f *Fleet) tell(a *member.Action) {
+func (f *Fleet) tell(a *membership.Action) {
 	r := &a.Record
 	switch a.Kind {
-	case member.Changed:
+	case membership.Changed:
 		address := ""
 		if r.Tags != nil {
 			address = r.Tags.Address
@@ -423,26 +423,26 @@
 		if a.Was == 0 {
 			was = "unknown"
 		}
-		if f.share != nil && (r.Status == member.Left || a.Was != 0 && a.Why == "started anew") {
+		if f.share != nil && (r.Status == membership.Left || a.Was != 0 && a.Why == "started anew") {
 			epoch := r.Epoch
-			if r.Status != member.Left {
+			if r.Status != membership.Left {
 				epoch--
 			}
 			f.share.Over(r.Name, epoch)
 		}
 		f.log.Info("fleet: member", "name", r.Name, "is", r.Status.String(), "was", was, "why", a.Why, "epoch", r.Epoch, "count", r.Inc, "at", address)
-	case member.Displaced:
+	case membership.Displaced:
 		f.log.Error("fleet: another process of this name started later: this copy is no part of the fleet any more. "+
 			"At an upgrade that is as it should be; if both are to serve, give one of them another name",
 			"name", r.Name, "its start", r.Epoch)
-	case member.Twin:
+	case membership.Twin:
 		if now := time.Now(); now.Sub(f.twinAt) >= sayEvery {
 			f.twinAt = now
 			f.log.Error("fleet: two processes have one name, the earlier one still speaks: give one of them another name", "name", r.Name)
 		}
-	case member.Full:
+	case membership.Full:
 		f.complain("no room for another member", "name", r.Name)
-	case member.Stalled:
+	case membership.Stalled:
 		f.log.Warn("fleet: this copy stood still and accuses nobody for it", "for", a.Wait)
 	}
 }
@@ -482,11 +482,11 @@
 		f.bad(err, from.String())
 		return
 	}
-	f.handle(member.Event{Kind: member.Heard, Message: m, From: from.String()})
+	f.handle(membership.Event{Kind: membership.Heard, Message: m, From: from.String()})
 	switch m.Kind {
-	case member.Shared:
+	case membership.Shared:
 		f.hearShared(m)
-	case member.Rolling:
+	case membership.Rolling:
 		f.hearRolling(m)
 	}
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -16,7 +16,7 @@
 	"go.uber.org/goleak"
 
 	"ryerill/fleet/allot"
-	"ryerill/fleet/member"
+	"ryerill/fleet/membership"
 	"ryerill/fleet/rollout"
 	"ryerill/fleet/tally"
 	"ryerill/fleet/verdict"
@@ -84,12 +84,12 @@
 			if back {
 				target = "old"
 			}
-			go f.Say(member.Serving, target)
+			go f.Say(membership.Serving, target)
 			return nil
 		}, func() []Done {
 			return []Done{{Pool: "main", Asked: float64(time.Now().UnixMilli() % 1e9), Good: float64(time.Now().UnixMilli() % 1e9)}}
 		})
-		f.Say(member.Serving, "old")
+		f.Say(membership.Serving, "old")
 		ctx, stop := context.WithCancel(t.Context())
 		over := make(chan struct{})
 		go func() { defer close(over); f.Run(ctx) }()
@@ -218,8 +218,8 @@
 		}
 		return pack(text)
 	}
-	other := member.Record{Head: member.Head{Name: "b", Epoch: 5, Status: member.Alive}, Tags: &member.Tags{Address: "127.0.0.1:2", Pools: []string{"main"}}}
-	good := memory{Written: time.Now(), Fleet: "f", Name: "a", Epoch: 1 << 62, Sure: true, Members: []member.Record{other}}
+	other := membership.Record{Head: membership.Head{Name: "b", Epoch: 5, Status: membership.Alive}, Tags: &membership.Tags{Address: "127.0.0.1:2", Pools: []string{"main"}}}
+	good := memory{Written: time.Now(), Fleet: "f", Name: "a", Epoch: 1 << 62, Sure: true, Members: []membership.Record{other}}
 	with := func(change func(m *memory)) []byte { m := good; change(&m); return whole(m) }
 	torn := whole(good)
 	torn[len(torn)/2] ^= 1
--- a/fleet/frame/compatibility_test.go
+++ b/fleet/frame/compatibility_test.go
@@ -11,29 +11,29 @@
 	"reflect"
 	"testing"
 
-	"ryerill/fleet/member"
+	"ryerill/fleet/membership"
 )
 
 // kinds are messages as members send them, in the order of their kinds.
-func kinds() []*member.Message {
-	head := member.Head{Name: "c1", Epoch: 1_700_000_000_000, Inc: 7, Status: member.Alive, Tagged: 5}
-	other := member.Record{Head: member.Head{Name: "c2", Epoch: 1_700_000_000_001, Inc: 3, Status: member.Suspect, Tagged: 2}, By: "c1"}
-	whole := member.Record{Head: member.Head{Name: "c3", Epoch: 1_700_000_000_002, Inc: 9, Status: member.Left, Tagged: 9}, By: "c3",
-		Tags: &member.Tags{Address: "127.0.0.1:7400", Zone: "z1", Tier: 2, Pools: []string{"main", "more"}, Program: "v1", Settings: "0123456789abcdef", Phase: member.Leaving,
+func kinds() []*membership.Message {
+	head := membership.Head{Name: "c1", Epoch: 1_700_000_000_000, Inc: 7, Status: membership.Alive, Tagged: 5}
+	other := membership.Record{Head: membership.Head{Name: "c2", Epoch: 1_700_000_000_001, Inc: 3, Status: membership.Suspect, Tagged: 2}, By: "c1"}
+	whole := membership.Record{Head: membership.Head{Name: "c3", Epoch: 1_700_000_000_002, Inc: 9, Status: membership.Left, Tagged: 9}, By: "c3",
+		Tags: &membership.Tags{Address: "127.0.0.1:7400", Zone: "z1", Tier: 2, Pools: []string{"main", "more"}, Program: "v1", Settings: "0123456789abcdef", Phase: membership.Leaving,
 			Least: 1, Most: 1, Later: "\xa1\x18\x64\x65later"}}
-	return []*member.Message{
-		{Kind: member.Ping, Seq: 1, From: head, Target: "c2", Digest: 0x1122334455667788, Counted: 0x99, News: []member.Record{other}},
-		{Kind: member.Ack, Seq: 1, From: head, Target: "c2", Digest: 1, News: []member.Record{whole}},
-		{Kind: member.PingReq, Seq: 2, From: head, Target: "c3"},
-		{Kind: member.Nack, Seq: 2, From: head},
-		{Kind: member.Gossip, From: head, News: []member.Record{other, whole}},
-		{Kind: member.Heads, From: head, Digest: 2, News: []member.Record{{Head: other.Head}, {Head: whole.Head}}},
-		{Kind: member.Delta, From: head, News: []member.Record{whole}, Want: []string{"c2", "c4"}},
-		{Kind: member.Rest, From: head, News: []member.Record{whole, other}},
-		{Kind: member.Shared, From: head, Target: "c2", Digest: 3, Counted: 4, Share: []byte("what is shared")},
-		{Kind: member.Rolling, From: head, Target: "c2", Digest: 3, Counted: 4, Share: []byte("of a rollout")},
-		{Kind: member.Fetch, From: head},
-		{Kind: member.Fetched, From: head, Share: []byte("a state")},
+	return []*membership.Message{
+		{Kind: membership.Ping, Seq: 1, From: head, Target: "c2", Digest: 0x1122334455667788, Counted: 0x99, News: []membership.Record{other}},
+		{Kind: membership.Ack, Seq: 1, From: head, Target: "c2", Digest: 1, News: []membership.Record{whole}},
+		{Kind: membership.PingReq, Seq: 2, From: head, Target: "c3"},
+		{Kind: membership.Nack, Seq: 2, From: head},
+		{Kind: membership.Gossip, From: head, News: []membership.Record{other, whole}},
+		{Kind: membership.Heads, From: head, Digest: 2, News: []membership.Record{{Head: other.Head}, {Head: whole.Head}}},
+		{Kind: membership.Delta, From: head, News: []membership.Record{whole}, Want: []string{"c2", "c4"}},
+		{Kind: membership.Rest, From: head, News: []membership.Record{whole, other}},
+		{Kind: membership.Shared, From: head, Target: "c2", Digest: 3, Counted: 4, Share: []byte("what is shared")},
+		{Kind: membership.Rolling, From: head, Target: "c2", Digest: 3, Counted: 4, Share: []byte("of a rollout")},
+		{Kind: membership.Fetch, From: head},
+		{Kind: membership.Fetched, From: head, Share: []byte("a state")},
 	}
 }
 
--- a/fleet/frame/frame.go
+++ b/fleet/frame/frame.go
@@ -25,7 +25,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"ryerill/fleet/member"
+	"ryerill/fleet/membership"
 )
 
 // Bounds and form of a frame.
@@ -143,7 +143,7 @@
 const mostTag = 9
 
 // tags writes what a member says of itself, and what it says that is not known here.
-func (c *Codec) tags(t *member.Tags) (cbor.RawMessage, error) {
+func (c *Codec) tags(t *membership.Tags) (cbor.RawMessage, error) {
 	text, err := c.enc.Marshal(wireTags{Address: t.Address, Zone: t.Zone, Tier: t.Tier, Pools: t.Pools, Program: t.Program, Settings: t.Settings, Phase: uint8(t.Phase),
 		Least: t.Least, Most: t.Most})
 	if err != nil || len(t.Later) == 0 {
@@ -156,12 +156,12 @@
 	return c.enc.Marshal(all)
 }
 
-func (c *Codec) readTags(text cbor.RawMessage) (*member.Tags, error) {
+func (c *Codec) readTags(text cbor.RawMessage) (*membership.Tags, error) {
 	var w wireTags
 	if err := c.dec.Unmarshal(text, &w); err != nil {
 		return nil, err
 	}
-	t := &member.Tags{Address: w.Address, Zone: w.Zone, Tier: w.Tier, Pools: w.Pools, Program: w.Program, Settings: w.Settings, Phase: member.Phase(w.Phase),
+	t := &membership.Tags{Address: w.Address, Zone: w.Zone, Tier: w.Tier, Pools: w.Pools, Program: w.Program, Settings: w.Settings, Phase: membership.Phase(w.Phase),
 		Least: w.Least, Most: w.Most}
 	all := map[uint64]cbor.RawMessage{}
 	if err := c.dec.Unmarshal(text, &all); err != nil {
@@ -174,14 +174,14 @@
 	}
 	if len(all) > 0 {
 		later, err := c.enc.Marshal(all)
-		if err == nil && len(later) <= member.MaxLater {
+		if err == nil && len(later) <= membership.MaxLater {
 			t.Later = string(later)
 		}
 	}
 	return t, nil
 }
 
-func (c *Codec) toWire(r *member.Record) (w wireRecord, err error) {
+func (c *Codec) toWire(r *membership.Record) (w wireRecord, err error) {
 	w = wireRecord{Name: r.Name, Epoch: r.Epoch, Inc: r.Inc, Status: uint8(r.Status), Tagged: r.Tagged, By: r.By}
 	if r.Tags != nil {
 		w.Tags, err = c.tags(r.Tags)
@@ -189,8 +189,8 @@
 	return w, err
 }
 
-func (c *Codec) fromWire(w *wireRecord) (r member.Record, err error) {
-	r = member.Record{Head: member.Head{Name: w.Name, Epoch: w.Epoch, Inc: w.Inc, Status: member.Status(w.Status), Tagged: w.Tagged}, By: w.By}
+func (c *Codec) fromWire(w *wireRecord) (r membership.Record, err error) {
+	r = membership.Record{Head: membership.Head{Name: w.Name, Epoch: w.Epoch, Inc: w.Inc, Status: membership.Status(w.Status), Tagged: w.Tagged}, By: w.By}
 	if len(w.Tags) > 0 {
 		r.Tags, err = c.readTags(w.Tags)
 	}
@@ -198,10 +198,10 @@
 }
 
 // Encode makes a frame of a message.
-func (c *Codec) Encode(m *member.Message) ([]byte, error) {
+func (c *Codec) Encode(m *membership.Message) ([]byte, error) {
 	w := wireMessage{Kind: uint8(m.Kind), Seq: m.Seq, Target: m.Target, Digest: m.Digest, Counted: m.Counted, Want: m.Want, Share: m.Share}
 	var err error
-	if w.From, err = c.toWire(&member.Record{Head: m.From}); err != nil {
+	if w.From, err = c.toWire(&membership.Record{Head: m.From}); err != nil {
 		return nil, err
 	}
 	for i := range m.News {
@@ -232,7 +232,7 @@
 }
 
 // Decode reads a frame. most bounds its size.
-func (c *Codec) Decode(text []byte, most int) (*member.Message, error) {
+func (c *Codec) Decode(text []byte, most int) (*membership.Message, error) {
 	switch {
 	case len(text) > most:
 		return nil, ErrLarge
@@ -255,7 +255,7 @@
 	if err := c.dec.Unmarshal(text[header:end], &w); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrTorn, err)
 	}
-	m := &member.Message{Kind: member.MessageKind(w.Kind), Seq: w.Seq, Target: w.Target, Digest: w.Digest, Counted: w.Counted, Want: w.Want, Share: w.Share}
+	m := &membership.Message{Kind: membership.MessageKind(w.Kind), Seq: w.Seq, Target: w.Target, Digest: w.Digest, Counted: w.Counted, Want: w.Want, Share: w.Share}
 	from, err := c.fromWire(&w.From)
 	for i := range w.News {
 		r, bad := c.fromWire(&w.News[i])
--- a/fleet/frame/frame_test.go
+++ b/fleet/frame/frame_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"ryerill/fleet/member"
+	"ryerill/fleet/membership"
 )
 
 func codec(t testing.TB, fleet string, keys ...string) *Codec {
@@ -29,21 +29,21 @@
 )
 
 // full is a message that uses all there is, at its bounds.
-func full() *member.Message {
-	long := strings.Repeat("x", member.MaxName)
+func full() *membership.Message {
+	long := strings.Repeat("x", membership.MaxName)
 	var pools []string
 	for range 4 {
 		pools = append(pools, long)
 	}
-	tags := &member.Tags{Address: long, Zone: long, Tier: 3, Pools: pools, Program: long, Settings: long, Phase: member.Draining}
-	h := member.Head{Name: long, Epoch: 1 << 60, Inc: 1 << 29, Status: member.Suspect, Tagged: 1 << 28}
-	return &member.Message{Kind: member.Ping, Seq: 1 << 31, From: h, Target: long, Digest: 1 << 63, Counted: 1 << 62, News: []member.Record{{Head: h, Tags: tags, By: long}}}
+	tags := &membership.Tags{Address: long, Zone: long, Tier: 3, Pools: pools, Program: long, Settings: long, Phase: membership.Draining}
+	h := membership.Head{Name: long, Epoch: 1 << 60, Inc: 1 << 29, Status: membership.Suspect, Tagged: 1 << 28}
+	return &membership.Message{Kind: membership.Ping, Seq: 1 << 31, From: h, Target: long, Digest: 1 << 63, Counted: 1 << 62, News: []membership.Record{{Head: h, Tags: tags, By: long}}}
 }
 
 func TestWhatIsWrittenIsRead(t *testing.T) {
 	a, b := codec(t, "f", key1), codec(t, "f", key2, key1)
-	for _, m := range []*member.Message{{Kind: member.Ack, From: member.Head{Name: "a", Epoch: 1, Status: member.Alive}}, full(),
-		{Kind: member.Delta, From: member.Head{Name: "a", Epoch: 1}, Want: []string{"x", "y"}}} {
+	for _, m := range []*membership.Message{{Kind: membership.Ack, From: membership.Head{Name: "a", Epoch: 1, Status: membership.Alive}}, full(),
+		{Kind: membership.Delta, From: membership.Head{Name: "a", Epoch: 1}, Want: []string{"x", "y"}}} {
 		text, err := a.Encode(m)
 		if err != nil || len(text) > MaxDatagram {
 			t.Fatalf("%d bytes, %v", len(text), err)
@@ -126,7 +126,7 @@
 			end := len(text) - code
 			copy(text[end:], c.code(c.keys[c.sign], text[:end]))
 			if m, err := c.Decode(text, MaxDatagram); err == nil {
-				member.New(member.Config{Name: "x"}).Handle(0, member.Event{Kind: member.Heard, Message: m}, nil)
+				membership.New(membership.Config{Name: "x"}).Handle(0, membership.Event{Kind: membership.Heard, Message: m}, nil)
 			}
 		}
 	})
--- a/fleet/later.go
+++ b/fleet/later.go
@@ -2,8 +2,8 @@
 
 package fleet
 
-import "ryerill/fleet/member"
+import "ryerill/fleet/membership"
 
 // laterKind is a kind of message that Level 1 does not know; 0 is that this build
 // sends none.
-const laterKind member.MessageKind = 0
+const laterKind membership.MessageKind = 0
--- a/fleet/later_on.go
+++ b/fleet/later_on.go
@@ -2,7 +2,7 @@
 
 package fleet
 
-import "ryerill/fleet/member"
+import "ryerill/fleet/membership"
 
 // laterKind plays a kind of message that a later program brings.
-const laterKind member.MessageKind = 200
+const laterKind membership.MessageKind = 200
--- a/fleet/member/read.go
+++ b/fleet/membership/read.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"slices"
--- a/fleet/member/record.go
+++ b/fleet/membership/record.go
@@ -6,7 +6,7 @@
 //
 // It decides and does nothing: one event and its time go in, actions come out.
 // It has no clock, socket, goroutine or global, and chance comes from a seed.
-package member
+package membership
 
 import (
 	"time"
--- a/fleet/remember.go
+++ b/fleet/remember.go
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/google/renameio/v2"
 
-	"ryerill/fleet/member"
+	"ryerill/fleet/membership"
 	"ryerill/fleet/rollout"
 )
 
@@ -20,14 +20,14 @@
 // own was the last, whatever the clock says at the next, and whether all others
 // count it, so that it has its part at once.
 type memory struct {
-	Written time.Time       `json:"written"`
-	Fleet   string          `json:"fleet"`
-	Name    string          `json:"name"`
-	Epoch   uint64          `json:"epoch"`
-	Sure    bool            `json:"sure"`
-	Left    bool            `json:"left"` // it said so: since then others may have come whom it does not know
-	Members []member.Record `json:"members"`
-	Rollout *rollout.State  `json:"rollout,omitempty"`
+	Written time.Time           `json:"written"`
+	Fleet   string              `json:"fleet"`
+	Name    string              `json:"name"`
+	Epoch   uint64              `json:"epoch"`
+	Sure    bool                `json:"sure"`
+	Left    bool                `json:"left"` // it said so: since then others may have come whom it does not know
+	Members []membership.Record `json:"members"`
+	Rollout *rollout.State      `json:"rollout,omitempty"`
 
 	counted uint64
 }
@@ -102,7 +102,7 @@
 		}
 	}
 	for _, s := range f.member.Members() {
-		if !s.Self && s.Status != member.Left {
+		if !s.Self && s.Status != membership.Left {
 			m.Members = append(m.Members, s.Record)
 		}
 	}
--- a/fleet/rolling.go
+++ b/fleet/rolling.go
@@ -9,7 +9,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"ryerill/fleet/member"
+	"ryerill/fleet/membership"
 	"ryerill/fleet/rollout"
 )
 
@@ -96,11 +96,11 @@
 	r := f.roller
 	s := r.State()
 	for _, m := range f.member.Members() {
-		if m.Status == member.Left || m.Tags == nil {
+		if m.Status == membership.Left || m.Tags == nil {
 			continue
 		}
-		c := rollout.Copy{Name: m.Name, Zone: m.Tags.Zone, Alive: m.Self || m.Status == member.Alive || m.Status == member.Suspect,
-			Ready: m.Tags.Phase == member.Serving, Holds: m.Tags.Settings, Epoch: m.Epoch,
+		c := rollout.Copy{Name: m.Name, Zone: m.Tags.Zone, Alive: m.Self || m.Status == membership.Alive || m.Status == membership.Suspect,
+			Ready: m.Tags.Phase == membership.Serving, Holds: m.Tags.Settings, Epoch: m.Epoch,
 			Least: m.Tags.Least, Most: m.Tags.Most}
 		if s.Plan.Kind == rollout.Program {
 			c.Holds = m.Tags.Program
@@ -167,12 +167,12 @@
 		return
 	}
 	self := f.member.Self()
-	f.send(to, r.Tags.Address, &member.Message{Kind: member.Rolling, From: self.Head, Target: to, Digest: f.member.Digest(), Counted: f.view.Counted(), Share: text})
+	f.send(to, r.Tags.Address, &membership.Message{Kind: membership.Rolling, From: self.Head, Target: to, Digest: f.member.Digest(), Counted: f.view.Counted(), Share: text})
 }
 
 // hearRolling takes a datagram in, if it is from the present process of a member that
 // is known. The mutex is held.
-func (f *Fleet) hearRolling(m *member.Message) {
+func (f *Fleet) hearRolling(m *membership.Message) {
 	r := f.roller
 	known, there := f.member.Find(m.From.Name)
 	if r == nil || m.Target != f.cfg.Name || f.ended || !there || known.Epoch != m.From.Epoch || m.From.Name == f.cfg.Name {
@@ -226,10 +226,10 @@
 	f.mu.Lock()
 	self := f.member.Self().Head
 	f.mu.Unlock()
-	if err := f.deliver(conn, &member.Message{Kind: member.Fetch, From: self}); err != nil {
+	if err := f.deliver(conn, &membership.Message{Kind: membership.Fetch, From: self}); err != nil {
 		return nil, nil, err
 	}
-	m, err := f.receive(conn, member.Fetched)
+	m, err := f.receive(conn, membership.Fetched)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -255,7 +255,7 @@
 		text, err = cbor.Marshal(s)
 	}
 	if err == nil {
-		f.deliver(conn, &member.Message{Kind: member.Fetched, From: self, Share: text})
+		f.deliver(conn, &membership.Message{Kind: membership.Fetched, From: self, Share: text})
 	}
 }
 
--- a/fleet/sharing.go
+++ b/fleet/sharing.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ryerill/fleet/allot"
-	"ryerill/fleet/member"
+	"ryerill/fleet/membership"
 	"ryerill/fleet/share"
 	"ryerill/fleet/tally"
 	"ryerill/fleet/verdict"
@@ -81,12 +81,12 @@
 		p := f.view.Pool(name)
 		among, sure = max(among, p.Among), sure && p.Sure
 	}
-	if !sure || f.tags.Phase == member.Leaving { // who leaves lends nothing more
+	if !sure || f.tags.Phase == membership.Leaving { // who leaves lends nothing more
 		among = 0
 	}
 	var others []string
 	for _, s := range f.member.Members() {
-		if !s.Self && s.Status == member.Alive {
+		if !s.Self && s.Status == membership.Alive {
 			others = append(others, s.Name)
 		}
 	}
@@ -101,7 +101,7 @@
 	}
 	for end := time.Now().Add(allot.Lease * 11 / 10); time.Now().Before(end); time.Sleep(share.Every / 2) {
 		f.mu.Lock()
-		f.tags.Phase = member.Leaving
+		f.tags.Phase = membership.Leaving
 		f.among()
 		back := f.abandoned || f.share.Allot.Fits(f.now(), math.MaxInt)
 		f.mu.Unlock()
@@ -168,9 +168,9 @@
 	var peers []share.Peer
 	zones := map[string]bool{f.cfg.Zone: true}
 	for _, m := range f.member.Members() {
-		if !m.Self && m.Status != member.Left && m.Tags != nil {
+		if !m.Self && m.Status != membership.Left && m.Tags != nil {
 			zones[m.Tags.Zone] = true
-			if m.Status != member.Dead {
+			if m.Status != membership.Dead {
 				peers = append(peers, share.Peer{Name: m.Name, Zone: m.Tags.Zone})
 			}
 		}
@@ -208,14 +208,14 @@
 	for _, o := range out {
 		if r, known := f.member.Find(o.To); known && r.Tags != nil {
 			self := f.member.Self()
-			f.send(o.To, r.Tags.Address, &member.Message{Kind: member.Shared, From: self.Head, Target: o.To, Digest: f.member.Digest(), Counted: f.view.Counted(), Share: o.Text})
+			f.send(o.To, r.Tags.Address, &membership.Message{Kind: membership.Shared, From: self.Head, Target: o.To, Digest: f.member.Digest(), Counted: f.view.Counted(), Share: o.Text})
 		}
 	}
 }
 
 // hearShared takes a packet in, if it is from the present process of a member that
 // is known. The mutex is held.
-func (f *Fleet) hearShared(m *member.Message) {
+func (f *Fleet) hearShared(m *membership.Message) {
 	if f.share == nil || m.Target != f.cfg.Name || f.ended {
 		return
 	}
--- a/fleet/status.go
+++ b/fleet/status.go
@@ -3,28 +3,28 @@
 import (
 	"fmt"
 
-	"ryerill/fleet/member"
+	"ryerill/fleet/membership"
 	"ryerill/fleet/view"
 )
 
 // Status is what the door tells of the fleet. Ages are in milliseconds; -1 is never.
 type Status struct {
-	Fleet     string           `json:"fleet"`
-	Name      string           `json:"name"`
-	Epoch     uint64           `json:"epoch"`
-	Count     uint32           `json:"count"`
-	Displaced bool             `json:"displaced"`
-	CutOff    bool             `json:"likely_cut_off"`
-	CutOffMS  int64            `json:"cut_off_ms,omitempty"`
-	StaleMS   int64            `json:"stale_ms"` // since when nobody was heard; 0 while somebody is
-	Health    int              `json:"health"`   // 0 is good, 8 is worst
-	Digest    string           `json:"digest"`   // equal where the same is known of all
-	RTTMicros int64            `json:"rtt_us"`
-	Pools     map[string]Place `json:"pools"`
-	Members   []Member         `json:"members"`
-	Frames    Figures          `json:"frames"`
-	Detector  member.Figures   `json:"detector"`
-	UptimeMS  int64            `json:"uptime_ms"`
+	Fleet     string             `json:"fleet"`
+	Name      string             `json:"name"`
+	Epoch     uint64             `json:"epoch"`
+	Count     uint32             `json:"count"`
+	Displaced bool               `json:"displaced"`
+	CutOff    bool               `json:"likely_cut_off"`
+	CutOffMS  int64              `json:"cut_off_ms,omitempty"`
+	StaleMS   int64              `json:"stale_ms"` // since when nobody was heard; 0 while somebody is
+	Health    int                `json:"health"`   // 0 is good, 8 is worst
+	Digest    string             `json:"digest"`   // equal where the same is known of all
+	RTTMicros int64              `json:"rtt_us"`
+	Pools     map[string]Place   `json:"pools"`
+	Members   []Member           `json:"members"`
+	Frames    Figures            `json:"frames"`
+	Detector  membership.Figures `json:"detector"`
+	UptimeMS  int64              `json:"uptime_ms"`
 }
 
 // Place is this copy's place among those of a pool.
--- a/fleet/view/view.go
+++ b/fleet/view/view.go
@@ -14,7 +14,7 @@
 	"slices"
 	"time"
 
-	"ryerill/fleet/member"
+	"ryerill/fleet/membership"
 	"ryerill/internal/chance"
 )
 
@@ -31,8 +31,8 @@
 
 // Snapshot is what a member knows.
 type Snapshot struct {
-	Members   []member.Standing // in the order of their names, this copy among them
-	Joined    bool              // a whole view was exchanged, or is remembered, or there is nobody to ask
+	Members   []membership.Standing // in the order of their names, this copy among them
+	Joined    bool                  // a whole view was exchanged, or is remembered, or there is nobody to ask
 	Displaced bool
 	Health    int
 }
@@ -67,7 +67,7 @@
 	left    bool
 	last    time.Duration // when anybody was heard
 	lost    []time.Duration
-	was     map[string]member.Status
+	was     map[string]membership.Status
 	cut     bool
 	cutAt   time.Duration
 	pools   map[string]*pool
@@ -85,7 +85,7 @@
 // New returns a view of a fleet of which a person has written how many copies send
 // to each pool: among fewer no budget of it is divided.
 func New(floors map[string]int) *View {
-	return &View{floors: floors, was: map[string]member.Status{}, pools: map[string]*pool{}}
+	return &View{floors: floors, was: map[string]membership.Status{}, pools: map[string]*pool{}}
 }
 
 // Sure tells whether all that may be there count this copy. Once they do they go on
@@ -120,7 +120,7 @@
 	v.now = max(now, v.now)
 	v.count(&s)
 	v.judge(&s)
-	var self *member.Standing
+	var self *membership.Standing
 	for i := range s.Members {
 		if s.Members[i].Self {
 			self = &s.Members[i]
@@ -129,7 +129,7 @@
 	if self == nil || self.Tags == nil {
 		return false
 	}
-	v.left = self.Status == member.Left // what others don't count any more it has not got
+	v.left = self.Status == membership.Left // what others don't count any more it has not got
 	for _, name := range self.Tags.Pools {
 		p := v.pools[name]
 		if p == nil {
@@ -156,7 +156,7 @@
 	before := v.counted
 	v.counted = 0
 	for i := range s.Members {
-		if m := &s.Members[i]; m.Status != member.Left {
+		if m := &s.Members[i]; m.Status != membership.Left {
 			part := chance.Spread(m.Name)
 			if m.Tags != nil {
 				for _, name := range m.Tags.Pools {
@@ -174,7 +174,7 @@
 	all := s.Joined
 	for i := range s.Members {
 		m := &s.Members[i]
-		all = all && (m.Self || m.Status == member.Left || m.Counted == v.counted)
+		all = all && (m.Self || m.Status == membership.Left || m.Counted == v.counted)
 	}
 	v.sure = v.sure || all && before == v.counted
 }
@@ -188,17 +188,17 @@
 		if m.Self {
 			continue
 		}
-		if was := v.was[m.Name]; m.Status == member.Dead && (was == member.Alive || was == member.Suspect) {
+		if was := v.was[m.Name]; m.Status == membership.Dead && (was == membership.Alive || was == membership.Suspect) {
 			v.lost = append(v.lost, v.now)
 		}
-		if v.was[m.Name] = m.Status; m.Status == member.Alive || m.Status == member.Suspect {
+		if v.was[m.Name] = m.Status; m.Status == membership.Alive || m.Status == membership.Suspect {
 			alive++
 		}
 		heard = max(heard, m.Heard)
 	}
 	if len(v.was) > len(s.Members) {
 		for name := range v.was {
-			if !slices.ContainsFunc(s.Members, func(m member.Standing) bool { return m.Name == name }) {
+			if !slices.ContainsFunc(s.Members, func(m membership.Standing) bool { return m.Name == name }) {
 				delete(v.was, name)
 			}
 		}
@@ -222,10 +222,10 @@
 	there, all := 0, 0
 	for i := range s.Members {
 		switch s.Members[i].Status {
-		case member.Alive, member.Suspect:
+		case membership.Alive, membership.Suspect:
 			there++
 			fallthrough
-		case member.Dead:
+		case membership.Dead:
 			all++
 		}
 	}
@@ -238,18 +238,18 @@
 	among, lost, certain := 0, 0, 0
 	for i := range s.Members {
 		m := &s.Members[i]
-		if m.Status == member.Left || m.Tags == nil || !slices.Contains(m.Tags.Pools, name) {
+		if m.Status == membership.Left || m.Tags == nil || !slices.Contains(m.Tags.Pools, name) {
 			continue
 		}
 		among++
 		switch {
-		case m.Status == member.Dead:
+		case m.Status == membership.Dead:
 			lost++
-		case m.Status == member.Alive:
+		case m.Status == membership.Alive:
 			certain++
 			fallthrough
 		default:
-			if m.Tags.Phase != member.Leaving || m.Self {
+			if m.Tags.Phase != membership.Leaving || m.Self {
 				there = append(there, m.Name)
 			}
 		}
--- a/fleet/view/view_test.go
+++ b/fleet/view/view_test.go
@@ -5,17 +5,17 @@
 	"testing"
 	"time"
 
-	"ryerill/fleet/member"
+	"ryerill/fleet/membership"
 )
 
 // of makes what a copy named a knows: others by name and status.
 func of(health int, others ...string) Snapshot {
-	s := Snapshot{Joined: true, Health: health, Members: []member.Standing{{Record: member.Record{Head: member.Head{Name: "a", Status: member.Alive},
-		Tags: &member.Tags{Pools: []string{"main"}, Phase: member.Serving}}, Self: true}}}
+	s := Snapshot{Joined: true, Health: health, Members: []membership.Standing{{Record: membership.Record{Head: membership.Head{Name: "a", Status: membership.Alive},
+		Tags: &membership.Tags{Pools: []string{"main"}, Phase: membership.Serving}}, Self: true}}}
 	for _, o := range others {
-		status := map[byte]member.Status{'+': member.Alive, '?': member.Suspect, '-': member.Dead, '.': member.Left}[o[0]]
-		s.Members = append(s.Members, member.Standing{Record: member.Record{Head: member.Head{Name: o[1:], Status: status},
-			Tags: &member.Tags{Pools: []string{"main"}, Phase: member.Serving}}, Heard: time.Hour})
+		status := map[byte]membership.Status{'+': membership.Alive, '?': membership.Suspect, '-': membership.Dead, '.': membership.Left}[o[0]]
+		s.Members = append(s.Members, membership.Standing{Record: membership.Record{Head: membership.Head{Name: o[1:], Status: status},
+			Tags: &membership.Tags{Pools: []string{"main"}, Phase: membership.Serving}}, Heard: time.Hour})
 	}
 	return s
 }
--- a/lab/members/measure.go
+++ b/lab/members/measure.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"ryerill/fleet/member"
+	"ryerill/fleet/membership"
 	badnet "ryerill/lab/net"
 )
 
@@ -16,10 +16,10 @@
 // lets them come to rest.
 func Known(n int, link badnet.Link, seed uint64) *Sim {
 	s := New(n, badnet.New(link, seed), seed)
-	records := make([]member.Record, n)
+	records := make([]membership.Record, n)
 	for i := range records {
-		tags := &member.Tags{Address: Name(i), Zone: "z0", Pools: []string{"main"}, Program: "v1", Settings: "0123456789abcdef", Phase: member.Serving}
-		records[i] = member.Record{Head: member.Head{Name: Name(i), Epoch: 1, Status: member.Alive}, Tags: tags}
+		tags := &membership.Tags{Address: Name(i), Zone: "z0", Pools: []string{"main"}, Program: "v1", Settings: "0123456789abcdef", Phase: membership.Serving}
+		records[i] = membership.Record{Head: membership.Head{Name: Name(i), Epoch: 1, Status: membership.Alive}, Tags: tags}
 	}
 	for i, c := range s.Copies {
 		c.memory = append(slices.Clone(records[:i]), records[i+1:]...)
@@ -61,7 +61,7 @@
 		}
 		at := s.Now
 		s.Seen = func(c Change) {
-			if c.Record.Name == Name(i) && c.Record.Status == member.Dead {
+			if c.Record.Name == Name(i) && c.Record.Status == membership.Dead {
 				if knows++; knows == 1 {
 					first = c.At - at
 				}
@@ -105,12 +105,12 @@
 	link.Drop = drop
 	s.Net.Usual(link)
 	rng := rand.New(rand.NewPCG(seed, 8))
-	suspected, dead := map[member.Head]bool{}, map[member.Head]bool{}
+	suspected, dead := map[membership.Head]bool{}, map[membership.Head]bool{}
 	s.Seen = func(c Change) {
 		switch c.Record.Status {
-		case member.Suspect:
+		case membership.Suspect:
 			suspected[c.Record.Head] = true
-		case member.Dead:
+		case membership.Dead:
 			dead[c.Record.Head] = true
 		}
 	}
--- a/lab/members/members.go
+++ b/lab/members/members.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"time"
 
-	"ryerill/fleet/member"
+	"ryerill/fleet/membership"
 	"ryerill/fleet/view"
 	badnet "ryerill/lab/net"
 )
@@ -20,8 +20,8 @@
 type Change struct {
 	At     time.Duration
 	Who    string
-	Record member.Record
-	Was    member.Status
+	Record membership.Record
+	Was    membership.Status
 	Why    string
 }
 
@@ -29,9 +29,9 @@
 type Copy struct {
 	Name     string
 	Address  string
-	Member   *member.Member
-	View     *view.View      // made by Look
-	memory   []member.Record // what it would remember after a restart, and whether it was sure
+	Member   *membership.Member
+	View     *view.View          // made by Look
+	memory   []membership.Record // what it would remember after a restart, and whether it was sure
 	sure     bool
 	left     bool
 	knew     bool
@@ -40,7 +40,7 @@
 	Broken   bool // its disk: nothing is remembered, and it tells nobody whom it counts anew
 	life     int
 	wakes    time.Duration // the tick that is set; never if none
-	backlog  []member.Event
+	backlog  []membership.Event
 	Bytes    uint64 // of datagrams sent
 	Frames   uint64
 	Exchange uint64 // bytes of exchanges, both ways, booked on who began them
@@ -51,15 +51,15 @@
 	Net    *badnet.Net
 	Copies []*Copy
 	Now    time.Duration
-	Config func(i int, c *member.Config) // changes what a copy is told at its start
-	Seen   func(Change)                  // is told of each change that a copy sees
-	Acted  func(*Copy, member.Action)    // is told of each other action
+	Config func(i int, c *membership.Config) // changes what a copy is told at its start
+	Seen   func(Change)                      // is told of each change that a copy sees
+	Acted  func(*Copy, membership.Action)    // is told of each other action
 
 	byName map[string]*Copy // by address
 	events queue
 	count  uint64
 	seed   uint64
-	out    []member.Action
+	out    []membership.Action
 	Events uint64
 }
 
@@ -81,22 +81,22 @@
 func (s *Sim) Start(i int, seeds ...string) {
 	c := s.Copies[i]
 	c.life++
-	cfg := member.Config{Name: c.Name, Epoch: uint64(s.Now/time.Millisecond) + 1, Seed: s.seed + uint64(i)<<20 + uint64(c.life), Seeds: seeds,
-		Tags: member.Tags{Address: c.Name, Zone: fmt.Sprint("z", i%3), Pools: []string{"main"}, Program: "v1", Settings: "0123456789abcdef", Phase: member.Serving}}
+	cfg := membership.Config{Name: c.Name, Epoch: uint64(s.Now/time.Millisecond) + 1, Seed: s.seed + uint64(i)<<20 + uint64(c.life), Seeds: seeds,
+		Tags: membership.Tags{Address: c.Name, Zone: fmt.Sprint("z", i%3), Pools: []string{"main"}, Program: "v1", Settings: "0123456789abcdef", Phase: membership.Serving}}
 	if s.Config != nil {
 		s.Config(i, &cfg)
 	}
 	c.Address = cfg.Tags.Address
 	s.byName[c.Address] = c
-	c.Member, c.View, c.Up, c.Stopped, c.backlog = member.New(cfg), nil, true, false, nil
+	c.Member, c.View, c.Up, c.Stopped, c.backlog = membership.New(cfg), nil, true, false, nil
 	c.wakes = -1
 	if c.Broken {
 		c.memory, c.sure = nil, false
 	}
 	if c.knew = len(seeds) == 0 || len(c.memory) > 0 && !c.left; len(c.memory) > 0 {
-		s.tell(c, member.Event{Kind: member.Recall, Records: c.memory})
+		s.tell(c, membership.Event{Kind: membership.Recall, Records: c.memory})
 	}
-	s.tell(c, member.Event{Kind: member.Begin})
+	s.tell(c, membership.Event{Kind: membership.Begin})
 }
 
 // Kill ends a copy.
@@ -112,7 +112,7 @@
 		return
 	}
 	c.Stopped = false
-	s.tell(c, member.Event{Kind: member.Tick})
+	s.tell(c, membership.Event{Kind: membership.Tick})
 	for _, ev := range c.backlog {
 		s.tell(c, ev)
 	}
@@ -120,7 +120,7 @@
 }
 
 // Tell hands an event to a copy.
-func (s *Sim) Tell(i int, ev member.Event) { s.tell(s.Copies[i], ev) }
+func (s *Sim) Tell(i int, ev membership.Event) { s.tell(s.Copies[i], ev) }
 
 // At does something at a time.
 func (s *Sim) At(at time.Duration, do func()) {
@@ -138,7 +138,7 @@
 		case ev.do != nil:
 			ev.do()
 		case ev.c.life != ev.life:
-		case ev.ev.Kind == member.Tick:
+		case ev.ev.Kind == membership.Tick:
 			if ev.c.wakes == ev.at {
 				ev.c.wakes = -1
 				s.tell(ev.c, ev.ev)
@@ -153,12 +153,12 @@
 // mostBacklog is what a stopped copy's socket holds.
 const mostBacklog = 256
 
-func (s *Sim) tell(c *Copy, ev member.Event) {
+func (s *Sim) tell(c *Copy, ev membership.Event) {
 	if !c.Up {
 		return
 	}
 	if c.Stopped {
-		if ev.Kind != member.Tick && len(c.backlog) < mostBacklog {
+		if ev.Kind != membership.Tick && len(c.backlog) < mostBacklog {
 			c.backlog = append(c.backlog, ev)
 		}
 		return
@@ -170,7 +170,7 @@
 	}
 	if due := c.Member.Due(); due < 1<<62 && (c.wakes < 0 || due < c.wakes) {
 		c.wakes = max(due, s.Now+1)
-		s.push(event{at: c.wakes, c: c, life: c.life, ev: member.Event{Kind: member.Tick}})
+		s.push(event{at: c.wakes, c: c, life: c.life, ev: membership.Event{Kind: membership.Tick}})
 	}
 }
 
@@ -185,7 +185,7 @@
 const overhead = 96
 
 // Size is how many bytes a message takes.
-func Size(msg *member.Message) int {
+func Size(msg *membership.Message) int {
 	n := overhead + len(msg.Target)
 	for i := range msg.News {
 		n += msg.News[i].Size()
@@ -196,9 +196,9 @@
 	return n
 }
 
-func (s *Sim) carryOut(c *Copy, a *member.Action) {
+func (s *Sim) carryOut(c *Copy, a *membership.Action) {
 	switch a.Kind {
-	case member.Send:
+	case membership.Send:
 		size := Size(a.Message)
 		c.Bytes += uint64(size)
 		c.Frames++
@@ -208,12 +208,12 @@
 		}
 		for _, copy := range s.Net.Send(s.Now, c.Name, to.Name, size) {
 			if !copy.Corrupt { // its authentication code does not fit
-				s.push(event{at: copy.At, c: to, life: to.life, ev: member.Event{Kind: member.Heard, Message: a.Message, From: c.Address}})
+				s.push(event{at: copy.At, c: to, life: to.life, ev: membership.Event{Kind: membership.Heard, Message: a.Message, From: c.Address}})
 			}
 		}
-	case member.Dial:
+	case membership.Dial:
 		s.exchange(c, a)
-	case member.Changed:
+	case membership.Changed:
 		if s.Seen != nil {
 			s.Seen(Change{s.Now, c.Name, a.Record, a.Was, a.Why})
 		}
@@ -226,16 +226,16 @@
 
 // exchange plays one connection: the view goes over, the difference comes back,
 // and what was wanted goes over again.
-func (s *Sim) exchange(c *Copy, a *member.Action) {
+func (s *Sim) exchange(c *Copy, a *membership.Action) {
 	to, life, id := s.byName[a.Address], c.life, a.Exchange
 	broken := func(after time.Duration) {
-		s.push(event{at: s.Now + after, c: c, life: life, ev: member.Event{Kind: member.Broken, Exchange: id}})
+		s.push(event{at: s.Now + after, c: c, life: life, ev: membership.Event{Kind: membership.Broken, Exchange: id}})
 	}
 	if to == nil || to == c || !to.Up {
 		broken(time.Millisecond)
 		return
 	}
-	over := func(from, to *Copy, msg *member.Message, then func()) {
+	over := func(from, to *Copy, msg *membership.Message, then func()) {
 		size := Size(msg)
 		c.Exchange += uint64(size)
 		at, cut := s.Net.Stream(s.Now, from.Name, to.Name, size)
@@ -253,26 +253,26 @@
 		})
 	}
 	// The replies of the pure part are taken out of its actions here, as a host does.
-	ask := func(who *Copy, ev member.Event) (reply *member.Message) {
+	ask := func(who *Copy, ev membership.Event) (reply *membership.Message) {
 		for _, act := range who.Member.Handle(s.Now, ev, nil) {
-			if act.Kind == member.Reply {
+			if act.Kind == membership.Reply {
 				reply = act.Message
 			} else {
 				s.carryOut(who, &act)
 			}
 		}
-		s.tell(who, member.Event{Kind: member.Tick})
+		s.tell(who, membership.Event{Kind: membership.Tick})
 		return reply
 	}
 	over(c, to, a.Message, func() {
-		delta := ask(to, member.Event{Kind: member.Asked, Message: a.Message, Exchange: id})
+		delta := ask(to, membership.Event{Kind: membership.Asked, Message: a.Message, Exchange: id})
 		if delta == nil {
 			broken(0)
 			return
 		}
 		over(to, c, delta, func() {
-			if rest := ask(c, member.Event{Kind: member.Answered, Message: delta, Exchange: id}); rest != nil && len(rest.News) > 0 {
-				over(c, to, rest, func() { ask(to, member.Event{Kind: member.Finished, Message: rest}) })
+			if rest := ask(c, membership.Event{Kind: membership.Answered, Message: delta, Exchange: id}); rest != nil && len(rest.News) > 0 {
+				over(c, to, rest, func() { ask(to, membership.Event{Kind: membership.Finished, Message: rest}) })
 			}
 		})
 	})
@@ -292,13 +292,13 @@
 		}
 		m := c.Member
 		c.View.Update(s.Now, view.Snapshot{Members: m.Members(), Joined: m.Joined() || c.knew, Displaced: m.Displaced(), Health: m.Health()})
-		c.left = m.Self().Status == member.Left
+		c.left = m.Self().Status == membership.Left
 		if c.Broken {
 			continue
 		}
 		c.sure, c.memory = c.View.Sure() && !c.left, c.memory[:0]
 		for _, other := range m.Members() {
-			if !other.Self && other.Status != member.Left {
+			if !other.Self && other.Status != membership.Left {
 				c.memory = append(c.memory, other.Record)
 			}
 		}
@@ -307,8 +307,8 @@
 }
 
 // Views counts how many of the copies that are up hold a copy for each status.
-func (s *Sim) Views(of int) map[member.Status]int {
-	out := map[member.Status]int{}
+func (s *Sim) Views(of int) map[membership.Status]int {
+	out := map[membership.Status]int{}
 	for _, c := range s.Copies {
 		if c.Up && c.Name != Name(of) {
 			out[StatusOf(c.Member, Name(of))]++
@@ -318,7 +318,7 @@
 }
 
 // StatusOf is what a member holds of another: 0 if nothing.
-func StatusOf(m *member.Member, name string) member.Status {
+func StatusOf(m *membership.Member, name string) membership.Status {
 	r, _ := m.Find(name)
 	return r.Status
 }
@@ -345,7 +345,7 @@
 	order uint64
 	c     *Copy
 	life  int
-	ev    member.Event
+	ev    membership.Event
 	do    func()
 }
 
--- a/lab/members/members_test.go
+++ b/lab/members/members_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"ryerill/fleet/member"
+	"ryerill/fleet/membership"
 	badnet "ryerill/lab/net"
 )
 
@@ -38,7 +38,7 @@
 	return s.Now - began
 }
 
-func (s *Sim) allHold(of int, status member.Status) func() bool {
+func (s *Sim) allHold(of int, status membership.Status) func() bool {
 	return func() bool {
 		for _, c := range s.Copies {
 			if c.Up && !c.Stopped && c.Name != Name(of) && StatusOf(c.Member, Name(of)) != status {
@@ -53,7 +53,7 @@
 func (s *Sim) deaths() map[string]int {
 	out := map[string]int{}
 	s.Seen = func(c Change) {
-		if c.Record.Status == member.Dead {
+		if c.Record.Status == membership.Dead {
 			out[c.Record.Name]++
 		}
 	}
@@ -84,14 +84,14 @@
 	}{
 		{"one dies", func(t *testing.T, s *Sim) {
 			s.Kill(5)
-			s.until(t, 5*time.Second, "all to know", s.allHold(5, member.Dead))
+			s.until(t, 5*time.Second, "all to know", s.allHold(5, membership.Dead))
 		}},
 		{"the seed dies, and others still join", func(t *testing.T, s *Sim) {
 			s.Kill(0)
 			s.Kill(9)
-			s.until(t, 5*time.Second, "all to know", s.allHold(0, member.Dead))
+			s.until(t, 5*time.Second, "all to know", s.allHold(0, membership.Dead))
 			s.Start(9, Name(0), Name(3))
-			s.until(t, 5*time.Second, "the new one to be known", s.allHold(9, member.Alive))
+			s.until(t, 5*time.Second, "the new one to be known", s.allHold(9, membership.Alive))
 		}},
 		{"half of all die in one second", func(t *testing.T, s *Sim) {
 			for i := range n / 2 {
@@ -109,18 +109,18 @@
 			s.Start(2, Name(0))
 			s.until(t, 5*time.Second, "the new epoch", func() bool {
 				r, _ := s.Copies[1].Member.Find(Name(2))
-				return r.Epoch > before.Epoch && r.Status == member.Alive && whole(s)()
+				return r.Epoch > before.Epoch && r.Status == membership.Alive && whole(s)()
 			})
 		}},
 		{"leaving for good is not dying", func(t *testing.T, s *Sim) {
-			s.Tell(4, member.Event{Kind: member.Depart})
+			s.Tell(4, membership.Event{Kind: membership.Depart})
 			s.Run(s.Now + 200*time.Millisecond)
 			s.Kill(4)
-			s.until(t, 5*time.Second, "all to know", s.allHold(4, member.Left))
+			s.until(t, 5*time.Second, "all to know", s.allHold(4, membership.Left))
 		}},
 		{"one stands still for 10 s and accuses nobody when it wakes", func(t *testing.T, s *Sim) {
 			s.Stop(7)
-			s.until(t, 8*time.Second, "it to be missed", s.allHold(7, member.Dead))
+			s.until(t, 8*time.Second, "it to be missed", s.allHold(7, membership.Dead))
 			s.Run(s.Now + 7*time.Second)
 			died := s.deaths()
 			s.Continue(7)
@@ -164,7 +164,7 @@
 		}},
 		{"what one can send is cut: it hears that it is dead, and says so", func(t *testing.T, s *Sim) {
 			s.Net.CutOff(Name(3), true)
-			s.until(t, 20*time.Second, "it to be missed", s.allHold(3, member.Dead))
+			s.until(t, 20*time.Second, "it to be missed", s.allHold(3, membership.Dead))
 			s.Net.Heal()
 			s.until(t, 5*time.Second, "it to be back", whole(s))
 		}},
@@ -186,7 +186,7 @@
 		}},
 		{"a name comes back at another address", func(t *testing.T, s *Sim) {
 			s.Kill(10)
-			s.Config = func(i int, c *member.Config) { c.Tags.Address = "elsewhere" }
+			s.Config = func(i int, c *membership.Config) { c.Tags.Address = "elsewhere" }
 			s.Run(s.Now + time.Second)
 			s.Start(10, Name(0))
 			s.until(t, 5*time.Second, "all to call it there", func() bool {
@@ -195,24 +195,24 @@
 			})
 		}},
 		{"a copied configuration: who came first is told", func(t *testing.T, s *Sim) {
-			told := map[member.ActionKind]int{}
-			s.Acted = func(_ *Copy, a member.Action) { told[a.Kind]++ }
+			told := map[membership.ActionKind]int{}
+			s.Acted = func(_ *Copy, a membership.Action) { told[a.Kind]++ }
 			twin := &Copy{Name: Name(11), wakes: -1}
 			s.Copies = append(s.Copies, twin)
-			s.Config = func(_ int, c *member.Config) { c.Tags.Address = "twin" }
+			s.Config = func(_ int, c *membership.Config) { c.Tags.Address = "twin" }
 			s.Start(n, Name(0))
 			s.until(t, 10*time.Second, "the first to be told", func() bool { return s.Copies[11].Member.Displaced() })
-			if told[member.Displaced] != 1 {
+			if told[membership.Displaced] != 1 {
 				t.Errorf("told: %v", told)
 			}
 		}},
 		{"a clock that ran ahead before the restart", func(t *testing.T, s *Sim) {
 			s.Kill(12)
-			s.Config = func(_ int, c *member.Config) { c.Epoch = 1 << 40 }
+			s.Config = func(_ int, c *membership.Config) { c.Epoch = 1 << 40 }
 			s.Start(12, Name(0))
 			s.until(t, 5*time.Second, "it to be known", whole(s))
 			s.Kill(12)
-			s.Config = func(_ int, c *member.Config) { c.Epoch = 5 }
+			s.Config = func(_ int, c *membership.Config) { c.Epoch = 5 }
 			s.Start(12, Name(0))
 			s.until(t, 5*time.Second, "the next life", func() bool { r, _ := s.Copies[0].Member.Find(Name(12)); return r.Epoch > 1<<40 && whole(s)() })
 			if s.Copies[12].Member.Displaced() {
@@ -221,14 +221,14 @@
 		}},
 		{"a person says that a dead one is gone; it comes back all the same", func(t *testing.T, s *Sim) {
 			s.Net.CutOff(Name(13), false)
-			s.until(t, 8*time.Second, "it to be missed", s.allHold(13, member.Dead))
-			s.Tell(0, member.Event{Kind: member.Forget, Name: Name(13)})
-			s.until(t, 5*time.Second, "all to know", s.allHold(13, member.Left))
+			s.until(t, 8*time.Second, "it to be missed", s.allHold(13, membership.Dead))
+			s.Tell(0, membership.Event{Kind: membership.Forget, Name: Name(13)})
+			s.until(t, 5*time.Second, "all to know", s.allHold(13, membership.Left))
 			s.Net.Heal()
 			s.until(t, 5*time.Second, "it to be back", whole(s))
 		}},
 		{"tags that change are known to all", func(t *testing.T, s *Sim) {
-			s.Tell(14, member.Event{Kind: member.Retag, Tags: member.Tags{Address: Name(14), Settings: "new", Phase: member.Draining}})
+			s.Tell(14, membership.Event{Kind: membership.Retag, Tags: membership.Tags{Address: Name(14), Settings: "new", Phase: membership.Draining}})
 			s.until(t, 5*time.Second, "all to know", func() bool {
 				for _, c := range s.Copies {
 					if r, _ := c.Member.Find(Name(14)); r.Tags.Settings != "new" {
--- a/lab/members/property_test.go
+++ b/lab/members/property_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"ryerill/fleet/member"
+	"ryerill/fleet/membership"
 	badnet "ryerill/lab/net"
 )
 
@@ -21,7 +21,7 @@
 		n := floor + rapid.IntRange(0, 3).Draw(t, "beyond")
 		s := New(n, badnet.New(lan, 1), rapid.Uint64().Draw(t, "seed"))
 		type key struct{ who, of string }
-		newest := map[key]member.Head{}
+		newest := map[key]membership.Head{}
 		s.Seen = func(c Change) {
 			k := key{c.Who, c.Record.Name}
 			if newest[k].Newer(c.Record.Head) {
@@ -97,7 +97,7 @@
 			case "depart":
 				if s.Copies[i].Up && !s.Copies[i].Stopped && i > 1 {
 					s.Copies[i].sure, s.Copies[i].left = false, true
-					s.Tell(i, member.Event{Kind: member.Depart})
+					s.Tell(i, membership.Event{Kind: membership.Depart})
 					s.Run(s.Now + 700*time.Millisecond)
 					s.Kill(i)
 				}
--- a/lab/night/virtual.go
+++ b/lab/night/virtual.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"ryerill/fleet/allot"
-	"ryerill/fleet/member"
+	"ryerill/fleet/membership"
 	"ryerill/fleet/rollout"
 	"ryerill/lab/members"
 	badnet "ryerill/lab/net"
@@ -102,16 +102,16 @@
 	v.figures = Figures{Copies: sch.Copies, Steps: len(sch.Steps), Length: sch.Length}
 	v.s.Seen = func(c members.Change) {
 		switch c.Record.Status {
-		case member.Dead:
+		case membership.Dead:
 			v.figures.Deaths++
-		case member.Suspect:
+		case membership.Suspect:
 			v.figures.Suspected++
 		}
 	}
 	for i := range sch.Copies {
 		v.hands = append(v.hands, &hand{Copy: v.s.Copies[i], i: i, holds: oldHash, before: oldHash})
-		v.s.Config = func(i int, c *member.Config) {
-			c.Tags.Settings, c.Tags.Phase = v.hands[i].holds, member.Starting
+		v.s.Config = func(i int, c *membership.Config) {
+			c.Tags.Settings, c.Tags.Phase = v.hands[i].holds, membership.Starting
 		}
 	}
 	// Two more than a person has written come once the others have met.
@@ -188,14 +188,14 @@
 
 func (v *virtual) look(h *hand, second bool) {
 	now := v.s.Now
-	phase := member.Serving
+	phase := membership.Serving
 	if now < h.ready {
-		phase = member.Starting
+		phase = membership.Starting
 	}
 	if t := h.Member.Self().Tags; t.Phase != phase || t.Settings != h.holds {
 		tags := *t
 		tags.Phase, tags.Settings = phase, h.holds
-		v.s.Tell(h.i, member.Event{Kind: member.Retag, Tags: tags})
+		v.s.Tell(h.i, membership.Event{Kind: membership.Retag, Tags: tags})
 	}
 	place := h.View.Pool("main")
 	among := place.Among
@@ -211,12 +211,12 @@
 	var others []string
 	var crew []rollout.Copy
 	for _, m := range h.Member.Members() {
-		if m.Status == member.Left || m.Tags == nil {
+		if m.Status == membership.Left || m.Tags == nil {
 			continue
 		}
-		alive := m.Self || m.Status == member.Alive || m.Status == member.Suspect
-		crew = append(crew, rollout.Copy{Name: m.Name, Zone: m.Tags.Zone, Alive: alive, Ready: m.Tags.Phase == member.Serving || v.strange == "starting counts as ready", Holds: m.Tags.Settings, Epoch: m.Epoch})
-		if !m.Self && m.Status == member.Alive {
+		alive := m.Self || m.Status == membership.Alive || m.Status == membership.Suspect
+		crew = append(crew, rollout.Copy{Name: m.Name, Zone: m.Tags.Zone, Alive: alive, Ready: m.Tags.Phase == membership.Serving || v.strange == "starting counts as ready", Holds: m.Tags.Settings, Epoch: m.Epoch})
+		if !m.Self && m.Status == membership.Alive {
 			others = append(others, m.Name)
 		}
 	}
@@ -229,7 +229,7 @@
 	if h.leaving && (h.allot.Fits(now, math.MaxInt) || v.strange == "who leaves does not wait for its loans") {
 		h.leaving = false
 		h.Depart()
-		v.s.Tell(h.i, member.Event{Kind: member.Depart})
+		v.s.Tell(h.i, membership.Event{Kind: membership.Depart})
 		h.gone = true
 		v.s.At(now+500*time.Millisecond, func() { v.s.Kill(h.i) })
 	}
--- a/proxy/fleet.go
+++ b/proxy/fleet.go
@@ -12,7 +12,7 @@
 
 	"ryerill/config"
 	"ryerill/fleet"
-	"ryerill/fleet/member"
+	"ryerill/fleet/membership"
 	"ryerill/fleet/view"
 	"ryerill/internal/overridestore"
 )
@@ -127,14 +127,14 @@
 		return
 	}
 	p.mu.Lock()
-	phase := member.Starting
+	phase := membership.Starting
 	switch {
 	case p.ending || p.state == overridestore.Leaving:
-		phase = member.Leaving
+		phase = membership.Leaving
 	case p.word.Drain != 0:
-		phase = member.Draining
+		phase = membership.Draining
 	case p.ready:
-		phase = member.Serving
+		phase = membership.Serving
 	}
 	hash := config.CommonHash(p.cfg.Text)
 	p.mu.Unlock()
