--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -21,8 +21,8 @@
 
 	"ryerill/fleet/frame"
 	"ryerill/fleet/membership"
+	"ryerill/fleet/placement"
 	"ryerill/fleet/share"
-	"ryerill/fleet/view"
 )
 
 // Descriptors is how many a fleet's host may hold; they are set aside for it.
@@ -63,7 +63,7 @@
 
 // Places tells what follows for the proxy. It is called with every change and must
 // not block.
-type Places func(places map[string]view.Place)
+type Places func(places map[string]placement.Place)
 
 // Fleet is a copy's host. Its methods are safe for concurrent use.
 type Fleet struct {
@@ -87,7 +87,7 @@
 	zones     int
 	codec     *frame.Codec
 	member    *membership.Member
-	view      *view.View
+	view      *placement.View
 	tags      membership.Tags
 	actions   []membership.Action
 	timer     *time.Timer
@@ -142,7 +142,7 @@
 	}
 	now := time.Now()
 	f := &Fleet{cfg: cfg, log: log, udp: udp, tcp: tcp, start: now, places: places, codec: codec, slots: make(chan struct{}, mostExchanges),
-		said: map[string]time.Time{}, credit: mostBurst, creditAt: now, view: view.New(cfg.Copies)}
+		said: map[string]time.Time{}, credit: mostBurst, creditAt: now, view: placement.New(cfg.Copies)}
 	f.figures.Bad = map[string]uint64{}
 	f.tags = membership.Tags{Address: cfg.Advertise, Zone: cfg.Zone, Tier: cfg.Tier, Pools: cfg.Pools, Program: cfg.Program, Settings: cfg.Settings, Phase: membership.Starting,
 		Least: frame.LeastLevel, Most: frame.Level, Later: frame.Later}
@@ -357,7 +357,7 @@
 	if !moved || f.places == nil {
 		return
 	}
-	places := map[string]view.Place{}
+	places := map[string]placement.Place{}
 	for _, name := range f.view.Pools() {
 		places[name] = f.view.Pool(name)
 		p := places[name]
@@ -375,8 +375,8 @@
 	return false
 }
 
-func (f *Fleet) snapshot() view.Snapshot {
-	return view.Snapshot{Members: f.member.Members(), Joined: f.member.Joined() || f.knew, Displaced: f.member.Displaced(), Health: f.member.Health()}
+func (f *Fleet) snapshot() placement.Snapshot {
+	return placement.Snapshot{Members: f.member.Members(), Joined: f.member.Joined() || f.knew, Displaced: f.member.Displaced(), Health: f.member.Health()}
 }
 
 // reach is the address by which this copy reaches another.
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -17,16 +17,16 @@
 
 	"ryerill/fleet/allot"
 	"ryerill/fleet/membership"
+	"ryerill/fleet/placement"
 	"ryerill/fleet/rollout"
 	"ryerill/fleet/tally"
 	"ryerill/fleet/verdict"
-	"ryerill/fleet/view"
 )
 
 // stub is a proxy as the fleet sees it.
 type stub struct {
 	mu      sync.Mutex
-	places  map[string]view.Place
+	places  map[string]placement.Place
 	told    Told
 	wants   float64
 	changed []string
@@ -47,7 +47,7 @@
 	s.told = t
 }
 
-func (s *stub) see(p map[string]view.Place) {
+func (s *stub) see(p map[string]placement.Place) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.places = p
--- a/fleet/view/view.go
+++ b/fleet/placement/view.go
@@ -7,7 +7,7 @@
 // it says that it leaves, its name starts anew, or a person says that it is gone.
 // Places in the ring and the part of a limit follow those that are there, damped,
 // and while this copy may itself be the one that is cut off they follow nobody.
-package view
+package placement
 
 import (
 	"cmp"
--- a/fleet/view/view_test.go
+++ b/fleet/placement/view_test.go
@@ -1,4 +1,4 @@
-package view
+package placement
 
 import (
 	"fmt"
--- a/fleet/status.go
+++ b/fleet/status.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"ryerill/fleet/membership"
-	"ryerill/fleet/view"
+	"ryerill/fleet/placement"
 )
 
 // Status is what the door tells of the fleet. Ages are in milliseconds; -1 is never.
@@ -97,7 +97,7 @@
 	return s
 }
 
-func placeOf(p view.Place) Place {
+func placeOf(p placement.Place) Place {
 	return Place{Number: p.Self, Of: p.Of, Among: p.Among, Part: p.Part(), There: p.There, Lost: p.Lost, StaleMS: p.Stale.Milliseconds()}
 }
 
--- a/lab/members/members.go
+++ b/lab/members/members.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"ryerill/fleet/membership"
-	"ryerill/fleet/view"
+	"ryerill/fleet/placement"
 	badnet "ryerill/lab/net"
 )
 
@@ -30,7 +30,7 @@
 	Name     string
 	Address  string
 	Member   *membership.Member
-	View     *view.View          // made by Look
+	View     *placement.View     // made by Look
 	memory   []membership.Record // what it would remember after a restart, and whether it was sure
 	sure     bool
 	left     bool
@@ -286,12 +286,12 @@
 			continue
 		}
 		if c.View == nil {
-			if c.View = view.New(map[string]int{"main": floor}); c.sure {
+			if c.View = placement.New(map[string]int{"main": floor}); c.sure {
 				c.View.Trust()
 			}
 		}
 		m := c.Member
-		c.View.Update(s.Now, view.Snapshot{Members: m.Members(), Joined: m.Joined() || c.knew, Displaced: m.Displaced(), Health: m.Health()})
+		c.View.Update(s.Now, placement.Snapshot{Members: m.Members(), Joined: m.Joined() || c.knew, Displaced: m.Displaced(), Health: m.Health()})
 		c.left = m.Self().Status == membership.Left
 		if c.Broken {
 			continue
--- a/proxy/fleet.go
+++ b/proxy/fleet.go
@@ -13,7 +13,7 @@
 	"ryerill/config"
 	"ryerill/fleet"
 	"ryerill/fleet/membership"
-	"ryerill/fleet/view"
+	"ryerill/fleet/placement"
 	"ryerill/internal/overridestore"
 )
 
@@ -26,7 +26,7 @@
 type side struct {
 	mu     sync.Mutex
 	host   *fleet.Fleet // nil until its address is free
-	places map[string]view.Place
+	places map[string]placement.Place
 	stop   context.CancelFunc
 	gone   chan struct{}
 }
@@ -142,7 +142,7 @@
 }
 
 // placed takes in this copy's places and tells the pools.
-func (p *Proxy) placed(places map[string]view.Place) {
+func (p *Proxy) placed(places map[string]placement.Place) {
 	p.side.mu.Lock()
 	p.side.places = places
 	p.side.mu.Unlock()
@@ -167,7 +167,7 @@
 }
 
 // place tells the Balancer its place among the copies.
-func (c *core) place(at view.Place) {
+func (c *core) place(at placement.Place) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	among := at.Among
