--- a/config/fleet.go
+++ b/config/fleet.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"ryerill/fleet"
-	"ryerill/fleet/frame"
+	"ryerill/fleet/codec"
 	"ryerill/fleet/membership"
 )
 
@@ -62,7 +62,7 @@
 			keys = append(keys, line)
 		}
 	}
-	if _, err := frame.New("", keys); err != nil { // as the fleet would
+	if _, err := codec.New("", keys); err != nil { // as the fleet would
 		return nil, err
 	}
 	return keys, nil
--- a/fleet/frame/compatibility_test.go
+++ b/fleet/codec/compatibility_test.go
@@ -1,6 +1,6 @@
 //go:build !fleetlater
 
-package frame
+package codec
 
 import (
 	"bytes"
--- a/fleet/frame/frame.go
+++ b/fleet/codec/frame.go
@@ -14,7 +14,7 @@
 // The code is HMAC-SHA-256 over all before it and the fleet's name, cut to its
 // first 16 bytes. The number counts up within a start of the sender; a receiver
 // keeps a window of those it has seen, so that a frame counts once.
-package frame
+package codec
 
 import (
 	"crypto/hmac"
--- a/fleet/frame/frame_test.go
+++ b/fleet/codec/frame_test.go
@@ -1,4 +1,4 @@
-package frame
+package codec
 
 import (
 	"errors"
--- a/fleet/frame/level.go
+++ b/fleet/codec/level.go
@@ -1,6 +1,6 @@
 //go:build !fleetlater
 
-package frame
+package codec
 
 // What copies say to each other has a level, which grows with each field or kind that
 // others have to understand for a fleet to work. A copy tells the least and the most
--- a/fleet/frame/level_later.go
+++ b/fleet/codec/level_later.go
@@ -1,6 +1,6 @@
 //go:build fleetlater
 
-package frame
+package codec
 
 // This build plays a later program: it speaks another level too, says more of itself,
 // and its messages have a field that this level does not know.
--- a/fleet/exchange.go
+++ b/fleet/exchange.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"ryerill/fleet/frame"
+	"ryerill/fleet/codec"
 	"ryerill/fleet/membership"
 )
 
@@ -111,8 +111,8 @@
 	if err != nil {
 		return err
 	}
-	if len(text) > frame.MaxPiece {
-		return frame.ErrLarge
+	if len(text) > codec.MaxPiece {
+		return codec.ErrLarge
 	}
 	_, err = w.Write(append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(text)), uint32(len(text))), text...))
 	return err
@@ -126,13 +126,13 @@
 	}
 	n := int(binary.BigEndian.Uint32(size[:]))
 	f.mu.Lock()
-	f.figures.ExchangeBytes += uint64(min(n, frame.MaxPiece))
-	if n > frame.MaxPiece {
-		f.bad(frame.ErrLarge, conn.RemoteAddr().String())
+	f.figures.ExchangeBytes += uint64(min(n, codec.MaxPiece))
+	if n > codec.MaxPiece {
+		f.bad(codec.ErrLarge, conn.RemoteAddr().String())
 	}
 	f.mu.Unlock()
-	if n > frame.MaxPiece {
-		return nil, frame.ErrLarge
+	if n > codec.MaxPiece {
+		return nil, codec.ErrLarge
 	}
 	// No more memory than has come, whatever length was claimed.
 	text, err := io.ReadAll(io.LimitReader(conn, int64(n)))
@@ -141,9 +141,9 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m, err := f.codec.Decode(text, frame.MaxPiece)
+	m, err := f.codec.Decode(text, codec.MaxPiece)
 	if err == nil && !slices.Contains(kinds, m.Kind) {
-		err = frame.ErrTorn
+		err = codec.ErrTorn
 	}
 	if err != nil {
 		f.bad(err, conn.RemoteAddr().String())
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -19,7 +19,7 @@
 	"sync"
 	"time"
 
-	"ryerill/fleet/frame"
+	"ryerill/fleet/codec"
 	"ryerill/fleet/membership"
 	"ryerill/fleet/placement"
 	"ryerill/fleet/share"
@@ -85,7 +85,7 @@
 	share     *share.Share
 	budgets   map[string]float64
 	zones     int
-	codec     *frame.Codec
+	codec     *codec.Codec
 	member    *membership.Member
 	view      *placement.View
 	tags      membership.Tags
@@ -124,7 +124,7 @@
 
 // New opens the sockets of a fleet's host. Nobody is spoken to before Run.
 func New(cfg Config, log *slog.Logger, places Places) (*Fleet, error) {
-	codec, err := frame.New(cfg.Fleet, cfg.Keys)
+	frames, err := codec.New(cfg.Fleet, cfg.Keys)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: key: %w", err)
 	}
@@ -141,11 +141,11 @@
 		cfg.Advertise = at.String()
 	}
 	now := time.Now()
-	f := &Fleet{cfg: cfg, log: log, udp: udp, tcp: tcp, start: now, places: places, codec: codec, slots: make(chan struct{}, mostExchanges),
+	f := &Fleet{cfg: cfg, log: log, udp: udp, tcp: tcp, start: now, places: places, codec: frames, slots: make(chan struct{}, mostExchanges),
 		said: map[string]time.Time{}, credit: mostBurst, creditAt: now, view: placement.New(cfg.Copies)}
 	f.figures.Bad = map[string]uint64{}
 	f.tags = membership.Tags{Address: cfg.Advertise, Zone: cfg.Zone, Tier: cfg.Tier, Pools: cfg.Pools, Program: cfg.Program, Settings: cfg.Settings, Phase: membership.Starting,
-		Least: frame.LeastLevel, Most: frame.Level, Later: frame.Later}
+		Least: codec.LeastLevel, Most: codec.Level, Later: codec.Later}
 	known := f.remembered()
 	f.recalled = known
 	f.member = membership.New(membership.Config{Name: cfg.Name, Epoch: max(drawEpoch(now), known.Epoch+1), Seed: cfg.Seed ^ uint64(now.UnixNano()), Tags: f.tags,
@@ -391,7 +391,7 @@
 func (f *Fleet) send(name, address string, m *membership.Message) {
 	text, err := f.codec.Encode(m)
 	to, parsed := netip.ParseAddrPort(f.reach(name, address))
-	if err == nil && parsed == nil && len(text) <= frame.MaxDatagram {
+	if err == nil && parsed == nil && len(text) <= codec.MaxDatagram {
 		if _, err = f.udp.WriteToUDPAddrPort(text, to); err == nil {
 			f.figures.FramesOut++
 			f.figures.BytesOut += uint64(len(text))
@@ -450,7 +450,7 @@
 // read takes in datagrams.
 func (f *Fleet) read() {
 	defer f.all.Done()
-	buf := make([]byte, frame.MaxDatagram+1)
+	buf := make([]byte, codec.MaxDatagram+1)
 	for {
 		n, from, err := f.udp.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -477,7 +477,7 @@
 		return
 	}
 	f.credit--
-	m, err := f.codec.Decode(text, frame.MaxDatagram)
+	m, err := f.codec.Decode(text, codec.MaxDatagram)
 	if err != nil {
 		f.bad(err, from.String())
 		return
@@ -493,7 +493,7 @@
 
 // bad counts a frame that is dropped. It is never answered.
 func (f *Fleet) bad(err error, from string) {
-	for _, fault := range frame.Faults {
+	for _, fault := range codec.Faults {
 		if errors.Is(err, fault) {
 			f.figures.Bad[fault.Error()]++
 			f.complain("a frame "+fault.Error()+" is dropped", "from", from, "error", err)
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -19,7 +19,7 @@
 	"golang.org/x/sys/unix"
 
 	"ryerill/config"
-	"ryerill/fleet/frame"
+	"ryerill/fleet/codec"
 	"ryerill/internal/logging"
 	"ryerill/proxy"
 )
@@ -53,7 +53,7 @@
 		rolloutCommand(getenv, stdout),
 		&cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs,
 			Run: func(*cobra.Command, []string) {
-				fmt.Fprintf(stdout, "ryerill %s\nfleet levels %d to %d\n", version(), frame.LeastLevel, frame.Level)
+				fmt.Fprintf(stdout, "ryerill %s\nfleet levels %d to %d\n", version(), codec.LeastLevel, codec.Level)
 			}},
 	)
 	err := root.Execute()
@@ -87,7 +87,7 @@
 // version is that of the module as it was built.
 func version() string {
 	if info, ok := debug.ReadBuildInfo(); ok && info.Main.Version != "" {
-		return info.Main.Version + " " + info.GoVersion + frame.Note
+		return info.Main.Version + " " + info.GoVersion + codec.Note
 	}
 	return "(unknown)"
 }
