--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -15,9 +15,9 @@
 
 	"go.uber.org/goleak"
 
-	"ryerill/fleet/allot"
 	"ryerill/fleet/membership"
 	"ryerill/fleet/placement"
+	"ryerill/fleet/quota"
 	"ryerill/fleet/rollout"
 	"ryerill/fleet/tally"
 	"ryerill/fleet/verdict"
@@ -198,7 +198,7 @@
 func TestWhatIsRememberedIsTakenWithCare(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "members")
 	lent := func(f *Fleet) bool {
-		f.share.Allot.Set(f.now(), []allot.Budget{{Name: "b", Kind: allot.Rate, Whole: 90}})
+		f.share.Allot.Set(f.now(), []quota.Budget{{Name: "b", Kind: quota.Rate, Whole: 90}})
 		f.share.Allot.Among(f.now(), 3, nil)
 		return f.share.Allot.Rate(f.now(), "b") < 2
 	}
--- a/fleet/allot/allot.go
+++ b/fleet/quota/allot.go
@@ -11,7 +11,7 @@
 //
 // A sum (what a server that has just started may be sent in all) moves for good: a
 // part given away is spent for the giver whether it arrives or not.
-package allot
+package quota
 
 import (
 	"cmp"
--- a/fleet/allot/allot_test.go
+++ b/fleet/quota/allot_test.go
@@ -1,4 +1,4 @@
-package allot
+package quota
 
 import (
 	"fmt"
--- a/fleet/share/share.go
+++ b/fleet/share/share.go
@@ -11,7 +11,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"ryerill/fleet/allot"
+	"ryerill/fleet/quota"
 	"ryerill/fleet/tally"
 	"ryerill/fleet/verdict"
 	"ryerill/internal/chance"
@@ -71,7 +71,7 @@
 
 // Packet is what one copy sends another.
 type Packet struct {
-	Budgets  []allot.Message          `cbor:"1,keyasint,omitempty"`
+	Budgets  []quota.Message          `cbor:"1,keyasint,omitempty"`
 	Tallies  []aged[wireTally]        `cbor:"2,keyasint,omitempty"`
 	Evidence []aged[verdict.Evidence] `cbor:"3,keyasint,omitempty"`
 }
@@ -98,7 +98,7 @@
 	rng                         chance.Source
 	dec                         cbor.DecMode
 	now                         time.Duration
-	Allot                       *allot.Allot
+	Allot                       *quota.Allot
 	Tally                       *tally.Tally
 	Verdict                     *verdict.Verdict
 	queue                       []item
@@ -128,7 +128,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Share{dec: dec, cfg: cfg, rng: chance.Source(cfg.Seed), now: now, creditAt: now, Allot: allot.New(cfg.Name, cfg.Epoch, cfg.Seed, cfg.Fresh, now),
+	return &Share{dec: dec, cfg: cfg, rng: chance.Source(cfg.Seed), now: now, creditAt: now, Allot: quota.New(cfg.Name, cfg.Epoch, cfg.Seed, cfg.Fresh, now),
 		Tally: tally.New(cfg.Name, cfg.Zone, cfg.Epoch), Verdict: verdict.New(cfg.Name, cfg.Zone, cfg.Epoch)}, nil
 }
 
--- a/fleet/share/share_test.go
+++ b/fleet/share/share_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"ryerill/fleet/allot"
+	"ryerill/fleet/quota"
 	"ryerill/fleet/tally"
 	"ryerill/fleet/verdict"
 )
@@ -114,9 +114,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var budgets []allot.Budget
+	var budgets []quota.Budget
 	for i := range 16 {
-		budgets = append(budgets, allot.Budget{Name: fmt.Sprint("pool/", i), Whole: 1000})
+		budgets = append(budgets, quota.Budget{Name: fmt.Sprint("pool/", i), Whole: 1000})
 	}
 	s.Allot.Set(0, budgets)
 	for i := range members {
@@ -170,9 +170,9 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	s.Allot.Set(0, []allot.Budget{{Name: "b", Whole: 10}})
+	s.Allot.Set(0, []quota.Budget{{Name: "b", Whole: 10}})
 	s.Allot.Among(0, 2, []string{"b"})
-	text, _ := cbor.Marshal(Packet{Budgets: []allot.Message{{Key: allot.AskKey{Name: "b", Epoch: 1, Seq: 1}, Budget: "b", Amount: 3}}})
+	text, _ := cbor.Marshal(Packet{Budgets: []quota.Message{{Key: quota.AskKey{Name: "b", Epoch: 1, Seq: 1}, Budget: "b", Amount: 3}}})
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s.Hear(s.now+time.Millisecond, "b", text)
--- a/fleet/sharing.go
+++ b/fleet/sharing.go
@@ -5,8 +5,8 @@
 	"math"
 	"time"
 
-	"ryerill/fleet/allot"
 	"ryerill/fleet/membership"
+	"ryerill/fleet/quota"
 	"ryerill/fleet/share"
 	"ryerill/fleet/tally"
 	"ryerill/fleet/verdict"
@@ -99,7 +99,7 @@
 	if f.share == nil {
 		return
 	}
-	for end := time.Now().Add(allot.Lease * 11 / 10); time.Now().Before(end); time.Sleep(share.Every / 2) {
+	for end := time.Now().Add(quota.Lease * 11 / 10); time.Now().Before(end); time.Sleep(share.Every / 2) {
 		f.mu.Lock()
 		f.tags.Phase = membership.Leaving
 		f.among()
@@ -150,9 +150,9 @@
 	if f.ended || f.phases {
 		return told
 	}
-	var budgets []allot.Budget
+	var budgets []quota.Budget
 	for name, whole := range fed.Budgets {
-		budgets = append(budgets, allot.Budget{Name: name, Kind: allot.Rate, Whole: whole})
+		budgets = append(budgets, quota.Budget{Name: name, Kind: quota.Rate, Whole: whole})
 	}
 	s.Allot.Set(now, budgets)
 	f.among()
@@ -264,7 +264,7 @@
 	Speakers []SpeakerStatus        `json:"speakers"`
 	Evidence []verdict.Evidence     `json:"evidence"`
 	Packets  share.Figures          `json:"packets"`
-	Lending  allot.Figures          `json:"lending"`
+	Lending  quota.Figures          `json:"lending"`
 }
 
 // BudgetStatus is one budget here, in units a second.
--- a/lab/night/virtual.go
+++ b/lab/night/virtual.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"ryerill/fleet/allot"
 	"ryerill/fleet/membership"
+	"ryerill/fleet/quota"
 	"ryerill/fleet/rollout"
 	"ryerill/lab/members"
 	badnet "ryerill/lab/net"
@@ -50,7 +50,7 @@
 type hand struct {
 	*members.Copy
 	i       int
-	allot   *allot.Allot
+	allot   *quota.Allot
 	roll    *rollout.Rollout
 	epoch   uint64
 	holds   string
@@ -67,7 +67,7 @@
 
 type parcel struct {
 	from, to int
-	budget   *allot.Message
+	budget   *quota.Message
 	roll     *rollout.Message
 }
 
@@ -163,8 +163,8 @@
 	}
 	v.s.Start(i, seeds...)
 	fresh := again && v.strange != "restarted copies lend at once"
-	h.allot = allot.New(h.Name, h.epoch, uint64(i)+h.epoch<<20, fresh, v.s.Now)
-	h.allot.Set(v.s.Now, []allot.Budget{{Name: "quota", Kind: allot.Rate, Whole: whole}})
+	h.allot = quota.New(h.Name, h.epoch, uint64(i)+h.epoch<<20, fresh, v.s.Now)
+	h.allot.Set(v.s.Now, []quota.Budget{{Name: "quota", Kind: quota.Rate, Whole: whole}})
 	h.roll = rollout.New(h.Name, v.s.Now)
 	h.roll.Restore(h.state)
 }
@@ -240,7 +240,7 @@
 	}
 }
 
-func (v *virtual) budgets(h *hand, out []allot.Action) {
+func (v *virtual) budgets(h *hand, out []quota.Action) {
 	for _, a := range out {
 		v.post(parcel{from: h.i, to: v.index(a.To), budget: &a.Message})
 	}
--- a/lab/sharing/sharing.go
+++ b/lab/sharing/sharing.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"ryerill"
-	"ryerill/fleet/allot"
+	"ryerill/fleet/quota"
 	"ryerill/fleet/share"
 	"ryerill/fleet/verdict"
 	"ryerill/lab/baseline"
@@ -220,10 +220,10 @@
 			c.send(c.share.Hear(h.now, l.from, l.text))
 		}
 	}
-	var budgets []allot.Budget
+	var budgets []quota.Budget
 	for i, t := range c.cfg.Tenants {
 		if t.Quota > 0 {
-			budgets = append(budgets, allot.Budget{Name: t.Name, Kind: allot.Rate, Whole: t.Quota})
+			budgets = append(budgets, quota.Budget{Name: t.Name, Kind: quota.Rate, Whole: t.Quota})
 			c.share.Allot.Want(h.now, t.Name, c.wants[i])
 		}
 		c.wants[i] = 0
