--- a/fleet/tally/tally.go
+++ b/fleet/counter/tally.go
@@ -4,7 +4,7 @@
 //
 // A reader never gets a bare number: with it go its age and the bounds within which
 // the truth lies if nobody's pace has more than doubled since.
-package tally
+package counter
 
 import (
 	"cmp"
--- a/fleet/tally/tally_test.go
+++ b/fleet/counter/tally_test.go
@@ -1,4 +1,4 @@
-package tally
+package counter
 
 import (
 	"fmt"
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -15,11 +15,11 @@
 
 	"go.uber.org/goleak"
 
+	"ryerill/fleet/counter"
 	"ryerill/fleet/membership"
 	"ryerill/fleet/placement"
 	"ryerill/fleet/quota"
 	"ryerill/fleet/rollout"
-	"ryerill/fleet/tally"
 	"ryerill/fleet/verdict"
 )
 
@@ -37,7 +37,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Fed{Budgets: map[string]float64{"main/acme": 90}, Wants: map[string]float64{"main/acme": s.wants / 5},
-		Counts: map[tally.Key]tally.Counts{{Pool: "main"}: {Arrivals: 10}}, Seen: []Seen{{Server: verdict.Server{ID: 7, Since: 1}, Outcome: verdict.Hung}, {Server: verdict.Server{ID: 8, Since: 1}}},
+		Counts: map[counter.Key]counter.Counts{{Pool: "main"}: {Arrivals: 10}}, Seen: []Seen{{Server: verdict.Server{ID: 7, Since: 1}, Outcome: verdict.Hung}, {Server: verdict.Server{ID: 8, Since: 1}}},
 		Servers: map[string][]verdict.Server{"main": {{ID: 7, Since: 1}, {ID: 8, Since: 1}, {ID: 9, Since: 1}, {ID: 10, Since: 1}}}}
 }
 
--- a/fleet/share/share.go
+++ b/fleet/share/share.go
@@ -11,8 +11,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"ryerill/fleet/counter"
 	"ryerill/fleet/quota"
-	"ryerill/fleet/tally"
 	"ryerill/fleet/verdict"
 	"ryerill/internal/chance"
 )
@@ -99,7 +99,7 @@
 	dec                         cbor.DecMode
 	now                         time.Duration
 	Allot                       *quota.Allot
-	Tally                       *tally.Tally
+	Tally                       *counter.Tally
 	Verdict                     *verdict.Verdict
 	queue                       []item
 	credit                      float64
@@ -129,7 +129,7 @@
 		return nil, err
 	}
 	return &Share{dec: dec, cfg: cfg, rng: chance.Source(cfg.Seed), now: now, creditAt: now, Allot: quota.New(cfg.Name, cfg.Epoch, cfg.Seed, cfg.Fresh, now),
-		Tally: tally.New(cfg.Name, cfg.Zone, cfg.Epoch), Verdict: verdict.New(cfg.Name, cfg.Zone, cfg.Epoch)}, nil
+		Tally: counter.New(cfg.Name, cfg.Zone, cfg.Epoch), Verdict: verdict.New(cfg.Name, cfg.Zone, cfg.Epoch)}, nil
 }
 
 // Tick sends what is due to copies that are there.
@@ -204,7 +204,7 @@
 	}
 }
 
-func (s *Share) tallyItem(t tally.Item) item {
+func (s *Share) tallyItem(t counter.Item) item {
 	w := &wireTally{Name: t.Name, Epoch: t.Epoch, Version: t.Version, Zone: t.Zone, Members: t.Members}
 	size := 48 + len(t.Name) + len(t.Zone)
 	for k, c := range t.Counts {
@@ -336,9 +336,9 @@
 
 func (s *Share) hearTally(t *aged[wireTally]) {
 	w := &t.Item
-	in := tally.Item{Name: w.Name, Epoch: w.Epoch, Version: w.Version, Zone: w.Zone, Members: w.Members, AgeMS: t.AgeMS, Counts: make(map[tally.Key]tally.Counts, len(w.Counts))}
+	in := counter.Item{Name: w.Name, Epoch: w.Epoch, Version: w.Version, Zone: w.Zone, Members: w.Members, AgeMS: t.AgeMS, Counts: make(map[counter.Key]counter.Counts, len(w.Counts))}
 	for _, c := range w.Counts {
-		in.Counts[tally.Key{Pool: c.Pool, Class: c.Class, Tenant: c.Tenant}] = tally.Counts{Arrivals: c.Arrivals, Served: c.Served, Refused: c.Refused, Failed: c.Failed, InFlight: c.InFlight}
+		in.Counts[counter.Key{Pool: c.Pool, Class: c.Class, Tenant: c.Tenant}] = counter.Counts{Arrivals: c.Arrivals, Served: c.Served, Refused: c.Refused, Failed: c.Failed, InFlight: c.InFlight}
 	}
 	if s.Tally.Merge(s.now, in) {
 		it := s.tallyItem(in)
--- a/fleet/share/share_test.go
+++ b/fleet/share/share_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"ryerill/fleet/counter"
 	"ryerill/fleet/quota"
-	"ryerill/fleet/tally"
 	"ryerill/fleet/verdict"
 )
 
@@ -74,10 +74,10 @@
 			c := newCrowd(t, n, 3, 0)
 			c.loss = 0.2
 			bad := verdict.Server{ID: 77, Since: 5}
-			key := tally.Key{Pool: "main", Class: "read"}
+			key := counter.Key{Pool: "main", Class: "read"}
 			span := 20 * time.Second
 			c.play(span, func(i int, s *Share) {
-				s.Tally.Count(c.now, key, tally.Counts{Arrivals: 100})
+				s.Tally.Count(c.now, key, counter.Counts{Arrivals: 100})
 				for id := range uint64(8) {
 					s.Verdict.Saw(c.now, verdict.Server{ID: id, Since: 5}, verdict.Good, 1)
 				}
@@ -89,7 +89,7 @@
 				if voices := s.Verdict.Voices(bad.ID); voices < 2 {
 					t.Errorf("copy %d of %d has heard %d on a server that three see hang", i, n, voices)
 				}
-				if v := s.Tally.Sum(c.now, nil, func(c tally.Counts) float64 { return float64(c.Arrivals) }); v.N < float64(95*n) || v.N != float64(100*v.Parts) {
+				if v := s.Tally.Sum(c.now, nil, func(c counter.Counts) float64 { return float64(c.Arrivals) }); v.N < float64(95*n) || v.N != float64(100*v.Parts) {
 					t.Errorf("copy %d of %d counts %v arrivals of %d, of %d copies", i, n, v.N, 100*n, v.Parts)
 				}
 				if rate := float64(s.Figures.BytesOut) / span.Seconds(); rate > 1.1*DefaultBudget {
@@ -120,9 +120,9 @@
 	}
 	s.Allot.Set(0, budgets)
 	for i := range members {
-		item := tally.Item{Name: fmt.Sprintf("c%04d", i), Epoch: 1, Version: 1, Counts: map[tally.Key]tally.Counts{}}
+		item := counter.Item{Name: fmt.Sprintf("c%04d", i), Epoch: 1, Version: 1, Counts: map[counter.Key]counter.Counts{}}
 		for k := range 20 {
-			item.Counts[tally.Key{Pool: "main", Class: fmt.Sprint("class", k%5), Tenant: fmt.Sprint("tenant", k)}] = tally.Counts{Arrivals: 5}
+			item.Counts[counter.Key{Pool: "main", Class: fmt.Sprint("class", k%5), Tenant: fmt.Sprint("tenant", k)}] = counter.Counts{Arrivals: 5}
 		}
 		s.Tally.Merge(0, item)
 	}
@@ -144,7 +144,7 @@
 func TestStrangePacketsBreakNothing(t *testing.T) {
 	c := newCrowd(t, 2, 1, 0)
 	c.play(3*time.Second, func(_ int, s *Share) {
-		s.Tally.Count(c.now, tally.Key{Pool: "main"}, tally.Counts{Arrivals: 7})
+		s.Tally.Count(c.now, counter.Key{Pool: "main"}, counter.Counts{Arrivals: 7})
 	})
 	text, err := cbor.Marshal(map[int]any{1: []any{}, 2: []any{map[int]any{1: 5, 99: "later", 2: map[int]any{1: "c0001", 2: 1, 3: 1 << 40, 6: []any{map[int]any{1: "main", 4: 9, 77: true}}}}}, 42: "later"})
 	if err != nil {
@@ -154,7 +154,7 @@
 	if s.Hear(c.now, "c0001", text); s.Figures.Bad != 0 {
 		t.Error("a later program's packet is taken for torn")
 	}
-	if v := s.Tally.Sum(c.now, nil, func(c tally.Counts) float64 { return float64(c.Arrivals) }); v.N != 16 {
+	if v := s.Tally.Sum(c.now, nil, func(c counter.Counts) float64 { return float64(c.Arrivals) }); v.N != 16 {
 		t.Errorf("%v arrivals, want 16", v.N)
 	}
 	for i := range text {
--- a/fleet/sharing.go
+++ b/fleet/sharing.go
@@ -5,10 +5,10 @@
 	"math"
 	"time"
 
+	"ryerill/fleet/counter"
 	"ryerill/fleet/membership"
 	"ryerill/fleet/quota"
 	"ryerill/fleet/share"
-	"ryerill/fleet/tally"
 	"ryerill/fleet/verdict"
 )
 
@@ -27,9 +27,9 @@
 
 // Fed is what the proxy tells of itself between two looks.
 type Fed struct {
-	Budgets map[string]float64         // wholes, a second
-	Wants   map[string]float64         // units wanted of them since the last look
-	Counts  map[tally.Key]tally.Counts // since the start
+	Budgets map[string]float64             // wholes, a second
+	Wants   map[string]float64             // units wanted of them since the last look
+	Counts  map[counter.Key]counter.Counts // since the start
 	Seen    []Seen
 	Servers map[string][]verdict.Server // by pool
 }
@@ -240,13 +240,13 @@
 		}
 		s.Budgets = append(s.Budgets, b)
 	}
-	value := func(pick func(tally.Counts) float64) CountStatus {
+	value := func(pick func(counter.Counts) float64) CountStatus {
 		v := f.share.Tally.Sum(now, nil, pick)
 		return CountStatus{v.N, v.Least, v.Most, v.Age.Milliseconds(), v.Parts, v.Stale}
 	}
-	s.Sums = map[string]CountStatus{"arrivals": value(func(c tally.Counts) float64 { return float64(c.Arrivals) }), "served": value(func(c tally.Counts) float64 { return float64(c.Served) }),
-		"refused": value(func(c tally.Counts) float64 { return float64(c.Refused) }), "failed": value(func(c tally.Counts) float64 { return float64(c.Failed) }),
-		"in_flight": value(func(c tally.Counts) float64 { return float64(c.InFlight) })}
+	s.Sums = map[string]CountStatus{"arrivals": value(func(c counter.Counts) float64 { return float64(c.Arrivals) }), "served": value(func(c counter.Counts) float64 { return float64(c.Served) }),
+		"refused": value(func(c counter.Counts) float64 { return float64(c.Refused) }), "failed": value(func(c counter.Counts) float64 { return float64(c.Failed) }),
+		"in_flight": value(func(c counter.Counts) float64 { return float64(c.InFlight) })}
 	for _, l := range f.share.Tally.Lines(now) {
 		s.Speakers = append(s.Speakers, SpeakerStatus{Name: l.Name, Zone: l.Zone, Members: max(l.Members, 1), AgeMS: l.Age.Milliseconds()})
 	}
--- a/proxy/sharing.go
+++ b/proxy/sharing.go
@@ -5,7 +5,7 @@
 
 	"ryerill"
 	"ryerill/fleet"
-	counts "ryerill/fleet/tally"
+	counts "ryerill/fleet/counter"
 	"ryerill/fleet/verdict"
 )
 
