--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -17,10 +17,10 @@
 
 	"ryerill/fleet/counter"
 	"ryerill/fleet/membership"
+	"ryerill/fleet/outlier"
 	"ryerill/fleet/placement"
 	"ryerill/fleet/quota"
 	"ryerill/fleet/rollout"
-	"ryerill/fleet/verdict"
 )
 
 // stub is a proxy as the fleet sees it.
@@ -37,8 +37,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Fed{Budgets: map[string]float64{"main/acme": 90}, Wants: map[string]float64{"main/acme": s.wants / 5},
-		Counts: map[counter.Key]counter.Counts{{Pool: "main"}: {Arrivals: 10}}, Seen: []Seen{{Server: verdict.Server{ID: 7, Since: 1}, Outcome: verdict.Hung}, {Server: verdict.Server{ID: 8, Since: 1}}},
-		Servers: map[string][]verdict.Server{"main": {{ID: 7, Since: 1}, {ID: 8, Since: 1}, {ID: 9, Since: 1}, {ID: 10, Since: 1}}}}
+		Counts: map[counter.Key]counter.Counts{{Pool: "main"}: {Arrivals: 10}}, Seen: []Seen{{Server: outlier.Server{ID: 7, Since: 1}, Outcome: outlier.Hung}, {Server: outlier.Server{ID: 8, Since: 1}}},
+		Servers: map[string][]outlier.Server{"main": {{ID: 7, Since: 1}, {ID: 8, Since: 1}, {ID: 9, Since: 1}, {ID: 10, Since: 1}}}}
 }
 
 func (s *stub) Tell(t Told) {
--- a/fleet/verdict/verdict.go
+++ b/fleet/outlier/verdict.go
@@ -2,7 +2,7 @@
 // them. Copies tell each other evidence, never judgements, and each reader judges for
 // itself, so that one copy that lies, or a zone that is cut off, condemns nobody for
 // the rest. It is pure.
-package verdict
+package outlier
 
 import (
 	"cmp"
--- a/fleet/verdict/verdict_test.go
+++ b/fleet/outlier/verdict_test.go
@@ -1,4 +1,4 @@
-package verdict
+package outlier
 
 import (
 	"fmt"
--- a/fleet/share/share.go
+++ b/fleet/share/share.go
@@ -12,8 +12,8 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"ryerill/fleet/counter"
+	"ryerill/fleet/outlier"
 	"ryerill/fleet/quota"
-	"ryerill/fleet/verdict"
 	"ryerill/internal/chance"
 )
 
@@ -73,7 +73,7 @@
 type Packet struct {
 	Budgets  []quota.Message          `cbor:"1,keyasint,omitempty"`
 	Tallies  []aged[wireTally]        `cbor:"2,keyasint,omitempty"`
-	Evidence []aged[verdict.Evidence] `cbor:"3,keyasint,omitempty"`
+	Evidence []aged[outlier.Evidence] `cbor:"3,keyasint,omitempty"`
 }
 
 // Out is a packet for somebody.
@@ -88,7 +88,7 @@
 	times  int
 	urgent bool
 	tally  *wireTally
-	seen   *verdict.Evidence
+	seen   *outlier.Evidence
 	size   int
 }
 
@@ -100,7 +100,7 @@
 	now                         time.Duration
 	Allot                       *quota.Allot
 	Tally                       *counter.Tally
-	Verdict                     *verdict.Verdict
+	Verdict                     *outlier.Verdict
 	queue                       []item
 	credit                      float64
 	creditAt                    time.Duration
@@ -129,7 +129,7 @@
 		return nil, err
 	}
 	return &Share{dec: dec, cfg: cfg, rng: chance.Source(cfg.Seed), now: now, creditAt: now, Allot: quota.New(cfg.Name, cfg.Epoch, cfg.Seed, cfg.Fresh, now),
-		Tally: counter.New(cfg.Name, cfg.Zone, cfg.Epoch), Verdict: verdict.New(cfg.Name, cfg.Zone, cfg.Epoch)}, nil
+		Tally: counter.New(cfg.Name, cfg.Zone, cfg.Epoch), Verdict: outlier.New(cfg.Name, cfg.Zone, cfg.Epoch)}, nil
 }
 
 // Tick sends what is due to copies that are there.
@@ -260,7 +260,7 @@
 		case it.tally != nil:
 			p.Tallies = append(p.Tallies, aged[wireTally]{AgeMS: age, Item: *it.tally})
 		default:
-			p.Evidence = append(p.Evidence, aged[verdict.Evidence]{AgeMS: age, Item: *it.seen})
+			p.Evidence = append(p.Evidence, aged[outlier.Evidence]{AgeMS: age, Item: *it.seen})
 		}
 		if room < 60 {
 			break
@@ -326,7 +326,7 @@
 		for i := range p.Evidence {
 			e := &p.Evidence[i]
 			age := time.Duration(min(max(e.AgeMS, -1), 1e9)) * time.Millisecond
-			if s.Verdict.Hear(s.now, e.Item, age) && s.Verdict.Voices(e.Item.Server) <= verdict.Enough {
+			if s.Verdict.Hear(s.now, e.Item, age) && s.Verdict.Voices(e.Item.Server) <= outlier.Enough {
 				s.put(item{key: fmt.Sprintf("e%x/%s", e.Item.Server, e.Item.Reporter), since: s.now - age, times: 1, urgent: true, seen: &e.Item, size: 48 + len(e.Item.Reporter) + len(e.Item.Zone)})
 			}
 		}
--- a/fleet/share/share_test.go
+++ b/fleet/share/share_test.go
@@ -10,8 +10,8 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"ryerill/fleet/counter"
+	"ryerill/fleet/outlier"
 	"ryerill/fleet/quota"
-	"ryerill/fleet/verdict"
 )
 
 // crowd is a number of copies that hear each other, with a part of the packets lost.
@@ -73,16 +73,16 @@
 			t.Parallel()
 			c := newCrowd(t, n, 3, 0)
 			c.loss = 0.2
-			bad := verdict.Server{ID: 77, Since: 5}
+			bad := outlier.Server{ID: 77, Since: 5}
 			key := counter.Key{Pool: "main", Class: "read"}
 			span := 20 * time.Second
 			c.play(span, func(i int, s *Share) {
 				s.Tally.Count(c.now, key, counter.Counts{Arrivals: 100})
 				for id := range uint64(8) {
-					s.Verdict.Saw(c.now, verdict.Server{ID: id, Since: 5}, verdict.Good, 1)
+					s.Verdict.Saw(c.now, outlier.Server{ID: id, Since: 5}, outlier.Good, 1)
 				}
 				if i < 3 && c.now > 5*time.Second {
-					s.Verdict.Saw(c.now, bad, verdict.Hung, 0)
+					s.Verdict.Saw(c.now, bad, outlier.Hung, 0)
 				}
 			})
 			for i, s := range c.all {
@@ -127,9 +127,9 @@
 		s.Tally.Merge(0, item)
 	}
 	for server := range uint64(servers) {
-		s.Verdict.Saw(0, verdict.Server{ID: server, Since: 1}, verdict.Failed, 1)
+		s.Verdict.Saw(0, outlier.Server{ID: server, Since: 1}, outlier.Failed, 1)
 		for voice := range 10 {
-			s.Verdict.Hear(0, verdict.Evidence{Reporter: fmt.Sprintf("c%04d", (int(server)*7+voice)%members), Epoch: 1, Version: 1, Zone: "z1", Server: server, Since: 1, Calls: 3, Errors: 3}, 0)
+			s.Verdict.Hear(0, outlier.Evidence{Reporter: fmt.Sprintf("c%04d", (int(server)*7+voice)%members), Epoch: 1, Version: 1, Zone: "z1", Server: server, Since: 1, Calls: 3, Errors: 3}, 0)
 		}
 	}
 	held := heap() - before
--- a/fleet/sharing.go
+++ b/fleet/sharing.go
@@ -7,9 +7,9 @@
 
 	"ryerill/fleet/counter"
 	"ryerill/fleet/membership"
+	"ryerill/fleet/outlier"
 	"ryerill/fleet/quota"
 	"ryerill/fleet/share"
-	"ryerill/fleet/verdict"
 )
 
 // Share says what copies share.
@@ -20,8 +20,8 @@
 
 // Seen is how a call of this copy ended.
 type Seen struct {
-	Server  verdict.Server
-	Outcome verdict.Outcome
+	Server  outlier.Server
+	Outcome outlier.Outcome
 	Slow    float64
 }
 
@@ -31,7 +31,7 @@
 	Wants   map[string]float64             // units wanted of them since the last look
 	Counts  map[counter.Key]counter.Counts // since the start
 	Seen    []Seen
-	Servers map[string][]verdict.Server // by pool
+	Servers map[string][]outlier.Server // by pool
 }
 
 // Told is what follows for the proxy.
@@ -194,7 +194,7 @@
 		for pool, servers := range fed.Servers {
 			at := f.view.Pool(pool)
 			for _, j := range s.Verdict.Judge(now, servers, f.zones) {
-				if !verdict.Probes(j.Server, time.Duration(time.Now().UnixNano()), at.Self, at.Of) {
+				if !outlier.Probes(j.Server, time.Duration(time.Now().UnixNano()), at.Self, at.Of) {
 					told.Condemned[pool] = append(told.Condemned[pool], j.Server)
 				}
 			}
@@ -262,7 +262,7 @@
 	Budgets  []BudgetStatus         `json:"budgets"`
 	Sums     map[string]CountStatus `json:"sums"`
 	Speakers []SpeakerStatus        `json:"speakers"`
-	Evidence []verdict.Evidence     `json:"evidence"`
+	Evidence []outlier.Evidence     `json:"evidence"`
 	Packets  share.Figures          `json:"packets"`
 	Lending  quota.Figures          `json:"lending"`
 }
--- a/lab/sharing/sharing.go
+++ b/lab/sharing/sharing.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"ryerill"
+	"ryerill/fleet/outlier"
 	"ryerill/fleet/quota"
 	"ryerill/fleet/share"
-	"ryerill/fleet/verdict"
 	"ryerill/lab/baseline"
 	badnet "ryerill/lab/net"
 	"ryerill/lab/sim"
@@ -167,21 +167,21 @@
 			c.wants[ev.Tenant]++
 		}
 	case ryerill.AttemptEnded:
-		o, says := verdict.Good, true
+		o, says := outlier.Good, true
 		switch ev.Outcome {
 		case ryerill.OK:
 		case ryerill.Timeout, ryerill.ConnectFailed, ryerill.Reset:
-			o = verdict.Hung
+			o = outlier.Hung
 		case ryerill.Error, ryerill.Full:
-			o = verdict.Failed
+			o = outlier.Failed
 		default:
 			says = false
 		}
-		if o != verdict.Good && now >= h.From && now < h.Over {
+		if o != outlier.Good && now >= h.From && now < h.Over {
 			h.Lost[ev.Server]++
 		}
 		if says && h.arm != "off" {
-			c.share.Verdict.Saw(now, verdict.Server{ID: uint64(ev.Server), Since: int64(c.servers[ev.Server].Started)}, o, c.Balancer.Slowness(ev.Server))
+			c.share.Verdict.Saw(now, outlier.Server{ID: uint64(ev.Server), Since: int64(c.servers[ev.Server].Started)}, o, c.Balancer.Slowness(ev.Server))
 		}
 	}
 	return c.Balancer.Handle(now, ev, out)
@@ -245,20 +245,20 @@
 			}
 		}
 	}
-	var servers []verdict.Server
+	var servers []outlier.Server
 	for id, s := range c.servers {
 		if s.State == ryerill.Ready {
-			servers = append(servers, verdict.Server{ID: uint64(id), Since: int64(s.Started)})
+			servers = append(servers, outlier.Server{ID: uint64(id), Since: int64(s.Started)})
 		}
 	}
-	slices.SortFunc(servers, func(a, b verdict.Server) int {
+	slices.SortFunc(servers, func(a, b outlier.Server) int {
 		if a.ID < b.ID {
 			return -1
 		}
 		return 1
 	})
 	for _, j := range c.share.Verdict.Judge(h.now, servers, h.zones) {
-		if !verdict.Probes(j.Server, h.now, c.cfg.Self, len(h.copies)) {
+		if !outlier.Probes(j.Server, h.now, c.cfg.Self, len(h.copies)) {
 			c.Balancer.Hearsay(ryerill.ServerID(j.Server))
 		}
 	}
--- a/proxy/sharing.go
+++ b/proxy/sharing.go
@@ -6,7 +6,7 @@
 	"ryerill"
 	"ryerill/fleet"
 	counts "ryerill/fleet/counter"
-	"ryerill/fleet/verdict"
+	"ryerill/fleet/outlier"
 )
 
 // mostBooked bounds the calls' ends that wait for the fleet's next look; of more, the
@@ -112,13 +112,13 @@
 		if t == nil {
 			continue
 		}
-		one := fleet.Seen{Server: verdict.Server{ID: uint64(e.server), Since: int64(t.told.Started)}, Slow: c.balancer.Slowness(e.server)}
+		one := fleet.Seen{Server: outlier.Server{ID: uint64(e.server), Since: int64(t.told.Started)}, Slow: c.balancer.Slowness(e.server)}
 		switch e.outcome {
 		case ryerill.OK:
 		case ryerill.Timeout, ryerill.ConnectFailed, ryerill.Reset:
-			one.Outcome = verdict.Hung
+			one.Outcome = outlier.Hung
 		case ryerill.Error, ryerill.Full:
-			one.Outcome = verdict.Failed
+			one.Outcome = outlier.Failed
 		default:
 			continue // called off, or never sent: it says nothing
 		}
@@ -127,7 +127,7 @@
 	c.booked.ends = c.booked.ends[:0]
 	for id, t := range c.providers {
 		if t.ready.Load() {
-			fed.Servers[pool] = append(fed.Servers[pool], verdict.Server{ID: uint64(id), Since: int64(t.told.Started)})
+			fed.Servers[pool] = append(fed.Servers[pool], outlier.Server{ID: uint64(id), Since: int64(t.told.Started)})
 		}
 	}
 }
@@ -151,7 +151,7 @@
 
 // Feed tells the fleet what this proxy saw since the last look.
 func (p *Proxy) Feed() fleet.Fed {
-	fed := fleet.Fed{Budgets: map[string]float64{}, Wants: map[string]float64{}, Counts: map[counts.Key]counts.Counts{}, Servers: map[string][]verdict.Server{}}
+	fed := fleet.Fed{Budgets: map[string]float64{}, Wants: map[string]float64{}, Counts: map[counts.Key]counts.Counts{}, Servers: map[string][]outlier.Server{}}
 	for _, c := range p.cores() {
 		c.feed(&fed)
 	}
