--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -22,7 +22,7 @@
 	"ryerill/fleet/codec"
 	"ryerill/fleet/membership"
 	"ryerill/fleet/placement"
-	"ryerill/fleet/share"
+	"ryerill/fleet/statesync"
 )
 
 // Descriptors is how many a fleet's host may hold; they are set aside for it.
@@ -82,7 +82,7 @@
 	feed      Feed
 	roller    *roller
 	recalled  memory // of before the start
-	share     *share.Share
+	share     *statesync.Share
 	budgets   map[string]float64
 	zones     int
 	codec     *codec.Codec
--- a/fleet/sharing.go
+++ b/fleet/sharing.go
@@ -9,7 +9,7 @@
 	"ryerill/fleet/membership"
 	"ryerill/fleet/outlier"
 	"ryerill/fleet/quota"
-	"ryerill/fleet/share"
+	"ryerill/fleet/statesync"
 )
 
 // Share says what copies share.
@@ -66,7 +66,7 @@
 	c := f.cfg.Share
 	// Only a copy that said that it leaves has nothing lent for certain: one that remembers nothing may start
 	// for the first time, or have lost its disk.
-	f.share, err = share.New(share.Config{Name: f.cfg.Name, Zone: f.cfg.Zone, Epoch: f.member.Self().Epoch, Seed: f.cfg.Seed ^ f.member.Self().Epoch,
+	f.share, err = statesync.New(statesync.Config{Name: f.cfg.Name, Zone: f.cfg.Zone, Epoch: f.member.Self().Epoch, Seed: f.cfg.Seed ^ f.member.Self().Epoch,
 		Fresh: !known.Left, Quotas: c.Quotas, Counts: c.Counts, Verdicts: c.Verdicts, Budget: c.Budget}, f.now())
 	return err
 }
@@ -99,7 +99,7 @@
 	if f.share == nil {
 		return
 	}
-	for end := time.Now().Add(quota.Lease * 11 / 10); time.Now().Before(end); time.Sleep(share.Every / 2) {
+	for end := time.Now().Add(quota.Lease * 11 / 10); time.Now().Before(end); time.Sleep(statesync.Every / 2) {
 		f.mu.Lock()
 		f.tags.Phase = membership.Leaving
 		f.among()
@@ -126,7 +126,7 @@
 // sharing looks at what is shared until ctx ends.
 func (f *Fleet) sharing(ctx context.Context) {
 	defer f.all.Done()
-	tick := time.NewTicker(share.Every)
+	tick := time.NewTicker(statesync.Every)
 	defer tick.Stop()
 	for {
 		select {
@@ -165,13 +165,13 @@
 	for _, one := range fed.Seen {
 		s.Verdict.Saw(now, one.Server, one.Outcome, one.Slow)
 	}
-	var peers []share.Peer
+	var peers []statesync.Peer
 	zones := map[string]bool{f.cfg.Zone: true}
 	for _, m := range f.member.Members() {
 		if !m.Self && m.Status != membership.Left && m.Tags != nil {
 			zones[m.Tags.Zone] = true
 			if m.Status != membership.Dead {
-				peers = append(peers, share.Peer{Name: m.Name, Zone: m.Tags.Zone})
+				peers = append(peers, statesync.Peer{Name: m.Name, Zone: m.Tags.Zone})
 			}
 		}
 	}
@@ -204,7 +204,7 @@
 }
 
 // sendShared sends packets. The mutex is held.
-func (f *Fleet) sendShared(out []share.Out) {
+func (f *Fleet) sendShared(out []statesync.Out) {
 	for _, o := range out {
 		if r, known := f.member.Find(o.To); known && r.Tags != nil {
 			self := f.member.Self()
@@ -263,7 +263,7 @@
 	Sums     map[string]CountStatus `json:"sums"`
 	Speakers []SpeakerStatus        `json:"speakers"`
 	Evidence []outlier.Evidence     `json:"evidence"`
-	Packets  share.Figures          `json:"packets"`
+	Packets  statesync.Figures      `json:"packets"`
 	Lending  quota.Figures          `json:"lending"`
 }
 
--- a/fleet/share/share.go
+++ b/fleet/statesync/share.go
@@ -1,7 +1,7 @@
 // Package share spreads what copies share, budgets, counts and evidence, within a
 // budget of bytes: what is new and most needed goes first, differences rather than
 // whole tables. It is pure.
-package share
+package statesync
 
 import (
 	"cmp"
--- a/fleet/share/share_test.go
+++ b/fleet/statesync/share_test.go
@@ -1,4 +1,4 @@
-package share
+package statesync
 
 import (
 	"fmt"
--- a/lab/sharing/sharing.go
+++ b/lab/sharing/sharing.go
@@ -13,7 +13,7 @@
 	"ryerill"
 	"ryerill/fleet/outlier"
 	"ryerill/fleet/quota"
-	"ryerill/fleet/share"
+	"ryerill/fleet/statesync"
 	"ryerill/lab/baseline"
 	badnet "ryerill/lab/net"
 	"ryerill/lab/sim"
@@ -108,7 +108,7 @@
 	cfg     ryerill.Config
 	name    string
 	zone    string
-	share   *share.Share
+	share   *statesync.Share
 	wants   []float64
 	servers map[ryerill.ServerID]ryerill.Server
 	next    time.Duration
@@ -137,7 +137,7 @@
 	// One that restarts is another life of its name: what it had lent is not known.
 	h.lives++
 	again := slices.IndexFunc(h.copies, func(o *Copy) bool { return o.name == c.name })
-	c.share, _ = share.New(share.Config{Name: c.name, Zone: c.zone, Epoch: h.lives, Seed: seed, Quotas: true, Verdicts: true, Budget: budget, Fresh: again >= 0}, h.now)
+	c.share, _ = statesync.New(statesync.Config{Name: c.name, Zone: c.zone, Epoch: h.lives, Seed: seed, Quotas: true, Verdicts: true, Budget: budget, Fresh: again >= 0}, h.now)
 	if h.due = 0; again < 0 {
 		h.copies = append(h.copies, c)
 		return c
@@ -198,13 +198,13 @@
 	if h.now < h.due {
 		return
 	}
-	h.due = h.now + share.Every
+	h.due = h.now + statesync.Every
 	for i, c := range h.copies {
 		if c.next < 0 { // spread over the time between looks
-			c.next = h.now + share.Every*time.Duration(i%16)/16
+			c.next = h.now + statesync.Every*time.Duration(i%16)/16
 		}
 		if h.now >= c.next {
-			c.next = h.now + share.Every
+			c.next = h.now + statesync.Every
 			c.look()
 		}
 		h.due = min(h.due, c.next)
@@ -230,10 +230,10 @@
 	}
 	c.share.Allot.Set(h.now, budgets)
 	var others []string
-	var peers []share.Peer
+	var peers []statesync.Peer
 	for _, o := range h.copies {
 		if o != c {
-			others, peers = append(others, o.name), append(peers, share.Peer{Name: o.name, Zone: o.zone})
+			others, peers = append(others, o.name), append(peers, statesync.Peer{Name: o.name, Zone: o.zone})
 		}
 	}
 	c.share.Allot.Among(h.now, len(h.copies), others)
@@ -264,7 +264,7 @@
 	}
 }
 
-func (c *Copy) send(out []share.Out) {
+func (c *Copy) send(out []statesync.Out) {
 	h := c.hub
 	for _, o := range out {
 		h.Bytes += uint64(len(o.Text)) + 120
