--- a/architecture_test.go
+++ b/architecture_test.go
@@ -15,7 +15,7 @@
 // pure are the packages that decide: no clock, socket, file, goroutine or
 // global. Time and events come to them as arguments.
 var pure = []string{".", "fairshare", "route", "override", "drain", "lab/node", "lab/load", "lab/rules", "lab/measure", "lab/baseline",
-	"internal/chance", "fleet/membership", "fleet/placement", "fleet/codec", "fleet/quota", "fleet/counter", "fleet/outlier", "fleet/statesync", "fleet/rollout", "lab/net", "lab/members", "lab/rollouts"}
+	"internal/seedrand", "fleet/membership", "fleet/placement", "fleet/codec", "fleet/quota", "fleet/counter", "fleet/outlier", "fleet/statesync", "fleet/rollout", "lab/net", "lab/members", "lab/rollouts"}
 
 // impure are what a pure package must not import, and functions that it must not call.
 var (
@@ -115,7 +115,7 @@
 // programs and copies that the kernel makes between sockets; one to io.Discard is none.
 var serving = []string{".", "fairshare", "config", "downstream", "discovery", "drain", "internal/buffer", "internal/command",
 	"internal/framing", "internal/http1", "internal/logging", "internal/socket", "internal/overridestore", "message", "admin", "upstream", "proxy", "route", "override",
-	"fleet", "internal/chance", "fleet/membership", "fleet/placement", "fleet/codec", "fleet/quota", "fleet/counter", "fleet/outlier", "fleet/statesync", "fleet/rollout"}
+	"fleet", "internal/seedrand", "fleet/membership", "fleet/placement", "fleet/codec", "fleet/quota", "fleet/counter", "fleet/outlier", "fleet/statesync", "fleet/rollout"}
 
 func TestNothingThatServesForksOrSplices(t *testing.T) {
 	refused := []string{"os.StartProcess", "syscall.ForkExec", "syscall.Sendfile", "unix.Sendfile", "unix.Splice", "syscall.Splice", "net.ListenUnix", "net.DialUnix"}
--- a/fleet/membership/member.go
+++ b/fleet/membership/member.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"ryerill/internal/chance"
+	"ryerill/internal/seedrand"
 )
 
 // What follows from a period, and bounds.
@@ -121,7 +121,7 @@
 // Member is one copy's knowledge of the fleet. It is not safe for concurrent use.
 type Member struct {
 	cfg       Config
-	rng       chance.Source
+	rng       seedrand.Source
 	now       time.Duration
 	begun     bool
 	joined    bool
@@ -235,7 +235,7 @@
 // New returns a member that has not begun.
 func New(cfg Config) *Member {
 	cfg.complete()
-	m := &Member{cfg: cfg, rng: chance.Source(cfg.Seed ^ chance.Name(cfg.Name)), others: map[string]*peer{}, asked: map[uint32]relay{}, doubtEnd: never}
+	m := &Member{cfg: cfg, rng: seedrand.Source(cfg.Seed ^ seedrand.Name(cfg.Name)), others: map[string]*peer{}, asked: map[uint32]relay{}, doubtEnd: never}
 	tags := cfg.Tags
 	m.self = Record{Head: Head{Name: cfg.Name, Epoch: max(cfg.Epoch, 1), Status: Alive}, Tags: &tags}
 	m.digest = m.self.hash()
--- a/fleet/membership/record.go
+++ b/fleet/membership/record.go
@@ -11,7 +11,7 @@
 import (
 	"time"
 
-	"ryerill/internal/chance"
+	"ryerill/internal/seedrand"
 )
 
 // Status is what is known of whether a member runs.
@@ -160,8 +160,8 @@
 	if status == Suspect {
 		status = Alive
 	}
-	z := chance.Name(h.Name) ^ chance.Mix(h.Epoch)
-	return chance.Mix(z ^ chance.Mix(uint64(h.Inc)<<32|uint64(h.Tagged)<<2|uint64(status&3)))
+	z := seedrand.Name(h.Name) ^ seedrand.Mix(h.Epoch)
+	return seedrand.Mix(z ^ seedrand.Mix(uint64(h.Inc)<<32|uint64(h.Tagged)<<2|uint64(status&3)))
 }
 
 // MessageKind tells what a message is for.
--- a/fleet/outlier/verdict.go
+++ b/fleet/outlier/verdict.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"ryerill/internal/chance"
+	"ryerill/internal/seedrand"
 )
 
 // How judgements are drawn.
@@ -378,7 +378,7 @@
 // a time that all know about alike; being wrong about it costs a probe.
 func Probes(server uint64, clock time.Duration, self, of int) bool {
 	slot := uint64(clock / probeSpan)
-	return int(chance.Mix(server^chance.Mix(slot))%uint64(max(of, 1))) == self
+	return int(seedrand.Mix(server^seedrand.Mix(slot))%uint64(max(of, 1))) == self
 }
 
 // Heard are all voices on a server, as people read them.
--- a/fleet/placement/view.go
+++ b/fleet/placement/view.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"ryerill/fleet/membership"
-	"ryerill/internal/chance"
+	"ryerill/internal/seedrand"
 )
 
 // How long changes are watched before places follow them. What makes a part of a
@@ -157,10 +157,10 @@
 	v.counted = 0
 	for i := range s.Members {
 		if m := &s.Members[i]; m.Status != membership.Left {
-			part := chance.Spread(m.Name)
+			part := seedrand.Spread(m.Name)
 			if m.Tags != nil {
 				for _, name := range m.Tags.Pools {
-					part = part*31 + chance.Spread(name)
+					part = part*31 + seedrand.Spread(name)
 				}
 			}
 			v.counted ^= part
--- a/fleet/quota/allot.go
+++ b/fleet/quota/allot.go
@@ -19,7 +19,7 @@
 	"slices"
 	"time"
 
-	"ryerill/internal/chance"
+	"ryerill/internal/seedrand"
 )
 
 // How lending goes.
@@ -137,7 +137,7 @@
 type Allot struct {
 	name  string
 	epoch uint64
-	rng   chance.Source
+	rng   seedrand.Source
 	now   time.Duration
 	began time.Duration
 	fresh bool // it restarted without its memory: what it had lent is not known
@@ -166,7 +166,7 @@
 // New returns a copy's side. One that restarts without knowing what it had lent keeps
 // back what it may have, until that would be over.
 func New(name string, epoch, seed uint64, fresh bool, now time.Duration) *Allot {
-	return &Allot{name: name, epoch: epoch, rng: chance.Source(seed), fresh: fresh, began: now, now: now, purses: map[string]*purse{}}
+	return &Allot{name: name, epoch: epoch, rng: seedrand.Source(seed), fresh: fresh, began: now, now: now, purses: map[string]*purse{}}
 }
 
 // Set states which budgets there are.
--- a/fleet/rollout/lead.go
+++ b/fleet/rollout/lead.go
@@ -14,7 +14,7 @@
 	"slices"
 	"time"
 
-	"ryerill/internal/chance"
+	"ryerill/internal/seedrand"
 )
 
 // How leading goes.
@@ -495,7 +495,7 @@
 	if r.rank() == 0 {
 		return stretch(Lease)
 	}
-	return stretch(Lease) + time.Duration(chance.Spread(fmt.Sprint(r.highest), "/", r.name)%uint64(tryWithin))
+	return stretch(Lease) + time.Duration(seedrand.Spread(fmt.Sprint(r.highest), "/", r.name)%uint64(tryWithin))
 }
 
 // most tells whether most copies are there.
@@ -653,7 +653,7 @@
 	slices.Sort(zones)
 	for _, z := range zones {
 		slices.SortFunc(byZone[z], func(a, b Copy) int {
-			return cmp.Or(cmp.Compare(chance.Spread(id, "/", a.Name), chance.Spread(id, "/", b.Name)), cmp.Compare(a.Name, b.Name))
+			return cmp.Or(cmp.Compare(seedrand.Spread(id, "/", a.Name), seedrand.Spread(id, "/", b.Name)), cmp.Compare(a.Name, b.Name))
 		})
 	}
 	var out []Copy
--- a/fleet/statesync/share.go
+++ b/fleet/statesync/share.go
@@ -14,7 +14,7 @@
 	"ryerill/fleet/counter"
 	"ryerill/fleet/outlier"
 	"ryerill/fleet/quota"
-	"ryerill/internal/chance"
+	"ryerill/internal/seedrand"
 )
 
 // How news is spread.
@@ -95,7 +95,7 @@
 // Share is one copy's side. It is not safe for concurrent use.
 type Share struct {
 	cfg                         Config
-	rng                         chance.Source
+	rng                         seedrand.Source
 	dec                         cbor.DecMode
 	now                         time.Duration
 	Allot                       *quota.Allot
@@ -128,7 +128,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Share{dec: dec, cfg: cfg, rng: chance.Source(cfg.Seed), now: now, creditAt: now, Allot: quota.New(cfg.Name, cfg.Epoch, cfg.Seed, cfg.Fresh, now),
+	return &Share{dec: dec, cfg: cfg, rng: seedrand.Source(cfg.Seed), now: now, creditAt: now, Allot: quota.New(cfg.Name, cfg.Epoch, cfg.Seed, cfg.Fresh, now),
 		Tally: counter.New(cfg.Name, cfg.Zone, cfg.Epoch), Verdict: outlier.New(cfg.Name, cfg.Zone, cfg.Epoch)}, nil
 }
 
--- a/internal/chance/chance.go
+++ b/internal/seedrand/chance.go
@@ -1,6 +1,6 @@
 // Package chance draws numbers and spreads names over 64 bits, for what decides: its
 // values are copied with their owner, and come to the same from the same seed.
-package chance
+package seedrand
 
 // Source is splitmix64 (Steele, Lea, Flood: "Fast Splittable Pseudorandom Number
 // Generators", 2014). Its value is its seed.
--- a/internal/chance/chance_test.go
+++ b/internal/seedrand/chance_test.go
@@ -1,4 +1,4 @@
-package chance
+package seedrand
 
 import "testing"
 
--- a/lab/net/net.go
+++ b/lab/net/net.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"ryerill/internal/chance"
+	"ryerill/internal/seedrand"
 )
 
 // Link is how the way from one copy to another behaves. The zero value passes
@@ -54,7 +54,7 @@
 
 // Net is the state of the network. It is not safe for concurrent use.
 type Net struct {
-	rng    chance.Source
+	rng    seedrand.Source
 	usual  Link
 	links  map[way]Link
 	groups map[string]int // by copy, while split
@@ -66,7 +66,7 @@
 
 // New returns a network in which every way behaves as usual does.
 func New(usual Link, seed uint64) *Net {
-	return &Net{rng: chance.Source(seed), usual: usual, links: map[way]Link{}, groups: map[string]int{}, free: map[way]time.Duration{}, passed: map[way]*Passed{}}
+	return &Net{rng: seedrand.Source(seed), usual: usual, links: map[way]Link{}, groups: map[string]int{}, free: map[way]time.Duration{}, passed: map[way]*Passed{}}
 }
 
 // Usual changes how ways behave that have no link of their own.
