--- a/architecture_test.go
+++ b/architecture_test.go
@@ -113,7 +113,7 @@
 
 // serving are the packages of the process that serves. The platform refuses it other
 // programs and copies that the kernel makes between sockets; one to io.Discard is none.
-var serving = []string{".", "fairshare", "config", "downstream", "discovery", "drain", "internal/buffer", "internal/command",
+var serving = []string{".", "fairshare", "config", "downstream", "discovery", "drain", "internal/buffer", "cli",
 	"internal/framing", "internal/http1", "internal/logging", "internal/socket", "internal/overridestore", "message", "admin", "upstream", "proxy", "route", "override",
 	"fleet", "internal/seedrand", "fleet/membership", "fleet/placement", "fleet/codec", "fleet/quota", "fleet/counter", "fleet/outlier", "fleet/statesync", "fleet/rollout"}
 
--- a/cmd/ryerill/main.go
+++ b/cmd/ryerill/main.go
@@ -4,9 +4,9 @@
 import (
 	"os"
 
-	"ryerill/internal/command"
+	"ryerill/cli"
 )
 
 func main() {
-	os.Exit(command.Run(os.Args[1:], os.Getenv, os.Stdout, os.Stderr))
+	os.Exit(cli.Run(os.Args[1:], os.Getenv, os.Stdout, os.Stderr))
 }
--- a/lab/command/real.go
+++ b/lab/command/real.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	product "ryerill/internal/command"
+	product "ryerill/cli"
 	"ryerill/lab/experiment"
 	"ryerill/lab/live"
 	"ryerill/lab/measure"
