--- a/cli/rollout.go
+++ b/cli/rollout.go
@@ -15,10 +15,10 @@
 	"github.com/google/renameio/v2"
 	"github.com/spf13/cobra"
 
+	"ryerill/cli/rolloutagent"
 	"ryerill/config"
 	"ryerill/fleet"
 	"ryerill/fleet/rollout"
-	"ryerill/internal/agent"
 	"ryerill/proxy"
 )
 
@@ -171,7 +171,7 @@
 			defer stop()
 			// At an upgrade one process's door follows the other's: who answers is asked, and who wants something first.
 			doors := strings.Split(doorOf(door, getenv), ",")
-			return agent.Run(ctx, func() (s fleet.RolloutStatus, err error) {
+			return rolloutagent.Run(ctx, func() (s fleet.RolloutStatus, err error) {
 				for _, at := range doors {
 					if one, bad := askRollout(at); bad != nil {
 						err = errors.Join(err, bad)
--- a/internal/agent/agent.go
+++ b/cli/rolloutagent/agent.go
@@ -1,6 +1,6 @@
 // Package agent runs the operator's own means beside a proxy, in a process of its own:
 // the proxy that serves starts no other program.
-package agent
+package rolloutagent
 
 import (
 	"context"
