--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"ryerill"
-	"ryerill/internal/wire"
+	"ryerill/simadapter"
 )
 
 func main() {
@@ -24,7 +24,7 @@
 // run answers batches until the input ends. A batch that cannot be read is
 // answered with nothing at all.
 func run(in io.Reader, out io.Writer) error {
-	h := host{reader: wire.NewReader(bufio.NewReaderSize(in, 1<<16)), balancers: make(map[uint16]*ryerill.Balancer)}
+	h := host{reader: simadapter.NewReader(bufio.NewReaderSize(in, 1<<16)), balancers: make(map[uint16]*ryerill.Balancer)}
 	for {
 		err := h.batch()
 		if errors.Is(err, io.EOF) {
@@ -41,8 +41,8 @@
 
 // host keeps the balancers of this process; they share nothing but its buffers.
 type host struct {
-	reader    *wire.Reader
-	reply     wire.Reply
+	reader    *simadapter.Reader
+	reply     simadapter.Reply
 	balancers map[uint16]*ryerill.Balancer
 	actions   []ryerill.Action
 }
@@ -53,7 +53,7 @@
 		return err
 	}
 	h.reply.Begin(h.reader.Number)
-	var rec wire.Record
+	var rec simadapter.Record
 	for {
 		err := h.reader.NextRecord(&rec)
 		if errors.Is(err, io.EOF) {
@@ -63,15 +63,15 @@
 			return err
 		}
 		switch rec.Kind {
-		case wire.Start:
-			cfg, err := wire.ParseSettings(rec.Settings)
+		case simadapter.Start:
+			cfg, err := simadapter.ParseSettings(rec.Settings)
 			if err != nil {
 				return fmt.Errorf("batch %d, instance %d: %w", h.reader.Number, rec.Instance, err)
 			}
 			h.guard(rec.Instance, func() { h.balancers[rec.Instance] = ryerill.New(cfg, rec.Seed) })
-		case wire.Stop:
+		case simadapter.Stop:
 			delete(h.balancers, rec.Instance)
-		case wire.Event:
+		case simadapter.Event:
 			b := h.balancers[rec.Instance]
 			if b == nil {
 				continue // killed: what is still under way to it concerns nobody
--- a/internal/wire/settings.go
+++ b/simadapter/settings.go
@@ -1,4 +1,4 @@
-package wire
+package simadapter
 
 import (
 	"ryerill"
--- a/internal/wire/wire.go
+++ b/simadapter/wire.go
@@ -1,6 +1,6 @@
 // Package wire speaks mesa-2a65: it turns frames into events of the
 // ryerill package and its actions into frames. It decides nothing.
-package wire
+package simadapter
 
 import (
 	"encoding/binary"
