--- a/lab/live/live.go
+++ b/lab/live/live.go
@@ -19,8 +19,8 @@
 	"ryerill/discovery"
 	"ryerill/lab/load"
 	"ryerill/lab/measure"
-	"ryerill/lab/node"
 	"ryerill/lab/rules"
+	"ryerill/lab/servermodel"
 	"ryerill/lab/world"
 )
 
@@ -257,7 +257,7 @@
 	done, cpu, memory, sockets := 0.0, 0.0, 0.0, 0.0
 	for _, p := range r.providers() {
 		if proc := p.current(); proc != nil {
-			proc.machine.do(func(n *node.Node, now time.Duration) { n.Advance(now); done += n.Done() })
+			proc.machine.do(func(n *servermodel.Node, now time.Duration) { n.Advance(now); done += n.Done() })
 		}
 		p.mu.Lock()
 		done += p.workDone
--- a/lab/live/provider.go
+++ b/lab/live/provider.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"ryerill/lab/load"
-	"ryerill/lab/node"
 	"ryerill/lab/rules"
+	"ryerill/lab/servermodel"
 	"ryerill/lab/world"
 )
 
@@ -146,7 +146,7 @@
 			continue
 		}
 		proc.p.run.count("opened", 1)
-		proc.machine.do(func(n *node.Node, now time.Duration) { n.Extra(now, spec.Work.Seconds()) })
+		proc.machine.do(func(n *servermodel.Node, now time.Duration) { n.Extra(now, spec.Work.Seconds()) })
 		proc.tasks.Add(1)
 		go func() {
 			defer proc.tasks.Done()
@@ -277,7 +277,7 @@
 	t.Left = piece
 	verdict := proc.machine.offer(t)
 	proc.check()
-	if verdict == node.Full {
+	if verdict == servermodel.Full {
 		return proc.decline(c, front, id, attempt, way, gone)
 	}
 	ended := false
@@ -302,7 +302,7 @@
 			spent += piece
 		case <-wait:
 			var queued bool
-			proc.machine.do(func(*node.Node, time.Duration) { queued = t.Queued() })
+			proc.machine.do(func(*servermodel.Node, time.Duration) { queued = t.Queued() })
 			if queued || p.spec().Node.Cancel == "all" {
 				return false
 			}
@@ -347,7 +347,7 @@
 func (proc *process) check() {
 	var tipped bool
 	var received, budget float64
-	proc.machine.do(func(n *node.Node, now time.Duration) {
+	proc.machine.do(func(n *servermodel.Node, now time.Duration) {
 		tipped, received = n.Tipped(), n.Received
 		cold := &proc.p.spec().Node.Cold
 		budget = cold.Tips * n.Capacity(now) * n.Rate() * cold.Within.Seconds()
--- a/lab/live/trouble.go
+++ b/lab/live/trouble.go
@@ -9,7 +9,7 @@
 
 	"ryerill/discovery"
 	"ryerill/lab/load"
-	"ryerill/lab/node"
+	"ryerill/lab/servermodel"
 	"ryerill/lab/world"
 )
 
@@ -127,14 +127,14 @@
 	}
 	switch t.Kind {
 	case world.Slow:
-		proc.machine.do(func(n *node.Node, now time.Duration) { n.Slow(now, t.Factor) })
+		proc.machine.do(func(n *servermodel.Node, now time.Duration) { n.Slow(now, t.Factor) })
 		if r.until(ctx, t.At+t.For) {
-			proc.machine.do(func(n *node.Node, now time.Duration) { n.Slow(now, 1) })
+			proc.machine.do(func(n *servermodel.Node, now time.Duration) { n.Slow(now, 1) })
 		}
 	case world.Hang:
-		proc.machine.do(func(n *node.Node, now time.Duration) { n.Hang(now, true) })
+		proc.machine.do(func(n *servermodel.Node, now time.Duration) { n.Hang(now, true) })
 		if r.until(ctx, t.At+t.For) {
-			proc.machine.do(func(n *node.Node, now time.Duration) { n.Hang(now, false) })
+			proc.machine.do(func(n *servermodel.Node, now time.Duration) { n.Hang(now, false) })
 		}
 	case world.Err:
 		proc.errs.Store(uint64(t.Factor * 1e6))
@@ -148,7 +148,7 @@
 		}
 	case world.Silent, world.ZoneLoss:
 		proc.silent.Store(true)
-		proc.machine.do(func(n *node.Node, now time.Duration) { n.Hang(now, true) })
+		proc.machine.do(func(n *servermodel.Node, now time.Duration) { n.Hang(now, true) })
 		p.dropProxy()
 		g := r.registries[p.tier]
 		if noticed := t.At + r.w.Directory.Silent; noticed < t.At+t.For {
--- a/lab/node/node.go
+++ b/lab/servermodel/node.go
@@ -2,7 +2,7 @@
 // is in work, slots, a waiting room, a cold start, and slowing down when too
 // much waits for the cores. It is pure: time comes in as an argument, and both
 // hosts of the laboratory drive it, in virtual time and in real time.
-package node
+package servermodel
 
 import (
 	"container/heap"
--- a/lab/node/node_test.go
+++ b/lab/servermodel/node_test.go
@@ -1,4 +1,4 @@
-package node
+package servermodel
 
 import (
 	"math"
--- a/lab/sim/provider.go
+++ b/lab/sim/provider.go
@@ -6,8 +6,8 @@
 
 	"ryerill"
 	"ryerill/lab/load"
-	"ryerill/lab/node"
 	"ryerill/lab/rules"
+	"ryerill/lab/servermodel"
 )
 
 // provider is one machine with its process.
@@ -19,7 +19,7 @@
 	zone, group int
 	speed       float64
 
-	node     *node.Node
+	node     *servermodel.Node
 	before   float64 // work done by earlier processes
 	up       bool    // the process runs
 	silent   bool    // the machine can't be reached
@@ -37,7 +37,7 @@
 
 // job is an attempt's work at a provider.
 type job struct {
-	node.Job
+	servermodel.Job
 	p      *provider
 	a      *attempt
 	place  int     // in p.jobs
@@ -61,7 +61,7 @@
 	p.process++
 	p.up, p.silent, p.draining, p.tipped, p.wakeAt = true, false, false, false, 0
 	p.spoil, p.errs = 0, 0
-	p.node = node.New(&p.tier.spec.Node, p.speed, p.s.now, warm)
+	p.node = servermodel.New(&p.tier.spec.Node, p.speed, p.s.now, warm)
 	if !warm {
 		p.started = p.s.now
 	}
@@ -129,7 +129,7 @@
 	j.Left, j.Tag = j.piece, j
 	verdict := p.node.Offer(p.s.now, &j.Job)
 	p.check()
-	if verdict == node.Full {
+	if verdict == servermodel.Full {
 		a.later(ryerill.Full)
 	} else {
 		a.job, j.place = j, len(p.jobs)
