--- a/architecture_test.go
+++ b/architecture_test.go
@@ -73,7 +73,7 @@
 			if slices.Contains(impure, i) {
 				t.Errorf("%s imports %s", s.dir, i)
 			}
-			if rest, ours := strings.CutPrefix(i, "ryerill/"); ours && !slices.Contains(pure, rest) && rest != "lab/world" {
+			if rest, ours := strings.CutPrefix(i, "ryerill/"); ours && !slices.Contains(pure, rest) && rest != "lab/scenario" {
 				t.Errorf("%s imports %s, which is not pure", s.dir, i)
 			}
 		}
--- a/lab/command/command.go
+++ b/lab/command/command.go
@@ -18,7 +18,7 @@
 
 	"ryerill/lab/experiment"
 	"ryerill/lab/report"
-	"ryerill/lab/world"
+	"ryerill/lab/scenario"
 )
 
 // Exit statuses.
@@ -160,7 +160,7 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			var problems []error
 			for _, file := range args {
-				w, err := world.Read(file)
+				w, err := scenario.Read(file)
 				if err != nil {
 					problems = append(problems, err)
 					continue
@@ -184,13 +184,13 @@
 			var v any
 			switch args[0] {
 			case "world":
-				v = &world.World{}
+				v = &scenario.World{}
 			case "experiment":
 				v = &experiment.File{}
 			default:
 				return fmt.Errorf("schema: unexpected value %q, want world or experiment", args[0])
 			}
-			text, err := json.MarshalIndent(world.Schema(v), "", "  ")
+			text, err := json.MarshalIndent(scenario.Schema(v), "", "  ")
 			if err != nil {
 				return fmt.Errorf("schema: %w", err)
 			}
--- a/lab/command/real.go
+++ b/lab/command/real.go
@@ -15,7 +15,7 @@
 	"ryerill/lab/live"
 	"ryerill/lab/measure"
 	"ryerill/lab/report"
-	"ryerill/lab/world"
+	"ryerill/lab/scenario"
 	"ryerill/lab/worlds"
 )
 
@@ -45,10 +45,10 @@
 	}
 	return map[string]experiment.Host{
 		experiment.Sim: experiment.Virtual,
-		experiment.Sockets: func(ctx context.Context, w *world.World, arm experiment.Arm, seed uint64) (*measure.Result, error) {
+		experiment.Sockets: func(ctx context.Context, w *scenario.World, arm experiment.Arm, seed uint64) (*measure.Result, error) {
 			return live.Run(ctx, w, live.Options{Seed: seed, Build: arm.Build, Command: []string{self, proxyProgram}})
 		},
-		experiment.Overhead: func(ctx context.Context, w *world.World, arm experiment.Arm, _ uint64) (*measure.Result, error) {
+		experiment.Overhead: func(ctx context.Context, w *scenario.World, arm experiment.Arm, _ uint64) (*measure.Result, error) {
 			return live.Overhead(ctx, live.Cost{Command: []string{self}, Proxy: arm.Build, Connections: arm.Connections, Length: w.Length})
 		},
 	}, nil
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	w, err := world.Parse("demo.yaml", text)
+	w, err := scenario.Parse("demo.yaml", text)
 	if err != nil {
 		return err
 	}
--- a/lab/experiment/file.go
+++ b/lab/experiment/file.go
@@ -19,8 +19,8 @@
 	"ryerill"
 	"ryerill/internal/yamlfile"
 	"ryerill/lab/baseline"
+	"ryerill/lab/scenario"
 	"ryerill/lab/sharing"
-	"ryerill/lab/world"
 )
 
 // The hosts that can play an arm.
@@ -64,7 +64,7 @@
 type Experiment struct {
 	File
 	Path   string
-	Worlds []*world.World // by arm
+	Worlds []*scenario.World // by arm
 
 	checks []check
 }
@@ -85,7 +85,7 @@
 	}
 	var problems []error
 	bad := func(key string, value any, want string) {
-		problems = append(problems, fmt.Errorf("%s%s: %w", path, tree.Position(key), world.Problem{Key: key, Value: value, Want: want}))
+		problems = append(problems, fmt.Errorf("%s%s: %w", path, tree.Position(key), scenario.Problem{Key: key, Value: value, Want: want}))
 	}
 	if !regexp.MustCompile(`^[a-z0-9-]+$`).MatchString(e.Name) {
 		bad("name", e.Name, "small letters, digits and dashes")
@@ -143,7 +143,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
-		w, err := world.Parse(fmt.Sprintf("%s with what %s sets, as text", from, a.Name), text)
+		w, err := scenario.Parse(fmt.Sprintf("%s with what %s sets, as text", from, a.Name), text)
 		if err != nil {
 			problems = append(problems, fmt.Errorf("%s%s: %w", path, tree.Position(at), err))
 		}
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -12,13 +12,13 @@
 	"golang.org/x/sync/errgroup"
 
 	"ryerill/lab/measure"
+	"ryerill/lab/scenario"
 	"ryerill/lab/sharing"
 	"ryerill/lab/sim"
-	"ryerill/lab/world"
 )
 
 // Host plays an arm in a world once.
-type Host func(ctx context.Context, w *world.World, arm Arm, seed uint64) (*measure.Result, error)
+type Host func(ctx context.Context, w *scenario.World, arm Arm, seed uint64) (*measure.Result, error)
 
 // Run is one run of one arm.
 type Run struct {
@@ -49,7 +49,7 @@
 }
 
 // Virtual plays in virtual time.
-func Virtual(ctx context.Context, w *world.World, arm Arm, seed uint64) (*measure.Result, error) {
+func Virtual(ctx context.Context, w *scenario.World, arm Arm, seed uint64) (*measure.Result, error) {
 	if slices.Contains(sharing.Arms[1:], arm.Decider) {
 		return sim.Run(ctx, w, sim.Options{Seed: seed, New: sharing.NewHubs(arm.Decider, seed, w).Decider})
 	}
@@ -143,10 +143,10 @@
 	return res, err
 }
 
-func spans(w *world.World) (out []Span) {
+func spans(w *scenario.World) (out []Span) {
 	for _, t := range w.Troubles {
 		one := *w
-		one.Troubles = []world.Trouble{t}
+		one.Troubles = []scenario.Trouble{t}
 		from, to := measure.Troubled(&one)
 		out = append(out, Span{t.Kind, from.Seconds(), min(to, w.Length).Seconds()})
 	}
@@ -203,7 +203,7 @@
 }
 
 // Single is one run as results, to be reported.
-func Single(w *world.World, arm string, r *measure.Result) *Results {
+func Single(w *scenario.World, arm string, r *measure.Result) *Results {
 	return &Results{Name: w.Name, About: w.About, Arms: []string{arm}, Seeds: 1, Spans: spans(w), Runs: []Run{{arm, 1, r}}}
 }
 
@@ -214,7 +214,7 @@
 	for _, n := range connections {
 		for _, build := range []string{"ryerill", "relay", "reverseproxy"} {
 			e.Arms = append(e.Arms, Arm{Name: fmt.Sprintf("%s_%d", build, n), Host: Overhead, Build: build, Connections: n})
-			e.Worlds = append(e.Worlds, &world.World{Length: length})
+			e.Worlds = append(e.Worlds, &scenario.World{Length: length})
 		}
 	}
 	return e
--- a/lab/live/instance.go
+++ b/lab/live/instance.go
@@ -23,7 +23,7 @@
 
 	"ryerill"
 	"ryerill/config"
-	"ryerill/lab/world"
+	"ryerill/lab/scenario"
 	"ryerill/proxy"
 )
 
@@ -88,7 +88,7 @@
 }
 
 // settings is a world as the platform's settings state it to one proxy.
-func settings(w *world.World, tier, self, zone int) map[string]any {
+func settings(w *scenario.World, tier, self, zone int) map[string]any {
 	us := func(d time.Duration) int64 { return int64(d / time.Microsecond) }
 	b := w.Balancer(tier, self, zone)
 	var classes, tenants []any
--- a/lab/live/live.go
+++ b/lab/live/live.go
@@ -20,8 +20,8 @@
 	"ryerill/lab/load"
 	"ryerill/lab/measure"
 	"ryerill/lab/rules"
+	"ryerill/lab/scenario"
 	"ryerill/lab/servermodel"
-	"ryerill/lab/world"
 )
 
 // Options says what proxies are played with.
@@ -64,7 +64,7 @@
 
 // run is one run.
 type run struct {
-	w        *world.World
+	w        *scenario.World
 	opt      Options
 	seed     uint64
 	dir      string
@@ -106,7 +106,7 @@
 }
 
 // Run plays a world once on sockets.
-func Run(ctx context.Context, w *world.World, opt Options) (*measure.Result, error) {
+func Run(ctx context.Context, w *scenario.World, opt Options) (*measure.Result, error) {
 	dir, err := os.MkdirTemp("", "ryerill-lab-")
 	if err != nil {
 		return nil, fmt.Errorf("sockets: %w", err)
@@ -427,7 +427,7 @@
 func (r *run) told(proxy int, name string, ready bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.oracle.Told(time.Since(r.began), proxy, uint64(world.ServerID(name)), ready)
+	r.oracle.Told(time.Since(r.began), proxy, uint64(scenario.ServerID(name)), ready)
 }
 
 func (r *run) tipped(name string, sent, budget float64) {
--- a/lab/live/live_test.go
+++ b/lab/live/live_test.go
@@ -16,14 +16,14 @@
 
 	"ryerill/lab/measure"
 	"ryerill/lab/rules"
-	"ryerill/lab/world"
+	"ryerill/lab/scenario"
 )
 
 // tiny is a world of two tiers that a busy machine plays too: nothing here
 // judges how fast it is.
-func tiny(t *testing.T, troubles ...world.Trouble) *world.World {
+func tiny(t *testing.T, troubles ...scenario.Trouble) *scenario.World {
 	t.Helper()
-	w, err := world.Parse("tiny", []byte(`name: tiny
+	w, err := scenario.Parse("tiny", []byte(`name: tiny
 length: 2s
 network: {zones: [east, west], cross: 1ms, consumer: 200us}
 tiers:
@@ -47,7 +47,7 @@
 	return w
 }
 
-func play(t *testing.T, w *world.World) *measure.Result {
+func play(t *testing.T, w *scenario.World) *measure.Result {
 	t.Helper()
 	r, err := Run(context.Background(), w, Options{Seed: 1, Build: Embedded})
 	if err != nil {
@@ -58,15 +58,15 @@
 
 // The rules hold on sockets through each trouble, and nothing is left over.
 func TestRulesHoldThroughTroubles(t *testing.T) {
-	for _, tr := range []world.Trouble{
-		{Kind: world.Spoil, At: 200 * time.Millisecond, For: time.Second, Part: 1, Factor: 0.3},
-		{Kind: world.Release, At: 200 * time.Millisecond, For: 800 * time.Millisecond, Part: 1, Drain: 300 * time.Millisecond, Pause: 50 * time.Millisecond},
-		{Kind: world.Replace, At: 300 * time.Millisecond, Part: 0.5, Pause: 100 * time.Millisecond},
-		{Kind: world.Err, At: 200 * time.Millisecond, For: time.Second, Part: 0.5, Factor: 0.4},
-		{Kind: world.Hang, At: 300 * time.Millisecond, For: 500 * time.Millisecond, Part: 0.25},
-		{Kind: world.Silent, At: 300 * time.Millisecond, For: 800 * time.Millisecond, Part: 0.25},
-		{Kind: world.Restart, At: 300 * time.Millisecond, Part: 0.5, Pause: 200 * time.Millisecond},
-		{Kind: world.DirSilent, At: 300 * time.Millisecond, For: 800 * time.Millisecond},
+	for _, tr := range []scenario.Trouble{
+		{Kind: scenario.Spoil, At: 200 * time.Millisecond, For: time.Second, Part: 1, Factor: 0.3},
+		{Kind: scenario.Release, At: 200 * time.Millisecond, For: 800 * time.Millisecond, Part: 1, Drain: 300 * time.Millisecond, Pause: 50 * time.Millisecond},
+		{Kind: scenario.Replace, At: 300 * time.Millisecond, Part: 0.5, Pause: 100 * time.Millisecond},
+		{Kind: scenario.Err, At: 200 * time.Millisecond, For: time.Second, Part: 0.5, Factor: 0.4},
+		{Kind: scenario.Hang, At: 300 * time.Millisecond, For: 500 * time.Millisecond, Part: 0.25},
+		{Kind: scenario.Silent, At: 300 * time.Millisecond, For: 800 * time.Millisecond, Part: 0.25},
+		{Kind: scenario.Restart, At: 300 * time.Millisecond, Part: 0.5, Pause: 200 * time.Millisecond},
+		{Kind: scenario.DirSilent, At: 300 * time.Millisecond, For: 800 * time.Millisecond},
 	} {
 		t.Run(tr.Kind, func(t *testing.T) {
 			defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
@@ -80,7 +80,7 @@
 			if r.Metrics["served"] = r.Metrics["in_aim"] + r.Metrics["late"]; r.Metrics["served"] < 0.3 {
 				t.Errorf("served %v: %v", r.Metrics["served"], r.Metrics)
 			}
-			if tr.Kind == world.Spoil && r.Metrics["spoilt"] == 0 {
+			if tr.Kind == scenario.Spoil && r.Metrics["spoilt"] == 0 {
 				t.Error("no answer was spoilt")
 			}
 		})
--- a/lab/live/machine.go
+++ b/lab/live/machine.go
@@ -4,8 +4,8 @@
 	"sync"
 	"time"
 
+	"ryerill/lab/scenario"
 	"ryerill/lab/servermodel"
-	"ryerill/lab/world"
 )
 
 // machine drives the model of a provider's machine in real time.
@@ -25,7 +25,7 @@
 	done chan struct{} // a phase is done
 }
 
-func newMachine(began time.Time, spec *world.Node, speed float64, warm bool) *machine {
+func newMachine(began time.Time, spec *scenario.Node, speed float64, warm bool) *machine {
 	m := &machine{began: began}
 	m.node = servermodel.New(spec, speed, m.now(), warm)
 	return m
--- a/lab/live/provider.go
+++ b/lab/live/provider.go
@@ -16,8 +16,8 @@
 
 	"ryerill/lab/load"
 	"ryerill/lab/rules"
+	"ryerill/lab/scenario"
 	"ryerill/lab/servermodel"
-	"ryerill/lab/world"
 )
 
 // maxRequestBody is the most bytes of a request's body that a stand-in reads.
@@ -103,7 +103,7 @@
 	return nil, fmt.Errorf("a port is taken: %w; end what holds it, or run again", err)
 }
 
-func (p *provider) spec() *world.Tier { return &p.run.w.Tiers[p.tier] }
+func (p *provider) spec() *scenario.Tier { return &p.run.w.Tiers[p.tier] }
 
 func (p *provider) current() *process {
 	p.mu.Lock()
@@ -450,5 +450,5 @@
 	if zone, ok := r.zones[front]; ok && zone != p.zone {
 		r.rec.Count("crossed", 1)
 	}
-	return r.oracle.Sent(when, front, id, rules.Provider{ID: uint64(world.ServerID(p.name)), Name: p.name, Zone: p.zone, Group: p.group})
+	return r.oracle.Sent(when, front, id, rules.Provider{ID: uint64(scenario.ServerID(p.name)), Name: p.name, Zone: p.zone, Group: p.group})
 }
--- a/lab/live/trouble.go
+++ b/lab/live/trouble.go
@@ -9,8 +9,8 @@
 
 	"ryerill/discovery"
 	"ryerill/lab/load"
+	"ryerill/lab/scenario"
 	"ryerill/lab/servermodel"
-	"ryerill/lab/world"
 )
 
 // troubles does what goes wrong, each in its time.
@@ -31,7 +31,7 @@
 		t := &r.w.Troubles[i]
 		var chosen []*provider
 		switch t.Kind {
-		case world.ZoneLoss:
+		case scenario.ZoneLoss:
 			for _, tier := range r.tiers {
 				for _, p := range tier {
 					if r.w.Network.Zones[p.zone] == t.Zone {
@@ -39,7 +39,7 @@
 					}
 				}
 			}
-		case world.Slow, world.Hang, world.Spoil, world.Err, world.Silent, world.Release, world.Replace:
+		case scenario.Slow, scenario.Hang, scenario.Spoil, scenario.Err, scenario.Silent, scenario.Release, scenario.Replace:
 			for k, tier := range r.tiers {
 				if t.Tier != "all" && t.Tier != r.w.Tiers[k].Name {
 					continue
@@ -52,33 +52,33 @@
 		}
 		begin(t.At, func() { r.say(describe(t, len(chosen))) })
 		switch t.Kind {
-		case world.Release:
+		case scenario.Release:
 			for k, p := range chosen {
 				begin(t.At+time.Duration(float64(t.For)*float64(k)/float64(len(chosen))), func() { r.release(ctx, p, t) })
 			}
 			continue
-		case world.Restart:
+		case scenario.Restart:
 			n := max(1, int(math.Round(t.Part*float64(len(r.slots)))))
 			for _, k := range rng.Perm(len(r.slots))[:n] {
 				begin(t.At, func() { r.restart(ctx, k, t) })
 			}
 			continue
-		case world.Reload:
+		case scenario.Reload:
 			for k := range t.Count {
 				begin(t.At+time.Duration(float64(t.For)*float64(k)/float64(t.Count)), func() { r.reload(k) })
 			}
 			continue
-		case world.DirSilent:
+		case scenario.DirSilent:
 			g := r.registries[max(r.w.TierIndex(t.Tier), 0)]
 			begin(t.At, func() { g.silent(true) })
 			begin(t.At+t.For, func() { g.silent(false); r.say("the directory answers again") })
 			continue
-		case world.Replace:
+		case scenario.Replace:
 			for _, p := range chosen {
 				begin(t.At, func() { r.replace(ctx, p, t) })
 			}
 			continue
-		case world.Burst:
+		case scenario.Burst:
 			begin(t.At+t.For, func() { r.say("the burst is over") })
 			continue
 		}
@@ -88,21 +88,21 @@
 	}
 }
 
-func describe(t *world.Trouble, n int) string {
+func describe(t *scenario.Trouble, n int) string {
 	switch t.Kind {
-	case world.Burst:
+	case scenario.Burst:
 		return fmt.Sprintf("a burst to %g times the load", t.Factor)
-	case world.Slow:
+	case scenario.Slow:
 		return fmt.Sprintf("%d providers run %g times slower", n, t.Factor)
-	case world.Release:
+	case scenario.Release:
 		return fmt.Sprintf("a release: %d providers drain and restart in turn", n)
-	case world.Restart:
+	case scenario.Restart:
 		return "proxies restart"
-	case world.DirSilent:
+	case scenario.DirSilent:
 		return "the directory falls silent"
-	case world.Reload:
+	case scenario.Reload:
 		return fmt.Sprintf("%d new configurations", t.Count)
-	case world.ZoneLoss:
+	case scenario.ZoneLoss:
 		return fmt.Sprintf("zone %s is lost: %d providers go silent", t.Zone, n)
 	}
 	return fmt.Sprintf("%s: %d providers", t.Kind, n)
@@ -120,33 +120,33 @@
 	}
 }
 
-func (r *run) during(ctx context.Context, p *provider, t *world.Trouble) {
+func (r *run) during(ctx context.Context, p *provider, t *scenario.Trouble) {
 	proc := p.current()
 	if proc == nil {
 		return
 	}
 	switch t.Kind {
-	case world.Slow:
+	case scenario.Slow:
 		proc.machine.do(func(n *servermodel.Node, now time.Duration) { n.Slow(now, t.Factor) })
 		if r.until(ctx, t.At+t.For) {
 			proc.machine.do(func(n *servermodel.Node, now time.Duration) { n.Slow(now, 1) })
 		}
-	case world.Hang:
+	case scenario.Hang:
 		proc.machine.do(func(n *servermodel.Node, now time.Duration) { n.Hang(now, true) })
 		if r.until(ctx, t.At+t.For) {
 			proc.machine.do(func(n *servermodel.Node, now time.Duration) { n.Hang(now, false) })
 		}
-	case world.Err:
+	case scenario.Err:
 		proc.errs.Store(uint64(t.Factor * 1e6))
 		if r.until(ctx, t.At+t.For) {
 			proc.errs.Store(0)
 		}
-	case world.Spoil:
+	case scenario.Spoil:
 		proc.spoil.Store(uint64(t.Factor * 1e6))
 		if r.until(ctx, t.At+t.For) {
 			proc.spoil.Store(0)
 		}
-	case world.Silent, world.ZoneLoss:
+	case scenario.Silent, scenario.ZoneLoss:
 		proc.silent.Store(true)
 		proc.machine.do(func(n *servermodel.Node, now time.Duration) { n.Hang(now, true) })
 		p.dropProxy()
@@ -215,7 +215,7 @@
 	}
 }
 
-func (r *run) release(ctx context.Context, p *provider, t *world.Trouble) {
+func (r *run) release(ctx context.Context, p *provider, t *scenario.Trouble) {
 	proc := p.current()
 	if proc == nil {
 		return
@@ -239,7 +239,7 @@
 }
 
 // replace ends a process and starts one of another name at its address.
-func (r *run) replace(ctx context.Context, p *provider, t *world.Trouble) {
+func (r *run) replace(ctx context.Context, p *provider, t *scenario.Trouble) {
 	start := time.Since(r.began)
 	p.dropProxy()
 	p.stop()
@@ -259,7 +259,7 @@
 }
 
 // restart ends a front proxy by SIGTERM and starts the next one in its place.
-func (r *run) restart(ctx context.Context, k int, t *world.Trouble) {
+func (r *run) restart(ctx context.Context, k int, t *scenario.Trouble) {
 	r.mu.Lock()
 	old := r.slots[k]
 	r.slots[k] = nil
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -11,7 +11,7 @@
 
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"ryerill/lab/world"
+	"ryerill/lab/scenario"
 )
 
 // Request is one first try as it was drawn.
@@ -36,7 +36,7 @@
 // Draw returns all first tries of a world, in order of time. Each class is drawn
 // from streams of its own, and what bursts add from others: two worlds that
 // differ in a burst or in one class's load have all other requests in common.
-func Draw(w *world.World, seed uint64) []Request {
+func Draw(w *scenario.World, seed uint64) []Request {
 	shape := rateOf(w, Stream(seed, 1))
 	sum := 0.0
 	for _, c := range w.Classes {
@@ -70,7 +70,7 @@
 		r.ID, r.Worth = uint64(n+1), w.Classes[r.Class].Worth
 		t := &w.Tenants[r.Tenant]
 		for i := range w.Troubles { // after all draws: nobody else's requests change
-			if h := &w.Troubles[i]; h.Kind == world.Heavy && h.Tenant == t.Name && r.At >= h.At && r.At < h.At+h.For {
+			if h := &w.Troubles[i]; h.Kind == scenario.Heavy && h.Tenant == t.Name && r.At >= h.At && r.At < h.At+h.For {
 				r.Work *= h.Factor
 			}
 		}
@@ -110,7 +110,7 @@
 }
 
 // request draws what a first try of a class is.
-func request(w *world.World, class int, at time.Duration, rng *rand.Rand) Request {
+func request(w *scenario.World, class int, at time.Duration, rng *rand.Rand) Request {
 	c := &w.Classes[class]
 	sigma2 := math.Log(1 + c.Spread*c.Spread)
 	work := distuv.LogNormal{Mu: math.Log(c.Work.Seconds()) - sigma2/2, Sigma: math.Sqrt(sigma2), Src: rng}
@@ -119,7 +119,7 @@
 }
 
 // burst tells whether a class has a burst at all.
-func burst(w *world.World, class int) bool {
+func burst(w *scenario.World, class int) bool {
 	for i := range w.Troubles {
 		if meets(w, &w.Troubles[i], class) {
 			return true
@@ -130,12 +130,12 @@
 
 // meets tells whether a trouble is a burst of a class. Where tiers are parallel
 // a burst is of one tier's classes.
-func meets(w *world.World, t *world.Trouble, class int) bool {
-	return t.Kind == world.Burst && t.Factor > 1 && (!w.Parallel || t.Tier == w.Classes[class].Tier)
+func meets(w *scenario.World, t *scenario.Trouble, class int) bool {
+	return t.Kind == scenario.Burst && t.Factor > 1 && (!w.Parallel || t.Tier == w.Classes[class].Tier)
 }
 
 // factor is what bursts multiply a class's rate by at a time.
-func factor(w *world.World, class int, at time.Duration) float64 {
+func factor(w *scenario.World, class int, at time.Duration) float64 {
 	f := 1.0
 	for i := range w.Troubles {
 		if t := &w.Troubles[i]; meets(w, t, class) && at >= t.At && at < t.At+t.For {
@@ -146,7 +146,7 @@
 }
 
 // rateOf returns the rate of first tries at a time.
-func rateOf(w *world.World, rng *rand.Rand) func(time.Duration) float64 {
+func rateOf(w *scenario.World, rng *rand.Rand) func(time.Duration) float64 {
 	l := &w.Load
 	type span struct {
 		end    time.Duration
@@ -204,7 +204,7 @@
 }
 
 // Speed draws the speed of a machine, never below a tenth of what is stated.
-func Speed(rng *rand.Rand, n *world.Node) float64 {
+func Speed(rng *rand.Rand, n *scenario.Node) float64 {
 	return max(0.1, 1+n.Spread*rng.NormFloat64()) * n.Speed
 }
 
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -5,13 +5,13 @@
 	"testing"
 	"time"
 
-	"ryerill/lab/world"
+	"ryerill/lab/scenario"
 )
 
-func demand(l world.Load, troubles ...world.Trouble) *world.World {
-	w := &world.World{Name: "w", Length: 400 * time.Second, Load: l, Troubles: troubles,
-		Tiers:   []world.Tier{{Name: "one", Proxies: 1, Providers: 1}},
-		Classes: []world.Class{{Name: "a", Share: 3, Work: 100 * time.Millisecond, Aim: time.Second, Deadline: time.Second}, {Name: "b", Share: 1, Work: time.Second, Aim: time.Second, Deadline: time.Second}}}
+func demand(l scenario.Load, troubles ...scenario.Trouble) *scenario.World {
+	w := &scenario.World{Name: "w", Length: 400 * time.Second, Load: l, Troubles: troubles,
+		Tiers:   []scenario.Tier{{Name: "one", Proxies: 1, Providers: 1}},
+		Classes: []scenario.Class{{Name: "a", Share: 3, Work: 100 * time.Millisecond, Aim: time.Second, Deadline: time.Second}, {Name: "b", Share: 1, Work: time.Second, Aim: time.Second, Deadline: time.Second}}}
 	w.Complete()
 	return w
 }
@@ -19,13 +19,13 @@
 func TestWhatIsDrawnIsWhatIsAsked(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		w    *world.World
+		w    *scenario.World
 		want float64 // first tries
 	}{
-		{"steady", demand(world.Load{Rate: 50}), 20000},
-		{"wave", demand(world.Load{Rate: 50, Shape: "wave", Swing: 0.5, Period: 20 * time.Second}), 20000},
-		{"steps", demand(world.Load{Rate: 50, Steps: []world.Step{{At: 100 * time.Second, Factor: 2}, {At: 200 * time.Second, Factor: 0}}}), 15000},
-		{"burst", demand(world.Load{Rate: 50}, world.Trouble{Kind: world.Burst, At: time.Second, For: 100 * time.Second, Factor: 3}), 30000},
+		{"steady", demand(scenario.Load{Rate: 50}), 20000},
+		{"wave", demand(scenario.Load{Rate: 50, Shape: "wave", Swing: 0.5, Period: 20 * time.Second}), 20000},
+		{"steps", demand(scenario.Load{Rate: 50, Steps: []scenario.Step{{At: 100 * time.Second, Factor: 2}, {At: 200 * time.Second, Factor: 0}}}), 15000},
+		{"burst", demand(scenario.Load{Rate: 50}, scenario.Trouble{Kind: scenario.Burst, At: time.Second, For: 100 * time.Second, Factor: 3}), 30000},
 	} {
 		all := Draw(tc.w, 1)
 		if n := float64(len(all)); math.Abs(n-tc.want) > 5*math.Sqrt(tc.want) {
@@ -48,8 +48,8 @@
 }
 
 func TestQuotasMarkWhatGoesBeyond(t *testing.T) {
-	w := demand(world.Load{Rate: 50})
-	w.Tenants = []world.Tenant{{Name: "all", Share: 1, Quota: 25}}
+	w := demand(scenario.Load{Rate: 50})
+	w.Tenants = []scenario.Tenant{{Name: "all", Share: 1, Quota: 25}}
 	over := 0
 	all := Draw(w, 1)
 	for _, r := range all {
@@ -68,8 +68,8 @@
 // Worlds that differ in a burst have all other requests in common: differences
 // between them are the burst's.
 func TestABurstOnlyAdds(t *testing.T) {
-	calm := Draw(demand(world.Load{Rate: 50, Shape: "bursty", Swing: 0.4}), 3)
-	burst := Draw(demand(world.Load{Rate: 50, Shape: "bursty", Swing: 0.4}, world.Trouble{Kind: world.Burst, At: 50 * time.Second, For: 20 * time.Second, Factor: 2}), 3)
+	calm := Draw(demand(scenario.Load{Rate: 50, Shape: "bursty", Swing: 0.4}), 3)
+	burst := Draw(demand(scenario.Load{Rate: 50, Shape: "bursty", Swing: 0.4}, scenario.Trouble{Kind: scenario.Burst, At: 50 * time.Second, For: 20 * time.Second, Factor: 2}), 3)
 	there := map[uint64]Request{}
 	for _, r := range burst {
 		there[r.Key] = r
--- a/lab/measure/measure.go
+++ b/lab/measure/measure.go
@@ -16,7 +16,7 @@
 
 	"ryerill/lab/load"
 	"ryerill/lab/rules"
-	"ryerill/lab/world"
+	"ryerill/lab/scenario"
 )
 
 // Step is the width of a window of the series.
@@ -38,7 +38,7 @@
 
 // Recorder books one run.
 type Recorder struct {
-	w       *world.World
+	w       *scenario.World
 	windows []window
 	classes []group
 	tenants []group
@@ -69,7 +69,7 @@
 }
 
 // New returns a recorder for a world.
-func New(w *world.World) *Recorder {
+func New(w *scenario.World) *Recorder {
 	r := &Recorder{w: w, counts: map[string]float64{}, from: w.Warmup, windows: make([]window, int((w.Length+Step-1)/Step))}
 	for _, c := range w.Classes {
 		r.classes = append(r.classes, group{name: c.Name, latency: histogram()})
@@ -288,13 +288,13 @@
 // Troubled returns when the first trouble of a world begins and the last one
 // ends; zeros if there is none. A release ends when its last provider is
 // replaced.
-func Troubled(w *world.World) (first, last time.Duration) {
+func Troubled(w *scenario.World) (first, last time.Duration) {
 	for i, t := range w.Troubles {
 		end := t.At + t.For
 		switch t.Kind {
-		case world.Release, world.Replace:
+		case scenario.Release, scenario.Replace:
 			end = max(end, t.At+t.Drain+t.Pause+w.Tiers[max(w.TierIndex(t.Tier), 0)].Node.Cold.For)
-		case world.Restart:
+		case scenario.Restart:
 			end = max(end, t.At+t.Pause)
 		}
 		if i == 0 || t.At < first {
--- a/lab/measure/measure_test.go
+++ b/lab/measure/measure_test.go
@@ -7,16 +7,16 @@
 	"time"
 
 	"ryerill/lab/load"
-	"ryerill/lab/world"
+	"ryerill/lab/scenario"
 )
 
-func world20(troubles ...world.Trouble) *world.World {
-	return &world.World{Length: 20 * time.Second, Classes: []world.Class{{Name: "read", Late: 0.5, Worth: 1}},
-		Tenants: []world.Tenant{{Name: "all"}}, Tiers: []world.Tier{{Name: "one"}}, Troubles: troubles}
+func world20(troubles ...scenario.Trouble) *scenario.World {
+	return &scenario.World{Length: 20 * time.Second, Classes: []scenario.Class{{Name: "read", Late: 0.5, Worth: 1}},
+		Tenants: []scenario.Tenant{{Name: "all"}}, Tiers: []scenario.Tier{{Name: "one"}}, Troubles: troubles}
 }
 
 // book books ten first tries a second, served as a time says.
-func book(w *world.World, verdict func(at time.Duration) Verdict) *Result {
+func book(w *scenario.World, verdict func(at time.Duration) Verdict) *Result {
 	r := New(w)
 	for at := time.Duration(0); at < w.Length; at += 100 * time.Millisecond {
 		r.Final(&load.Request{At: at, Worth: 2}, verdict(at), 300*time.Millisecond)
@@ -36,7 +36,7 @@
 }
 
 func TestRecoveryIsTimedFromTheEndOfTheTrouble(t *testing.T) {
-	tr := world.Trouble{Kind: world.Slow, At: 4 * time.Second, For: 4 * time.Second}
+	tr := scenario.Trouble{Kind: scenario.Slow, At: 4 * time.Second, For: 4 * time.Second}
 	for _, tc := range []struct {
 		name            string
 		until           time.Duration // it fails from the trouble's start until here
--- a/lab/world/schema.go
+++ b/lab/scenario/schema.go
@@ -1,4 +1,4 @@
-package world
+package scenario
 
 import (
 	"reflect"
--- a/lab/world/world.go
+++ b/lab/scenario/world.go
@@ -4,7 +4,7 @@
 // lab/live on sockets.
 //
 // The package holds data, its checks and its defaults, and decides nothing.
-package world
+package scenario
 
 import (
 	"slices"
--- a/lab/servermodel/node.go
+++ b/lab/servermodel/node.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"ryerill/lab/world"
+	"ryerill/lab/scenario"
 )
 
 // Verdict is what becomes of a request that arrives.
@@ -49,7 +49,7 @@
 
 // Node is one machine. It is not safe for concurrent use.
 type Node struct {
-	spec    *world.Node
+	spec    *scenario.Node
 	speed   float64 // of a core, this machine's draw
 	started time.Duration
 	warm    bool // since before the beginning
@@ -99,7 +99,7 @@
 }
 
 // New returns a warm machine, or a cold one that starts now.
-func New(spec *world.Node, speed float64, now time.Duration, warm bool) *Node {
+func New(spec *scenario.Node, speed float64, now time.Duration, warm bool) *Node {
 	return &Node{spec: spec, speed: speed, started: now, now: now, warm: warm, factor: 1, crowded: -1, rested: -1, slowed: -1}
 }
 
--- a/lab/servermodel/node_test.go
+++ b/lab/servermodel/node_test.go
@@ -7,13 +7,13 @@
 
 	"pgregory.net/rapid"
 
-	"ryerill/lab/world"
+	"ryerill/lab/scenario"
 )
 
-func spec() world.Node {
-	return world.Node{Cores: 2, Slots: 3, Room: 2, Speed: 1, Cancel: "queued",
-		Cold:  world.Cold{From: 0.5, For: 10 * time.Second, Tips: 2, Within: time.Second},
-		Crowd: world.Crowd{At: 2, After: time.Second, Factor: 4, Below: 0.5, Rest: 2 * time.Second, Most: time.Minute}}
+func spec() scenario.Node {
+	return scenario.Node{Cores: 2, Slots: 3, Room: 2, Speed: 1, Cancel: "queued",
+		Cold:  scenario.Cold{From: 0.5, For: 10 * time.Second, Tips: 2, Within: time.Second},
+		Crowd: scenario.Crowd{At: 2, After: time.Second, Factor: 4, Below: 0.5, Rest: 2 * time.Second, Most: time.Minute}}
 }
 
 func warm() *Node { s := spec(); return New(&s, 1, 0, true) }
--- a/lab/sharing/sharing.go
+++ b/lab/sharing/sharing.go
@@ -16,8 +16,8 @@
 	"ryerill/fleet/statesync"
 	"ryerill/lab/baseline"
 	badnet "ryerill/lab/net"
+	"ryerill/lab/scenario"
 	"ryerill/lab/sim"
-	"ryerill/lab/world"
 )
 
 // Arms are what is compared. Oracle's copies hear each other at once and for nothing.
@@ -55,7 +55,7 @@
 type Hubs struct{ tiers []*Hub }
 
 // NewHubs returns the hubs of a run of a world.
-func NewHubs(arm string, seed uint64, w *world.World) *Hubs {
+func NewHubs(arm string, seed uint64, w *scenario.World) *Hubs {
 	h := &Hubs{}
 	for tier := range w.Tiers {
 		one := New(arm, seed+uint64(tier)<<32, max(len(w.Network.Zones), 1))
@@ -71,7 +71,7 @@
 }
 
 // trouble puts a world's troubles between proxies on the hub's network.
-func (h *Hub) trouble(w *world.World, copies int) {
+func (h *Hub) trouble(w *scenario.World, copies int) {
 	for _, t := range w.Troubles {
 		if !t.BetweenProxies() {
 			continue
@@ -82,13 +82,13 @@
 		}
 		begin, end := func(n *badnet.Net) {
 			for _, c := range whom {
-				n.CutOff(c, t.Kind == world.OneWay)
+				n.CutOff(c, t.Kind == scenario.OneWay)
 			}
 		}, (*badnet.Net).Heal
 		switch t.Kind {
-		case world.Split:
+		case scenario.Split:
 			begin = func(n *badnet.Net) { n.Split(whom) }
-		case world.Lossy:
+		case scenario.Lossy:
 			begin, end = func(n *badnet.Net) { n.Usual(t.Link) }, func(n *badnet.Net) { n.Usual(lan) }
 		}
 		h.cuts = append(h.cuts, cut{at: epoch + t.At, do: begin}, cut{at: epoch + t.At + t.For, do: end})
@@ -327,7 +327,7 @@
 	if k.Trouble == "none" {
 		text = text[:len(text)-len("troubles:\n  []")]
 	}
-	w, err := world.Parse("sharing", []byte(text))
+	w, err := scenario.Parse("sharing", []byte(text))
 	if err != nil {
 		return r, err
 	}
--- a/lab/sharing/sharing_test.go
+++ b/lab/sharing/sharing_test.go
@@ -4,14 +4,14 @@
 	"context"
 	"testing"
 
+	"ryerill/lab/scenario"
 	"ryerill/lab/sim"
-	"ryerill/lab/world"
 )
 
 // The same world, arm and seed come to the same, with copies that restart, troubles
 // between them, a tenant that roams and two tiers that share apart from each other.
 func TestTroublesBetweenProxies(t *testing.T) {
-	w, err := world.Parse("w", []byte(`
+	w, err := scenario.Parse("w", []byte(`
 name: w
 length: 12s
 network: {zones: [a, b]}
--- a/lab/sim/proxy.go
+++ b/lab/sim/proxy.go
@@ -8,10 +8,10 @@
 	"ryerill"
 	"ryerill/lab/baseline"
 	"ryerill/lab/rules"
-	"ryerill/lab/world"
+	"ryerill/lab/scenario"
 )
 
-func serverID(name string) ryerill.ServerID { return world.ServerID(name) }
+func serverID(name string) ryerill.ServerID { return scenario.ServerID(name) }
 
 // proxy hosts one decider, as the real one does: it turns what happens into
 // events and carries out the actions in order.
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -15,7 +15,7 @@
 	"ryerill/lab/load"
 	"ryerill/lab/measure"
 	"ryerill/lab/rules"
-	"ryerill/lab/world"
+	"ryerill/lab/scenario"
 )
 
 // epoch is what deciders see as the time of the start: a provider's start at 0
@@ -85,7 +85,7 @@
 
 // Sim is one run.
 type Sim struct {
-	w    *world.World
+	w    *scenario.World
 	opt  Options
 	now  time.Duration
 	seq  uint64
@@ -107,7 +107,7 @@
 // tier is the providers of a tier with the directory that lists them.
 type tier struct {
 	index     int
-	spec      *world.Tier
+	spec      *scenario.Tier
 	providers []*provider
 	byID      map[ryerill.ServerID]*provider
 	directory *directory
@@ -115,7 +115,7 @@
 }
 
 // Run plays a world once. It ends early, with ctx's error, if ctx ends.
-func Run(ctx context.Context, w *world.World, opt Options) (*measure.Result, error) {
+func Run(ctx context.Context, w *scenario.World, opt Options) (*measure.Result, error) {
 	s, err := newSim(w, opt)
 	if err != nil {
 		return nil, err
@@ -146,14 +146,14 @@
 	return s.rec.Result(broken, counts), nil
 }
 
-func newSim(w *world.World, opt Options) (*Sim, error) {
+func newSim(w *scenario.World, opt Options) (*Sim, error) {
 	if w.Parallel {
 		return nil, fmt.Errorf("world %s: parallel tiers are played on sockets only", w.Name)
 	}
 	s := &Sim{w: w, opt: opt, net: load.Stream(opt.Seed, 2), work: load.Stream(opt.Seed, 3), who: load.Stream(opt.Seed, 4),
 		seeds: load.Stream(opt.Seed, 5), part: load.Stream(opt.Seed, 6), rec: measure.New(w), turns: make([]int, len(w.Network.Zones))}
 	for _, t := range w.Troubles {
-		if t.Kind == world.Reload {
+		if t.Kind == scenario.Reload {
 			return nil, fmt.Errorf("world %s: reloads are played on sockets only", w.Name)
 		}
 	}
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -12,19 +12,19 @@
 	"ryerill/lab/baseline"
 	"ryerill/lab/measure"
 	"ryerill/lab/rules"
-	"ryerill/lab/world"
+	"ryerill/lab/scenario"
 )
 
-func read(t testing.TB, file string) *world.World {
+func read(t testing.TB, file string) *scenario.World {
 	t.Helper()
-	w, err := world.Read("../worlds/" + file)
+	w, err := scenario.Read("../worlds/" + file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return w
 }
 
-func play(t testing.TB, w *world.World, opt Options) *measure.Result {
+func play(t testing.TB, w *scenario.World, opt Options) *measure.Result {
 	t.Helper()
 	r, err := Run(context.Background(), w, opt)
 	if err != nil {
@@ -75,7 +75,7 @@
 	t.Parallel()
 	for _, tc := range []struct {
 		rule     string
-		troubles []world.Trouble
+		troubles []scenario.Trouble
 		spoil    func(cfg ryerill.Config) func(ev *ryerill.Event, out []ryerill.Action) []ryerill.Action
 	}{
 		{rules.OneAnswer, nil, func(ryerill.Config) func(*ryerill.Event, []ryerill.Action) []ryerill.Action {
@@ -89,7 +89,7 @@
 				return out
 			}
 		}},
-		{rules.NoRepeat, []world.Trouble{{Kind: world.Spoil, At: 2 * time.Second, For: 4 * time.Second, Part: 0.3, Factor: 0.5}},
+		{rules.NoRepeat, []scenario.Trouble{{Kind: scenario.Spoil, At: 2 * time.Second, For: 4 * time.Second, Part: 0.3, Factor: 0.5}},
 			func(ryerill.Config) func(*ryerill.Event, []ryerill.Action) []ryerill.Action {
 				var servers []ryerill.ServerID
 				return func(ev *ryerill.Event, out []ryerill.Action) []ryerill.Action {
@@ -103,7 +103,7 @@
 					return out
 				}
 			}},
-		{rules.Drained, []world.Trouble{{Kind: world.Release, At: time.Second, For: time.Second, Part: 0.5, Drain: 6 * time.Second, Pause: time.Second}},
+		{rules.Drained, []scenario.Trouble{{Kind: scenario.Release, At: time.Second, For: time.Second, Part: 0.5, Drain: 6 * time.Second, Pause: time.Second}},
 			func(ryerill.Config) func(*ryerill.Event, []ryerill.Action) []ryerill.Action {
 				var drains []ryerill.ServerID
 				return func(ev *ryerill.Event, out []ryerill.Action) []ryerill.Action {
@@ -120,7 +120,7 @@
 					return out
 				}
 			}},
-		{rules.Pushed, []world.Trouble{{Kind: world.Release, At: time.Second, For: time.Second, Part: 0.2, Drain: time.Second, Pause: 200 * time.Millisecond}},
+		{rules.Pushed, []scenario.Trouble{{Kind: scenario.Release, At: time.Second, For: time.Second, Part: 0.2, Drain: time.Second, Pause: 200 * time.Millisecond}},
 			func(ryerill.Config) func(*ryerill.Event, []ryerill.Action) []ryerill.Action {
 				var cold []ryerill.ServerID
 				return func(ev *ryerill.Event, out []ryerill.Action) []ryerill.Action {
@@ -166,21 +166,21 @@
 // Every kind of trouble is played, by each decider, without a stuck run.
 func TestEveryTroubleIsPlayed(t *testing.T) {
 	t.Parallel()
-	for _, kind := range world.Kinds {
+	for _, kind := range scenario.Kinds {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			w := read(t, "pair.yaml")
 			w.Length = 9 * time.Second
-			tr := world.Trouble{Kind: kind, At: 3 * time.Second, For: 3 * time.Second, Part: 0.4, Factor: 2, Zone: "west", Count: 1, Tenant: "everyone"}
-			if kind == world.Spoil || kind == world.Err {
+			tr := scenario.Trouble{Kind: kind, At: 3 * time.Second, For: 3 * time.Second, Part: 0.4, Factor: 2, Zone: "west", Count: 1, Tenant: "everyone"}
+			if kind == scenario.Spoil || kind == scenario.Err {
 				tr.Factor = 0.5
 			}
-			w.Troubles = []world.Trouble{tr}
+			w.Troubles = []scenario.Trouble{tr}
 			w.Complete()
 			if p := w.Check(); len(p) > 0 {
 				t.Fatal(p)
 			}
-			if kind == world.Reload { // there is nothing to reload in virtual time, and it says so
+			if kind == scenario.Reload { // there is nothing to reload in virtual time, and it says so
 				if _, err := Run(context.Background(), w, Options{}); err == nil {
 					t.Error("it is played as if it were nothing")
 				}
--- a/lab/sim/trouble.go
+++ b/lab/sim/trouble.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ryerill"
-	"ryerill/lab/world"
+	"ryerill/lab/scenario"
 )
 
 // troubles puts what goes wrong on the agenda. Bursts are in the load already.
@@ -14,7 +14,7 @@
 	for i := range s.w.Troubles {
 		t := &s.w.Troubles[i]
 		switch t.Kind {
-		case world.Slow:
+		case scenario.Slow:
 			s.during(t, func(p *provider, on bool) {
 				factor := 1.0
 				if on {
@@ -24,47 +24,47 @@
 				p.wakeAt = 0
 				p.wake()
 			})
-		case world.Hang:
+		case scenario.Hang:
 			s.during(t, func(p *provider, on bool) {
 				p.node.Hang(s.now, on)
 				p.wakeAt = 0
 				p.wake()
 			})
-		case world.Spoil:
+		case scenario.Spoil:
 			s.during(t, func(p *provider, on bool) {
 				p.spoil = 0
 				if on {
 					p.spoil = t.Factor
 				}
 			})
-		case world.Err:
+		case scenario.Err:
 			s.during(t, func(p *provider, on bool) {
 				p.errs = 0
 				if on {
 					p.errs = t.Factor
 				}
 			})
-		case world.Silent, world.ZoneLoss:
+		case scenario.Silent, scenario.ZoneLoss:
 			s.during(t, func(p *provider, on bool) {
 				if on {
 					s.silence(p, t.For)
 				}
 			})
-		case world.Release:
+		case scenario.Release:
 			chosen := s.choice(t)
 			for k, p := range chosen {
 				s.at(t.At+time.Duration(float64(t.For)*float64(k)/float64(len(chosen))), func() { s.release(p, t) })
 			}
-		case world.Replace:
+		case scenario.Replace:
 			for _, p := range s.choice(t) {
 				s.at(t.At, func() { s.replace(p, t) })
 			}
-		case world.Restart:
+		case scenario.Restart:
 			n := max(1, int(math.Round(t.Part*float64(len(s.slots)))))
 			for _, k := range s.part.Perm(len(s.slots))[:n] {
 				s.at(t.At, func() { s.restart(k, t) })
 			}
-		case world.DirSilent:
+		case scenario.DirSilent:
 			d := s.tiers[max(s.w.TierIndex(t.Tier), 0)].directory
 			s.at(t.At, func() { d.silent(true) })
 			s.at(t.At+t.For, func() { d.silent(false) })
@@ -73,8 +73,8 @@
 }
 
 // choice draws the machines that a trouble meets.
-func (s *Sim) choice(t *world.Trouble) (chosen []*provider) {
-	if t.Kind == world.ZoneLoss {
+func (s *Sim) choice(t *scenario.Trouble) (chosen []*provider) {
+	if t.Kind == scenario.ZoneLoss {
 		for _, tier := range s.tiers {
 			for _, p := range tier.providers {
 				if s.w.Network.Zones[p.zone] == t.Zone {
@@ -98,7 +98,7 @@
 
 // during turns something on and off at the machines of a trouble. What a
 // process starts anew meanwhile is free of it.
-func (s *Sim) during(t *world.Trouble, turn func(p *provider, on bool)) {
+func (s *Sim) during(t *scenario.Trouble, turn func(p *provider, on bool)) {
 	for _, p := range s.choice(t) {
 		s.at(t.At, func() {
 			if !p.up {
@@ -133,7 +133,7 @@
 }
 
 // release drains a process, ends it and starts the next one under the same name.
-func (s *Sim) release(p *provider, t *world.Trouble) {
+func (s *Sim) release(p *provider, t *scenario.Trouble) {
 	if !p.up {
 		return
 	}
@@ -158,7 +158,7 @@
 }
 
 // replace ends a process without warning and starts one of another name in its place.
-func (s *Sim) replace(p *provider, t *world.Trouble) {
+func (s *Sim) replace(p *provider, t *scenario.Trouble) {
 	if !p.up {
 		return
 	}
@@ -175,7 +175,7 @@
 
 // restart takes a proxy before the first tier out of use; what it has taken it
 // still answers, and a new process takes its place.
-func (s *Sim) restart(k int, t *world.Trouble) {
+func (s *Sim) restart(k int, t *scenario.Trouble) {
 	sl := s.slots[k]
 	old := sl.proxy
 	if old == nil {
