--- a/lab/command/real.go
+++ b/lab/command/real.go
@@ -16,7 +16,7 @@
 	"ryerill/lab/measure"
 	"ryerill/lab/report"
 	"ryerill/lab/scenario"
-	"ryerill/lab/worlds"
+	"ryerill/lab/scenarios"
 )
 
 // The programs that the laboratory runs itself as, in processes of their own.
@@ -63,7 +63,7 @@
 }
 
 func demo(ctx context.Context, out string, stdout io.Writer) error {
-	text, err := worlds.Files.ReadFile("demo.yaml")
+	text, err := scenarios.Files.ReadFile("demo.yaml")
 	if err != nil {
 		return err
 	}
--- a/lab/worlds/worlds.go
+++ b/lab/scenarios/worlds.go
@@ -1,5 +1,5 @@
 // Package worlds holds the worlds that come with the laboratory.
-package worlds
+package scenarios
 
 import "embed"
 
