--- a/lab/night/night_test.go
+++ b/lab/chaos/night_test.go
@@ -1,4 +1,4 @@
-package night
+package chaos
 
 import (
 	"path/filepath"
--- a/lab/night/schedule.go
+++ b/lab/chaos/schedule.go
@@ -2,7 +2,7 @@
 // that must balance: in virtual time with hundreds of copies, and on real processes.
 // What does not balance is shrunk to the fewest troubles that still show it, and
 // written as a file that replays it.
-package night
+package chaos
 
 import (
 	"fmt"
--- a/lab/command/night.go
+++ b/lab/command/night.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"ryerill/lab/night"
+	"ryerill/lab/chaos"
 	"ryerill/lab/report"
 )
 
@@ -32,14 +32,14 @@
 				sizes, nights, length = []int{8, 30}, 20, time.Minute
 			}
 			if replay != "" {
-				s, err := night.Read(replay)
+				s, err := chaos.Read(replay)
 				if err != nil {
 					return err
 				}
 				if real {
 					return processNight(cmd.Context(), s, out, stdout)
 				}
-				f, bad := night.Play(s, "")
+				f, bad := chaos.Play(s, "")
 				fmt.Fprintf(stdout, "%+v\n", f)
 				if bad != nil {
 					return shortError{bad}
@@ -48,7 +48,7 @@
 			}
 			if real {
 				for i := range nights {
-					if err := processNight(cmd.Context(), night.Draw(sizes[0], length, seed+uint64(i)), out, stdout); err != nil {
+					if err := processNight(cmd.Context(), chaos.Draw(sizes[0], length, seed+uint64(i)), out, stdout); err != nil {
 						return err
 					}
 				}
@@ -67,19 +67,19 @@
 	return c
 }
 
-func processNight(ctx context.Context, s night.Schedule, out string, stdout io.Writer) error {
+func processNight(ctx context.Context, s chaos.Schedule, out string, stdout io.Writer) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(stdout, "night %d: %d processes, %d troubles in %v\n", s.Seed, s.Copies, len(s.Steps), s.Length)
-	sum, bad, err := night.Processes(ctx, s, []string{self, proxyProgram}, func(line string) { fmt.Fprintln(stdout, "  ", line) })
+	sum, bad, err := chaos.Processes(ctx, s, []string{self, proxyProgram}, func(line string) { fmt.Fprintln(stdout, "  ", line) })
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(stdout, "  ledger: %d requests, %d served, %d refused, %d failed, %d lost, %d late, %d repeated, %d excused\n", sum.Requests, sum.Served, sum.Refused, sum.Failed, sum.Lost, sum.Late, sum.Repeated, sum.Excused)
 	if bad != nil {
-		file, err := night.Found(out, s, bad.Rule)
+		file, err := chaos.Found(out, s, bad.Rule)
 		if err != nil {
 			return err
 		}
@@ -95,7 +95,7 @@
 	var rows [][]string
 	var worst error
 	for _, n := range sizes {
-		var sum night.Figures
+		var sum chaos.Figures
 		var found int
 		var longest time.Duration
 		began := time.Now()
@@ -108,12 +108,12 @@
 				if ctx.Err() != nil {
 					return
 				}
-				s := night.Draw(n, length, seed+uint64(i))
-				f, bad := night.Play(s, "")
+				s := chaos.Draw(n, length, seed+uint64(i))
+				f, bad := chaos.Play(s, "")
 				if bad != nil {
-					small := night.Shrink(s, func(s night.Schedule) bool { _, b := night.Play(s, ""); return b != nil && b.Rule == bad.Rule })
+					small := chaos.Shrink(s, func(s chaos.Schedule) bool { _, b := chaos.Play(s, ""); return b != nil && b.Rule == bad.Rule })
 					small.About = bad.Rule
-					file, err := night.Found(out, small, bad.Rule)
+					file, err := chaos.Found(out, small, bad.Rule)
 					mu.Lock()
 					defer mu.Unlock()
 					found++
