--- a/lab/chaos/processes.go
+++ b/lab/chaos/processes.go
@@ -15,8 +15,8 @@
 
 	"ryerill/config"
 	"ryerill/fleet"
-	"ryerill/lab/copies"
 	badnet "ryerill/lab/net"
+	"ryerill/lab/processes"
 )
 
 // What is looked at on processes.
@@ -32,13 +32,13 @@
 
 // Processes plays a night on real processes of the program, under load, with the
 // ledger kept by the stand-ins behind them.
-func Processes(ctx context.Context, sch Schedule, command []string, say func(string)) (sum copies.Sum, bad *Violation, err error) {
+func Processes(ctx context.Context, sch Schedule, command []string, say func(string)) (sum processes.Sum, bad *Violation, err error) {
 	dir, err := os.MkdirTemp("", "ryerill-night")
 	if err != nil {
 		return sum, nil, err
 	}
 	defer os.RemoveAll(dir)
-	f, err := copies.Start(ctx, copies.Options{Command: command, Dir: dir, Copies: sch.Copies, Providers: 6, Change: func(_ int, file *config.File) {
+	f, err := processes.Start(ctx, processes.Options{Command: command, Dir: dir, Copies: sch.Copies, Providers: 6, Change: func(_ int, file *config.File) {
 		file.Fleet.Share = &config.ShareFile{Quotas: true, Counts: true, Verdicts: true}
 		file.Pools[0].Tenants = []config.TenantFile{{Name: "acme", Quota: whole}}
 	}})
@@ -53,7 +53,7 @@
 		all.Add(1)
 		go func() { defer all.Done(); f.Drive(load, i, 15) }()
 	}
-	n := &processes{f: f, began: time.Now(), say: say}
+	n := &processRun{f: f, began: time.Now(), say: say}
 	if !n.until(ctx, agreeProcesses, n.agree) {
 		return sum, n.fail("views become equal", "not even at the start: %s", n.views()), nil
 	}
@@ -126,8 +126,8 @@
 	return resident * os.Getpagesize() >> 20
 }
 
-type processes struct {
-	f     *copies.Fleet
+type processRun struct {
+	f     *processes.Fleet
 	began time.Time
 	say   func(string)
 	mu    sync.Mutex
@@ -139,7 +139,7 @@
 	key      int
 }
 
-func (n *processes) fail(rule, format string, args ...any) *Violation {
+func (n *processRun) fail(rule, format string, args ...any) *Violation {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.bad == nil {
@@ -148,7 +148,7 @@
 	return n.bad
 }
 
-func (n *processes) until(ctx context.Context, most time.Duration, so func() bool) bool {
+func (n *processRun) until(ctx context.Context, most time.Duration, so func() bool) bool {
 	for end := time.Now().Add(most); !so(); time.Sleep(100 * time.Millisecond) {
 		if time.Now().After(end) || ctx.Err() != nil {
 			return false
@@ -158,7 +158,7 @@
 }
 
 // play has each trouble begin and end at its time.
-func (n *processes) play(ctx context.Context, sch Schedule) {
+func (n *processRun) play(ctx context.Context, sch Schedule) {
 	for _, st := range sch.Steps {
 		n.all.Add(1)
 		go func() {
@@ -187,7 +187,7 @@
 
 // rates looks whether all together may spend more than there is: what moves between
 // two questions is asked again.
-func (n *processes) rates() {
+func (n *processRun) rates() {
 	sum := 0.0
 	for range 10 {
 		sum = 0
@@ -206,13 +206,13 @@
 	n.fail("a budget is never overspent", "all together may spend %.1f of %.0f", sum, whole)
 }
 
-func (n *processes) disks(whom []int, there bool) {
+func (n *processRun) disks(whom []int, there bool) {
 	for _, i := range whom {
 		n.f.Disk(i, there) // of two troubles with one disk the second changes nothing
 	}
 }
 
-func (n *processes) names(st *Step) (out []string) {
+func (n *processRun) names(st *Step) (out []string) {
 	for _, i := range st.Whom {
 		out = append(out, n.f.Copies[i].Name)
 	}
@@ -220,7 +220,7 @@
 }
 
 // begin carries a trouble out, and ends it.
-func (n *processes) begin(ctx context.Context, st *Step) {
+func (n *processRun) begin(ctx context.Context, st *Step) {
 	net := func(change func(*badnet.Net)) { n.f.Relays.Do(change) }
 	back := func() {
 		for _, i := range st.Whom {
@@ -299,7 +299,7 @@
 		n.key++
 		old, next := fmt.Sprintf("key-%012d-of-this-fleet", n.key-1), fmt.Sprintf("key-%012d-of-this-fleet", n.key)
 		if n.key == 1 {
-			old = copies.FirstKey
+			old = processes.FirstKey
 		}
 		for _, keys := range [][]string{{old, next}, {next, old}, {next}} {
 			if err := n.f.WriteKeys(keys...); err != nil {
@@ -331,7 +331,7 @@
 }
 
 // settings is a harmless plan over the first copy's file.
-func (n *processes) settings(number int) (string, error) {
+func (n *processRun) settings(number int) (string, error) {
 	text, err := os.ReadFile(n.f.Copies[0].File)
 	if err != nil {
 		return "", err
@@ -346,7 +346,7 @@
 		number, strings.ReplaceAll(strings.TrimSpace(string(pools)), "\n", "\n  ")), err
 }
 
-func (n *processes) agree() bool {
+func (n *processRun) agree() bool {
 	digest := ""
 	for _, c := range n.f.Copies {
 		s, err := c.Status()
@@ -367,7 +367,7 @@
 	return true
 }
 
-func (n *processes) views() (text string) {
+func (n *processRun) views() (text string) {
 	for _, c := range n.f.Copies {
 		s, err := c.Status()
 		text += fmt.Sprintf("%s %s %v:", c.Name, s.Digest, err)
@@ -381,7 +381,7 @@
 	return text
 }
 
-func (n *processes) status(c *copies.Copy) (s fleet.RolloutStatus, err error) {
+func (n *processRun) status(c *processes.Copy) (s fleet.RolloutStatus, err error) {
 	text, err := c.Ask("GET", "/ops/rollout", "")
 	if err == nil {
 		err = json.Unmarshal([]byte(text), &s)
@@ -389,7 +389,7 @@
 	return s, err
 }
 
-func (n *processes) settled() bool {
+func (n *processRun) settled() bool {
 	for _, c := range n.f.Copies {
 		if s, err := n.status(c); err != nil || !s.Ended && s.Phase != "stopped" {
 			return false
@@ -398,7 +398,7 @@
 	return true
 }
 
-func (n *processes) plan() (text string) {
+func (n *processRun) plan() (text string) {
 	for _, c := range n.f.Copies {
 		s, err := n.status(c)
 		text += fmt.Sprintf("%s: %s %s (%s) led by %s number %d %v; ", c.Name, s.Plan, s.Phase, s.Reason, s.Leader, s.Number, err)
--- a/lab/command/fleetcost.go
+++ b/lab/command/fleetcost.go
@@ -9,8 +9,8 @@
 	"github.com/spf13/cobra"
 
 	"ryerill/config"
-	"ryerill/lab/copies"
 	"ryerill/lab/experiment"
+	"ryerill/lab/processes"
 	"ryerill/lab/report"
 )
 
@@ -31,7 +31,7 @@
 					if err != nil {
 						return err
 					}
-					cost, err := copies.MeasureCost(cmd.Context(), copies.Options{Command: []string{self, proxyProgram}, Dir: dir, Copies: size, Providers: 4, Off: arm == 0, Change: func(_ int, f *config.File) {
+					cost, err := processes.MeasureCost(cmd.Context(), processes.Options{Command: []string{self, proxyProgram}, Dir: dir, Copies: size, Providers: 4, Off: arm == 0, Change: func(_ int, f *config.File) {
 						f.Pools[0].Tenants = []config.TenantFile{{Name: "acme", Quota: 10_000}}
 						if arm == 2 {
 							f.Fleet.Share = &config.ShareFile{Quotas: true, Counts: true, Verdicts: true}
--- a/lab/copies/copies.go
+++ b/lab/processes/copies.go
@@ -2,7 +2,7 @@
 // with the laboratory's bad network between them, stand-ins for providers behind
 // them, and consumers before them. The stand-ins keep the ledger: what ran, how
 // often, and what was answered.
-package copies
+package processes
 
 import (
 	"bufio"
--- a/lab/copies/ledger.go
+++ b/lab/processes/ledger.go
@@ -1,4 +1,4 @@
-package copies
+package processes
 
 import (
 	"bufio"
