--- a/fleet/quota/allot_test.go
+++ b/fleet/quota/allot_test.go
@@ -11,7 +11,7 @@
 
 	"ryerill/lab/explore"
 	"ryerill/lab/explore/mutant"
-	badnet "ryerill/lab/net"
+	badnet "ryerill/lab/faultnet"
 )
 
 // market is a number of copies with clocks that run at their own pace.
--- a/lab/chaos/processes.go
+++ b/lab/chaos/processes.go
@@ -15,7 +15,7 @@
 
 	"ryerill/config"
 	"ryerill/fleet"
-	badnet "ryerill/lab/net"
+	badnet "ryerill/lab/faultnet"
 	"ryerill/lab/processes"
 )
 
--- a/lab/chaos/schedule.go
+++ b/lab/chaos/schedule.go
@@ -13,7 +13,7 @@
 
 	"github.com/goccy/go-yaml"
 
-	badnet "ryerill/lab/net"
+	badnet "ryerill/lab/faultnet"
 )
 
 // Schedule is what happens in one night.
--- a/lab/chaos/virtual.go
+++ b/lab/chaos/virtual.go
@@ -10,8 +10,8 @@
 	"ryerill/fleet/membership"
 	"ryerill/fleet/quota"
 	"ryerill/fleet/rollout"
+	badnet "ryerill/lab/faultnet"
 	"ryerill/lab/members"
-	badnet "ryerill/lab/net"
 )
 
 // What must hold once all troubles are over.
--- a/lab/net/relay/relay.go
+++ b/lab/faultnet/relay/relay.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	badnet "ryerill/lab/net"
+	badnet "ryerill/lab/faultnet"
 )
 
 const (
--- a/lab/members/measure.go
+++ b/lab/members/measure.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ryerill/fleet/membership"
-	badnet "ryerill/lab/net"
+	badnet "ryerill/lab/faultnet"
 )
 
 // Lan is the network of a site: well under a millisecond one way.
--- a/lab/members/members.go
+++ b/lab/members/members.go
@@ -10,7 +10,7 @@
 
 	"ryerill/fleet/membership"
 	"ryerill/fleet/placement"
-	badnet "ryerill/lab/net"
+	badnet "ryerill/lab/faultnet"
 )
 
 // connect is how long an exchange waits for an answer until it is given up.
--- a/lab/members/members_test.go
+++ b/lab/members/members_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ryerill/fleet/membership"
-	badnet "ryerill/lab/net"
+	badnet "ryerill/lab/faultnet"
 )
 
 // lan is a quiet network.
--- a/lab/members/property_test.go
+++ b/lab/members/property_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 
 	"ryerill/fleet/membership"
-	badnet "ryerill/lab/net"
+	badnet "ryerill/lab/faultnet"
 )
 
 // Along any schedule of cuts, losses, stops, kills, restarts and departures: the
--- a/lab/processes/copies.go
+++ b/lab/processes/copies.go
@@ -28,8 +28,8 @@
 
 	"ryerill/config"
 	"ryerill/fleet"
-	badnet "ryerill/lab/net"
-	"ryerill/lab/net/relay"
+	badnet "ryerill/lab/faultnet"
+	"ryerill/lab/faultnet/relay"
 )
 
 const (
--- a/lab/processes/copies_test.go
+++ b/lab/processes/copies_test.go
@@ -22,7 +22,7 @@
 	"ryerill/config"
 	"ryerill/fleet"
 	"ryerill/lab/explore/mutant"
-	badnet "ryerill/lab/net"
+	badnet "ryerill/lab/faultnet"
 )
 
 // program builds the real program, and later the one that plays a later program beside it.
--- a/lab/processes/versions_test.go
+++ b/lab/processes/versions_test.go
@@ -14,7 +14,7 @@
 
 	"ryerill/config"
 	"ryerill/fleet"
-	badnet "ryerill/lab/net"
+	badnet "ryerill/lab/faultnet"
 )
 
 // both builds the program and one that speaks a later level, and tells the versions that
--- a/lab/scenario/world.go
+++ b/lab/scenario/world.go
@@ -13,7 +13,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"ryerill"
-	badnet "ryerill/lab/net"
+	badnet "ryerill/lab/faultnet"
 )
 
 // World is a whole deployment and what happens to it.
--- a/lab/sharing/sharing.go
+++ b/lab/sharing/sharing.go
@@ -15,7 +15,7 @@
 	"ryerill/fleet/quota"
 	"ryerill/fleet/statesync"
 	"ryerill/lab/baseline"
-	badnet "ryerill/lab/net"
+	badnet "ryerill/lab/faultnet"
 	"ryerill/lab/scenario"
 	"ryerill/lab/sim"
 )
