--- a/lab/rules/rules.go
+++ b/lab/invariant/rules.go
@@ -2,7 +2,7 @@
 // breach of the rules that every proxy must keep. It is an oracle for both
 // hosts of the laboratory, knows neither of them, and is pure: times come in as
 // arguments. It is not safe for concurrent use.
-package rules
+package invariant
 
 import (
 	"fmt"
--- a/lab/rules/rules_test.go
+++ b/lab/invariant/rules_test.go
@@ -1,4 +1,4 @@
-package rules
+package invariant
 
 import (
 	"strings"
--- a/lab/live/live.go
+++ b/lab/live/live.go
@@ -17,9 +17,9 @@
 
 	"ryerill"
 	"ryerill/discovery"
+	"ryerill/lab/invariant"
 	"ryerill/lab/load"
 	"ryerill/lab/measure"
-	"ryerill/lab/rules"
 	"ryerill/lab/scenario"
 	"ryerill/lab/servermodel"
 )
@@ -76,7 +76,7 @@
 
 	mu      sync.Mutex // guards what follows; never held while anything blocks
 	rec     *measure.Recorder
-	oracle  *rules.Watch
+	oracle  *invariant.Watch
 	work    *rand.Rand
 	jitter  *rand.Rand
 	who     *rand.Rand
@@ -116,7 +116,7 @@
 		work: load.Stream(opt.Seed, 3), jitter: load.Stream(opt.Seed, 2), who: load.Stream(opt.Seed, 4),
 		zones: map[int]int{}, makers: map[uint64]string{}, turn: make([]int, len(w.Network.Zones))}
 	defer r.launcher.close()
-	r.oracle = rules.New(rules.Config{Slack: w.Rules.Slack + onSockets, Grace: w.Rules.Drain + onSockets,
+	r.oracle = invariant.New(invariant.Config{Slack: w.Rules.Slack + onSockets, Grace: w.Rules.Drain + onSockets,
 		Classes: w.Balancer(0, 0, 0).Classes, Name: func(i int) string { return r.names[i] }})
 	defer r.close()
 	if err := r.build(ctx); err != nil {
@@ -458,11 +458,11 @@
 		if want := fmt.Sprintf("%016x %s ", id, maker); maker == "" || len(a.body) < len(want) || a.body[:len(want)] != want {
 			r.oracle.Spoilt(now, proxy, id, fmt.Sprintf("%.60q, which no provider made for it", a.body))
 		}
-		r.oracle.Answered(now, proxy, id, rules.Served, 0)
+		r.oracle.Answered(now, proxy, id, invariant.Served, 0)
 	case 429, 503:
-		r.oracle.Answered(now, proxy, id, rules.Refused, 0)
+		r.oracle.Answered(now, proxy, id, invariant.Refused, 0)
 	default:
-		r.oracle.Answered(now, proxy, id, rules.Failed, 0)
+		r.oracle.Answered(now, proxy, id, invariant.Failed, 0)
 	}
 }
 
--- a/lab/live/live_test.go
+++ b/lab/live/live_test.go
@@ -14,8 +14,8 @@
 
 	"go.uber.org/goleak"
 
+	"ryerill/lab/invariant"
 	"ryerill/lab/measure"
-	"ryerill/lab/rules"
 	"ryerill/lab/scenario"
 )
 
@@ -72,7 +72,7 @@
 			defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 			r := play(t, tiny(t, tr))
 			// A machine too busy to keep time may miss deadlines; answers and repeats must be right on any.
-			for _, rule := range []string{rules.NoRepeat, rules.Foreign} {
+			for _, rule := range []string{invariant.NoRepeat, invariant.Foreign} {
 				if r.Metrics["broken."+rule] > 0 {
 					t.Errorf("%s: %v", rule, r.Violations)
 				}
@@ -119,7 +119,7 @@
 	}()
 	w := tiny(t)
 	r := &run{w: w, began: time.Now(), names: []string{"inventor"}, makers: map[uint64]string{}, rec: measure.New(w)}
-	r.oracle = rules.New(rules.Config{Classes: w.Balancer(0, 0, 0).Classes, Name: func(int) string { return "inventor" }})
+	r.oracle = invariant.New(invariant.Config{Classes: w.Balancer(0, 0, 0).Classes, Name: func(int) string { return "inventor" }})
 	c := newCaller()
 	defer c.close()
 	for class := range w.Classes {
@@ -130,7 +130,7 @@
 		a, err := c.ask(context.Background(), l.Addr().String(), request(k.Name, k.EffectKind(), id, "everyone", time.Minute, 7, 0.1, false), now.Add(time.Minute))
 		r.answered(0, id, class, a, err, false)
 	}
-	if _, counts := r.oracle.Finish(0); counts[rules.Foreign] != 2 {
+	if _, counts := r.oracle.Finish(0); counts[invariant.Foreign] != 2 {
 		t.Errorf("found %v, want two foreign answers", counts)
 	}
 }
--- a/lab/live/provider.go
+++ b/lab/live/provider.go
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
+	"ryerill/lab/invariant"
 	"ryerill/lab/load"
-	"ryerill/lab/rules"
 	"ryerill/lab/scenario"
 	"ryerill/lab/servermodel"
 )
@@ -450,5 +450,5 @@
 	if zone, ok := r.zones[front]; ok && zone != p.zone {
 		r.rec.Count("crossed", 1)
 	}
-	return r.oracle.Sent(when, front, id, rules.Provider{ID: uint64(scenario.ServerID(p.name)), Name: p.name, Zone: p.zone, Group: p.group})
+	return r.oracle.Sent(when, front, id, invariant.Provider{ID: uint64(scenario.ServerID(p.name)), Name: p.name, Zone: p.zone, Group: p.group})
 }
--- a/lab/measure/measure.go
+++ b/lab/measure/measure.go
@@ -14,8 +14,8 @@
 	"gonum.org/v1/gonum/dsp/fourier"
 	"gonum.org/v1/gonum/stat"
 
+	"ryerill/lab/invariant"
 	"ryerill/lab/load"
-	"ryerill/lab/rules"
 	"ryerill/lab/scenario"
 )
 
@@ -143,11 +143,11 @@
 
 // Result is one run summed up.
 type Result struct {
-	Metrics    map[string]float64   `json:"metrics"`
-	Series     Series               `json:"series"`
-	CDF        map[string][]float64 `json:"cdf"` // by class: latency in seconds at each of Quantiles
-	Violations []rules.Violation    `json:"violations,omitempty"`
-	Void       string               `json:"void,omitempty"` // why the run must not be used
+	Metrics    map[string]float64    `json:"metrics"`
+	Series     Series                `json:"series"`
+	CDF        map[string][]float64  `json:"cdf"` // by class: latency in seconds at each of Quantiles
+	Violations []invariant.Violation `json:"violations,omitempty"`
+	Void       string                `json:"void,omitempty"` // why the run must not be used
 }
 
 // Quantiles are those of a CDF.
@@ -159,7 +159,7 @@
 }()
 
 // Result sums the run up, with what the oracle found.
-func (r *Recorder) Result(broken []rules.Violation, counts map[string]int) *Result {
+func (r *Recorder) Result(broken []invariant.Violation, counts map[string]int) *Result {
 	res := &Result{Metrics: map[string]float64{}, CDF: map[string][]float64{}, Violations: broken}
 	m := res.Metrics
 	all := histogram()
@@ -210,7 +210,7 @@
 		m["waste"] = 0
 	}
 	total := 0
-	for _, rule := range rules.All {
+	for _, rule := range invariant.All {
 		m["broken."+rule] = float64(counts[rule])
 		total += counts[rule]
 	}
--- a/lab/sim/consumer.go
+++ b/lab/sim/consumer.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"ryerill/lab/invariant"
 	"ryerill/lab/load"
 	"ryerill/lab/measure"
-	"ryerill/lab/rules"
 )
 
 // slot is a place of a proxy before the first tier, as the front knows it.
@@ -82,7 +82,7 @@
 		}
 		r = p.take(&request{class: f.q.Class, tenant: f.q.Tenant, key: f.q.Key, work: f.q.Work, repeat: f.tries > 1,
 			until: giveUp + way,
-			reply: func(r *request, v rules.Verdict, wait time.Duration) {
+			reply: func(r *request, v invariant.Verdict, wait time.Duration) {
 				s.after(way, func() {
 					if over {
 						return
@@ -108,11 +108,11 @@
 	})
 }
 
-func (f *first) answered(r *request, v rules.Verdict, wait time.Duration) {
+func (f *first) answered(r *request, v invariant.Verdict, wait time.Duration) {
 	s := f.s
 	c := &s.w.Classes[f.q.Class]
 	switch v {
-	case rules.Served:
+	case invariant.Served:
 		took := s.now - f.q.At
 		verdict := measure.InAim
 		if took > c.Aim {
@@ -120,11 +120,11 @@
 		}
 		s.rec.Count("work_useful", r.useful)
 		s.rec.Final(f.q, verdict, took)
-	case rules.Refused:
+	case invariant.Refused:
 		f.last = measure.Refused
 		s.rec.Count("refusals", 1)
 		f.again(true, wait)
-	case rules.Failed:
+	case invariant.Failed:
 		f.last = measure.Failed
 		f.again(c.Effect == "safe" || c.Effect == "keyed" && c.Group == "all", 0)
 	}
--- a/lab/sim/provider.go
+++ b/lab/sim/provider.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"ryerill"
+	"ryerill/lab/invariant"
 	"ryerill/lab/load"
-	"ryerill/lab/rules"
 	"ryerill/lab/servermodel"
 )
 
@@ -203,12 +203,12 @@
 	}
 	process := p.process
 	j.child = p.proxy.take(&request{class: r.class, tenant: r.tenant, key: p.s.childKey(r), work: r.work, until: p.s.now + left,
-		reply: func(c *request, v rules.Verdict, _ time.Duration) {
+		reply: func(c *request, v invariant.Verdict, _ time.Duration) {
 			if process != p.process || j.child != c {
 				return
 			}
 			j.child = nil
-			if v != rules.Served {
+			if v != invariant.Served {
 				p.remove(j)
 				j.a.later(ryerill.Error)
 				p.wake()
--- a/lab/sim/proxy.go
+++ b/lab/sim/proxy.go
@@ -7,7 +7,7 @@
 
 	"ryerill"
 	"ryerill/lab/baseline"
-	"ryerill/lab/rules"
+	"ryerill/lab/invariant"
 	"ryerill/lab/scenario"
 )
 
@@ -51,7 +51,7 @@
 	out      int
 	done     bool
 	useful   float64 // work that went into the answer
-	reply    func(r *request, v rules.Verdict, retryAfter time.Duration)
+	reply    func(r *request, v invariant.Verdict, retryAfter time.Duration)
 }
 
 // attempt is one invoker call.
@@ -114,9 +114,9 @@
 	case ryerill.Send:
 		p.send(a)
 	case ryerill.Refuse:
-		p.answer(a.Request, rules.Refused, a.Wait)
+		p.answer(a.Request, invariant.Refused, a.Wait)
 	case ryerill.Fail:
-		p.answer(a.Request, rules.Failed, 0)
+		p.answer(a.Request, invariant.Failed, 0)
 	case ryerill.Cancel:
 		if r := p.requests[a.Request]; r != nil && a.Attempt < len(r.attempts) {
 			if t := r.attempts[a.Attempt]; !t.ended {
@@ -149,14 +149,14 @@
 		p.s.at(r.until+p.s.w.Rules.Slack+time.Millisecond, func() {
 			if !r.done {
 				r.leave()
-				r.reply(r, rules.Failed, 0)
+				r.reply(r, invariant.Failed, 0)
 			}
 		})
 	}
 	return r
 }
 
-func (p *proxy) answer(id ryerill.RequestID, v rules.Verdict, wait time.Duration) {
+func (p *proxy) answer(id ryerill.RequestID, v invariant.Verdict, wait time.Duration) {
 	p.s.oracle.Answered(p.s.now, p.number, uint64(id), v, 0)
 	if r := p.requests[id]; r != nil && !r.done {
 		r.done = true
@@ -187,7 +187,7 @@
 func (p *proxy) send(act *ryerill.Action) {
 	s, r, to := p.s, p.requests[act.Request], p.tier.byID[act.Server]
 	if to != nil {
-		s.oracle.Sent(s.now, p.number, uint64(act.Request), rules.Provider{ID: uint64(to.id), Name: to.name, Zone: to.zone, Group: to.group})
+		s.oracle.Sent(s.now, p.number, uint64(act.Request), invariant.Provider{ID: uint64(to.id), Name: to.name, Zone: to.zone, Group: to.group})
 	}
 	if r == nil {
 		return
@@ -303,9 +303,9 @@
 	p.s.oracle.Ended(p.s.now, p.number, uint64(r.id), a.number, o.NeverRan())
 	if o == ryerill.OK && !r.done {
 		r.done, r.useful = true, a.work
-		p.s.oracle.Answered(p.s.now, p.number, uint64(r.id), rules.Served, uint64(a.server))
+		p.s.oracle.Answered(p.s.now, p.number, uint64(r.id), invariant.Served, uint64(a.server))
 		reply := r.reply
-		p.s.after(0, func() { reply(r, rules.Served, 0) })
+		p.s.after(0, func() { reply(r, invariant.Served, 0) })
 	}
 	p.happen(ryerill.Event{Kind: ryerill.AttemptEnded, Request: r.id, Attempt: a.number, Server: a.server, Outcome: o,
 		Closed: r.done, Elapsed: p.s.now - a.sent})
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -12,9 +12,9 @@
 
 	"ryerill"
 	"ryerill/lab/baseline"
+	"ryerill/lab/invariant"
 	"ryerill/lab/load"
 	"ryerill/lab/measure"
-	"ryerill/lab/rules"
 	"ryerill/lab/scenario"
 )
 
@@ -99,7 +99,7 @@
 	proxies  []string
 	schedule []load.Request
 	rec      *measure.Recorder
-	oracle   *rules.Watch
+	oracle   *invariant.Watch
 	ids      uint64
 	actions  [][]ryerill.Action // spare action lists, one for each depth of Handle
 }
@@ -162,7 +162,7 @@
 			return nil, err
 		}
 	}
-	s.oracle = rules.New(rules.Config{Slack: w.Rules.Slack, Grace: w.Rules.Drain, Classes: w.Balancer(0, 0, 0).Classes,
+	s.oracle = invariant.New(invariant.Config{Slack: w.Rules.Slack, Grace: w.Rules.Drain, Classes: w.Balancer(0, 0, 0).Classes,
 		Name: func(i int) string { return s.proxies[i] }})
 	speeds := load.Stream(opt.Seed, 7)
 	for i := range w.Tiers {
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -10,8 +10,8 @@
 
 	"ryerill"
 	"ryerill/lab/baseline"
+	"ryerill/lab/invariant"
 	"ryerill/lab/measure"
-	"ryerill/lab/rules"
 	"ryerill/lab/scenario"
 )
 
@@ -78,7 +78,7 @@
 		troubles []scenario.Trouble
 		spoil    func(cfg ryerill.Config) func(ev *ryerill.Event, out []ryerill.Action) []ryerill.Action
 	}{
-		{rules.OneAnswer, nil, func(ryerill.Config) func(*ryerill.Event, []ryerill.Action) []ryerill.Action {
+		{invariant.OneAnswer, nil, func(ryerill.Config) func(*ryerill.Event, []ryerill.Action) []ryerill.Action {
 			n := 0
 			return func(ev *ryerill.Event, out []ryerill.Action) []ryerill.Action {
 				if ev.Kind == ryerill.Arrival {
@@ -89,7 +89,7 @@
 				return out
 			}
 		}},
-		{rules.NoRepeat, []scenario.Trouble{{Kind: scenario.Spoil, At: 2 * time.Second, For: 4 * time.Second, Part: 0.3, Factor: 0.5}},
+		{invariant.NoRepeat, []scenario.Trouble{{Kind: scenario.Spoil, At: 2 * time.Second, For: 4 * time.Second, Part: 0.3, Factor: 0.5}},
 			func(ryerill.Config) func(*ryerill.Event, []ryerill.Action) []ryerill.Action {
 				var servers []ryerill.ServerID
 				return func(ev *ryerill.Event, out []ryerill.Action) []ryerill.Action {
@@ -103,7 +103,7 @@
 					return out
 				}
 			}},
-		{rules.Drained, []scenario.Trouble{{Kind: scenario.Release, At: time.Second, For: time.Second, Part: 0.5, Drain: 6 * time.Second, Pause: time.Second}},
+		{invariant.Drained, []scenario.Trouble{{Kind: scenario.Release, At: time.Second, For: time.Second, Part: 0.5, Drain: 6 * time.Second, Pause: time.Second}},
 			func(ryerill.Config) func(*ryerill.Event, []ryerill.Action) []ryerill.Action {
 				var drains []ryerill.ServerID
 				return func(ev *ryerill.Event, out []ryerill.Action) []ryerill.Action {
@@ -120,7 +120,7 @@
 					return out
 				}
 			}},
-		{rules.Pushed, []scenario.Trouble{{Kind: scenario.Release, At: time.Second, For: time.Second, Part: 0.2, Drain: time.Second, Pause: 200 * time.Millisecond}},
+		{invariant.Pushed, []scenario.Trouble{{Kind: scenario.Release, At: time.Second, For: time.Second, Part: 0.2, Drain: time.Second, Pause: 200 * time.Millisecond}},
 			func(ryerill.Config) func(*ryerill.Event, []ryerill.Action) []ryerill.Action {
 				var cold []ryerill.ServerID
 				return func(ev *ryerill.Event, out []ryerill.Action) []ryerill.Action {
