--- a/lab/command/real.go
+++ b/lab/command/real.go
@@ -13,7 +13,7 @@
 	product "ryerill/cli"
 	"ryerill/lab/experiment"
 	"ryerill/lab/live"
-	"ryerill/lab/measure"
+	"ryerill/lab/metrics"
 	"ryerill/lab/report"
 	"ryerill/lab/scenario"
 	"ryerill/lab/scenarios"
@@ -45,10 +45,10 @@
 	}
 	return map[string]experiment.Host{
 		experiment.Sim: experiment.Virtual,
-		experiment.Sockets: func(ctx context.Context, w *scenario.World, arm experiment.Arm, seed uint64) (*measure.Result, error) {
+		experiment.Sockets: func(ctx context.Context, w *scenario.World, arm experiment.Arm, seed uint64) (*metrics.Result, error) {
 			return live.Run(ctx, w, live.Options{Seed: seed, Build: arm.Build, Command: []string{self, proxyProgram}})
 		},
-		experiment.Overhead: func(ctx context.Context, w *scenario.World, arm experiment.Arm, _ uint64) (*measure.Result, error) {
+		experiment.Overhead: func(ctx context.Context, w *scenario.World, arm experiment.Arm, _ uint64) (*metrics.Result, error) {
 			return live.Overhead(ctx, live.Cost{Command: []string{self}, Proxy: arm.Build, Connections: arm.Connections, Length: w.Length})
 		},
 	}, nil
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"ryerill/lab/measure"
+	"ryerill/lab/metrics"
 	"ryerill/lab/scenario"
 )
 
@@ -64,8 +64,8 @@
 
 // fake plays nothing: its goodput is that of a table, by arm and seed.
 func fake(values map[string]float64) Host {
-	return func(_ context.Context, w *scenario.World, arm Arm, seed uint64) (*measure.Result, error) {
-		return &measure.Result{Metrics: map[string]float64{"goodput": values[arm.Name] + float64(seed)/1000, "rate": w.Load.Rate}}, nil
+	return func(_ context.Context, w *scenario.World, arm Arm, seed uint64) (*metrics.Result, error) {
+		return &metrics.Result{Metrics: map[string]float64{"goodput": values[arm.Name] + float64(seed)/1000, "rate": w.Load.Rate}}, nil
 	}
 }
 
@@ -123,11 +123,11 @@
 		t.Fatal(err)
 	}
 	n, crash := 0, errors.New("the proxy crashed")
-	res, err := e.Play(context.Background(), map[string]Host{Sockets: func(context.Context, *scenario.World, Arm, uint64) (*measure.Result, error) {
+	res, err := e.Play(context.Background(), map[string]Host{Sockets: func(context.Context, *scenario.World, Arm, uint64) (*metrics.Result, error) {
 		if n++; n == 4 {
 			return nil, crash
 		}
-		return &measure.Result{Metrics: map[string]float64{"goodput": 1}}, nil
+		return &metrics.Result{Metrics: map[string]float64{"goodput": 1}}, nil
 	}}, func() {})
 	if !errors.Is(err, crash) || len(res.Runs) != 3 || res.CutOff == "" {
 		t.Errorf("error %v, %d runs kept, cut off %q", err, len(res.Runs), res.CutOff)
@@ -139,8 +139,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	res, err := e.Play(context.Background(), map[string]Host{Sim: func(_ context.Context, _ *scenario.World, arm Arm, seed uint64) (*measure.Result, error) {
-		r := &measure.Result{Metrics: map[string]float64{"goodput": 1}}
+	res, err := e.Play(context.Background(), map[string]Host{Sim: func(_ context.Context, _ *scenario.World, arm Arm, seed uint64) (*metrics.Result, error) {
+		r := &metrics.Result{Metrics: map[string]float64{"goodput": 1}}
 		if arm.Name == "a" && seed == 2 {
 			r.Void = "late"
 		}
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -11,20 +11,20 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"ryerill/lab/measure"
+	"ryerill/lab/metrics"
 	"ryerill/lab/scenario"
 	"ryerill/lab/sharing"
 	"ryerill/lab/sim"
 )
 
 // Host plays an arm in a world once.
-type Host func(ctx context.Context, w *scenario.World, arm Arm, seed uint64) (*measure.Result, error)
+type Host func(ctx context.Context, w *scenario.World, arm Arm, seed uint64) (*metrics.Result, error)
 
 // Run is one run of one arm.
 type Run struct {
 	Arm    string          `json:"arm"`
 	Seed   uint64          `json:"seed"`
-	Result *measure.Result `json:"result"`
+	Result *metrics.Result `json:"result"`
 }
 
 // Results are all runs of an experiment, by arm and seed.
@@ -49,7 +49,7 @@
 }
 
 // Virtual plays in virtual time.
-func Virtual(ctx context.Context, w *scenario.World, arm Arm, seed uint64) (*measure.Result, error) {
+func Virtual(ctx context.Context, w *scenario.World, arm Arm, seed uint64) (*metrics.Result, error) {
 	if slices.Contains(sharing.Arms[1:], arm.Decider) {
 		return sim.Run(ctx, w, sim.Options{Seed: seed, New: sharing.NewHubs(arm.Decider, seed, w).Decider})
 	}
@@ -83,7 +83,7 @@
 			}
 		}
 	}
-	runs := make([]*measure.Result, len(e.Arms)*e.Seeds)
+	runs := make([]*metrics.Result, len(e.Arms)*e.Seeds)
 	done := make(chan struct{})
 	counted := make(chan struct{})
 	go func() {
@@ -147,7 +147,7 @@
 	for _, t := range w.Troubles {
 		one := *w
 		one.Troubles = []scenario.Trouble{t}
-		from, to := measure.Troubled(&one)
+		from, to := metrics.Troubled(&one)
 		out = append(out, Span{t.Kind, from.Seconds(), min(to, w.Length).Seconds()})
 	}
 	return out
@@ -203,7 +203,7 @@
 }
 
 // Single is one run as results, to be reported.
-func Single(w *scenario.World, arm string, r *measure.Result) *Results {
+func Single(w *scenario.World, arm string, r *metrics.Result) *Results {
 	return &Results{Name: w.Name, About: w.About, Arms: []string{arm}, Seeds: 1, Spans: spans(w), Runs: []Run{{arm, 1, r}}}
 }
 
--- a/lab/live/consumer.go
+++ b/lab/live/consumer.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"ryerill/lab/load"
-	"ryerill/lab/measure"
+	"ryerill/lab/metrics"
 )
 
 // choose picks the front's next proxy for a zone: its own, or any if there is none.
@@ -37,11 +37,11 @@
 	r.mu.Unlock()
 	until := r.began.Add(q.At + c.Deadline)
 	harmless := c.Effect == "safe" || c.Effect == "keyed" && c.Group == "all"
-	last := measure.Overdue
+	last := metrics.Overdue
 	for try := 1; ; try++ {
 		v, again, wait, useful := r.try(ctx, q, until, try, harmless)
 		last = v
-		if v <= measure.Late {
+		if v <= metrics.Late {
 			r.final(q, v, useful)
 			return
 		}
@@ -54,18 +54,18 @@
 }
 
 // try asks once. It tells whether trying again is harmless, and after what wait.
-func (r *run) try(ctx context.Context, q *load.Request, until time.Time, number int, harmless bool) (v measure.Verdict, again bool, wait time.Duration, useful float64) {
+func (r *run) try(ctx context.Context, q *load.Request, until time.Time, number int, harmless bool) (v metrics.Verdict, again bool, wait time.Duration, useful float64) {
 	c := &r.w.Classes[q.Class]
 	wait = r.w.Consumers.Wait
 	now := time.Now()
 	left := min(time.Duration(r.w.Consumers.Try*float64(c.Deadline)), until.Sub(now))
 	r.count("tries", 1)
 	if left <= 0 {
-		return measure.Overdue, false, wait, 0
+		return metrics.Overdue, false, wait, 0
 	}
 	inst := r.choose(q.Zone)
 	if inst == nil {
-		return measure.Failed, true, wait, 0
+		return metrics.Failed, true, wait, 0
 	}
 	way := r.way(-1, 0)
 	time.Sleep(way())
@@ -77,23 +77,23 @@
 	r.answered(inst.number, id, q.Class, a, err, ctx.Err() != nil)
 	if err != nil {
 		if errors.Is(err, errUnreachable) {
-			return measure.Failed, true, wait, 0
+			return metrics.Failed, true, wait, 0
 		}
 		if isTimeout(err) {
-			return measure.Overdue, harmless, wait, 0
+			return metrics.Overdue, harmless, wait, 0
 		}
-		return measure.Failed, harmless, wait, 0
+		return metrics.Failed, harmless, wait, 0
 	}
 	time.Sleep(way())
 	if time.Since(now) > left { // the consumer's own clock: it has given this try up
-		return measure.Overdue, harmless, wait, 0
+		return metrics.Overdue, harmless, wait, 0
 	}
 	switch a.status {
 	case http.StatusOK:
 		if time.Since(r.began)-q.At <= c.Aim {
-			return measure.InAim, false, 0, usefulWork(a.body)
+			return metrics.InAim, false, 0, usefulWork(a.body)
 		}
-		return measure.Late, false, 0, usefulWork(a.body)
+		return metrics.Late, false, 0, usefulWork(a.body)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		r.mu.Lock()
 		r.rec.Count("refusals", 1)
@@ -101,22 +101,22 @@
 			wait = min(a.retryAfter, r.w.Rules.MaxRetryAfter)
 		}
 		r.mu.Unlock()
-		return measure.Refused, true, wait, 0
+		return metrics.Refused, true, wait, 0
 	}
-	return measure.Failed, harmless, wait, 0
+	return metrics.Failed, harmless, wait, 0
 }
 
-func (r *run) final(q *load.Request, v measure.Verdict, useful float64) {
+func (r *run) final(q *load.Request, v metrics.Verdict, useful float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	took := time.Since(r.began) - q.At
 	r.rec.Final(q, v, took)
 	switch v {
-	case measure.InAim, measure.Late:
+	case metrics.InAim, metrics.Late:
 		r.rec.Count("work_useful", useful)
 		r.moment.Served++
 		r.recent = append(r.recent, took)
-	case measure.Refused:
+	case metrics.Refused:
 		r.moment.Refused++
 	default:
 		r.moment.Failed++
--- a/lab/live/live.go
+++ b/lab/live/live.go
@@ -19,7 +19,7 @@
 	"ryerill/discovery"
 	"ryerill/lab/invariant"
 	"ryerill/lab/load"
-	"ryerill/lab/measure"
+	"ryerill/lab/metrics"
 	"ryerill/lab/scenario"
 	"ryerill/lab/servermodel"
 )
@@ -75,7 +75,7 @@
 	tiers      [][]*provider
 
 	mu      sync.Mutex // guards what follows; never held while anything blocks
-	rec     *measure.Recorder
+	rec     *metrics.Recorder
 	oracle  *invariant.Watch
 	work    *rand.Rand
 	jitter  *rand.Rand
@@ -106,13 +106,13 @@
 }
 
 // Run plays a world once on sockets.
-func Run(ctx context.Context, w *scenario.World, opt Options) (*measure.Result, error) {
+func Run(ctx context.Context, w *scenario.World, opt Options) (*metrics.Result, error) {
 	dir, err := os.MkdirTemp("", "ryerill-lab-")
 	if err != nil {
 		return nil, fmt.Errorf("sockets: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	r := &run{w: w, opt: opt, seed: opt.Seed, dir: dir, began: time.Now(), launcher: newLauncher(), rec: measure.New(w),
+	r := &run{w: w, opt: opt, seed: opt.Seed, dir: dir, began: time.Now(), launcher: newLauncher(), rec: metrics.New(w),
 		work: load.Stream(opt.Seed, 3), jitter: load.Stream(opt.Seed, 2), who: load.Stream(opt.Seed, 4),
 		zones: map[int]int{}, makers: map[uint64]string{}, turn: make([]int, len(w.Network.Zones))}
 	defer r.launcher.close()
@@ -202,7 +202,7 @@
 }
 
 // play asks, until all has been answered.
-func (r *run) play(ctx context.Context) (*measure.Result, error) {
+func (r *run) play(ctx context.Context) (*metrics.Result, error) {
 	schedule := load.Draw(r.w, r.seed)
 	time.Sleep(settleFirst) // the lists are in
 	r.mu.Lock()
@@ -253,7 +253,7 @@
 }
 
 // sum reads what was used and sums the run up.
-func (r *run) sum(end time.Duration) *measure.Result {
+func (r *run) sum(end time.Duration) *metrics.Result {
 	done, cpu, memory, sockets := 0.0, 0.0, 0.0, 0.0
 	for _, p := range r.providers() {
 		if proc := p.current(); proc != nil {
--- a/lab/live/live_test.go
+++ b/lab/live/live_test.go
@@ -15,7 +15,7 @@
 	"go.uber.org/goleak"
 
 	"ryerill/lab/invariant"
-	"ryerill/lab/measure"
+	"ryerill/lab/metrics"
 	"ryerill/lab/scenario"
 )
 
@@ -47,7 +47,7 @@
 	return w
 }
 
-func play(t *testing.T, w *scenario.World) *measure.Result {
+func play(t *testing.T, w *scenario.World) *metrics.Result {
 	t.Helper()
 	r, err := Run(context.Background(), w, Options{Seed: 1, Build: Embedded})
 	if err != nil {
@@ -118,7 +118,7 @@
 		}
 	}()
 	w := tiny(t)
-	r := &run{w: w, began: time.Now(), names: []string{"inventor"}, makers: map[uint64]string{}, rec: measure.New(w)}
+	r := &run{w: w, began: time.Now(), names: []string{"inventor"}, makers: map[uint64]string{}, rec: metrics.New(w)}
 	r.oracle = invariant.New(invariant.Config{Classes: w.Balancer(0, 0, 0).Classes, Name: func(int) string { return "inventor" }})
 	c := newCaller()
 	defer c.close()
--- a/lab/live/overhead.go
+++ b/lab/live/overhead.go
@@ -26,7 +26,7 @@
 
 	"ryerill/config"
 	"ryerill/discovery"
-	"ryerill/lab/measure"
+	"ryerill/lab/metrics"
 )
 
 // The proxies whose cost can be compared.
@@ -52,7 +52,7 @@
 )
 
 // Overhead measures a proxy's cost once.
-func Overhead(ctx context.Context, c Cost) (*measure.Result, error) {
+func Overhead(ctx context.Context, c Cost) (*metrics.Result, error) {
 	back, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("overhead: %w", err)
@@ -146,7 +146,7 @@
 }
 
 // saturate keeps so many connections busy and reads what it cost.
-func saturate(ctx context.Context, c Cost, address string, pid int) (*measure.Result, error) {
+func saturate(ctx context.Context, c Cost, address string, pid int) (*metrics.Result, error) {
 	var mu sync.Mutex
 	all := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	served, other := 0, 0
@@ -188,7 +188,7 @@
 	}
 	q := func(p float64) float64 { return float64(all.ValueAtQuantile(p)) / 1e6 }
 	cpu := (after.CPU - before.CPU).Seconds()
-	res := &measure.Result{Metrics: map[string]float64{"cpu_us": cpu * 1e6 / float64(max(served, 1)), "rps": float64(served) / c.Length.Seconds(),
+	res := &metrics.Result{Metrics: map[string]float64{"cpu_us": cpu * 1e6 / float64(max(served, 1)), "rps": float64(served) / c.Length.Seconds(),
 		"p50": q(50), "p95": q(95), "p99": q(99), "other_answers": float64(other), "busy": cpu / c.Length.Seconds()}}
 	if other > served/100 {
 		res.Void = fmt.Sprintf("%d answers were not 200, %d were", other, served)
--- a/lab/measure/measure_test.go
+++ b/lab/metrics/measure_test.go
@@ -1,4 +1,4 @@
-package measure
+package metrics
 
 import (
 	"math"
--- a/lab/report/charts.go
+++ b/lab/report/charts.go
@@ -22,7 +22,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 
 	"ryerill/lab/experiment"
-	"ryerill/lab/measure"
+	"ryerill/lab/metrics"
 )
 
 // palette is that of Okabe and Ito: its colours can be told apart by nearly everybody.
@@ -118,7 +118,7 @@
 
 // overTime draws a series of each arm: the mean over seeds, with the range of
 // the middle eight tenths of them.
-func overTime(res *experiment.Results, title, y string, pick func(measure.Series) []float64, smooth int) (*plot.Plot, error) {
+func overTime(res *experiment.Results, title, y string, pick func(metrics.Series) []float64, smooth int) (*plot.Plot, error) {
 	p := newPlot(title, "time (s)", y)
 	p.Add(shade{res.Spans})
 	p.Y.Min = 0
@@ -146,7 +146,7 @@
 			if len(vs) == 0 {
 				continue
 			}
-			xs = append(xs, (float64(i)+0.5)*measure.Step.Seconds())
+			xs = append(xs, (float64(i)+0.5)*metrics.Step.Seconds())
 			mid = append(mid, experiment.Mean(vs))
 			low, high = append(low, experiment.Quantile(0.1, vs)), append(high, experiment.Quantile(0.9, vs))
 			drawn = drawn || mid[len(mid)-1] > 0
@@ -172,7 +172,7 @@
 	drawn := false
 	for n, arm := range res.Arms {
 		var pts plotter.XYs
-		for i, q := range measure.Quantiles {
+		for i, q := range metrics.Quantiles {
 			var vs []float64
 			for _, r := range res.Of(arm) {
 				if c := r.Result.CDF[class]; i < len(c) && c[i] > 0 && r.Result.Void == "" {
@@ -259,10 +259,10 @@
 		return func(p *plot.Plot, err error) { all = append(all, made{name, p, err}) }
 	}
 	add("goodput")(bars(res, "Goodput: worth answered over worth asked (bar: mean, line: 95% interval, dots: runs)", "goodput", "goodput"))
-	add("goodput-time")(overTime(res, "Goodput over time (mean of runs; shade: middle 80% of them)", "goodput", func(s measure.Series) []float64 { return s.Goodput }, 1))
-	add("latency-time")(overTime(res, "95th percentile of latency over time", "latency (s)", func(s measure.Series) []float64 { return s.P95 }, 1))
-	add("limit-time")(overTime(res, "Limit on calls in flight, all proxies of the first tier", "calls", func(s measure.Series) []float64 { return s.Limit }, 0))
-	add("flight-time")(overTime(res, "Calls in flight, all proxies of the first tier", "calls", func(s measure.Series) []float64 { return s.InFlight }, 0))
+	add("goodput-time")(overTime(res, "Goodput over time (mean of runs; shade: middle 80% of them)", "goodput", func(s metrics.Series) []float64 { return s.Goodput }, 1))
+	add("latency-time")(overTime(res, "95th percentile of latency over time", "latency (s)", func(s metrics.Series) []float64 { return s.P95 }, 1))
+	add("limit-time")(overTime(res, "Limit on calls in flight, all proxies of the first tier", "calls", func(s metrics.Series) []float64 { return s.Limit }, 0))
+	add("flight-time")(overTime(res, "Calls in flight, all proxies of the first tier", "calls", func(s metrics.Series) []float64 { return s.InFlight }, 0))
 	classes := map[string]bool{}
 	for _, r := range res.Runs {
 		for c := range r.Result.CDF {
--- a/lab/sim/consumer.go
+++ b/lab/sim/consumer.go
@@ -5,7 +5,7 @@
 
 	"ryerill/lab/invariant"
 	"ryerill/lab/load"
-	"ryerill/lab/measure"
+	"ryerill/lab/metrics"
 )
 
 // slot is a place of a proxy before the first tier, as the front knows it.
@@ -20,7 +20,7 @@
 	q     *load.Request
 	until time.Duration // the consumer gives up
 	tries int
-	last  measure.Verdict
+	last  metrics.Verdict
 }
 
 // ask sends the first try of a number and schedules the next.
@@ -30,7 +30,7 @@
 		s.at(s.schedule[n+1].At, func() { s.ask(n + 1) })
 	}
 	s.rec.Count("first_tries", 1)
-	f := &first{s: s, q: q, until: q.At + s.w.Classes[q.Class].Deadline, last: measure.Overdue}
+	f := &first{s: s, q: q, until: q.At + s.w.Classes[q.Class].Deadline, last: metrics.Overdue}
 	f.try()
 }
 
@@ -70,7 +70,7 @@
 	way := s.delay(-1, 0)
 	p := s.choose(f.q.Zone, f.q.Tenant)
 	if p == nil {
-		f.last = measure.Failed
+		f.last = metrics.Failed
 		s.after(2*way, func() { f.again(true, 0) })
 		return
 	}
@@ -97,7 +97,7 @@
 			return
 		}
 		over = true
-		f.last = measure.Overdue
+		f.last = metrics.Overdue
 		// Word of it comes after the answer that the proxy still owes at this time.
 		s.after(way+s.w.Rules.Slack+2*time.Millisecond, func() {
 			if r != nil {
@@ -114,18 +114,18 @@
 	switch v {
 	case invariant.Served:
 		took := s.now - f.q.At
-		verdict := measure.InAim
+		verdict := metrics.InAim
 		if took > c.Aim {
-			verdict = measure.Late
+			verdict = metrics.Late
 		}
 		s.rec.Count("work_useful", r.useful)
 		s.rec.Final(f.q, verdict, took)
 	case invariant.Refused:
-		f.last = measure.Refused
+		f.last = metrics.Refused
 		s.rec.Count("refusals", 1)
 		f.again(true, wait)
 	case invariant.Failed:
-		f.last = measure.Failed
+		f.last = metrics.Failed
 		f.again(c.Effect == "safe" || c.Effect == "keyed" && c.Group == "all", 0)
 	}
 }
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -14,7 +14,7 @@
 	"ryerill/lab/baseline"
 	"ryerill/lab/invariant"
 	"ryerill/lab/load"
-	"ryerill/lab/measure"
+	"ryerill/lab/metrics"
 	"ryerill/lab/scenario"
 )
 
@@ -98,7 +98,7 @@
 	turns    []int   // by zone: round robin of the front
 	proxies  []string
 	schedule []load.Request
-	rec      *measure.Recorder
+	rec      *metrics.Recorder
 	oracle   *invariant.Watch
 	ids      uint64
 	actions  [][]ryerill.Action // spare action lists, one for each depth of Handle
@@ -115,7 +115,7 @@
 }
 
 // Run plays a world once. It ends early, with ctx's error, if ctx ends.
-func Run(ctx context.Context, w *scenario.World, opt Options) (*measure.Result, error) {
+func Run(ctx context.Context, w *scenario.World, opt Options) (*metrics.Result, error) {
 	s, err := newSim(w, opt)
 	if err != nil {
 		return nil, err
@@ -151,7 +151,7 @@
 		return nil, fmt.Errorf("world %s: parallel tiers are played on sockets only", w.Name)
 	}
 	s := &Sim{w: w, opt: opt, net: load.Stream(opt.Seed, 2), work: load.Stream(opt.Seed, 3), who: load.Stream(opt.Seed, 4),
-		seeds: load.Stream(opt.Seed, 5), part: load.Stream(opt.Seed, 6), rec: measure.New(w), turns: make([]int, len(w.Network.Zones))}
+		seeds: load.Stream(opt.Seed, 5), part: load.Stream(opt.Seed, 6), rec: metrics.New(w), turns: make([]int, len(w.Network.Zones))}
 	for _, t := range w.Troubles {
 		if t.Kind == scenario.Reload {
 			return nil, fmt.Errorf("world %s: reloads are played on sockets only", w.Name)
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -11,7 +11,7 @@
 	"ryerill"
 	"ryerill/lab/baseline"
 	"ryerill/lab/invariant"
-	"ryerill/lab/measure"
+	"ryerill/lab/metrics"
 	"ryerill/lab/scenario"
 )
 
@@ -24,7 +24,7 @@
 	return w
 }
 
-func play(t testing.TB, w *scenario.World, opt Options) *measure.Result {
+func play(t testing.TB, w *scenario.World, opt Options) *metrics.Result {
 	t.Helper()
 	r, err := Run(context.Background(), w, opt)
 	if err != nil {
