--- a/explore_test.go
+++ b/explore_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"ryerill/lab/explore"
-	"ryerill/lab/explore/mutant"
+	"ryerill/lab/modelcheck"
+	"ryerill/lab/modelcheck/mutant"
 )
 
 // corner is the real Balancer with all that may happen round it: requests that come and
@@ -71,7 +71,7 @@
 	depth    int
 }
 
-func (p plot) start() explore.System {
+func (p plot) start() modelcheck.System {
 	cfg := Config{GroupSize: 1, Limits: Limits{Attempts: p.attempts, Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second, ConnectTimeout: 100 * ms}, Contract: Contract{DrainBindsAlone: p.alone}}
 	for _, e := range p.effects {
 		cfg.Classes = append(cfg.Classes, Class{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, LateWorth: 0.5, Effect: e, Group: p.group, Memory: 1200 * ms})
@@ -365,7 +365,7 @@
 			if testing.Short() { // for planted faults
 				p.depth--
 			}
-			res := explore.Explore(p.start, explore.Bounds{Depth: p.depth, States: 400_000})
+			res := modelcheck.Explore(p.start, modelcheck.Bounds{Depth: p.depth, States: 400_000})
 			if t.Log(res); res.Err != nil {
 				t.Error(res)
 			}
@@ -380,7 +380,7 @@
 		for range 5 {
 			p.effects = append(p.effects, Unsafe, Safe, Keyed, Keyed)
 		}
-		if res := explore.Walk(p.start, uint64(i), 1500, 120); res.Err != nil {
+		if res := modelcheck.Walk(p.start, uint64(i), 1500, 120); res.Err != nil {
 			t.Error(res)
 		}
 	}
--- a/fleet/membership/explore_test.go
+++ b/fleet/membership/explore_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"ryerill/lab/explore"
-	"ryerill/lab/explore/mutant"
+	"ryerill/lab/modelcheck"
+	"ryerill/lab/modelcheck/mutant"
 )
 
 // trio is three members, each with a clock of its own, and the messages that are on
@@ -41,7 +41,7 @@
 
 func name(i int) string { return string(rune('a' + i)) }
 
-func newTrio() explore.System {
+func newTrio() modelcheck.System {
 	s := &trio{now: make([]time.Duration, 3)}
 	for i := range 3 {
 		s.members = append(s.members, s.member(i, 1))
@@ -299,16 +299,16 @@
 // goes back, nobody holds of another what it never said, who is accused refutes,
 // nobody is buried without a doubt that lasted.
 func TestExploreTrio(t *testing.T) {
-	b := explore.Bounds{Depth: 6, States: 200_000}
+	b := modelcheck.Bounds{Depth: 6, States: 200_000}
 	if testing.Short() {
 		b.Depth = 4
 	}
-	res := explore.Explore(newTrio, b)
+	res := modelcheck.Explore(newTrio, b)
 	t.Log(res)
 	if res.Err != nil || !res.Complete {
 		t.Error(res)
 	}
-	if res = explore.Walk(newTrio, 1, 300, 120); res.Err != nil {
+	if res = modelcheck.Walk(newTrio, 1, 300, 120); res.Err != nil {
 		t.Error(res)
 	}
 	t.Log("walks:", res)
@@ -319,7 +319,7 @@
 func TestTrioSettles(t *testing.T) {
 	for seed := range uint64(40) {
 		var last *trio
-		explore.Walk(func() explore.System { last = newTrio().(*trio); return last }, seed, 1, 60)
+		modelcheck.Walk(func() modelcheck.System { last = newTrio().(*trio); return last }, seed, 1, 60)
 		if err := last.settle(); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
--- a/fleet/quota/allot_test.go
+++ b/fleet/quota/allot_test.go
@@ -9,9 +9,9 @@
 
 	"pgregory.net/rapid"
 
-	"ryerill/lab/explore"
-	"ryerill/lab/explore/mutant"
 	badnet "ryerill/lab/faultnet"
+	"ryerill/lab/modelcheck"
+	"ryerill/lab/modelcheck/mutant"
 )
 
 // market is a number of copies with clocks that run at their own pace.
@@ -265,8 +265,8 @@
 
 const whole = 12.0
 
-func newTrade(n int) func() explore.System {
-	return func() explore.System {
+func newTrade(n int) func() modelcheck.System {
+	return func() modelcheck.System {
 		s := &trade{n: n, epochs: make([]uint64, n), up: make([]bool, n)}
 		s.copies = make([]*Allot, n)
 		for i := range n {
@@ -295,7 +295,7 @@
 	s.copies[i] = a
 }
 
-func (s *trade) Clone() explore.System {
+func (s *trade) Clone() modelcheck.System {
 	c := *s
 	c.copies = slices.Clone(s.copies)
 	for i, a := range c.copies {
@@ -429,11 +429,11 @@
 		if testing.Short() {
 			depth--
 		}
-		res := explore.Explore(newTrade(n), explore.Bounds{Depth: depth, States: 400_000})
+		res := modelcheck.Explore(newTrade(n), modelcheck.Bounds{Depth: depth, States: 400_000})
 		if t.Logf("%d copies: %v", n, res); res.Err != nil || !res.Complete {
 			t.Errorf("%d copies: %v", n, res)
 		}
-		if res = explore.Walk(newTrade(n), 1, 400, 60); res.Err != nil {
+		if res = modelcheck.Walk(newTrade(n), 1, 400, 60); res.Err != nil {
 			t.Errorf("%d copies, walks: %v", n, res)
 		}
 	}
--- a/fleet/rollout/rollout_test.go
+++ b/fleet/rollout/rollout_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"ryerill/lab/explore"
-	"ryerill/lab/explore/mutant"
+	"ryerill/lab/modelcheck"
+	"ryerill/lab/modelcheck/mutant"
 )
 
 // crew is a number of copies that carry a plan, each with what it holds.
@@ -431,7 +431,7 @@
 }
 
 // Clone and what follows put a crew under exploration.
-func (c *crew) Clone() explore.System {
+func (c *crew) Clone() modelcheck.System {
 	d := *c
 	d.hands, d.way = nil, slices.Clone(c.way)
 	for _, h := range c.hands {
@@ -538,7 +538,7 @@
 
 // begun is three copies with a plan that one of them has just taken, all past the
 // time in which they vote for nobody.
-func begun() explore.System {
+func begun() modelcheck.System {
 	c := newCrew(3, Plan{Stages: []Stage{{Part: 1, Soak: time.Second}}, Away: 1, Back: true})
 	c.now += 2 * Lease
 	for i := range c.hands {
@@ -550,7 +550,7 @@
 }
 
 // led is the same once one leads and may give orders.
-func led() explore.System {
+func led() modelcheck.System {
 	c := begun().(*crew)
 	for range 80 {
 		c.step(100 * time.Millisecond)
@@ -563,17 +563,17 @@
 }
 
 func TestExploreCrew(t *testing.T) {
-	for name, start := range map[string]func() explore.System{"a plan is taken": begun, "one leads": led} {
-		b := explore.Bounds{Depth: 6, States: 600_000}
+	for name, start := range map[string]func() modelcheck.System{"a plan is taken": begun, "one leads": led} {
+		b := modelcheck.Bounds{Depth: 6, States: 600_000}
 		if testing.Short() {
 			b.Depth = 5
 		}
-		res := explore.Explore(start, b)
+		res := modelcheck.Explore(start, b)
 		if t.Logf("%s: %v", name, res); res.Err != nil || !res.Complete {
 			t.Errorf("%s: %v", name, res)
 		}
 		for seed := range uint64(3) {
-			if res := explore.Walk(start, seed, 300, 150); res.Err != nil {
+			if res := modelcheck.Walk(start, seed, 300, 150); res.Err != nil {
 				t.Errorf("%s, walks: %v", name, res)
 			}
 		}
--- a/lab/chaos/night_test.go
+++ b/lab/chaos/night_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"os"
-	"ryerill/lab/explore/mutant"
+	"ryerill/lab/modelcheck/mutant"
 )
 
 // play plays a night and tells the fewest troubles that show what does not balance.
--- a/lab/explore/explore.go
+++ b/lab/modelcheck/explore.go
@@ -2,7 +2,7 @@
 // order of the steps that lead there, and so finds a shortest way to what must not
 // be. What is explored is the real code: a System wraps it, names the moves that its
 // environment may make next, and says what a state is.
-package explore
+package modelcheck
 
 import (
 	"fmt"
--- a/lab/explore/explore_test.go
+++ b/lab/modelcheck/explore_test.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"errors"
--- a/lab/processes/copies_test.go
+++ b/lab/processes/copies_test.go
@@ -21,8 +21,8 @@
 
 	"ryerill/config"
 	"ryerill/fleet"
-	"ryerill/lab/explore/mutant"
 	badnet "ryerill/lab/faultnet"
+	"ryerill/lab/modelcheck/mutant"
 )
 
 // program builds the real program, and later the one that plays a later program beside it.
