--- a/lab/command/real.go
+++ b/lab/command/real.go
@@ -12,8 +12,8 @@
 
 	product "ryerill/cli"
 	"ryerill/lab/experiment"
-	"ryerill/lab/live"
 	"ryerill/lab/metrics"
+	"ryerill/lab/realtime"
 	"ryerill/lab/report"
 	"ryerill/lab/scenario"
 	"ryerill/lab/scenarios"
@@ -27,11 +27,11 @@
 	switch {
 	case len(args) == 1 && args[0] == proxyProgram:
 		return product.Run([]string{"serve"}, os.Getenv, stdout, stderr), true
-	case len(args) == 3 && args[0] == live.Relay:
-		fmt.Fprintln(stderr, live.ServeRelay(args[1], args[2]))
+	case len(args) == 3 && args[0] == realtime.Relay:
+		fmt.Fprintln(stderr, realtime.ServeRelay(args[1], args[2]))
 		return exitShort, true
-	case len(args) == 3 && args[0] == live.ReverseProxy:
-		fmt.Fprintln(stderr, live.ServeReverseProxy(args[1], args[2]))
+	case len(args) == 3 && args[0] == realtime.ReverseProxy:
+		fmt.Fprintln(stderr, realtime.ServeReverseProxy(args[1], args[2]))
 		return exitShort, true
 	}
 	return 0, false
@@ -46,10 +46,10 @@
 	return map[string]experiment.Host{
 		experiment.Sim: experiment.Virtual,
 		experiment.Sockets: func(ctx context.Context, w *scenario.World, arm experiment.Arm, seed uint64) (*metrics.Result, error) {
-			return live.Run(ctx, w, live.Options{Seed: seed, Build: arm.Build, Command: []string{self, proxyProgram}})
+			return realtime.Run(ctx, w, realtime.Options{Seed: seed, Build: arm.Build, Command: []string{self, proxyProgram}})
 		},
 		experiment.Overhead: func(ctx context.Context, w *scenario.World, arm experiment.Arm, _ uint64) (*metrics.Result, error) {
-			return live.Overhead(ctx, live.Cost{Command: []string{self}, Proxy: arm.Build, Connections: arm.Connections, Length: w.Length})
+			return realtime.Overhead(ctx, realtime.Cost{Command: []string{self}, Proxy: arm.Build, Connections: arm.Connections, Length: w.Length})
 		},
 	}, nil
 }
@@ -79,7 +79,7 @@
 		strings.TrimSpace(w.About), w.Tiers[0].Providers, w.Load.Rate, w.Length)
 	t := table{out: stdout, live: terminal(stdout)}
 	t.head()
-	res, err := live.Run(ctx, w, live.Options{Seed: 1, Command: []string{self, proxyProgram}, Tell: t.tell})
+	res, err := realtime.Run(ctx, w, realtime.Options{Seed: 1, Command: []string{self, proxyProgram}, Tell: t.tell})
 	if err != nil {
 		return shortError{fmt.Errorf("demo: %w", err)}
 	}
@@ -111,7 +111,7 @@
 type table struct {
 	out   io.Writer
 	live  bool
-	last  live.Moment
+	last  realtime.Moment
 	lines int
 }
 
@@ -122,7 +122,7 @@
 // shownEvery is how often a line is written: twice as wide a step where no terminal writes over it.
 const shownEvery = time.Second
 
-func (t *table) tell(m live.Moment) {
+func (t *table) tell(m realtime.Moment) {
 	if m.Said != "" {
 		if t.live {
 			fmt.Fprint(t.out, "\r\x1b[K")
--- a/lab/live/live.go
+++ b/lab/realtime/live.go
@@ -2,7 +2,7 @@
 // network delay and consumers on loopback, round real proxies in processes of
 // their own or embedded. Stand-ins speak the published protocol; the model of
 // a provider's machine is that of virtual time.
-package live
+package realtime
 
 import (
 	"context"
--- a/lab/live/live_test.go
+++ b/lab/realtime/live_test.go
@@ -1,4 +1,4 @@
-package live
+package realtime
 
 import (
 	"bufio"
