--- a/cmd/ryerill-lab/main.go
+++ b/cmd/ryerill-lab/main.go
@@ -5,7 +5,7 @@
 import (
 	"os"
 
-	"ryerill/lab/command"
+	"ryerill/lab/cli"
 )
 
-func main() { os.Exit(command.Run(os.Args[1:], os.Stdout, os.Stderr)) }
+func main() { os.Exit(cli.Run(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/lab/command/command.go
+++ b/lab/cli/command.go
@@ -1,5 +1,5 @@
 // Package command is the command line of ryerill-lab.
-package command
+package cli
 
 import (
 	"context"
--- a/lab/command/real.go
+++ b/lab/cli/real.go
@@ -1,4 +1,4 @@
-package command
+package cli
 
 import (
 	"context"
