--- a/lab/chaos/virtual.go
+++ b/lab/chaos/virtual.go
@@ -11,7 +11,7 @@
 	"ryerill/fleet/quota"
 	"ryerill/fleet/rollout"
 	badnet "ryerill/lab/faultnet"
-	"ryerill/lab/members"
+	"ryerill/lab/membershipsim"
 )
 
 // What must hold once all troubles are over.
@@ -48,7 +48,7 @@
 
 // hand is one copy with all that the fleet's host holds beside membership.
 type hand struct {
-	*members.Copy
+	*membershipsim.Copy
 	i       int
 	allot   *quota.Allot
 	roll    *rollout.Rollout
@@ -73,7 +73,7 @@
 
 // virtual is one night in virtual time.
 type virtual struct {
-	s       *members.Sim
+	s       *membershipsim.Sim
 	hands   []*hand
 	rng     *rand.Rand
 	costs   map[string]float64 // by target
@@ -97,10 +97,10 @@
 
 // Play plays a night in virtual time.
 func Play(sch Schedule, m Mutation) (Figures, *Violation) {
-	net := badnet.New(members.Lan, sch.Seed)
-	v := &virtual{s: members.New(sch.Copies, net, sch.Seed), rng: rand.New(rand.NewPCG(sch.Seed, 22)), costs: map[string]float64{}, strange: m}
+	net := badnet.New(membershipsim.Lan, sch.Seed)
+	v := &virtual{s: membershipsim.New(sch.Copies, net, sch.Seed), rng: rand.New(rand.NewPCG(sch.Seed, 22)), costs: map[string]float64{}, strange: m}
 	v.figures = Figures{Copies: sch.Copies, Steps: len(sch.Steps), Length: sch.Length}
-	v.s.Seen = func(c members.Change) {
+	v.s.Seen = func(c membershipsim.Change) {
 		switch c.Record.Status {
 		case membership.Dead:
 			v.figures.Deaths++
@@ -155,11 +155,11 @@
 	var seeds []string
 	for j := range min(3, len(v.hands)) {
 		if j != i {
-			seeds = append(seeds, members.Name(j))
+			seeds = append(seeds, membershipsim.Name(j))
 		}
 	}
 	if len(seeds) == 0 {
-		seeds = []string{members.Name((i + 1) % v.figures.Copies)}
+		seeds = []string{membershipsim.Name((i + 1) % v.figures.Copies)}
 	}
 	v.s.Start(i, seeds...)
 	fresh := again && v.strange != "restarted copies lend at once"
@@ -259,7 +259,7 @@
 		return
 	}
 	epoch := v.hands[p.to].epoch
-	for _, c := range v.s.Net.Send(v.s.Now, members.Name(p.from), members.Name(p.to), 150) {
+	for _, c := range v.s.Net.Send(v.s.Now, membershipsim.Name(p.from), membershipsim.Name(p.to), 150) {
 		if c.Corrupt && v.strange != "torn frames are taken" {
 			continue
 		}
@@ -276,7 +276,7 @@
 				if msg.Grant && v.strange == "grants are rounded up" {
 					msg.Amount = math.Ceil(msg.Amount/10) * 10
 				}
-				v.budgets(h, h.allot.Handle(v.s.Now, members.Name(p.from), msg, nil))
+				v.budgets(h, h.allot.Handle(v.s.Now, membershipsim.Name(p.from), msg, nil))
 			} else {
 				msg := *p.roll
 				if msg.Kind == rollout.Vote && v.strange == "votes lose their sender" {
@@ -504,7 +504,7 @@
 func (v *virtual) begin(st *Step) {
 	names := func() (out []string) {
 		for _, i := range st.Whom {
-			out = append(out, members.Name(i))
+			out = append(out, membershipsim.Name(i))
 		}
 		return out
 	}
@@ -567,7 +567,7 @@
 	case Cut, Deaf, Split:
 		v.s.Net.Heal()
 	case Bad:
-		v.s.Net.Usual(members.Lan)
+		v.s.Net.Usual(membershipsim.Lan)
 	case Stop:
 		for _, i := range st.Whom {
 			v.s.Continue(i)
--- a/lab/cli/members.go
+++ b/lab/cli/members.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 
 	"ryerill/lab/experiment"
-	"ryerill/lab/members"
+	"ryerill/lab/membershipsim"
 	"ryerill/lab/report"
 )
 
@@ -113,7 +113,7 @@
 				if n > 1000 {
 					kills = 3
 				}
-				d := members.MeasureDeaths(n, kills, seed)
+				d := membershipsim.MeasureDeaths(n, kills, seed)
 				add("first", n, seed, seconds(d.First)...)
 				add("all", n, seed, seconds(d.All)...)
 				add("bytes", n, seed, d.Bytes)
@@ -122,12 +122,12 @@
 			})
 			if n <= 300 || n <= 1000 && seed < 5 {
 				t.do(ctx, func(add func(string, int, uint64, ...float64)) {
-					took, bytes := members.MeasureHeal(n, seed)
+					took, bytes := membershipsim.MeasureHeal(n, seed)
 					add("heal", n, seed, took.Seconds())
 					add("heal bytes", n, seed, bytes)
 				})
 				t.do(ctx, func(add func(string, int, uint64, ...float64)) {
-					took, bytes := members.MeasureJoin(n, seed)
+					took, bytes := membershipsim.MeasureJoin(n, seed)
 					add("join", n, seed, took.Seconds())
 					add("join bytes", n, seed, bytes)
 				})
@@ -135,7 +135,7 @@
 				for _, q := range quietTroubles {
 					if n <= 30 || n <= 300 && seed < 4 || seed < 1 || seed < 6 && q.drop == wanted {
 						t.do(ctx, func(add func(string, int, uint64, ...float64)) {
-							a := members.MeasureAccusations(n, q.drop, q.stalls, length, seed)
+							a := membershipsim.MeasureAccusations(n, q.drop, q.stalls, length, seed)
 							perHour := float64(time.Hour) / float64(length)
 							add("suspected "+q.name, n, seed, float64(a.Suspected)*perHour)
 							add("deaths "+q.name, n, seed, float64(a.Deaths)*perHour)
--- a/lab/members/measure.go
+++ b/lab/membershipsim/measure.go
@@ -1,4 +1,4 @@
-package members
+package membershipsim
 
 import (
 	"math/rand/v2"
