--- a/lab/cli/sharing.go
+++ b/lab/cli/sharing.go
@@ -14,7 +14,7 @@
 
 	"ryerill/lab/experiment"
 	"ryerill/lab/report"
-	"ryerill/lab/sharing"
+	"ryerill/lab/statesyncsim"
 )
 
 // sharingCommand measures what copies gain by sharing, and what it costs.
@@ -39,7 +39,7 @@
 func measureSharing(ctx context.Context, sizes []int, seeds int, out string, stdout io.Writer) error {
 	t := &tasks{lanes: make(chan struct{}, runtime.GOMAXPROCS(0))}
 	type row struct {
-		sharing.Case
+		statesyncsim.Case
 		arm string
 	}
 	name := func(r row, what string) string { return fmt.Sprint(r.Trouble, " ", r.Cut, " ", r.arm, " ", what) }
@@ -47,15 +47,15 @@
 	for _, n := range sizes {
 		for _, trouble := range []string{"none", "err", "hang", "slow"} {
 			for _, cut := range []bool{false, true} {
-				for _, arm := range sharing.Arms {
-					r := row{sharing.Case{Copies: n, Trouble: trouble, Cut: cut}, arm}
+				for _, arm := range statesyncsim.Arms {
+					r := row{statesyncsim.Case{Copies: n, Trouble: trouble, Cut: cut}, arm}
 					if cut && arm == "oracle" {
 						continue
 					}
 					rows = append(rows, r)
 					for seed := range uint64(seeds) {
 						t.do(ctx, func(add func(string, int, uint64, ...float64)) {
-							res, err := sharing.Play(ctx, r.Case, r.arm, seed)
+							res, err := statesyncsim.Play(ctx, r.Case, r.arm, seed)
 							if err != nil {
 								add("failed", n, seed, 1)
 								return
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -13,8 +13,8 @@
 
 	"ryerill/lab/metrics"
 	"ryerill/lab/scenario"
-	"ryerill/lab/sharing"
 	"ryerill/lab/sim"
+	"ryerill/lab/statesyncsim"
 )
 
 // Host plays an arm in a world once.
@@ -50,8 +50,8 @@
 
 // Virtual plays in virtual time.
 func Virtual(ctx context.Context, w *scenario.World, arm Arm, seed uint64) (*metrics.Result, error) {
-	if slices.Contains(sharing.Arms[1:], arm.Decider) {
-		return sim.Run(ctx, w, sim.Options{Seed: seed, New: sharing.NewHubs(arm.Decider, seed, w).Decider})
+	if slices.Contains(statesyncsim.Arms[1:], arm.Decider) {
+		return sim.Run(ctx, w, sim.Options{Seed: seed, New: statesyncsim.NewHubs(arm.Decider, seed, w).Decider})
 	}
 	return sim.Run(ctx, w, sim.Options{Decider: arm.Decider, Seed: seed})
 }
--- a/lab/sharing/sharing.go
+++ b/lab/statesyncsim/sharing.go
@@ -1,7 +1,7 @@
 // Package sharing plays what copies share in virtual time: each proxy of a world has
 // the real Balancer, and beside it the real pure parts that the fleet's host carries,
 // over the laboratory's bad network.
-package sharing
+package statesyncsim
 
 import (
 	"cmp"
--- a/lab/sharing/sharing_test.go
+++ b/lab/statesyncsim/sharing_test.go
@@ -1,4 +1,4 @@
-package sharing
+package statesyncsim
 
 import (
 	"context"
