--- a/architecture_test.go
+++ b/architecture_test.go
@@ -15,7 +15,7 @@
 // pure are the packages that decide: no clock, socket, file, goroutine or
 // global. Time and events come to them as arguments.
 var pure = []string{".", "fairshare", "route", "override", "drain", "lab/servermodel", "lab/load", "lab/invariant", "lab/metrics", "lab/baseline",
-	"internal/seedrand", "fleet/membership", "fleet/placement", "fleet/codec", "fleet/quota", "fleet/counter", "fleet/outlier", "fleet/statesync", "fleet/rollout", "lab/faultnet", "lab/membershipsim", "lab/rollouts"}
+	"internal/seedrand", "fleet/membership", "fleet/placement", "fleet/codec", "fleet/quota", "fleet/counter", "fleet/outlier", "fleet/statesync", "fleet/rollout", "lab/faultnet", "lab/membershipsim", "lab/rolloutsim"}
 
 // impure are what a pure package must not import, and functions that it must not call.
 var (
--- a/lab/cli/rollouts.go
+++ b/lab/cli/rollouts.go
@@ -13,7 +13,7 @@
 
 	"ryerill/lab/experiment"
 	"ryerill/lab/report"
-	"ryerill/lab/rollouts"
+	"ryerill/lab/rolloutsim"
 )
 
 // rolloutsCommand measures how often a plan stops what it should.
@@ -39,13 +39,13 @@
 	sizes, costs := []int{12, 60, 300}, []float64{0, 0.02, 0.05, 0.2}
 	plans := []struct {
 		name string
-		play func(int, rollouts.Day, float64, uint64) rollouts.Result
-	}{{"plan", rollouts.Play}, {"fixed waits", rollouts.Naive}}
-	key := func(plan string, day rollouts.Day, cost float64, what string) string {
+		play func(int, rolloutsim.Day, float64, uint64) rolloutsim.Result
+	}{{"plan", rolloutsim.Play}, {"fixed waits", rolloutsim.Naive}}
+	key := func(plan string, day rolloutsim.Day, cost float64, what string) string {
 		return fmt.Sprint(plan, day, cost, what)
 	}
 	for _, n := range sizes {
-		for _, day := range []rollouts.Day{rollouts.Calm, rollouts.Burst, rollouts.Faulty, rollouts.Uneven} {
+		for _, day := range []rolloutsim.Day{rolloutsim.Calm, rolloutsim.Burst, rolloutsim.Faulty, rolloutsim.Uneven} {
 			for _, cost := range costs {
 				for _, p := range plans {
 					for seed := range uint64(runs) {
@@ -72,7 +72,7 @@
 	t.all.Wait()
 	var rows [][]string
 	for _, n := range sizes {
-		for _, day := range []rollouts.Day{rollouts.Calm, rollouts.Burst, rollouts.Faulty, rollouts.Uneven} {
+		for _, day := range []rolloutsim.Day{rolloutsim.Calm, rolloutsim.Burst, rolloutsim.Faulty, rolloutsim.Uneven} {
 			for _, cost := range costs {
 				for _, p := range plans {
 					mean := func(what string) float64 { return experiment.Mean(t.of(key(p.name, day, cost, what), n)) }
--- a/lab/rollouts/rollouts.go
+++ b/lab/rolloutsim/rollouts.go
@@ -1,7 +1,7 @@
 // Package rollouts plays changes through a fleet many times: the real plan and the
 // real judge over copies whose traffic and outcomes are drawn, against a plan with
 // fixed waits and thresholds.
-package rollouts
+package rolloutsim
 
 import (
 	"fmt"
