--- a/architecture_test.go
+++ b/architecture_test.go
@@ -104,7 +104,7 @@
 					t.Errorf("%s imports %s", s.dir, i)
 				}
 			}
-			if strings.HasPrefix(i, "ryerill/lab") && !strings.HasPrefix(s.dir, "lab") && s.dir != "cmd/ryerill-lab" {
+			if strings.HasPrefix(i, "ryerill/lab") && !strings.HasPrefix(s.dir, "lab") && s.dir != "cmd/proxy-lab" {
 				t.Errorf("%s imports %s: nothing that serves depends on the laboratory", s.dir, i)
 			}
 		}
--- a/cli/command.go
+++ b/cli/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line of ryerill.
+// Package command is the command line of the proxy.
 package cli
 
 import (
@@ -35,7 +35,7 @@
 // Run runs the program with arguments and returns its exit status.
 func Run(args []string, getenv func(string) string, stdout, stderr io.Writer) int {
 	root := &cobra.Command{
-		Use:           "ryerill",
+		Use:           "proxy",
 		Short:         "A balancing proxy that sheds load before a chain of services chokes",
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -62,10 +62,10 @@
 	case err == nil:
 		return 0
 	case errors.As(err, &failed):
-		fmt.Fprintln(stderr, "ryerill:", err)
+		fmt.Fprintln(stderr, "proxy:", err)
 		return exitFailed
 	}
-	fmt.Fprintln(stderr, "ryerill:", err)
+	fmt.Fprintln(stderr, "proxy:", err)
 	return exitConfig
 }
 
--- a/cli/rollout.go
+++ b/cli/rollout.go
@@ -205,7 +205,7 @@
 				if _, err := call(doorOf(door, getenv), "POST", "/ops/rollout", string(text)); err != nil {
 					return err // the plan's own fault, or another stands
 				}
-				fmt.Fprintln(stdout, "the fleet has it; see ryerill rollout status")
+				fmt.Fprintln(stdout, "the fleet has it; see proxy rollout status")
 				return nil
 			}},
 		&cobra.Command{Use: "status", Short: "Print what a plan is at, and why", Args: cobra.NoArgs, RunE: show(rolloutTable)},
--- a/cmd/ryerill-lab/main.go
+++ b/cmd/proxy-lab/main.go
@@ -1,4 +1,4 @@
-// Command ryerill-lab is the laboratory of ryerill: it plays deployments in
+// Command proxy-lab is the laboratory of ryerill: it plays deployments in
 // virtual time and on sockets, and measures.
 package main
 
--- a/cmd/ryerill/main.go
+++ b/cmd/proxy/main.go
@@ -1,4 +1,4 @@
-// Command ryerill is a balancing proxy for services that call services.
+// Command proxy is a balancing proxy for services that call services.
 package main
 
 import (
--- a/cmd/wirehost/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,4 +1,4 @@
-// Command wirehost runs balancers on the mesa-2a65 wire: one for each
+// Command simulator-adapter runs balancers on the mesa-2a65 wire: one for each
 // instance, batches on standard input, replies on standard output.
 package main
 
@@ -16,7 +16,7 @@
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "wirehost:", err)
+		fmt.Fprintln(os.Stderr, "simulator-adapter:", err)
 		os.Exit(1)
 	}
 }
--- a/config/config.go
+++ b/config/config.go
@@ -192,7 +192,7 @@
 	}
 	if len(file.Fleet) > 0 && string(file.Fleet) != "null" {
 		problems = append(problems, errors.New("fleet, setting Limits.Peers: the platform's form has no fleet: its proxies don't speak to each other; "+
-			"take fleet out, or write the configuration in YAML (ryerill config convert) where limits.peers does not forbid it"))
+			"take fleet out, or write the configuration in YAML (proxy config convert) where limits.peers does not forbid it"))
 	}
 	var err error
 	if cfg.Seed, err = parseSeed(file.Seed); err != nil {
--- a/config/fleet.go
+++ b/config/fleet.go
@@ -19,7 +19,7 @@
 	Advertise string            `yaml:"advertise,omitempty" json:"advertise,omitempty" jsonschema_description:"where the others reach this proxy; default listen"`
 	Seeds     []string          `yaml:"seeds,omitempty" json:"seeds,omitempty" jsonschema_description:"addresses of others, as in 10.0.0.4:7946; one that is up is enough"`
 	Via       map[string]string `yaml:"via,omitempty" json:"via,omitempty" jsonschema_description:"by name of a proxy, the address by which this one reaches it, where it differs from what that one says"`
-	KeyFile   string            `yaml:"key_file" json:"key_file" jsonschema_description:"a key a line, of 16 characters or more: the first signs, two may be valid at once; ryerill fleet key makes one"`
+	KeyFile   string            `yaml:"key_file" json:"key_file" jsonschema_description:"a key a line, of 16 characters or more: the first signs, two may be valid at once; proxy fleet key makes one"`
 	Remember  string            `yaml:"remember,omitempty" json:"remember,omitempty" jsonschema_description:"file that keeps the others' addresses over a restart; default none"`
 	Zone      string            `yaml:"zone,omitempty" json:"zone,omitempty" jsonschema_description:"of this proxy; default that of its first pool"`
 	Period    time.Duration     `yaml:"period,omitempty" json:"period,omitempty" jsonschema_description:"between probes, 50ms to 10s; default 200ms"`
@@ -106,7 +106,7 @@
 	}
 	keys, err := ReadKeys(b.KeyFile)
 	if err != nil {
-		c.bad("fleet.key_file", b.KeyFile, "a file of one key a line, each of 16 characters or more, as ryerill fleet key makes them: "+err.Error())
+		c.bad("fleet.key_file", b.KeyFile, "a file of one key a line, each of 16 characters or more, as proxy fleet key makes them: "+err.Error())
 	}
 	var pools []string
 	copies := map[string]int{}
--- a/config/overlay.go
+++ b/config/overlay.go
@@ -101,7 +101,7 @@
 	Kind     string         `yaml:"kind"`
 	Settings map[string]any `yaml:"settings,omitempty"`
 	Program  string         `yaml:"program,omitempty"` // version
-	Speaks   []uint8        `yaml:"speaks,omitempty"`  // least and most level that it speaks, as ryerill version prints
+	Speaks   []uint8        `yaml:"speaks,omitempty"`  // least and most level that it speaks, as proxy version prints
 	Stages   []StageFile    `yaml:"stages,omitempty"`
 	Away     int            `yaml:"away,omitempty"`
 	Watch    time.Duration  `yaml:"watch,omitempty"`
@@ -158,7 +158,7 @@
 	case p.Kind == rollout.Settings && len(f.Settings) == 0:
 		return p, at("settings", fmt.Errorf("settings: missing: say which keys of the configuration are replaced"))
 	case p.Kind == rollout.Program && f.Program == "":
-		return p, at("program", fmt.Errorf("program: missing: say which version ryerill version is to print"))
+		return p, at("program", fmt.Errorf("program: missing: say which version proxy version is to print"))
 	case p.Kind == rollout.Settings:
 		if p.Text, err = yaml.Marshal(f.Settings); err != nil {
 			return p, at("settings", err)
--- a/fleet/rollout/plan.go
+++ b/fleet/rollout/plan.go
@@ -88,7 +88,7 @@
 	case len(p.Stages) == 0 || len(p.Stages) > MostStages:
 		return bad("stages", len(p.Stages), fmt.Sprintf("1 to %d stages", MostStages))
 	case p.Least > p.Most:
-		return bad("speaks", fmt.Sprintf("%d to %d", p.Least, p.Most), "the least and the most level, as ryerill version prints them")
+		return bad("speaks", fmt.Sprintf("%d to %d", p.Least, p.Most), "the least and the most level, as proxy version prints them")
 	case p.Away < 1 || p.Away > MostCopies:
 		return bad("away", p.Away, "1 or more copies at once")
 	case p.Wait <= 0 || p.Wait > time.Hour:
--- a/lab/cli/command.go
+++ b/lab/cli/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line of ryerill-lab.
+// Package command is the command line of proxy-lab.
 package cli
 
 import (
@@ -38,7 +38,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	root := &cobra.Command{
-		Use:           "ryerill-lab",
+		Use:           "proxy-lab",
 		Short:         "Plays deployments in virtual time and on sockets, and measures",
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -54,10 +54,10 @@
 	case err == nil:
 		return 0
 	case errors.As(err, &short):
-		fmt.Fprintln(stderr, "ryerill-lab:", err)
+		fmt.Fprintln(stderr, "proxy-lab:", err)
 		return exitShort
 	}
-	fmt.Fprintln(stderr, "ryerill-lab:", err)
+	fmt.Fprintln(stderr, "proxy-lab:", err)
 	return exitFault
 }
 
--- a/lab/cli/real.go
+++ b/lab/cli/real.go
@@ -20,7 +20,7 @@
 )
 
 // The programs that the laboratory runs itself as, in processes of their own.
-const proxyProgram = "proxy" // ryerill serve, the same code as the product's program
+const proxyProgram = "proxy" // proxy serve, the same code as the product's program
 
 // inner runs one of those programs; ok is false for the command line that people use.
 func inner(args []string, stdout, stderr io.Writer) (status int, ok bool) {
--- a/lab/processes/copies_test.go
+++ b/lab/processes/copies_test.go
@@ -37,7 +37,7 @@
 		return "", err
 	}
 	at := filepath.Join(dir, "ryerill")
-	out, err := exec.Command("go", append(append([]string{"build", "-o", at}, flags...), "ryerill/cmd/ryerill")...).CombinedOutput()
+	out, err := exec.Command("go", append(append([]string{"build", "-o", at}, flags...), "ryerill/cmd/proxy")...).CombinedOutput()
 	if err != nil {
 		err = fmt.Errorf("%w: %s", err, out)
 	}
