--- a/admin/ops.go
+++ b/admin/ops.go
@@ -1,4 +1,4 @@
-// Package ops is the operators' door: a listener of its own at which staff ask
+// Package admin is the operators' door: a listener of its own at which staff ask
 // how a proxy does and tell it what to do. It speaks HTTP/1.1, one call to a
 // connection. It knows no provider and no directory: what it is asked it passes
 // on to a Staff, whose methods must not wait for either.
--- a/architecture_test.go
+++ b/architecture_test.go
@@ -14,7 +14,7 @@
 
 // pure are the packages that decide: no clock, socket, file, goroutine or
 // global. Time and events come to them as arguments.
-var pure = []string{".", "fairshare", "route", "override", "drain", "lab/servermodel", "lab/load", "lab/invariant", "lab/metrics", "lab/baseline",
+var pure = []string{"balancer", "fairshare", "route", "override", "drain", "lab/servermodel", "lab/load", "lab/invariant", "lab/metrics", "lab/baseline",
 	"internal/seedrand", "fleet/membership", "fleet/placement", "fleet/codec", "fleet/quota", "fleet/counter", "fleet/outlier", "fleet/statesync", "fleet/rollout", "lab/faultnet", "lab/membershipsim", "lab/rolloutsim"}
 
 // impure are what a pure package must not import, and functions that it must not call.
@@ -113,7 +113,7 @@
 
 // serving are the packages of the process that serves. The platform refuses it other
 // programs and copies that the kernel makes between sockets; one to io.Discard is none.
-var serving = []string{".", "fairshare", "config", "downstream", "discovery", "drain", "internal/buffer", "cli",
+var serving = []string{"balancer", "fairshare", "config", "downstream", "discovery", "drain", "internal/buffer", "cli",
 	"internal/framing", "internal/http1", "internal/logging", "internal/socket", "internal/overridestore", "message", "admin", "upstream", "proxy", "route", "override",
 	"fleet", "internal/seedrand", "fleet/membership", "fleet/placement", "fleet/codec", "fleet/quota", "fleet/counter", "fleet/outlier", "fleet/statesync", "fleet/rollout"}
 
--- a/index_test.go
+++ b/balancer/index_test.go
@@ -1,4 +1,4 @@
-package ryerill
+package balancer
 
 import (
 	"math"
--- a/ryerill.go
+++ b/balancer/types.go
@@ -1,11 +1,11 @@
-// Package ryerill makes the decisions of a load balancer for services
+// Package balancer makes the decisions of a load balancer for services
 // that call services. This file is the interface: what a Balancer is told and
 // what it answers. Every decision is in balancer.go.
 //
 // A Balancer is a deterministic state machine. It owns no clock, goroutine or
 // socket: the host hands it one [Event] at a time together with the time, and
 // carries out the [Action] values it returns.
-package ryerill
+package balancer
 
 import (
 	"math"
--- a/cli/command.go
+++ b/cli/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line of the proxy.
+// Package cli is the command line of the proxy.
 package cli
 
 import (
--- a/cli/rolloutagent/agent.go
+++ b/cli/rolloutagent/agent.go
@@ -1,4 +1,4 @@
-// Package agent runs the operator's own means beside a proxy, in a process of its own:
+// Package rolloutagent runs the operator's own means beside a proxy, in a process of its own:
 // the proxy that serves starts no other program.
 package rolloutagent
 
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -10,7 +10,7 @@
 	"os"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/simadapter"
 )
 
@@ -24,7 +24,7 @@
 // run answers batches until the input ends. A batch that cannot be read is
 // answered with nothing at all.
 func run(in io.Reader, out io.Writer) error {
-	h := host{reader: simadapter.NewReader(bufio.NewReaderSize(in, 1<<16)), balancers: make(map[uint16]*ryerill.Balancer)}
+	h := host{reader: simadapter.NewReader(bufio.NewReaderSize(in, 1<<16)), balancers: make(map[uint16]*balancer.Balancer)}
 	for {
 		err := h.batch()
 		if errors.Is(err, io.EOF) {
@@ -43,8 +43,8 @@
 type host struct {
 	reader    *simadapter.Reader
 	reply     simadapter.Reply
-	balancers map[uint16]*ryerill.Balancer
-	actions   []ryerill.Action
+	balancers map[uint16]*balancer.Balancer
+	actions   []balancer.Action
 }
 
 // batch reads one batch and builds its reply.
@@ -68,7 +68,7 @@
 			if err != nil {
 				return fmt.Errorf("batch %d, instance %d: %w", h.reader.Number, rec.Instance, err)
 			}
-			h.guard(rec.Instance, func() { h.balancers[rec.Instance] = ryerill.New(cfg, rec.Seed) })
+			h.guard(rec.Instance, func() { h.balancers[rec.Instance] = balancer.New(cfg, rec.Seed) })
 		case simadapter.Stop:
 			delete(h.balancers, rec.Instance)
 		case simadapter.Event:
@@ -83,7 +83,7 @@
 	}
 }
 
-func (h *host) handle(instance uint16, b *ryerill.Balancer, now time.Duration, ev ryerill.Event) error {
+func (h *host) handle(instance uint16, b *balancer.Balancer, now time.Duration, ev balancer.Event) error {
 	h.actions = h.actions[:0]
 	h.guard(instance, func() { h.actions = b.Handle(now, ev, h.actions) })
 	for i := range h.actions {
--- a/config/file.go
+++ b/config/file.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"ryerill"
 	"ryerill/admin"
+	"ryerill/balancer"
 	"ryerill/discovery"
 	"ryerill/fairshare"
 	"ryerill/internal/yamlfile"
@@ -441,7 +441,7 @@
 			continue
 		}
 		has := func(class string) bool {
-			return slices.ContainsFunc(cfg.Pools[n].Settings.Balancer.Classes, func(k ryerill.Class) bool { return k.Name == class })
+			return slices.ContainsFunc(cfg.Pools[n].Settings.Balancer.Classes, func(k balancer.Class) bool { return k.Name == class })
 		}
 		for j, class := range r.Classes {
 			if !has(class) {
@@ -533,7 +533,7 @@
 		if k.Effect == "keyed" {
 			c.span(here+".memory", k.Memory, time.Millisecond, 24*time.Hour)
 		}
-		b.Classes = append(b.Classes, ryerill.Class{Name: k.Name, Aim: k.Aim, Deadline: k.Deadline, Worth: k.Worth, LateWorth: k.LateWorth,
+		b.Classes = append(b.Classes, balancer.Class{Name: k.Name, Aim: k.Aim, Deadline: k.Deadline, Worth: k.Worth, LateWorth: k.LateWorth,
 			Effect: effects[k.Effect], Group: groups[k.Group], Memory: k.Memory})
 	}
 	tenants := map[string]int{}
@@ -542,7 +542,7 @@
 		c.name(here+".name", t.Name, tenants, i)
 		c.number(here+".quota", t.Quota, 0, 1e9)
 		c.number(here+".share", t.Share, 0, 1e9)
-		b.Tenants = append(b.Tenants, ryerill.Tenant{Name: t.Name, Quota: t.Quota, Share: t.Share})
+		b.Tenants = append(b.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota, Share: t.Share})
 	}
 	l, r := &p.Limits, &p.Rules
 	c.number(at+".limits.attempts", float64(l.Attempts), 1, maxAttempts)
@@ -557,16 +557,16 @@
 	c.span(at+".rules.warm_up", r.WarmUp, 0, maxSpan)
 	c.number(at+".rules.fall_multiple", r.FallMultiple, 1, 100)
 	c.span(at+".rules.overload_for", r.OverloadFor, time.Millisecond, maxSpan)
-	b.Limits = ryerill.Limits{Attempts: l.Attempts, Open: l.Open, MaxRetryAfter: l.MaxRetryAfter, ConnectTimeout: l.ConnectTimeout,
+	b.Limits = balancer.Limits{Attempts: l.Attempts, Open: l.Open, MaxRetryAfter: l.MaxRetryAfter, ConnectTimeout: l.ConnectTimeout,
 		RetryAfter: *l.RetryAfter, SecondCopies: *l.SecondCopies, Cancel: *l.Cancel}
-	b.Contract = ryerill.Contract{AnswerSlack: r.AnswerSlack, DrainGrace: r.DrainGrace, AskWithin: r.AskWithin, ColdFrom: r.ColdFrom,
+	b.Contract = balancer.Contract{AnswerSlack: r.AnswerSlack, DrainGrace: r.DrainGrace, AskWithin: r.AskWithin, ColdFrom: r.ColdFrom,
 		WarmUp: r.WarmUp, FallMultiple: r.FallMultiple, OverloadFor: r.OverloadFor}
 	return out
 }
 
 var (
-	effects = map[string]ryerill.Effect{"safe": ryerill.Safe, "keyed": ryerill.Keyed, "unsafe": ryerill.Unsafe}
-	groups  = map[string]ryerill.Group{"all": ryerill.GroupAll, "zone": ryerill.GroupZone, "cell": ryerill.GroupCell}
+	effects = map[string]balancer.Effect{"safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
+	groups  = map[string]balancer.Group{"all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell}
 )
 
 func sortedKeys[V any](m map[string]V) []string {
--- a/config/settings.go
+++ b/config/settings.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 )
 
 // maxItems bounds the length that a list of objects may claim.
@@ -18,7 +18,7 @@
 // Settings is what a deployment states about itself: what the Balancer is told
 // and what only a host on sockets needs.
 type Settings struct {
-	Balancer  ryerill.Config
+	Balancer  balancer.Config
 	Zones     []string
 	Kinds     []string
 	IdleClose time.Duration // a provider's machine closes idle connections after this
@@ -92,7 +92,7 @@
 // settings is the one mapping of names to fields.
 func (v *values) settings() (Settings, error) {
 	s := Settings{Zones: v.many["Areas"], Kinds: v.many["Kinds"], IdleClose: v.micros("Limits.IdleClose")}
-	s.Balancer = ryerill.Config{
+	s.Balancer = balancer.Config{
 		Tier:           v.int("Tier"),
 		Tiers:          len(v.many["Tiers"]),
 		Zone:           v.int("Zone"),
@@ -102,7 +102,7 @@
 		ValueByWork:    v.is("ValueBy", "work"),
 		OverShareWorth: v.part("OverShareWorth"),
 		LoadNames:      v.many["LoadInfo.Names"],
-		Limits: ryerill.Limits{
+		Limits: balancer.Limits{
 			Attempts:       v.int("Limits.TryLimit"),
 			Open:           v.int("Limits.MostHeld"),
 			MaxRetryAfter:  v.micros("Limits.MaxRetryAfter"),
@@ -113,7 +113,7 @@
 			Probes:         v.bool("Limits.Probes"),
 			Peers:          v.bool("Limits.Peers"),
 		},
-		Contract: ryerill.Contract{
+		Contract: balancer.Contract{
 			AnswerSlack:  v.micros("Contract.AnswerSlack"),
 			DrainGrace:   v.micros("Contract.StopSendingWithin"),
 			AskWithin:    v.micros("Contract.AskWithin"),
@@ -125,7 +125,7 @@
 			DrainBindsAlone: v.bool("Contract.DrainBindsAlone"),
 			KeyRest:         v.micros("Contract.KeyRest"),
 		},
-		Goal: ryerill.Goal{
+		Goal: balancer.Goal{
 			LogLossPart: v.float("Goal.LogLossPart"),
 			TopNines:    v.float("Goal.TopNines"),
 		},
@@ -133,7 +133,7 @@
 	s.Pushed = v.one["Discovery"] == "automatic"
 	for i := range v.count("Classes") {
 		at := "Classes." + strconv.Itoa(i) + "."
-		s.Balancer.Classes = append(s.Balancer.Classes, ryerill.Class{
+		s.Balancer.Classes = append(s.Balancer.Classes, balancer.Class{
 			Name:       v.one[at+"Name"],
 			Aim:        v.micros(at + "Slo"),
 			AimStretch: v.float(at + "AimStretch"),
@@ -149,7 +149,7 @@
 	}
 	for i := range v.count("Customers") {
 		at := "Customers." + strconv.Itoa(i) + "."
-		s.Balancer.Tenants = append(s.Balancer.Tenants, ryerill.Tenant{
+		s.Balancer.Tenants = append(s.Balancer.Tenants, balancer.Tenant{
 			Name:  v.one[at+"Name"],
 			Quota: v.float(at + "QuotaPerS"),
 			Share: v.float(at + "Share"),
@@ -245,22 +245,22 @@
 
 // effect and group read a missing word as the strictest kind, and an unknown one
 // where it is not refused: it can only make the balancer more careful.
-func (v *values) effect(path string) ryerill.Effect {
+func (v *values) effect(path string) balancer.Effect {
 	switch v.known(path, "pure", "token", "side_effect") {
 	case "pure":
-		return ryerill.Safe
+		return balancer.Safe
 	case "token":
-		return ryerill.Keyed
+		return balancer.Keyed
 	}
-	return ryerill.Unsafe
+	return balancer.Unsafe
 }
 
-func (v *values) group(path string) ryerill.Group {
+func (v *values) group(path string) balancer.Group {
 	switch v.known(path, "all", "zone", "cell") {
 	case "all":
-		return ryerill.GroupAll
+		return balancer.GroupAll
 	case "zone":
-		return ryerill.GroupZone
+		return balancer.GroupZone
 	}
-	return ryerill.GroupCell
+	return balancer.GroupCell
 }
--- a/config/show.go
+++ b/config/show.go
@@ -10,7 +10,7 @@
 	"github.com/goccy/go-yaml"
 	"github.com/invopop/jsonschema"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/discovery"
 	"ryerill/internal/yamlfile"
 )
@@ -163,8 +163,8 @@
 	if b.Zone < len(p.Settings.Zones) {
 		out.Zone = p.Settings.Zones[b.Zone]
 	}
-	effect := map[ryerill.Effect]string{ryerill.Safe: "safe", ryerill.Keyed: "keyed", ryerill.Unsafe: "unsafe"}
-	group := map[ryerill.Group]string{ryerill.GroupAll: "all", ryerill.GroupZone: "zone", ryerill.GroupCell: "cell"}
+	effect := map[balancer.Effect]string{balancer.Safe: "safe", balancer.Keyed: "keyed", balancer.Unsafe: "unsafe"}
+	group := map[balancer.Group]string{balancer.GroupAll: "all", balancer.GroupZone: "zone", balancer.GroupCell: "cell"}
 	for _, c := range b.Classes {
 		out.Classes = append(out.Classes, ClassFile{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.LateWorth,
 			Effect: effect[c.Effect], Group: group[c.Group], Memory: c.Memory})
--- a/discovery/list.go
+++ b/discovery/list.go
@@ -1,4 +1,4 @@
-// Package directory asks the directory for the list of providers and watches
+// Package discovery asks the directory for the list of providers and watches
 // its changes.
 package discovery
 
--- a/downstream/crossings_test.go
+++ b/downstream/crossings_test.go
@@ -15,7 +15,7 @@
 
 	"go.uber.org/goleak"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/drain"
 	"ryerill/internal/buffer"
 	"ryerill/message"
@@ -38,7 +38,7 @@
 }
 
 func newHolding(deadline time.Duration) *holding {
-	return &holding{prompt: prompt{Names{Classes: []string{"read", "burn"}, Effects: []ryerill.Effect{ryerill.Safe, ryerill.Unsafe},
+	return &holding{prompt: prompt{Names{Classes: []string{"read", "burn"}, Effects: []balancer.Effect{balancer.Safe, balancer.Unsafe},
 		Deadlines: []time.Duration{deadline, deadline}}}, taken: make(chan *message.Invocation, 64), left: make(chan uint64, 64),
 		expired: make(chan uint64, 64), plan: drain.Ending, ending: map[uint64]bool{}, open: map[uint64]*message.Invocation{}}
 }
--- a/downstream/head_test.go
+++ b/downstream/head_test.go
@@ -9,12 +9,12 @@
 	"testing"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/internal/buffer"
 )
 
 var names = Names{Classes: []string{"read", "pay", "burn"}, Tenants: []string{"t"},
-	Effects:   []ryerill.Effect{ryerill.Safe, ryerill.Keyed, ryerill.Unsafe},
+	Effects:   []balancer.Effect{balancer.Safe, balancer.Keyed, balancer.Unsafe},
 	Deadlines: []time.Duration{time.Second, time.Second, time.Second}}
 
 // parseText reads one request from text as a connection does and returns its
--- a/downstream/http.go
+++ b/downstream/http.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/internal/buffer"
 	"ryerill/internal/framing"
 	"ryerill/internal/http1"
@@ -180,13 +180,13 @@
 	}
 	// What the class allows is decided by its effect; a method that says otherwise cannot be meant.
 	switch effect := n.Effects[inv.Class]; {
-	case effect == ryerill.Safe && req.Method != http.MethodGet,
-		effect != ryerill.Safe && !slices.Contains(writes, req.Method),
-		effect == ryerill.Keyed && req.Method != http.MethodPost:
+	case effect == balancer.Safe && req.Method != http.MethodGet,
+		effect != balancer.Safe && !slices.Contains(writes, req.Method),
+		effect == balancer.Keyed && req.Method != http.MethodPost:
 		return nil, &httpError{http.StatusMethodNotAllowed, "method does not fit " + http1.HeaderKind}
-	case effect == ryerill.Safe && body.Len() > 0:
+	case effect == balancer.Safe && body.Len() > 0:
 		return bad("a body where none belongs")
-	case effect == ryerill.Keyed && req.Header.Get(http1.HeaderKey) == "":
+	case effect == balancer.Keyed && req.Header.Get(http1.HeaderKey) == "":
 		return bad(http1.HeaderKey + " is missing")
 	}
 	inv.Left = n.Deadlines[inv.Class]
--- a/downstream/names.go
+++ b/downstream/names.go
@@ -1,4 +1,4 @@
-// Package consumer stands at the consumers' side: it listens, reads
+// Package downstream stands at the consumers' side: it listens, reads
 // invocations from connections and writes their answers.
 package downstream
 
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/drain"
 	"ryerill/message"
 )
@@ -15,7 +15,7 @@
 type Names struct {
 	Classes   []string
 	Deadlines []time.Duration // by class: where an invocation states none
-	Effects   []ryerill.Effect
+	Effects   []balancer.Effect
 	Tenants   []string
 	AnyPath   bool // a class need not be the first part of the path
 }
--- a/downstream/server_test.go
+++ b/downstream/server_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/drain"
 	"ryerill/internal/buffer"
 	"ryerill/internal/socket"
@@ -228,7 +228,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	service := torn{prompt{Names{Classes: []string{"burn"}, Deadlines: []time.Duration{time.Second}, Effects: []ryerill.Effect{ryerill.Unsafe}}}, make(chan string, 4)}
+	service := torn{prompt{Names{Classes: []string{"burn"}, Deadlines: []time.Duration{time.Second}, Effects: []balancer.Effect{balancer.Unsafe}}}, make(chan string, 4)}
 	ctx, stop := context.WithCancel(context.Background())
 	over := make(chan error)
 	go func() { over <- s.Serve(ctx, service) }()
--- a/fairshare/budget.go
+++ b/fairshare/budget.go
@@ -1,4 +1,4 @@
-// Package budget divides what one machine has (sockets, bytes of bodies, open
+// Package fairshare divides what one machine has (sockets, bytes of bodies, open
 // invocations, work a second) among pools. Each pool is guaranteed a part, which
 // is never lent; the rest is lent out by weight to those who want more, as
 // weighted max-min fairness has it (Bertsekas and Gallager, Data Networks,
--- a/fleet/codec/frame.go
+++ b/fleet/codec/frame.go
@@ -1,4 +1,4 @@
-// Package frame turns what members say to each other into datagrams and pieces of
+// Package codec turns what members say to each other into datagrams and pieces of
 // a connection, and back. Each carries a version, the fleet it is of, a number that
 // is used once, and an authentication code. Whatever does not fit is an error that
 // says why, and nobody answers it.
--- a/fleet/counter/tally.go
+++ b/fleet/counter/tally.go
@@ -1,4 +1,4 @@
-// Package tally counts over all copies. Each copy counts for itself, and what it says
+// Package counter counts over all copies. Each copy counts for itself, and what it says
 // is merged by its start and version, so that order and repetition of messages do not
 // matter. It is pure.
 //
--- a/fleet/membership/record.go
+++ b/fleet/membership/record.go
@@ -1,4 +1,4 @@
-// Package member keeps track of who is in the fleet: a failure detector and
+// Package membership keeps track of who is in the fleet: a failure detector and
 // membership by gossip after SWIM (Das, Gupta, Motivala: "SWIM: Scalable
 // Weakly-consistent Infection-style Process Group Membership Protocol", 2002)
 // with the amendments of Lifeguard (Dadgar, Phillips, Currey: "Lifeguard: Local
--- a/fleet/outlier/verdict.go
+++ b/fleet/outlier/verdict.go
@@ -1,4 +1,4 @@
-// Package verdict draws judgements on servers from what several copies have seen of
+// Package outlier draws judgements on servers from what several copies have seen of
 // them. Copies tell each other evidence, never judgements, and each reader judges for
 // itself, so that one copy that lies, or a zone that is cut off, condemns nobody for
 // the rest. It is pure.
--- a/fleet/placement/view.go
+++ b/fleet/placement/view.go
@@ -1,4 +1,4 @@
-// Package view is what one copy makes of what it knows of the fleet: among how
+// Package placement is what one copy makes of what it knows of the fleet: among how
 // many a budget is divided, which of them it is, and how sure that is. It is pure:
 // what is known and its time go in, places come out.
 //
--- a/fleet/quota/allot.go
+++ b/fleet/quota/allot.go
@@ -1,4 +1,4 @@
-// Package allot lends parts of budgets among copies so that all together never
+// Package quota lends parts of budgets among copies so that all together never
 // spend more than the whole, whoever hears whom. It is pure: one event and its time
 // go in, actions come out.
 //
--- a/fleet/statesync/share.go
+++ b/fleet/statesync/share.go
@@ -1,4 +1,4 @@
-// Package share spreads what copies share, budgets, counts and evidence, within a
+// Package statesync spreads what copies share, budgets, counts and evidence, within a
 // budget of bytes: what is new and most needed goes first, differences rather than
 // whole tables. It is pure.
 package statesync
--- a/internal/overridestore/wordfile.go
+++ b/internal/overridestore/wordfile.go
@@ -1,4 +1,4 @@
-// Package wordfile keeps the operators' word in a file that all processes of one
+// Package overridestore keeps the operators' word in a file that all processes of one
 // proxy share: written beside and renamed, so that no reader meets half of it.
 package overridestore
 
--- a/internal/seedrand/chance.go
+++ b/internal/seedrand/chance.go
@@ -1,4 +1,4 @@
-// Package chance draws numbers and spreads names over 64 bits, for what decides: its
+// Package seedrand draws numbers and spreads names over 64 bits, for what decides: its
 // values are copied with their owner, and come to the same from the same seed.
 package seedrand
 
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -16,12 +16,12 @@
 	"strings"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 )
 
 // Decider decides for one proxy, as a ryerill.Balancer does.
 type Decider interface {
-	Handle(now time.Duration, ev ryerill.Event, out []ryerill.Action) []ryerill.Action
+	Handle(now time.Duration, ev balancer.Event, out []balancer.Action) []balancer.Action
 }
 
 // Standing is what a decider can tell about its limit; 0 is no limit.
@@ -38,16 +38,16 @@
 
 // New returns a decider by name: "ryerill", or a picker and, after a slash, a
 // limit, as in "p2c/gradient". No limit is "none".
-func New(name string, cfg ryerill.Config, seed uint64) (Decider, error) {
+func New(name string, cfg balancer.Config, seed uint64) (Decider, error) {
 	if name == "" || name == "ryerill" {
-		return ryerill.New(cfg, seed), nil
+		return balancer.New(cfg, seed), nil
 	}
 	picker, limit, _ := strings.Cut(name, "/")
 	if !slices.Contains(Pickers, picker) {
 		return nil, fmt.Errorf("decider %q: unknown way to pick %q, want ryerill or one of %s", name, picker, strings.Join(Pickers, ", "))
 	}
-	t := &textbook{cfg: cfg, picker: picker, rng: rand.New(rand.NewPCG(seed, 1)), byID: map[ryerill.ServerID]*server{},
-		requests: map[ryerill.RequestID]*request{}}
+	t := &textbook{cfg: cfg, picker: picker, rng: rand.New(rand.NewPCG(seed, 1)), byID: map[balancer.ServerID]*server{},
+		requests: map[balancer.RequestID]*request{}}
 	switch kind, number, _ := strings.Cut(limit, ":"); kind {
 	case "", "none":
 		t.limit = unlimited{}
@@ -66,7 +66,7 @@
 }
 
 type server struct {
-	ryerill.Server
+	balancer.Server
 	out int
 }
 
@@ -84,13 +84,13 @@
 // textbook is one picker with one limit and plain retries: at once, at another
 // provider, as often as allowed.
 type textbook struct {
-	cfg      ryerill.Config
+	cfg      balancer.Config
 	picker   string
 	limit    limiter
 	rng      *rand.Rand
 	servers  []*server
-	byID     map[ryerill.ServerID]*server
-	requests map[ryerill.RequestID]*request
+	byID     map[balancer.ServerID]*server
+	requests map[balancer.RequestID]*request
 	ifr      int
 	turn     int
 	asking   bool
@@ -104,47 +104,47 @@
 func (t *textbook) Standing() (float64, int) { return t.limit.limit(), t.ifr }
 
 // Handle takes one event, as ryerill.Balancer.Handle does.
-func (t *textbook) Handle(now time.Duration, ev ryerill.Event, out []ryerill.Action) []ryerill.Action {
+func (t *textbook) Handle(now time.Duration, ev balancer.Event, out []balancer.Action) []balancer.Action {
 	switch ev.Kind {
-	case ryerill.ServerList:
+	case balancer.ServerList:
 		return t.list(&ev, out)
-	case ryerill.Arrival:
+	case balancer.Arrival:
 		r := &request{class: min(max(ev.Class, 0), len(t.cfg.Classes)-1), until: now + ev.Remaining}
 		t.requests[ev.Request] = r
 		if float64(t.ifr) >= t.limit.limit() && t.limit.limit() > 0 {
 			return t.answer(ev.Request, r, out)
 		}
 		return t.send(now, ev.Request, r, out)
-	case ryerill.AttemptEnded:
+	case balancer.AttemptEnded:
 		return t.ended(now, &ev, out)
-	case ryerill.Departed:
+	case balancer.Departed:
 		if r := t.requests[ev.Request]; r != nil {
 			r.answered = true
 			if r.open && t.cfg.Limits.Cancel {
-				out = append(out, ryerill.Action{Kind: ryerill.Cancel, Request: ev.Request, Attempt: len(r.tried) - 1})
+				out = append(out, balancer.Action{Kind: balancer.Cancel, Request: ev.Request, Attempt: len(r.tried) - 1})
 			}
 			t.release(ev.Request, r)
 		}
-	case ryerill.Timer:
+	case balancer.Timer:
 		if t.asking {
 			t.asking = false
-			out = append(out, ryerill.Action{Kind: ryerill.Subscribe, On: true})
+			out = append(out, balancer.Action{Kind: balancer.Subscribe, On: true})
 		}
 	}
 	return out
 }
 
-func (t *textbook) list(ev *ryerill.Event, out []ryerill.Action) []ryerill.Action {
-	if ev.List != ryerill.ListFull && ev.List != ryerill.ListChanges && !t.asking {
+func (t *textbook) list(ev *balancer.Event, out []balancer.Action) []balancer.Action {
+	if ev.List != balancer.ListFull && ev.List != balancer.ListChanges && !t.asking {
 		t.asking = true
-		out = append(out, ryerill.Action{Kind: ryerill.SetTimer, Wait: time.Duration((0.2 + t.rng.Float64()) * float64(200*time.Millisecond))})
+		out = append(out, balancer.Action{Kind: balancer.SetTimer, Wait: time.Duration((0.2 + t.rng.Float64()) * float64(200*time.Millisecond))})
 	}
-	if ev.List == ryerill.ListFailed {
+	if ev.List == balancer.ListFailed {
 		return out
 	}
-	if ev.List != ryerill.ListChanges {
+	if ev.List != balancer.ListChanges {
 		for _, s := range t.servers {
-			s.State = ryerill.Gone
+			s.State = balancer.Gone
 		}
 	}
 	for _, e := range ev.Servers {
@@ -154,13 +154,13 @@
 			t.byID[e.ID] = s
 			t.servers = append(t.servers, s)
 		}
-		if e.State == ryerill.Gone {
+		if e.State == balancer.Gone {
 			e.Zone, e.Cell = s.Zone, s.Cell
 		}
 		s.Server = e
 	}
 	t.servers = slices.DeleteFunc(t.servers, func(s *server) bool {
-		if s.State == ryerill.Gone && s.out == 0 {
+		if s.State == balancer.Gone && s.out == 0 {
 			delete(t.byID, s.ID)
 			return true
 		}
@@ -169,7 +169,7 @@
 	if f, ok := t.limit.(*fixed); ok {
 		ready := 0
 		for _, s := range t.servers {
-			if s.State == ryerill.Ready {
+			if s.State == balancer.Ready {
 				ready++
 			}
 		}
@@ -179,18 +179,18 @@
 }
 
 func (t *textbook) mayUse(now time.Duration, r *request, s *server) bool {
-	if s.State != ryerill.Ready || slices.Contains(r.tried, s) {
+	if s.State != balancer.Ready || slices.Contains(r.tried, s) {
 		return false
 	}
 	c := &t.cfg.Classes[r.class]
-	if r.ran == nil || c.Effect == ryerill.Safe {
+	if r.ran == nil || c.Effect == balancer.Safe {
 		return true
 	}
-	if c.Effect == ryerill.Unsafe || now-r.ranAt >= c.Memory*9/10 {
+	if c.Effect == balancer.Unsafe || now-r.ranAt >= c.Memory*9/10 {
 		return false
 	}
-	return c.Group == ryerill.GroupAll || c.Group == ryerill.GroupZone && s.Zone == r.ran.Zone ||
-		c.Group == ryerill.GroupCell && s.Cell == r.ran.Cell
+	return c.Group == balancer.GroupAll || c.Group == balancer.GroupZone && s.Zone == r.ran.Zone ||
+		c.Group == balancer.GroupCell && s.Cell == r.ran.Cell
 }
 
 func (t *textbook) pick(now time.Duration, r *request) *server {
@@ -225,7 +225,7 @@
 	return able[t.rng.IntN(len(able))]
 }
 
-func (t *textbook) send(now time.Duration, id ryerill.RequestID, r *request, out []ryerill.Action) []ryerill.Action {
+func (t *textbook) send(now time.Duration, id balancer.RequestID, r *request, out []balancer.Action) []balancer.Action {
 	s := t.pick(now, r)
 	if s == nil || now >= r.until {
 		return t.answer(id, r, out)
@@ -233,10 +233,10 @@
 	r.tried, r.open, r.sent = append(r.tried, s), true, now
 	s.out++
 	t.ifr++
-	return append(out, ryerill.Action{Kind: ryerill.Send, Request: id, Server: s.ID, Wait: r.until - now})
+	return append(out, balancer.Action{Kind: balancer.Send, Request: id, Server: s.ID, Wait: r.until - now})
 }
 
-func (t *textbook) ended(now time.Duration, ev *ryerill.Event, out []ryerill.Action) []ryerill.Action {
+func (t *textbook) ended(now time.Duration, ev *balancer.Event, out []balancer.Action) []balancer.Action {
 	r := t.requests[ev.Request]
 	if r == nil || !r.open || ev.Attempt != len(r.tried)-1 {
 		return out
@@ -245,27 +245,27 @@
 	s.out--
 	t.ifr--
 	r.open = false
-	dropped := ev.Outcome == ryerill.Timeout || ev.Outcome == ryerill.Full
-	t.limit.ended(ev.Elapsed, t.ifr+1, dropped, ev.Outcome == ryerill.OK)
+	dropped := ev.Outcome == balancer.Timeout || ev.Outcome == balancer.Full
+	t.limit.ended(ev.Elapsed, t.ifr+1, dropped, ev.Outcome == balancer.OK)
 	if !ev.Outcome.NeverRan() && r.ran == nil {
 		r.ran, r.ranAt = s, r.sent
 	}
-	if ev.Closed || r.answered || ev.Outcome == ryerill.OK {
+	if ev.Closed || r.answered || ev.Outcome == balancer.OK {
 		r.answered = true
 		t.release(ev.Request, r)
 		return out
 	}
-	if (r.ran == nil || t.cfg.Classes[r.class].Effect != ryerill.Unsafe) && len(r.tried) < min(mostAttempts, max(t.cfg.Limits.Attempts, 1)) {
+	if (r.ran == nil || t.cfg.Classes[r.class].Effect != balancer.Unsafe) && len(r.tried) < min(mostAttempts, max(t.cfg.Limits.Attempts, 1)) {
 		return t.send(now, ev.Request, r, out)
 	}
 	return t.answer(ev.Request, r, out)
 }
 
-func (t *textbook) answer(id ryerill.RequestID, r *request, out []ryerill.Action) []ryerill.Action {
+func (t *textbook) answer(id balancer.RequestID, r *request, out []balancer.Action) []balancer.Action {
 	c := &t.cfg.Classes[r.class]
-	a := ryerill.Action{Kind: ryerill.Fail, Request: id}
-	if r.ran == nil || c.Effect == ryerill.Safe || c.Effect == ryerill.Keyed && c.Group == ryerill.GroupAll {
-		a.Kind = ryerill.Refuse
+	a := balancer.Action{Kind: balancer.Fail, Request: id}
+	if r.ran == nil || c.Effect == balancer.Safe || c.Effect == balancer.Keyed && c.Group == balancer.GroupAll {
+		a.Kind = balancer.Refuse
 		if t.cfg.Tier == 0 && t.cfg.Limits.RetryAfter {
 			a.Wait = min(time.Second, t.cfg.Limits.MaxRetryAfter)
 		}
@@ -275,7 +275,7 @@
 	return append(out, a)
 }
 
-func (t *textbook) release(id ryerill.RequestID, r *request) {
+func (t *textbook) release(id balancer.RequestID, r *request) {
 	if r.answered && !r.open {
 		delete(t.requests, id)
 	}
--- a/lab/baseline/baseline_test.go
+++ b/lab/baseline/baseline_test.go
@@ -4,24 +4,24 @@
 	"testing"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 )
 
-func config() ryerill.Config {
-	return ryerill.Config{GroupSize: 2, Classes: []ryerill.Class{{Effect: ryerill.Safe, Aim: time.Second, Deadline: 2 * time.Second},
-		{Effect: ryerill.Unsafe, Aim: time.Second, Deadline: 2 * time.Second}}, Limits: ryerill.Limits{Attempts: 6}}
+func config() balancer.Config {
+	return balancer.Config{GroupSize: 2, Classes: []balancer.Class{{Effect: balancer.Safe, Aim: time.Second, Deadline: 2 * time.Second},
+		{Effect: balancer.Unsafe, Aim: time.Second, Deadline: 2 * time.Second}}, Limits: balancer.Limits{Attempts: 6}}
 }
 
-func list(states ...ryerill.ServerState) ryerill.Event {
-	ev := ryerill.Event{Kind: ryerill.ServerList, List: ryerill.ListFull}
+func list(states ...balancer.ServerState) balancer.Event {
+	ev := balancer.Event{Kind: balancer.ServerList, List: balancer.ListFull}
 	for i, s := range states {
-		ev.Servers = append(ev.Servers, ryerill.Server{ID: ryerill.ServerID(i + 1), State: s})
+		ev.Servers = append(ev.Servers, balancer.Server{ID: balancer.ServerID(i + 1), State: s})
 	}
 	return ev
 }
 
-func arrive(id ryerill.RequestID, class int) ryerill.Event {
-	return ryerill.Event{Kind: ryerill.Arrival, Request: id, Class: class, Remaining: time.Second}
+func arrive(id balancer.RequestID, class int) balancer.Event {
+	return balancer.Event{Kind: balancer.Arrival, Request: id, Class: class, Remaining: time.Second}
 }
 
 func TestPickersSpreadOverReadyProvidersOnly(t *testing.T) {
@@ -30,9 +30,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Handle(0, list(ryerill.Ready, ryerill.Draining, ryerill.Ready, ryerill.Gone), nil)
-		sent := map[ryerill.ServerID]int{}
-		for id := range ryerill.RequestID(40) {
+		d.Handle(0, list(balancer.Ready, balancer.Draining, balancer.Ready, balancer.Gone), nil)
+		sent := map[balancer.ServerID]int{}
+		for id := range balancer.RequestID(40) {
 			for _, a := range d.Handle(0, arrive(id, 0), nil) {
 				sent[a.Server]++
 			}
@@ -48,13 +48,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Handle(0, list(ryerill.Ready, ryerill.Ready), nil)
-	kinds := map[ryerill.ActionKind]int{}
-	for id := range ryerill.RequestID(5) {
+	d.Handle(0, list(balancer.Ready, balancer.Ready), nil)
+	kinds := map[balancer.ActionKind]int{}
+	for id := range balancer.RequestID(5) {
 		kinds[d.Handle(0, arrive(id, 0), nil)[0].Kind]++
 	}
 	// 3 for each of 2 providers, shared by 2 proxies.
-	if kinds[ryerill.Send] != 3 || kinds[ryerill.Refuse] != 2 {
+	if kinds[balancer.Send] != 3 || kinds[balancer.Refuse] != 2 {
 		t.Errorf("got %v", kinds)
 	}
 }
@@ -78,11 +78,11 @@
 }
 
 func TestNothingIsRepeatedAgainstItsClass(t *testing.T) {
-	for class, want := range []ryerill.ActionKind{ryerill.Send, ryerill.Fail} {
+	for class, want := range []balancer.ActionKind{balancer.Send, balancer.Fail} {
 		d, _ := New("random", config(), 1)
-		d.Handle(0, list(ryerill.Ready, ryerill.Ready), nil)
+		d.Handle(0, list(balancer.Ready, balancer.Ready), nil)
 		a := d.Handle(0, arrive(1, class), nil)[0]
-		got := d.Handle(1, ryerill.Event{Kind: ryerill.AttemptEnded, Request: 1, Server: a.Server, Outcome: ryerill.Reset}, nil)
+		got := d.Handle(1, balancer.Event{Kind: balancer.AttemptEnded, Request: 1, Server: a.Server, Outcome: balancer.Reset}, nil)
 		if len(got) != 1 || got[0].Kind != want {
 			t.Errorf("class %d: %+v", class, got)
 		}
--- a/lab/chaos/schedule.go
+++ b/lab/chaos/schedule.go
@@ -1,4 +1,4 @@
-// Package night plays random troubles over a fleet, many at once, and keeps a ledger
+// Package chaos plays random troubles over a fleet, many at once, and keeps a ledger
 // that must balance: in virtual time with hundreds of copies, and on real processes.
 // What does not balance is shrunk to the fewest troubles that still show it, and
 // written as a file that replays it.
--- a/lab/cli/command.go
+++ b/lab/cli/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line of proxy-lab.
+// Package cli is the command line of proxy-lab.
 package cli
 
 import (
--- a/lab/experiment/file.go
+++ b/lab/experiment/file.go
@@ -16,7 +16,7 @@
 
 	"github.com/goccy/go-yaml"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/internal/yamlfile"
 	"ryerill/lab/baseline"
 	"ryerill/lab/scenario"
@@ -125,7 +125,7 @@
 		if a.Connections == 0 {
 			a.Connections = 16
 		}
-		if _, err := baseline.New(a.Decider, ryerill.Config{}, 0); err != nil && !slices.Contains(statesyncsim.Arms[1:], a.Decider) {
+		if _, err := baseline.New(a.Decider, balancer.Config{}, 0); err != nil && !slices.Contains(statesyncsim.Arms[1:], a.Decider) {
 			bad(at+".decider", a.Decider, "ryerill, shared, oracle, or a picker and a limit as in p2c/fixed:20 ("+err.Error()+")")
 		}
 		if a.Host != Sim && a.Decider != "" && a.Decider != "ryerill" {
--- a/lab/invariant/rules.go
+++ b/lab/invariant/rules.go
@@ -1,4 +1,4 @@
-// Package rules watches what proxies take in, send and answer, and names each
+// Package invariant watches what proxies take in, send and answer, and names each
 // breach of the rules that every proxy must keep. It is an oracle for both
 // hosts of the laboratory, knows neither of them, and is pure: times come in as
 // arguments. It is not safe for concurrent use.
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 )
 
 // The rules by name.
@@ -61,7 +61,7 @@
 type Config struct {
 	Slack   time.Duration // an answer counts this long after the deadline
 	Grace   time.Duration // after word of a drain
-	Classes []ryerill.Class
+	Classes []balancer.Class
 	Name    func(proxy int) string
 }
 
@@ -136,10 +136,10 @@
 		if a.neverRan {
 			continue
 		}
-		within := at-a.at <= c.Memory && (c.Group == ryerill.GroupAll ||
-			c.Group == ryerill.GroupZone && a.provider.Zone == p.Zone ||
-			c.Group == ryerill.GroupCell && a.provider.Group == p.Group)
-		if c.Effect == ryerill.Unsafe || c.Effect == ryerill.Keyed && !within {
+		within := at-a.at <= c.Memory && (c.Group == balancer.GroupAll ||
+			c.Group == balancer.GroupZone && a.provider.Zone == p.Zone ||
+			c.Group == balancer.GroupCell && a.provider.Group == p.Group)
+		if c.Effect == balancer.Unsafe || c.Effect == balancer.Keyed && !within {
 			w.broken(NoRepeat, at, "%s sent request %d of class %s to %s although attempt %d at %s may have run",
 				w.cfg.Name(proxy), id, c.Name, p.Name, i, a.provider.Name)
 			break
@@ -176,7 +176,7 @@
 	switch v {
 	case Refused:
 		for i, a := range r.attempts {
-			if !a.neverRan && (c.Effect == ryerill.Unsafe || c.Effect == ryerill.Keyed && c.Group != ryerill.GroupAll) {
+			if !a.neverRan && (c.Effect == balancer.Unsafe || c.Effect == balancer.Keyed && c.Group != balancer.GroupAll) {
 				w.broken(NoRepeat, at, "%s called a retry of request %d of class %s harmless although attempt %d at %s may have run",
 					w.cfg.Name(proxy), id, c.Name, i, a.provider.Name)
 				break
--- a/lab/invariant/rules_test.go
+++ b/lab/invariant/rules_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 )
 
 const second = time.Second
@@ -17,10 +17,10 @@
 )
 
 func watch() *Watch {
-	return New(Config{Slack: 20 * time.Millisecond, Grace: second, Classes: []ryerill.Class{
-		{Name: "safe", Effect: ryerill.Safe},
-		{Name: "keyed", Effect: ryerill.Keyed, Group: ryerill.GroupCell, Memory: 10 * second},
-		{Name: "unsafe", Effect: ryerill.Unsafe}}})
+	return New(Config{Slack: 20 * time.Millisecond, Grace: second, Classes: []balancer.Class{
+		{Name: "safe", Effect: balancer.Safe},
+		{Name: "keyed", Effect: balancer.Keyed, Group: balancer.GroupCell, Memory: 10 * second},
+		{Name: "unsafe", Effect: balancer.Unsafe}}})
 }
 
 const (
--- a/lab/membershipsim/members.go
+++ b/lab/membershipsim/members.go
@@ -1,4 +1,4 @@
-// Package members plays a fleet's membership in virtual time: any number of
+// Package membershipsim plays a fleet's membership in virtual time: any number of
 // copies of package member over the laboratory's bad network, with stops, kills,
 // restarts and cuts, and somebody who sees all of it.
 package membershipsim
--- a/lab/metrics/measure.go
+++ b/lab/metrics/measure.go
@@ -1,4 +1,4 @@
-// Package measure books what happened in a run and sums it up. Both hosts of
+// Package metrics books what happened in a run and sums it up. Both hosts of
 // the laboratory use it, so that their figures mean the same. A Recorder is not
 // safe for concurrent use; hosts with goroutines lock round it.
 package metrics
--- a/lab/modelcheck/explore.go
+++ b/lab/modelcheck/explore.go
@@ -1,4 +1,4 @@
-// Package explore visits every state of a pure machine that a bound leaves, in the
+// Package modelcheck visits every state of a pure machine that a bound leaves, in the
 // order of the steps that lead there, and so finds a shortest way to what must not
 // be. What is explored is the real code: a System wraps it, names the moves that its
 // environment may make next, and says what a state is.
--- a/lab/processes/copies.go
+++ b/lab/processes/copies.go
@@ -1,4 +1,4 @@
-// Package copies starts a fleet of real proxies, processes of the real program,
+// Package processes starts a fleet of real proxies, processes of the real program,
 // with the laboratory's bad network between them, stand-ins for providers behind
 // them, and consumers before them. The stand-ins keep the ledger: what ran, how
 // often, and what was answered.
--- a/lab/realtime/instance.go
+++ b/lab/realtime/instance.go
@@ -21,7 +21,7 @@
 
 	"github.com/goccy/go-yaml"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/config"
 	"ryerill/lab/scenario"
 	"ryerill/proxy"
@@ -92,8 +92,8 @@
 	us := func(d time.Duration) int64 { return int64(d / time.Microsecond) }
 	b := w.Balancer(tier, self, zone)
 	var classes, tenants []any
-	effects := map[ryerill.Effect]string{ryerill.Safe: "pure", ryerill.Keyed: "token", ryerill.Unsafe: "side_effect"}
-	groups := map[ryerill.Group]string{ryerill.GroupAll: "all", ryerill.GroupZone: "zone", ryerill.GroupCell: "cell"}
+	effects := map[balancer.Effect]string{balancer.Safe: "pure", balancer.Keyed: "token", balancer.Unsafe: "side_effect"}
+	groups := map[balancer.Group]string{balancer.GroupAll: "all", balancer.GroupZone: "zone", balancer.GroupCell: "cell"}
 	for _, c := range b.Classes {
 		classes = append(classes, map[string]any{"Name": c.Name, "Slo": us(c.Aim), "Deadline": us(c.Deadline), "Worth": c.Worth,
 			"LateWorth": c.LateWorth, "Effect": effects[c.Effect], "Group": groups[c.Group], "MemorySpan": us(c.Memory)})
--- a/lab/realtime/live.go
+++ b/lab/realtime/live.go
@@ -1,4 +1,4 @@
-// Package live plays a world on sockets: stand-ins for providers, directory,
+// Package realtime plays a world on sockets: stand-ins for providers, directory,
 // network delay and consumers on loopback, round real proxies in processes of
 // their own or embedded. Stand-ins speak the published protocol; the model of
 // a provider's machine is that of virtual time.
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/discovery"
 	"ryerill/lab/invariant"
 	"ryerill/lab/load"
@@ -467,9 +467,9 @@
 }
 
 // request is an invocation as the protocol writes it.
-func request(class string, e ryerill.Effect, id uint64, tenant string, left time.Duration, key uint64, work float64, repeat bool) string {
+func request(class string, e balancer.Effect, id uint64, tenant string, left time.Duration, key uint64, work float64, repeat bool) string {
 	method, rest := "GET", "\r\n"
-	if e != ryerill.Safe {
+	if e != balancer.Safe {
 		method, rest = "POST", fmt.Sprintf("Idempotency-Key: %016x\r\nContent-Length: 2\r\n\r\nok", key)
 	}
 	again := ""
--- a/lab/rolloutsim/rollouts.go
+++ b/lab/rolloutsim/rollouts.go
@@ -1,4 +1,4 @@
-// Package rollouts plays changes through a fleet many times: the real plan and the
+// Package rolloutsim plays changes through a fleet many times: the real plan and the
 // real judge over copies whose traffic and outcomes are drawn, against a plan with
 // fixed waits and thresholds.
 package rolloutsim
--- a/lab/scenario/world.go
+++ b/lab/scenario/world.go
@@ -1,4 +1,4 @@
-// Package world describes a deployment to try things in: tiers of providers,
+// Package scenario describes a deployment to try things in: tiers of providers,
 // the proxies before them, consumers, the network, the directory and what goes
 // wrong. A world is a YAML file; two hosts play it, lab/sim in virtual time and
 // lab/live on sockets.
@@ -12,7 +12,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"ryerill"
+	"ryerill/balancer"
 	badnet "ryerill/lab/faultnet"
 )
 
@@ -245,45 +245,45 @@
 }
 
 // Balancer returns what a proxy that sends to a tier is told.
-func (w *World) Balancer(tier, self, zone int) ryerill.Config {
-	cfg := ryerill.Config{Tier: tier, Tiers: len(w.Tiers), Zone: zone, Self: self, GroupSize: w.ProxyCount(tier),
+func (w *World) Balancer(tier, self, zone int) balancer.Config {
+	cfg := balancer.Config{Tier: tier, Tiers: len(w.Tiers), Zone: zone, Self: self, GroupSize: w.ProxyCount(tier),
 		Subscribe: true, OverShareWorth: w.Consumers.OverWorth,
-		Limits: ryerill.Limits{Attempts: w.Rules.Attempts, Open: 20000, MaxRetryAfter: w.Rules.MaxRetryAfter,
+		Limits: balancer.Limits{Attempts: w.Rules.Attempts, Open: 20000, MaxRetryAfter: w.Rules.MaxRetryAfter,
 			ConnectTimeout: w.Tiers[tier].Node.Connect.Timeout, RetryAfter: true, SecondCopies: true, Cancel: true},
-		Contract: ryerill.Contract{AnswerSlack: w.Rules.Slack, DrainGrace: w.Rules.Drain, AskWithin: 10 * time.Second,
+		Contract: balancer.Contract{AnswerSlack: w.Rules.Slack, DrainGrace: w.Rules.Drain, AskWithin: 10 * time.Second,
 			ColdFrom: w.Tiers[tier].Node.Cold.From, WarmUp: w.Tiers[tier].Node.Cold.For,
 			FallMultiple: w.Tiers[tier].Node.Cold.Tips, OverloadFor: w.Tiers[tier].Node.Cold.Within}}
 	for _, c := range w.Classes {
-		cfg.Classes = append(cfg.Classes, ryerill.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth,
+		cfg.Classes = append(cfg.Classes, balancer.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth,
 			LateWorth: c.Late, Effect: c.EffectKind(), Group: c.GroupKind(), Memory: c.Memory})
 	}
 	for _, t := range w.Tenants {
-		cfg.Tenants = append(cfg.Tenants, ryerill.Tenant{Name: t.Name, Quota: t.Quota, Share: t.Share})
+		cfg.Tenants = append(cfg.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota, Share: t.Share})
 	}
 	return cfg
 }
 
 // EffectKind is the class's effect as the Balancer names it.
-func (c *Class) EffectKind() ryerill.Effect {
+func (c *Class) EffectKind() balancer.Effect {
 	switch c.Effect {
 	case "safe":
-		return ryerill.Safe
+		return balancer.Safe
 	case "keyed":
-		return ryerill.Keyed
+		return balancer.Keyed
 	}
-	return ryerill.Unsafe
+	return balancer.Unsafe
 }
 
 // GroupKind is the extent of the group that drops repeats of the class.
-func (c *Class) GroupKind() ryerill.Group {
+func (c *Class) GroupKind() balancer.Group {
 	switch c.Group {
 	case "all":
-		return ryerill.GroupAll
+		return balancer.GroupAll
 	case "zone":
-		return ryerill.GroupZone
+		return balancer.GroupZone
 	}
-	return ryerill.GroupCell
+	return balancer.GroupCell
 }
 
 // ServerID is a stable id of a provider's name, equal at all proxies.
-func ServerID(name string) ryerill.ServerID { return ryerill.ServerID(xxhash.Sum64String(name)) }
+func ServerID(name string) balancer.ServerID { return balancer.ServerID(xxhash.Sum64String(name)) }
--- a/lab/scenarios/worlds.go
+++ b/lab/scenarios/worlds.go
@@ -1,4 +1,4 @@
-// Package worlds holds the worlds that come with the laboratory.
+// Package scenarios holds the worlds that come with the laboratory.
 package scenarios
 
 import "embed"
--- a/lab/servermodel/node.go
+++ b/lab/servermodel/node.go
@@ -1,4 +1,4 @@
-// Package node models the machine of one provider: cores shared evenly by what
+// Package servermodel models the machine of one provider: cores shared evenly by what
 // is in work, slots, a waiting room, a cold start, and slowing down when too
 // much waits for the cores. It is pure: time comes in as an argument, and both
 // hosts of the laboratory drive it, in virtual time and in real time.
--- a/lab/sim/directory.go
+++ b/lab/sim/directory.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 )
 
 // directory lists the providers of a tier, late. It answers calls in turn and
@@ -12,8 +12,8 @@
 type directory struct {
 	s       *Sim
 	tier    *tier
-	entries []ryerill.Server
-	index   map[ryerill.ServerID]int
+	entries []balancer.Server
+	index   map[balancer.ServerID]int
 	changed []uint64 // by entry: the version of its latest change
 	version uint64
 	busy    time.Duration // until when calls are waiting
@@ -28,12 +28,12 @@
 const silence = 3200 * time.Millisecond
 
 func newDirectory(s *Sim, t *tier) *directory {
-	return &directory{s: s, tier: t, index: map[ryerill.ServerID]int{}}
+	return &directory{s: s, tier: t, index: map[balancer.ServerID]int{}}
 }
 
 // know takes in what has become of a provider and tells the watchers.
-func (d *directory) know(p *provider, state ryerill.ServerState) {
-	e := ryerill.Server{ID: p.id, State: state, Zone: p.zone, Cell: p.group, Weight: 1}
+func (d *directory) know(p *provider, state balancer.ServerState) {
+	e := balancer.Server{ID: p.id, State: state, Zone: p.zone, Cell: p.group, Weight: 1}
 	if p.started > 0 {
 		e.Started = epoch + p.started
 	}
@@ -59,19 +59,19 @@
 		if !w.alive || d.down || !slices.Contains(d.watches, w) || w.version == d.version {
 			return
 		}
-		var list []ryerill.Server
+		var list []balancer.Server
 		for i, v := range d.changed {
 			if v > w.version {
 				list = append(list, d.entries[i])
 			}
 		}
 		w.version = d.version
-		w.listed(ryerill.ListChanges, list)
+		w.listed(balancer.ListChanges, list)
 	})
 }
 
 // all returns the whole list, with what is gone.
-func (d *directory) all() []ryerill.Server { return slices.Clone(d.entries) }
+func (d *directory) all() []balancer.Server { return slices.Clone(d.entries) }
 
 // subscribe asks for the whole list and its changes from then on.
 func (d *directory) subscribe(p *proxy, on bool) {
@@ -105,14 +105,14 @@
 		if watch && !slices.Contains(d.watches, p) {
 			d.watches = append(d.watches, p)
 		}
-		p.listed(ryerill.ListFull, d.all())
+		p.listed(balancer.ListFull, d.all())
 	})
 }
 
 func (d *directory) failed(p *proxy) {
 	s := d.s
 	s.rec.Count("directory_failed", 1)
-	p.happen(ryerill.Event{Kind: ryerill.ServerList, List: ryerill.ListFailed})
+	p.happen(balancer.Event{Kind: balancer.ServerList, List: balancer.ListFailed})
 }
 
 // silent makes the directory answer nothing, or lets it answer again.
--- a/lab/sim/provider.go
+++ b/lab/sim/provider.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/lab/invariant"
 	"ryerill/lab/load"
 	"ryerill/lab/servermodel"
@@ -14,7 +14,7 @@
 type provider struct {
 	s           *Sim
 	tier        *tier
-	id          ryerill.ServerID
+	id          balancer.ServerID
 	name        string
 	zone, group int
 	speed       float64
@@ -88,7 +88,7 @@
 		if silent {
 			p.lost = append(p.lost, j.a)
 		} else {
-			j.a.later(ryerill.Reset)
+			j.a.later(balancer.Reset)
 		}
 	}
 }
@@ -98,7 +98,7 @@
 	p.start(false)
 	p.startProxy()
 	for _, a := range p.lost {
-		a.later(ryerill.Reset)
+		a.later(balancer.Reset)
 	}
 	p.lost = nil
 }
@@ -112,13 +112,13 @@
 		p.lost = append(p.lost, a)
 		return
 	case !p.up || process != p.process:
-		a.later(ryerill.Reset)
+		a.later(balancer.Reset)
 		return
 	case p.draining:
-		a.later(ryerill.Full)
+		a.later(balancer.Full)
 		return
 	case p.errs > 0 && p.s.work.Float64() < p.errs:
-		a.later(ryerill.Error)
+		a.later(balancer.Error)
 		return
 	}
 	j := &job{p: p, a: a}
@@ -130,7 +130,7 @@
 	verdict := p.node.Offer(p.s.now, &j.Job)
 	p.check()
 	if verdict == servermodel.Full {
-		a.later(ryerill.Full)
+		a.later(balancer.Full)
 	} else {
 		a.job, j.place = j, len(p.jobs)
 		p.jobs = append(p.jobs, j)
@@ -183,12 +183,12 @@
 		return
 	}
 	p.remove(j)
-	outcome := ryerill.OK
+	outcome := balancer.OK
 	switch u := p.s.work.Float64(); {
 	case u < p.tier.spec.Node.Errors:
-		outcome = ryerill.Error
+		outcome = balancer.Error
 	case u < p.tier.spec.Node.Errors+p.spoil:
-		outcome = ryerill.Reset
+		outcome = balancer.Reset
 		p.s.rec.Count("spoilt", 1)
 	}
 	j.a.later(outcome)
@@ -210,7 +210,7 @@
 			j.child = nil
 			if v != invariant.Served {
 				p.remove(j)
-				j.a.later(ryerill.Error)
+				j.a.later(balancer.Error)
 				p.wake()
 				return
 			}
--- a/lab/sim/proxy.go
+++ b/lab/sim/proxy.go
@@ -5,13 +5,13 @@
 	"slices"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/lab/baseline"
 	"ryerill/lab/invariant"
 	"ryerill/lab/scenario"
 )
 
-func serverID(name string) ryerill.ServerID { return scenario.ServerID(name) }
+func serverID(name string) balancer.ServerID { return scenario.ServerID(name) }
 
 // proxy hosts one decider, as the real one does: it turns what happens into
 // events and carries out the actions in order.
@@ -22,10 +22,10 @@
 	zone     int
 	decider  baseline.Decider
 	alive    bool
-	requests map[ryerill.RequestID]*request
-	newest   ryerill.RequestID
-	conns    map[ryerill.ServerID]*conns
-	queue    []ryerill.Event
+	requests map[balancer.RequestID]*request
+	newest   balancer.RequestID
+	conns    map[balancer.ServerID]*conns
+	queue    []balancer.Event
 	busy     bool
 	watching bool
 	version  uint64 // of the list as last told
@@ -40,7 +40,7 @@
 // request is one invocation at one proxy.
 type request struct {
 	p        *proxy
-	id       ryerill.RequestID
+	id       balancer.RequestID
 	class    int
 	tenant   int
 	key      uint64
@@ -59,7 +59,7 @@
 	r       *request
 	number  int
 	to      *provider
-	server  ryerill.ServerID
+	server  balancer.ServerID
 	process int // of the provider, that the connection is to
 	sent    time.Duration
 	way     time.Duration // delay one way
@@ -71,7 +71,7 @@
 
 func (s *Sim) newProxy(t *tier, self, zone int, name string) *proxy {
 	p := &proxy{s: s, number: len(s.proxies), tier: t, zone: zone, alive: true,
-		requests: map[ryerill.RequestID]*request{}, conns: map[ryerill.ServerID]*conns{}}
+		requests: map[balancer.RequestID]*request{}, conns: map[balancer.ServerID]*conns{}}
 	s.proxies = append(s.proxies, name)
 	cfg, seed := s.w.Balancer(t.index, self, zone), s.seeds.Uint64()
 	if s.opt.New != nil {
@@ -80,12 +80,12 @@
 		p.decider, _ = baseline.New(s.opt.Decider, cfg, seed) // its name was checked
 	}
 	t.proxies = append(t.proxies, p)
-	p.listed(ryerill.ListCached, t.directory.all())
+	p.listed(balancer.ListCached, t.directory.all())
 	return p
 }
 
 // happen tells the decider of an event and carries out what it answers.
-func (p *proxy) happen(ev ryerill.Event) {
+func (p *proxy) happen(ev balancer.Event) {
 	if !p.alive {
 		return
 	}
@@ -94,7 +94,7 @@
 		return
 	}
 	p.busy = true
-	var actions []ryerill.Action
+	var actions []balancer.Action
 	if n := len(p.s.actions); n > 0 {
 		actions, p.s.actions = p.s.actions[n-1], p.s.actions[:n-1]
 	}
@@ -109,29 +109,29 @@
 	p.s.actions = append(p.s.actions, actions)
 }
 
-func (p *proxy) carryOut(a *ryerill.Action) {
+func (p *proxy) carryOut(a *balancer.Action) {
 	switch a.Kind {
-	case ryerill.Send:
+	case balancer.Send:
 		p.send(a)
-	case ryerill.Refuse:
+	case balancer.Refuse:
 		p.answer(a.Request, invariant.Refused, a.Wait)
-	case ryerill.Fail:
+	case balancer.Fail:
 		p.answer(a.Request, invariant.Failed, 0)
-	case ryerill.Cancel:
+	case balancer.Cancel:
 		if r := p.requests[a.Request]; r != nil && a.Attempt < len(r.attempts) {
 			if t := r.attempts[a.Attempt]; !t.ended {
 				t.giveUp()
-				t.end(ryerill.Cancelled)
+				t.end(balancer.Cancelled)
 			}
 		}
-	case ryerill.SetTimer:
+	case balancer.SetTimer:
 		token := a.Token
-		p.s.after(a.Wait, func() { p.happen(ryerill.Event{Kind: ryerill.Timer, Token: token}) })
-	case ryerill.CloseIdle:
+		p.s.after(a.Wait, func() { p.happen(balancer.Event{Kind: balancer.Timer, Token: token}) })
+	case balancer.CloseIdle:
 		p.forget(a.Server)
-	case ryerill.Subscribe:
+	case balancer.Subscribe:
 		p.tier.directory.subscribe(p, a.On)
-	case ryerill.FetchList:
+	case balancer.FetchList:
 		p.tier.directory.fetch(p)
 	}
 }
@@ -142,7 +142,7 @@
 	r.p, r.id = p, p.newest
 	p.requests[r.id] = r
 	p.s.oracle.Took(p.s.now, p.number, uint64(r.id), r.class, r.until)
-	p.happen(ryerill.Event{Kind: ryerill.Arrival, Request: r.id, Class: r.class, Tenant: r.tenant, Key: r.key,
+	p.happen(balancer.Event{Kind: balancer.Arrival, Request: r.id, Class: r.class, Tenant: r.tenant, Key: r.key,
 		Remaining: max(r.until-p.s.now, 0), Repeat: r.repeat})
 	if !r.done && p.tier.index > 0 {
 		// A caller waits no longer than the slack; a decider that holds a request is the oracle's to name.
@@ -156,7 +156,7 @@
 	return r
 }
 
-func (p *proxy) answer(id ryerill.RequestID, v invariant.Verdict, wait time.Duration) {
+func (p *proxy) answer(id balancer.RequestID, v invariant.Verdict, wait time.Duration) {
 	p.s.oracle.Answered(p.s.now, p.number, uint64(id), v, 0)
 	if r := p.requests[id]; r != nil && !r.done {
 		r.done = true
@@ -173,7 +173,7 @@
 	}
 	r.done = true
 	r.p.s.oracle.Left(r.p.s.now, r.p.number, uint64(r.id))
-	r.p.happen(ryerill.Event{Kind: ryerill.Departed, Request: r.id})
+	r.p.happen(balancer.Event{Kind: balancer.Departed, Request: r.id})
 	r.release()
 }
 
@@ -184,7 +184,7 @@
 }
 
 // send starts an attempt.
-func (p *proxy) send(act *ryerill.Action) {
+func (p *proxy) send(act *balancer.Action) {
 	s, r, to := p.s, p.requests[act.Request], p.tier.byID[act.Server]
 	if to != nil {
 		s.oracle.Sent(s.now, p.number, uint64(act.Request), invariant.Provider{ID: uint64(to.id), Name: to.name, Zone: to.zone, Group: to.group})
@@ -196,7 +196,7 @@
 	r.attempts = append(r.attempts, a)
 	r.out++
 	if r.done || to == nil {
-		s.after(0, func() { a.end(ryerill.Moot) })
+		s.after(0, func() { a.end(balancer.Moot) })
 		return
 	}
 	s.rec.Count("attempts", 1)
@@ -217,7 +217,7 @@
 	s.at(until, func() {
 		if !a.ended {
 			a.giveUp()
-			a.end(ryerill.Timeout)
+			a.end(balancer.Timeout)
 		}
 	})
 	a.way = s.delay(p.zone, to.zone)
@@ -233,9 +233,9 @@
 	spec := &p.tier.spec.Node.Connect
 	switch {
 	case to.silent:
-		s.after(spec.Timeout, func() { a.end(ryerill.ConnectFailed) })
+		s.after(spec.Timeout, func() { a.end(balancer.ConnectFailed) })
 	case !to.up || to.node.Conns >= spec.Most:
-		s.after(2*a.way, func() { a.end(ryerill.ConnectFailed) })
+		s.after(2*a.way, func() { a.end(balancer.ConnectFailed) })
 	default:
 		process, n := to.process, to.node
 		n.Conns++
@@ -273,7 +273,7 @@
 	return c
 }
 
-func (p *proxy) forget(id ryerill.ServerID) {
+func (p *proxy) forget(id balancer.ServerID) {
 	if c, to := p.conns[id], p.tier.byID[id]; c != nil && to != nil && c.process == to.process {
 		to.node.Conns -= len(c.idle)
 	}
@@ -281,7 +281,7 @@
 }
 
 // later ends the attempt once the provider's word has travelled.
-func (a *attempt) later(o ryerill.Outcome) { a.r.p.s.after(a.way, func() { a.end(o) }) }
+func (a *attempt) later(o balancer.Outcome) { a.r.p.s.after(a.way, func() { a.end(o) }) }
 
 // giveUp tells the provider that nobody waits.
 func (a *attempt) giveUp() {
@@ -290,7 +290,7 @@
 }
 
 // end books how an attempt ended. The first answer that served goes on at once.
-func (a *attempt) end(o ryerill.Outcome) {
+func (a *attempt) end(o balancer.Outcome) {
 	r, p := a.r, a.r.p
 	if a.ended || !p.alive {
 		return
@@ -298,16 +298,16 @@
 	a.ended = true
 	r.out--
 	if a.held {
-		a.settle(o == ryerill.OK || o == ryerill.Error || o == ryerill.Full)
+		a.settle(o == balancer.OK || o == balancer.Error || o == balancer.Full)
 	}
 	p.s.oracle.Ended(p.s.now, p.number, uint64(r.id), a.number, o.NeverRan())
-	if o == ryerill.OK && !r.done {
+	if o == balancer.OK && !r.done {
 		r.done, r.useful = true, a.work
 		p.s.oracle.Answered(p.s.now, p.number, uint64(r.id), invariant.Served, uint64(a.server))
 		reply := r.reply
 		p.s.after(0, func() { reply(r, invariant.Served, 0) })
 	}
-	p.happen(ryerill.Event{Kind: ryerill.AttemptEnded, Request: r.id, Attempt: a.number, Server: a.server, Outcome: o,
+	p.happen(balancer.Event{Kind: balancer.AttemptEnded, Request: r.id, Attempt: a.number, Server: a.server, Outcome: o,
 		Closed: r.done, Elapsed: p.s.now - a.sent})
 	r.release()
 }
@@ -359,12 +359,12 @@
 }
 
 // listed takes a list in.
-func (p *proxy) listed(kind ryerill.ListKind, list []ryerill.Server) {
+func (p *proxy) listed(kind balancer.ListKind, list []balancer.Server) {
 	for i := range list {
-		p.s.oracle.Told(p.s.now, p.number, uint64(list[i].ID), list[i].State == ryerill.Ready)
+		p.s.oracle.Told(p.s.now, p.number, uint64(list[i].ID), list[i].State == balancer.Ready)
 	}
-	if kind != ryerill.ListChanges { // what a whole list leaves out is gone
-		list = slices.DeleteFunc(list, func(e ryerill.Server) bool { return e.State == ryerill.Gone })
+	if kind != balancer.ListChanges { // what a whole list leaves out is gone
+		list = slices.DeleteFunc(list, func(e balancer.Server) bool { return e.State == balancer.Gone })
 	}
-	p.happen(ryerill.Event{Kind: ryerill.ServerList, List: kind, Version: p.version, Servers: list})
+	p.happen(balancer.Event{Kind: balancer.ServerList, List: kind, Version: p.version, Servers: list})
 }
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -10,7 +10,7 @@
 	"math/rand/v2"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/lab/baseline"
 	"ryerill/lab/invariant"
 	"ryerill/lab/load"
@@ -28,7 +28,7 @@
 	Seed    uint64
 
 	// New makes the deciders in place of Decider, if it is set.
-	New func(cfg ryerill.Config, seed uint64) baseline.Decider
+	New func(cfg balancer.Config, seed uint64) baseline.Decider
 }
 
 // event is something that happens at a time; equal times keep the order of their making.
@@ -101,7 +101,7 @@
 	rec      *metrics.Recorder
 	oracle   *invariant.Watch
 	ids      uint64
-	actions  [][]ryerill.Action // spare action lists, one for each depth of Handle
+	actions  [][]balancer.Action // spare action lists, one for each depth of Handle
 }
 
 // tier is the providers of a tier with the directory that lists them.
@@ -109,7 +109,7 @@
 	index     int
 	spec      *scenario.Tier
 	providers []*provider
-	byID      map[ryerill.ServerID]*provider
+	byID      map[balancer.ServerID]*provider
 	directory *directory
 	proxies   []*proxy // that send to it and live
 }
@@ -167,13 +167,13 @@
 	speeds := load.Stream(opt.Seed, 7)
 	for i := range w.Tiers {
 		spec := &w.Tiers[i]
-		t := &tier{index: i, spec: spec, byID: map[ryerill.ServerID]*provider{}}
+		t := &tier{index: i, spec: spec, byID: map[balancer.ServerID]*provider{}}
 		t.directory = newDirectory(s, t)
 		s.tiers = append(s.tiers, t)
 		for j := range spec.Providers {
 			p := s.newProvider(t, fmt.Sprintf("%s-%d", spec.Name, j), j%len(w.Network.Zones), j/spec.Group, load.Speed(speeds, &spec.Node))
 			p.start(true)
-			t.directory.know(p, ryerill.Ready)
+			t.directory.know(p, balancer.Ready)
 		}
 	}
 	for i := range w.Tiers[0].Proxies {
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/lab/baseline"
 	"ryerill/lab/invariant"
 	"ryerill/lab/metrics"
@@ -63,10 +63,10 @@
 // broken does something wrong to a decider's actions.
 type broken struct {
 	baseline.Decider
-	spoil func(ev *ryerill.Event, out []ryerill.Action) []ryerill.Action
+	spoil func(ev *balancer.Event, out []balancer.Action) []balancer.Action
 }
 
-func (b broken) Handle(now time.Duration, ev ryerill.Event, out []ryerill.Action) []ryerill.Action {
+func (b broken) Handle(now time.Duration, ev balancer.Event, out []balancer.Action) []balancer.Action {
 	return b.spoil(&ev, b.Decider.Handle(now, ev, out))
 }
 
@@ -76,12 +76,12 @@
 	for _, tc := range []struct {
 		rule     string
 		troubles []scenario.Trouble
-		spoil    func(cfg ryerill.Config) func(ev *ryerill.Event, out []ryerill.Action) []ryerill.Action
+		spoil    func(cfg balancer.Config) func(ev *balancer.Event, out []balancer.Action) []balancer.Action
 	}{
-		{invariant.OneAnswer, nil, func(ryerill.Config) func(*ryerill.Event, []ryerill.Action) []ryerill.Action {
+		{invariant.OneAnswer, nil, func(balancer.Config) func(*balancer.Event, []balancer.Action) []balancer.Action {
 			n := 0
-			return func(ev *ryerill.Event, out []ryerill.Action) []ryerill.Action {
-				if ev.Kind == ryerill.Arrival {
+			return func(ev *balancer.Event, out []balancer.Action) []balancer.Action {
+				if ev.Kind == balancer.Arrival {
 					if n++; n%50 == 0 { // holds a request for ever
 						return out[:0]
 					}
@@ -90,30 +90,30 @@
 			}
 		}},
 		{invariant.NoRepeat, []scenario.Trouble{{Kind: scenario.Spoil, At: 2 * time.Second, For: 4 * time.Second, Part: 0.3, Factor: 0.5}},
-			func(ryerill.Config) func(*ryerill.Event, []ryerill.Action) []ryerill.Action {
-				var servers []ryerill.ServerID
-				return func(ev *ryerill.Event, out []ryerill.Action) []ryerill.Action {
+			func(balancer.Config) func(*balancer.Event, []balancer.Action) []balancer.Action {
+				var servers []balancer.ServerID
+				return func(ev *balancer.Event, out []balancer.Action) []balancer.Action {
 					for _, s := range ev.Servers {
 						servers = append(servers, s.ID)
 					}
 					// Sends what failed to whoever comes next, whatever its class.
-					if ev.Kind == ryerill.AttemptEnded && ev.Outcome == ryerill.Reset && !ev.Closed {
-						return []ryerill.Action{{Kind: ryerill.Send, Request: ev.Request, Server: servers[int(ev.Request)%len(servers)]}}
+					if ev.Kind == balancer.AttemptEnded && ev.Outcome == balancer.Reset && !ev.Closed {
+						return []balancer.Action{{Kind: balancer.Send, Request: ev.Request, Server: servers[int(ev.Request)%len(servers)]}}
 					}
 					return out
 				}
 			}},
 		{invariant.Drained, []scenario.Trouble{{Kind: scenario.Release, At: time.Second, For: time.Second, Part: 0.5, Drain: 6 * time.Second, Pause: time.Second}},
-			func(ryerill.Config) func(*ryerill.Event, []ryerill.Action) []ryerill.Action {
-				var drains []ryerill.ServerID
-				return func(ev *ryerill.Event, out []ryerill.Action) []ryerill.Action {
+			func(balancer.Config) func(*balancer.Event, []balancer.Action) []balancer.Action {
+				var drains []balancer.ServerID
+				return func(ev *balancer.Event, out []balancer.Action) []balancer.Action {
 					for _, s := range ev.Servers {
-						if s.State == ryerill.Draining {
+						if s.State == balancer.Draining {
 							drains = append(drains, s.ID)
 						}
 					}
 					for i := range out {
-						if out[i].Kind == ryerill.Send && len(drains) > 0 {
+						if out[i].Kind == balancer.Send && len(drains) > 0 {
 							out[i].Server = drains[int(out[i].Request)%len(drains)]
 						}
 					}
@@ -121,16 +121,16 @@
 				}
 			}},
 		{invariant.Pushed, []scenario.Trouble{{Kind: scenario.Release, At: time.Second, For: time.Second, Part: 0.2, Drain: time.Second, Pause: 200 * time.Millisecond}},
-			func(ryerill.Config) func(*ryerill.Event, []ryerill.Action) []ryerill.Action {
-				var cold []ryerill.ServerID
-				return func(ev *ryerill.Event, out []ryerill.Action) []ryerill.Action {
+			func(balancer.Config) func(*balancer.Event, []balancer.Action) []balancer.Action {
+				var cold []balancer.ServerID
+				return func(ev *balancer.Event, out []balancer.Action) []balancer.Action {
 					for _, s := range ev.Servers {
-						if s.State == ryerill.Ready && s.Started > 0 {
+						if s.State == balancer.Ready && s.Started > 0 {
 							cold = append(cold, s.ID)
 						}
 					}
 					for i := range out { // the newest gets everything
-						if out[i].Kind == ryerill.Send && len(cold) > 0 {
+						if out[i].Kind == balancer.Send && len(cold) > 0 {
 							out[i].Server = cold[0]
 						}
 					}
@@ -149,8 +149,8 @@
 			if n := honest.Metrics["violations"]; n != 0 {
 				t.Errorf("the Balancer itself broke rules: %v", honest.Violations)
 			}
-			r := play(t, w, Options{Seed: 3, New: func(cfg ryerill.Config, seed uint64) baseline.Decider {
-				d := ryerill.New(cfg, seed)
+			r := play(t, w, Options{Seed: 3, New: func(cfg balancer.Config, seed uint64) baseline.Decider {
+				d := balancer.New(cfg, seed)
 				if cfg.Tier > 0 {
 					return d
 				}
--- a/lab/sim/trouble.go
+++ b/lab/sim/trouble.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/lab/scenario"
 )
 
@@ -121,13 +121,13 @@
 	process, d := p.process, p.tier.directory
 	s.after(s.w.Directory.Silent, func() {
 		if process == p.process {
-			d.know(p, ryerill.Gone)
+			d.know(p, balancer.Gone)
 		}
 	})
 	s.after(length, func() {
 		if process == p.process {
 			p.back()
-			s.after(s.w.Directory.Add, func() { d.know(p, ryerill.Ready) })
+			s.after(s.w.Directory.Add, func() { d.know(p, balancer.Ready) })
 		}
 	})
 }
@@ -142,7 +142,7 @@
 	process := p.process
 	s.after(s.w.Directory.Lag, func() {
 		if process == p.process {
-			d.know(p, ryerill.Draining)
+			d.know(p, balancer.Draining)
 		}
 	})
 	s.after(t.Drain, func() {
@@ -152,7 +152,7 @@
 		p.stop(false)
 		s.after(t.Pause, func() {
 			p.back()
-			s.after(s.w.Directory.Add, func() { d.know(p, ryerill.Ready) })
+			s.after(s.w.Directory.Add, func() { d.know(p, balancer.Ready) })
 		})
 	})
 }
@@ -164,12 +164,12 @@
 	}
 	d := p.tier.directory
 	p.stop(false)
-	s.after(s.w.Directory.Lag, func() { d.know(p, ryerill.Gone) })
+	s.after(s.w.Directory.Lag, func() { d.know(p, balancer.Gone) })
 	s.after(t.Pause, func() {
 		n := s.newProvider(p.tier, fmt.Sprintf("%s-next", p.name), p.zone, p.group, p.speed)
 		n.start(false)
 		n.startProxy()
-		s.after(s.w.Directory.Add, func() { d.know(n, ryerill.Ready) })
+		s.after(s.w.Directory.Add, func() { d.know(n, balancer.Ready) })
 	})
 }
 
--- a/lab/statesyncsim/sharing.go
+++ b/lab/statesyncsim/sharing.go
@@ -1,4 +1,4 @@
-// Package sharing plays what copies share in virtual time: each proxy of a world has
+// Package statesyncsim plays what copies share in virtual time: each proxy of a world has
 // the real Balancer, and beside it the real pure parts that the fleet's host carries,
 // over the laboratory's bad network.
 package statesyncsim
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/fleet/outlier"
 	"ryerill/fleet/quota"
 	"ryerill/fleet/statesync"
@@ -32,7 +32,7 @@
 	now    time.Duration
 	Bytes  uint64
 	// Lost counts calls of all copies that ended badly at each server, from From on.
-	Lost  map[ryerill.ServerID]int
+	Lost  map[balancer.ServerID]int
 	From  time.Duration
 	Over  time.Duration
 	cuts  []cut
@@ -66,7 +66,7 @@
 }
 
 // Decider makes one copy; it goes into sim.Options.New.
-func (h *Hubs) Decider(cfg ryerill.Config, seed uint64) baseline.Decider {
+func (h *Hubs) Decider(cfg balancer.Config, seed uint64) baseline.Decider {
 	return h.tiers[cfg.Tier].Decider(cfg, seed)
 }
 
@@ -103,14 +103,14 @@
 
 // Copy is one proxy.
 type Copy struct {
-	*ryerill.Balancer
+	*balancer.Balancer
 	hub     *Hub
-	cfg     ryerill.Config
+	cfg     balancer.Config
 	name    string
 	zone    string
 	share   *statesync.Share
 	wants   []float64
-	servers map[ryerill.ServerID]ryerill.Server
+	servers map[balancer.ServerID]balancer.Server
 	next    time.Duration
 	post    []letter
 }
@@ -123,13 +123,13 @@
 
 // New returns the hub of a run.
 func New(arm string, seed uint64, zones int) *Hub {
-	return &Hub{arm: arm, net: badnet.New(lan, seed), zones: zones, Lost: map[ryerill.ServerID]int{}}
+	return &Hub{arm: arm, net: badnet.New(lan, seed), zones: zones, Lost: map[balancer.ServerID]int{}}
 }
 
 // Decider makes one copy; it goes into sim.Options.New.
-func (h *Hub) Decider(cfg ryerill.Config, seed uint64) baseline.Decider {
-	c := &Copy{Balancer: ryerill.New(cfg, seed), hub: h, cfg: cfg, name: name(cfg.Self), zone: fmt.Sprint("z", cfg.Zone),
-		wants: make([]float64, len(cfg.Tenants)), servers: map[ryerill.ServerID]ryerill.Server{}, next: -1}
+func (h *Hub) Decider(cfg balancer.Config, seed uint64) baseline.Decider {
+	c := &Copy{Balancer: balancer.New(cfg, seed), hub: h, cfg: cfg, name: name(cfg.Self), zone: fmt.Sprint("z", cfg.Zone),
+		wants: make([]float64, len(cfg.Tenants)), servers: map[balancer.ServerID]balancer.Server{}, next: -1}
 	budget := 0
 	if h.arm == "oracle" {
 		budget = 1 << 30
@@ -152,27 +152,27 @@
 }
 
 // Handle is the Balancer's, with what copies say to each other round it.
-func (c *Copy) Handle(now time.Duration, ev ryerill.Event, out []ryerill.Action) []ryerill.Action {
+func (c *Copy) Handle(now time.Duration, ev balancer.Event, out []balancer.Action) []balancer.Action {
 	h := c.hub
 	if h.now = max(h.now, now); h.arm != "off" {
 		h.work()
 	}
 	switch ev.Kind {
-	case ryerill.ServerList:
+	case balancer.ServerList:
 		for _, s := range ev.Servers {
 			c.servers[s.ID] = s
 		}
-	case ryerill.Arrival:
+	case balancer.Arrival:
 		if ev.Tenant >= 0 && ev.Tenant < len(c.wants) {
 			c.wants[ev.Tenant]++
 		}
-	case ryerill.AttemptEnded:
+	case balancer.AttemptEnded:
 		o, says := outlier.Good, true
 		switch ev.Outcome {
-		case ryerill.OK:
-		case ryerill.Timeout, ryerill.ConnectFailed, ryerill.Reset:
+		case balancer.OK:
+		case balancer.Timeout, balancer.ConnectFailed, balancer.Reset:
 			o = outlier.Hung
-		case ryerill.Error, ryerill.Full:
+		case balancer.Error, balancer.Full:
 			o = outlier.Failed
 		default:
 			says = false
@@ -247,7 +247,7 @@
 	}
 	var servers []outlier.Server
 	for id, s := range c.servers {
-		if s.State == ryerill.Ready {
+		if s.State == balancer.Ready {
 			servers = append(servers, outlier.Server{ID: uint64(id), Since: int64(s.Started)})
 		}
 	}
@@ -259,7 +259,7 @@
 	})
 	for _, j := range c.share.Verdict.Judge(h.now, servers, h.zones) {
 		if !outlier.Probes(j.Server, h.now, c.cfg.Self, len(h.copies)) {
-			c.Balancer.Hearsay(ryerill.ServerID(j.Server))
+			c.Balancer.Hearsay(balancer.ServerID(j.Server))
 		}
 	}
 }
--- a/message/invocation.go
+++ b/message/invocation.go
@@ -1,4 +1,4 @@
-// Package invocation holds what a request is to the proxy, whatever protocol
+// Package message holds what a request is to the proxy, whatever protocol
 // brought it in and whatever protocol carries it on: a front makes Invocations
 // and is given Answers, a back sends Requests and returns Responses, and neither
 // knows the other.
--- a/override/word.go
+++ b/override/word.go
@@ -1,4 +1,4 @@
-// Package word holds what the operators' staff have ordered: which providers are
+// Package override holds what the operators' staff have ordered: which providers are
 // out by hand, which were called back, and whether the proxy drains. It decides
 // what a listed provider counts as, and does no I/O.
 package override
@@ -10,7 +10,7 @@
 	"maps"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 )
 
 const (
@@ -106,9 +106,9 @@
 
 // Over lays the word over what the directory says of a provider: out is draining,
 // and one that was called back has started then at the earliest.
-func (w Word) Over(name string, s ryerill.Server) ryerill.Server {
-	if w.IsOut(name) && s.State == ryerill.Ready {
-		s.State = ryerill.Draining
+func (w Word) Over(name string, s balancer.Server) balancer.Server {
+	if w.IsOut(name) && s.State == balancer.Ready {
+		s.State = balancer.Draining
 	}
 	s.Started = max(s.Started, w.Back[name])
 	return s
--- a/override/word_test.go
+++ b/override/word_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 )
 
 // The word is a set: out twice needs one call back; back is started then.
@@ -18,14 +18,14 @@
 	}
 	for _, tc := range []struct {
 		word Word
-		in   ryerill.Server
-		want ryerill.Server
+		in   balancer.Server
+		want balancer.Server
 	}{
-		{w, ryerill.Server{State: ryerill.Ready}, ryerill.Server{State: ryerill.Draining}},
-		{w, ryerill.Server{State: ryerill.Gone}, ryerill.Server{State: ryerill.Gone}},
-		{w.CallBack("a", 9*time.Second), ryerill.Server{State: ryerill.Ready, Started: 1}, ryerill.Server{State: ryerill.Ready, Started: 9 * time.Second}},
-		{w.CallBack("a", 9*time.Second), ryerill.Server{State: ryerill.Ready, Started: time.Minute}, ryerill.Server{State: ryerill.Ready, Started: time.Minute}},
-		{w.CallBack("a", 9*time.Second), ryerill.Server{State: ryerill.Draining}, ryerill.Server{State: ryerill.Draining, Started: 9 * time.Second}},
+		{w, balancer.Server{State: balancer.Ready}, balancer.Server{State: balancer.Draining}},
+		{w, balancer.Server{State: balancer.Gone}, balancer.Server{State: balancer.Gone}},
+		{w.CallBack("a", 9*time.Second), balancer.Server{State: balancer.Ready, Started: 1}, balancer.Server{State: balancer.Ready, Started: 9 * time.Second}},
+		{w.CallBack("a", 9*time.Second), balancer.Server{State: balancer.Ready, Started: time.Minute}, balancer.Server{State: balancer.Ready, Started: time.Minute}},
+		{w.CallBack("a", 9*time.Second), balancer.Server{State: balancer.Draining}, balancer.Server{State: balancer.Draining, Started: 9 * time.Second}},
 	} {
 		if got := tc.word.Over("a", tc.in); got != tc.want {
 			t.Errorf("%+v over %+v: %+v", tc.word, tc.in, got)
--- a/proxy/book.go
+++ b/proxy/book.go
@@ -3,24 +3,24 @@
 import (
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/config"
 	"ryerill/message"
 )
 
 // book notes how an invoker call ended. The first answer that served goes to
 // the consumer at once and ends the invocation.
-func (c *core) book(k *call, outcome ryerill.Outcome, response *message.Response) {
+func (c *core) book(k *call, outcome balancer.Outcome, response *message.Response) {
 	e := k.entry
 	e.out--
 	if response != nil { // what an answer cost is known only now
 		c.rooms.work.used.Add(int64(config.Cost(response.Body.Len())))
 	}
-	if outcome != ryerill.OK || !c.relay(e, message.Answer{Verdict: message.Served, Response: response}) {
+	if outcome != balancer.OK || !c.relay(e, message.Answer{Verdict: message.Served, Response: response}) {
 		response.Free()
 	}
 	c.booked.ended(k.server, outcome)
-	c.happen(ryerill.Event{Kind: ryerill.AttemptEnded, Request: e.id, Attempt: k.attempt, Server: k.server,
+	c.happen(balancer.Event{Kind: balancer.AttemptEnded, Request: e.id, Attempt: k.attempt, Server: k.server,
 		Outcome: outcome, Closed: e.done, Spent: e.inv.Request.Rest != nil && e.inv.Request.Rest.Spent(), Elapsed: c.clock.now() - k.began})
 	c.release(e)
 }
--- a/proxy/core.go
+++ b/proxy/core.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/config"
 	"ryerill/discovery"
 	"ryerill/downstream"
@@ -44,13 +44,13 @@
 	mu        sync.Mutex
 	cfg       config.Pool
 	settings  config.Settings
-	balancer  *ryerill.Balancer
-	queue     []ryerill.Event // happenings that wait for their turn
-	busy      bool            // the queue is being worked off
-	actions   []ryerill.Action
-	newest    ryerill.RequestID
-	open      map[ryerill.RequestID]*entry
-	providers map[ryerill.ServerID]*target
+	balancer  *balancer.Balancer
+	queue     []balancer.Event // happenings that wait for their turn
+	busy      bool             // the queue is being worked off
+	actions   []balancer.Action
+	newest    balancer.RequestID
+	open      map[balancer.RequestID]*entry
+	providers map[balancer.ServerID]*target
 	version   uint64                   // of the latest list
 	seen      map[string]struct{}      // names that are listed or were
 	word      override.Word            // what staff have ordered
@@ -64,7 +64,7 @@
 
 // entry is an invocation that has not been answered or has invoker calls out.
 type entry struct {
-	id    ryerill.RequestID
+	id    balancer.RequestID
 	inv   *message.Invocation
 	until time.Time // the consumer gives up
 	calls []*call
@@ -76,7 +76,7 @@
 
 // happen tells the Balancer of an event and carries out what it answers.
 // Happenings that arise on the way have their turn afterwards.
-func (c *core) happen(ev ryerill.Event) {
+func (c *core) happen(ev balancer.Event) {
 	c.queue = append(c.queue, ev)
 	if c.busy {
 		return
@@ -95,13 +95,13 @@
 // decide asks the Balancer. Should the decision code break down over one
 // event, the others still deserve an answer: an invocation that it could not
 // decide fails at once, and what else is owed is answered when its time is over.
-func (c *core) decide(ev ryerill.Event) {
+func (c *core) decide(ev balancer.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			c.log.Error("the decision code broke down", "panic", fmt.Sprint(p), "event", ev.Kind)
 			c.actions = c.actions[:0]
-			if ev.Kind == ryerill.Arrival {
-				c.actions = append(c.actions, ryerill.Action{Kind: ryerill.Fail, Request: ev.Request})
+			if ev.Kind == balancer.Arrival {
+				c.actions = append(c.actions, balancer.Action{Kind: balancer.Fail, Request: ev.Request})
 			}
 		}
 	}()
@@ -109,31 +109,31 @@
 }
 
 // carryOut does what one action says.
-func (c *core) carryOut(a *ryerill.Action) {
+func (c *core) carryOut(a *balancer.Action) {
 	switch a.Kind {
-	case ryerill.Send:
+	case balancer.Send:
 		c.route(a)
-	case ryerill.Refuse:
+	case balancer.Refuse:
 		c.relay(c.open[a.Request], message.Answer{Verdict: message.Refused, RetryAfter: a.Wait})
-	case ryerill.Fail:
+	case balancer.Fail:
 		c.relay(c.open[a.Request], message.Answer{Verdict: message.Failed})
-	case ryerill.Cancel:
+	case balancer.Cancel:
 		if e := c.open[a.Request]; e != nil && a.Attempt < len(e.calls) {
 			e.calls[a.Attempt].Cancel()
 		}
-	case ryerill.SetTimer:
+	case balancer.SetTimer:
 		c.remind(a.Wait, a.Token)
-	case ryerill.CloseIdle:
+	case balancer.CloseIdle:
 		go c.pool.CloseIdle(uint64(a.Server))
-	case ryerill.Subscribe:
+	case balancer.Subscribe:
 		if c.directory != nil {
 			c.directory.Subscribe(a.On)
 		}
-	case ryerill.FetchList:
+	case balancer.FetchList:
 		if c.directory != nil {
 			c.directory.Fetch()
 		}
-	case ryerill.Log:
+	case balancer.Log:
 		c.log.Info("balancer", "says", a.Text)
 	default: // neither probes nor messages to peers exist on sockets
 		c.log.Warn("action that cannot be carried out", "kind", fmt.Sprint(a.Kind))
@@ -152,7 +152,7 @@
 		defer c.mu.Unlock()
 		if _, set := c.timers[t]; set {
 			delete(c.timers, t)
-			c.happen(ryerill.Event{Kind: ryerill.Timer, Token: token})
+			c.happen(balancer.Event{Kind: balancer.Timer, Token: token})
 		}
 	})
 	c.timers[t] = struct{}{} // the mutex is held: the timer's own call waits for it
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -6,7 +6,7 @@
 	"reflect"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/config"
 	"ryerill/discovery"
 	"ryerill/downstream"
@@ -29,9 +29,9 @@
 		rooms:     r,
 		pool:      upstream.NewPool(&r.sockets, settings.IdleClose, b.Limits.ConnectTimeout, buffers),
 		end:       end,
-		balancer:  ryerill.New(settings.Balancer, seed),
-		open:      make(map[ryerill.RequestID]*entry),
-		providers: make(map[ryerill.ServerID]*target),
+		balancer:  balancer.New(settings.Balancer, seed),
+		open:      make(map[balancer.RequestID]*entry),
+		providers: make(map[balancer.ServerID]*target),
 		timers:    make(map[*time.Timer]struct{}),
 		empty:     make(chan struct{}),
 		seen:      make(map[string]struct{}),
@@ -55,12 +55,12 @@
 	c.names.AnyPath = settings.AnyPath
 	shed := c.pool.Shed
 	r.shed.Store(&shed)
-	kind, known := ryerill.ListFull, cfg.Known // the file's own list is all there is
+	kind, known := balancer.ListFull, cfg.Known // the file's own list is all there is
 	if cfg.Directory == "" {
 		close(c.heard)
 	} else {
 		known.Snapshot = known.Snapshot && !second // else the first call waits until there is something newer
-		kind = ryerill.ListCached
+		kind = balancer.ListCached
 	}
 	if cfg.PaysDirectory {
 		r.sockets.used.Add(1) // of its guarantee: no other pool can have it
@@ -93,7 +93,7 @@
 // it has learnt: what it decides by is the same but for what may be adjusted.
 func (c *core) follows(cfg config.Pool) bool {
 	old, next := c.settings, cfg.Settings
-	old.Balancer.Limits, next.Balancer.Limits = ryerill.Limits{}, ryerill.Limits{}
+	old.Balancer.Limits, next.Balancer.Limits = balancer.Limits{}, balancer.Limits{}
 	old.IdleClose, next.IdleClose = 0, 0
 	return reflect.DeepEqual(old, next) && (c.cfg.Directory == "") == (cfg.Directory == "") && c.cfg.PaysDirectory == cfg.PaysDirectory
 }
@@ -112,7 +112,7 @@
 		c.balancer.Adjust(limits)
 	}
 	if c.directory == nil && !reflect.DeepEqual(c.cfg.Known.Endpoints, cfg.Known.Endpoints) {
-		c.list(ryerill.ListFull, cfg.Known)
+		c.list(balancer.ListFull, cfg.Known)
 	}
 	c.settings.Balancer.Limits, c.settings.IdleClose, c.cfg = limits, cfg.Settings.IdleClose, cfg
 }
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/config"
 	"ryerill/discovery"
 	"ryerill/message"
@@ -176,20 +176,20 @@
 // returns when Run has.
 func runUntil(t *testing.T, change func(*config.Config), known ...discovery.Endpoint) (p *Proxy, stop func()) {
 	t.Helper()
-	class := func(name string, e ryerill.Effect) ryerill.Class {
-		return ryerill.Class{Name: name, Aim: 2 * time.Second, Deadline: 20 * time.Second, Worth: 1, LateWorth: 0.5,
-			Effect: e, Group: ryerill.GroupCell, Memory: time.Minute}
+	class := func(name string, e balancer.Effect) balancer.Class {
+		return balancer.Class{Name: name, Aim: 2 * time.Second, Deadline: 20 * time.Second, Worth: 1, LateWorth: 0.5,
+			Effect: e, Group: balancer.GroupCell, Memory: time.Minute}
 	}
 	cfg := config.Config{Name: "n1", Limits: config.Limits{Cores: 1, Memory: 64 << 20, Sockets: 256},
 		Listeners: []config.Listener{{Name: "main", Address: "127.0.0.1:0"}},
 		Routes:    []config.Route{{Rule: route.Rule{Name: "main", Pool: "main"}}},
 		Pools: []config.Pool{{Name: "main", Directory: "127.0.0.1:1", Known: discovery.List{Index: 1, Snapshot: true, Endpoints: known},
-			Settings: config.Settings{Zones: []string{"a"}, IdleClose: time.Minute, Balancer: ryerill.Config{
-				Classes: []ryerill.Class{class("read", ryerill.Safe), class("pay", ryerill.Keyed), class("burn", ryerill.Unsafe)},
+			Settings: config.Settings{Zones: []string{"a"}, IdleClose: time.Minute, Balancer: balancer.Config{
+				Classes: []balancer.Class{class("read", balancer.Safe), class("pay", balancer.Keyed), class("burn", balancer.Unsafe)},
 				Tiers:   1, GroupSize: 1, Subscribe: true,
-				Limits: ryerill.Limits{Attempts: 3, ConnectTimeout: 5 * time.Second, Cancel: true, RetryAfter: true,
+				Limits: balancer.Limits{Attempts: 3, ConnectTimeout: 5 * time.Second, Cancel: true, RetryAfter: true,
 					MaxRetryAfter: time.Second},
-				Contract: ryerill.Contract{AnswerSlack: 20 * time.Millisecond, AskWithin: 50 * time.Millisecond,
+				Contract: balancer.Contract{AnswerSlack: 20 * time.Millisecond, AskWithin: 50 * time.Millisecond,
 					ColdFrom: 0.01, WarmUp: time.Hour, FallMultiple: 2, OverloadFor: time.Second}}}}}}
 	if change != nil {
 		change(&cfg)
@@ -344,7 +344,7 @@
 // answers what it takes in.
 func TestBreakdownOfDecisionsIsAnswered(t *testing.T) {
 	t.Parallel()
-	c := &core{log: slog.New(slog.DiscardHandler), clock: clock{time.Now()}, open: make(map[ryerill.RequestID]*entry), rooms: &rooms{},
+	c := &core{log: slog.New(slog.DiscardHandler), clock: clock{time.Now()}, open: make(map[balancer.RequestID]*entry), rooms: &rooms{},
 		figures: &figures{}, tallies: []*tally{{}}}
 	c.rooms.open.allowed.Store(2)
 	c.rooms.work.allowed.Store(2)
@@ -502,15 +502,15 @@
 // that are gone are forgotten, or the proxy grows until it is killed.
 func TestProvidersThatAreGoneAreForgotten(t *testing.T) {
 	t.Parallel()
-	c := &core{log: slog.New(slog.DiscardHandler), clock: clock{time.Now()}, balancer: ryerill.New(ryerill.Config{}, 1),
+	c := &core{log: slog.New(slog.DiscardHandler), clock: clock{time.Now()}, balancer: balancer.New(balancer.Config{}, 1),
 		pool:      upstream.NewPool(&(&rooms{}).sockets, time.Second, time.Second, nil),
-		providers: make(map[ryerill.ServerID]*target), seen: map[string]struct{}{}}
+		providers: make(map[balancer.ServerID]*target), seen: map[string]struct{}{}}
 	e := discovery.Endpoint{Name: "first", Address: "127.0.0.1:1", Status: discovery.Ready}
-	c.list(ryerill.ListFull, discovery.List{Snapshot: true, Endpoints: []discovery.Endpoint{e}})
+	c.list(balancer.ListFull, discovery.List{Snapshot: true, Endpoints: []discovery.Endpoint{e}})
 	for i := range 100 {
 		gone := discovery.Endpoint{Name: e.Name, Status: discovery.Gone}
 		e.Name = fmt.Sprint("s", i)
-		c.list(ryerill.ListChanges, discovery.List{Index: uint64(i), Endpoints: []discovery.Endpoint{gone, e}})
+		c.list(balancer.ListChanges, discovery.List{Index: uint64(i), Endpoints: []discovery.Endpoint{gone, e}})
 	}
 	if len(c.providers) != 1 || c.providers[serverID(e.Name)] == nil {
 		t.Errorf("%d providers are known", len(c.providers))
--- a/proxy/route.go
+++ b/proxy/route.go
@@ -7,24 +7,24 @@
 	"sync/atomic"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/discovery"
 	"ryerill/upstream"
 )
 
 // target is a provider as calls find it.
 type target struct {
-	id      ryerill.ServerID
-	address string         // as long as it is this target
-	ready   atomic.Bool    // neither terminating nor gone nor out by hand
-	listed  listing        // what the directory told last
-	told    ryerill.Server // what the Balancer was told last: the same under the operators' word
+	id      balancer.ServerID
+	address string          // as long as it is this target
+	ready   atomic.Bool     // neither terminating nor gone nor out by hand
+	listed  listing         // what the directory told last
+	told    balancer.Server // what the Balancer was told last: the same under the operators' word
 }
 
 // listing is an entry of the directory's list.
 type listing struct {
 	name   string
-	server ryerill.Server
+	server balancer.Server
 }
 
 // call is an invoker call with what booking it needs.
@@ -32,14 +32,14 @@
 	upstream.Call
 	entry   *entry
 	attempt int
-	server  ryerill.ServerID
+	server  balancer.ServerID
 	began   time.Duration
 
 	timeout time.Duration // how long it may take from its last byte on
 }
 
 // route starts the invoker call that an action asks for.
-func (c *core) route(a *ryerill.Action) {
+func (c *core) route(a *balancer.Action) {
 	e, t := c.open[a.Request], c.providers[a.Server]
 	if e == nil {
 		return
@@ -48,7 +48,7 @@
 	e.calls = append(e.calls, k)
 	e.out++
 	if e.done || t == nil {
-		c.book(k, ryerill.Moot, nil)
+		c.book(k, balancer.Moot, nil)
 		return
 	}
 	until := e.until
@@ -67,10 +67,10 @@
 
 // serverID is a stable hash of a provider's name: the same in every proxy,
 // since the decisions of several proxies rank providers by it.
-func serverID(name string) ryerill.ServerID {
+func serverID(name string) balancer.ServerID {
 	h := fnv.New64a()
 	io.WriteString(h, name)
-	return ryerill.ServerID(h.Sum64())
+	return balancer.ServerID(h.Sum64())
 }
 
 // index returns the place of a name in names. Names that are not there get
@@ -86,9 +86,9 @@
 
 // Listed takes in what the directory answered.
 func (c *core) Listed(list discovery.List) {
-	kind := ryerill.ListChanges
+	kind := balancer.ListChanges
 	if list.Snapshot {
-		kind = ryerill.ListFull
+		kind = balancer.ListFull
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,22 +105,22 @@
 	c.log.Warn("list of providers not told", "error", err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.happen(ryerill.Event{Kind: ryerill.ServerList, List: ryerill.ListFailed})
+	c.happen(balancer.Event{Kind: balancer.ServerList, List: balancer.ListFailed})
 }
 
 // list takes in what is known of the providers. Those that are gone are
 // forgotten with their idle connections: new ones come under new ids all day,
 // and an address may pass from one to another.
-func (c *core) list(kind ryerill.ListKind, list discovery.List) {
-	if kind != ryerill.ListChanges {
+func (c *core) list(kind balancer.ListKind, list discovery.List) {
+	if kind != balancer.ListChanges {
 		for _, t := range c.providers {
 			t.ready.Store(false)
 		}
 	}
-	servers := make([]ryerill.Server, 0, len(list.Endpoints))
-	states := map[string]ryerill.ServerState{discovery.Ready: ryerill.Ready,
-		discovery.Terminating: ryerill.Draining, discovery.Gone: ryerill.Gone}
-	listed := make(map[ryerill.ServerID]bool, len(list.Endpoints))
+	servers := make([]balancer.Server, 0, len(list.Endpoints))
+	states := map[string]balancer.ServerState{discovery.Ready: balancer.Ready,
+		discovery.Terminating: balancer.Draining, discovery.Gone: balancer.Gone}
+	listed := make(map[balancer.ServerID]bool, len(list.Endpoints))
 	for i := range list.Endpoints {
 		e := &list.Endpoints[i]
 		t := c.providers[serverID(e.Name)]
@@ -133,7 +133,7 @@
 			c.providers[t.id] = t
 		}
 		listed[t.id] = e.Status != discovery.Gone
-		t.listed = listing{e.Name, ryerill.Server{ID: t.id, State: states[e.Status], Cell: e.Group, Weight: e.Weight,
+		t.listed = listing{e.Name, balancer.Server{ID: t.id, State: states[e.Status], Cell: e.Group, Weight: e.Weight,
 			Zone: index(c.settings.Zones, e.Zone), Kind: index(c.settings.Kinds, e.Type),
 			Started: time.Duration(e.SinceMS) * time.Millisecond}}
 		c.see(e.Name)
@@ -141,10 +141,10 @@
 		servers = append(servers, t.told)
 	}
 	c.version = list.Index
-	c.happen(ryerill.Event{Kind: ryerill.ServerList, List: kind, Version: list.Index, Servers: servers})
+	c.happen(balancer.Event{Kind: balancer.ServerList, List: kind, Version: list.Index, Servers: servers})
 	var gone []uint64
 	for id := range c.providers {
-		if there, named := listed[id]; !there && (named || kind != ryerill.ListChanges) {
+		if there, named := listed[id]; !there && (named || kind != balancer.ListChanges) {
 			delete(c.providers, id)
 			gone = append(gone, uint64(id))
 		}
--- a/proxy/sharing.go
+++ b/proxy/sharing.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/fleet"
 	counts "ryerill/fleet/counter"
 	"ryerill/fleet/outlier"
@@ -22,8 +22,8 @@
 }
 
 type end struct {
-	server  ryerill.ServerID
-	outcome ryerill.Outcome
+	server  balancer.ServerID
+	outcome balancer.Outcome
 }
 
 // arrived books an arrival for the fleet. The mutex is held.
@@ -40,7 +40,7 @@
 }
 
 // ended books a call's end for the fleet. The mutex is held.
-func (b *booked) ended(server ryerill.ServerID, o ryerill.Outcome) {
+func (b *booked) ended(server balancer.ServerID, o balancer.Outcome) {
 	if b == nil {
 		return
 	}
@@ -50,7 +50,7 @@
 }
 
 // answered books an invocation's end for the fleet. The mutex is held.
-func (b *booked) answered(k *ryerill.Class, served bool, took time.Duration) {
+func (b *booked) answered(k *balancer.Class, served bool, took time.Duration) {
 	b.done.Asked += k.Worth
 	b.done.Requests++
 	if !served {
@@ -114,10 +114,10 @@
 		}
 		one := fleet.Seen{Server: outlier.Server{ID: uint64(e.server), Since: int64(t.told.Started)}, Slow: c.balancer.Slowness(e.server)}
 		switch e.outcome {
-		case ryerill.OK:
-		case ryerill.Timeout, ryerill.ConnectFailed, ryerill.Reset:
+		case balancer.OK:
+		case balancer.Timeout, balancer.ConnectFailed, balancer.Reset:
 			one.Outcome = outlier.Hung
-		case ryerill.Error, ryerill.Full:
+		case balancer.Error, balancer.Full:
 			one.Outcome = outlier.Failed
 		default:
 			continue // called off, or never sent: it says nothing
@@ -143,7 +143,7 @@
 		}
 	}
 	for _, id := range told.Condemned[pool] {
-		if t := c.providers[ryerill.ServerID(id)]; t != nil && t.ready.Load() { // never one that the own list does not name
+		if t := c.providers[balancer.ServerID(id)]; t != nil && t.ready.Load() { // never one that the own list does not name
 			c.balancer.Hearsay(t.id)
 		}
 	}
--- a/proxy/staff.go
+++ b/proxy/staff.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"ryerill"
 	"ryerill/admin"
+	"ryerill/balancer"
 	"ryerill/override"
 )
 
@@ -143,26 +143,26 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.word = w
-	var servers []ryerill.Server
+	var servers []balancer.Server
 	for _, t := range c.providers {
 		before := t.told
 		if c.overlay(t); t.told != before {
 			servers = append(servers, t.told)
-			if t.told.State != ryerill.Ready {
+			if t.told.State != balancer.Ready {
 				go c.pool.CloseIdle(uint64(t.id)) // staff may restart it now
 			}
 		}
 	}
 	if len(servers) > 0 {
-		slices.SortFunc(servers, func(a, b ryerill.Server) int { return cmp.Compare(a.ID, b.ID) })
-		c.happen(ryerill.Event{Kind: ryerill.ServerList, List: ryerill.ListChanges, Version: c.version, Servers: servers})
+		slices.SortFunc(servers, func(a, b balancer.Server) int { return cmp.Compare(a.ID, b.ID) })
+		c.happen(balancer.Event{Kind: balancer.ServerList, List: balancer.ListChanges, Version: c.version, Servers: servers})
 	}
 }
 
 // overlay makes out what a provider counts as, by the list and the word.
 func (c *core) overlay(t *target) {
 	t.told = c.word.Over(t.listed.name, t.listed.server)
-	t.ready.Store(t.told.State == ryerill.Ready)
+	t.ready.Store(t.told.State == balancer.Ready)
 }
 
 // standing adds the names of the listed providers, and which of them the pool
--- a/proxy/staff_test.go
+++ b/proxy/staff_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"ryerill"
 	"ryerill/admin"
+	"ryerill/balancer"
 	"ryerill/config"
 )
 
@@ -335,13 +335,13 @@
 // listed, so it must be rare however many these are: each entry of a list of 7,000
 // once cost it.
 func TestManyNamesAreSeldomForgotten(t *testing.T) {
-	c := &core{seen: map[string]struct{}{}, providers: map[ryerill.ServerID]*target{}}
+	c := &core{seen: map[string]struct{}{}, providers: map[balancer.ServerID]*target{}}
 	forgotten := 0
 	const listed = 7000
 	for i := range 3 * listed {
 		name := fmt.Sprint("s", i)
-		c.providers[ryerill.ServerID(i)] = &target{listed: listing{name: name}}
-		delete(c.providers, ryerill.ServerID(i-listed))
+		c.providers[balancer.ServerID(i)] = &target{listed: listing{name: name}}
+		delete(c.providers, balancer.ServerID(i-listed))
 		c.seen["mark"] = struct{}{}
 		c.see(name)
 		if _, there := c.seen["mark"]; !there {
--- a/proxy/takein.go
+++ b/proxy/takein.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/config"
 	"ryerill/message"
 )
@@ -44,7 +44,7 @@
 func (c *core) Leave(ticket uint64) (owed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e := c.open[ryerill.RequestID(ticket)]
+	e := c.open[balancer.RequestID(ticket)]
 	if owed = e != nil && !e.done; owed {
 		c.depart(e)
 	}
@@ -54,7 +54,7 @@
 // Expire answers an invocation before its time is over: this process ends.
 func (c *core) Expire(ticket uint64) {
 	c.mu.Lock()
-	e := c.open[ryerill.RequestID(ticket)]
+	e := c.open[balancer.RequestID(ticket)]
 	c.mu.Unlock()
 	if e != nil {
 		c.overdue(e)
@@ -80,6 +80,6 @@
 	for _, k := range e.calls {
 		k.Withdraw()
 	}
-	c.happen(ryerill.Event{Kind: ryerill.Departed, Request: e.id})
+	c.happen(balancer.Event{Kind: balancer.Departed, Request: e.id})
 	c.release(e)
 }
--- a/proxy/upgrade.go
+++ b/proxy/upgrade.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/drain"
 	"ryerill/internal/overridestore"
 )
@@ -17,8 +17,8 @@
 
 // known is what a process makes known of a pool to the others of its proxy.
 type known struct {
-	InFlight int            `json:"in_flight"`
-	Learnt   ryerill.Learnt `json:"learnt"`
+	InFlight int             `json:"in_flight"`
+	Learnt   balancer.Learnt `json:"learnt"`
 }
 
 // await waits until each pool has heard the directory: what the configuration
@@ -135,7 +135,7 @@
 }
 
 // adopt has the Balancer begin with what another one has learnt.
-func (c *core) adopt(l ryerill.Learnt) {
+func (c *core) adopt(l balancer.Learnt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.balancer.Adopt(l)
--- a/simadapter/wire.go
+++ b/simadapter/wire.go
@@ -1,4 +1,4 @@
-// Package wire speaks mesa-2a65: it turns frames into events of the
+// Package simadapter speaks mesa-2a65: it turns frames into events of the
 // ryerill package and its actions into frames. It decides nothing.
 package simadapter
 
@@ -10,7 +10,7 @@
 	"math"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 )
 
 // Codes of the records that are received.
@@ -77,7 +77,7 @@
 	Instance uint16
 	Seed     uint64
 	Settings string
-	Event    ryerill.Event
+	Event    balancer.Event
 }
 
 // Reader reads batches. Its records are valid until the next batch.
@@ -86,7 +86,7 @@
 	frame []byte
 	pos   int
 	left  uint32
-	banks [banks][]ryerill.Server
+	banks [banks][]balancer.Server
 	known [banks]bool
 	load  []float32
 
@@ -179,28 +179,28 @@
 	case codeStop:
 		rec.Kind = Stop
 	case codeTargets:
-		ev.Kind = ryerill.ServerList
+		ev.Kind = balancer.ServerList
 		form := f.u8()
 		ev.Version = f.u64()
 		bank := f.u8()
 		if f.short {
 			return false, nil
 		}
-		kinds := [...]ryerill.ListKind{ryerill.ListFull, ryerill.ListCached,
-			ryerill.ListFailed, ryerill.ListChanges}
+		kinds := [...]balancer.ListKind{balancer.ListFull, balancer.ListCached,
+			balancer.ListFailed, balancer.ListChanges}
 		if int(form) >= len(kinds) {
 			return false, fmt.Errorf("unknown form %d of a list", form)
 		}
 		ev.List = kinds[form]
-		if ev.List != ryerill.ListFailed {
+		if ev.List != balancer.ListFailed {
 			if int(bank) >= banks || !r.known[bank] {
 				return false, fmt.Errorf("list %d was never defined", bank)
 			}
 			ev.Servers = r.banks[bank]
 		}
 	case codeKnock:
-		ev.Kind = ryerill.Arrival
-		ev.Request = ryerill.RequestID(f.u64())
+		ev.Kind = balancer.Arrival
+		ev.Request = balancer.RequestID(f.u64())
 		ev.Class = int(f.u8())
 		ev.Tenant = int(f.u32())
 		ev.Key = f.u64()
@@ -213,14 +213,14 @@
 		ev.Repeat = bits&bitRetry != 0
 		ev.Write = bits&bitWrite != 0
 	case codeBegun:
-		ev.Kind = ryerill.StreamBegun
-		ev.Request = ryerill.RequestID(f.u64())
+		ev.Kind = balancer.StreamBegun
+		ev.Request = balancer.RequestID(f.u64())
 		ev.Attempt = int(f.u8())
 		ev.Server = f.server()
 		ev.Elapsed = f.micros()
 	case codeAttemptEnd:
-		ev.Kind = ryerill.AttemptEnded
-		ev.Request = ryerill.RequestID(f.u64())
+		ev.Kind = balancer.AttemptEnded
+		ev.Request = balancer.RequestID(f.u64())
 		verdict := f.u8()
 		ev.Closed = f.u8() != 0
 		ev.Attempt = int(f.u8())
@@ -229,20 +229,20 @@
 		r.metrics(f, ev)
 		return false, outcome(f, verdict, ev)
 	case codeDropped:
-		ev.Kind = ryerill.Departed
-		ev.Request = ryerill.RequestID(f.u64())
+		ev.Kind = balancer.Departed
+		ev.Request = balancer.RequestID(f.u64())
 	case codeTimer:
-		ev.Kind = ryerill.Timer
+		ev.Kind = balancer.Timer
 		ev.Token = f.u32()
 	case codeStatusBack:
-		ev.Kind = ryerill.Probed
+		ev.Kind = balancer.Probed
 		ev.Server = f.server()
 		verdict := f.u8()
 		ev.Elapsed = f.micros()
 		r.metrics(f, ev)
 		return false, outcome(f, verdict, ev)
 	case codeHeard:
-		ev.Kind = ryerill.PeerMessage
+		ev.Kind = balancer.PeerMessage
 		ev.Peer = f.u32()
 		ev.Payload = f.bytes(int(f.u16()))
 	default:
@@ -251,10 +251,10 @@
 	return false, nil
 }
 
-var outcomes = [...]ryerill.Outcome{ryerill.OK, ryerill.Error, ryerill.Full, ryerill.Timeout,
-	ryerill.ConnectFailed, ryerill.Reset, ryerill.Cancelled, ryerill.Moot}
+var outcomes = [...]balancer.Outcome{balancer.OK, balancer.Error, balancer.Full, balancer.Timeout,
+	balancer.ConnectFailed, balancer.Reset, balancer.Cancelled, balancer.Moot}
 
-func outcome(f *fields, verdict uint8, ev *ryerill.Event) error {
+func outcome(f *fields, verdict uint8, ev *balancer.Event) error {
 	if f.short {
 		return nil // told by the caller
 	}
@@ -279,7 +279,7 @@
 		return nil
 	}
 	// A list is made anew: events decoded earlier may still hold the one it replaces.
-	list := make([]ryerill.Server, n)
+	list := make([]balancer.Server, n)
 	for i := range list {
 		e := &list[i]
 		e.Kind = int(f.u8())
@@ -290,11 +290,11 @@
 		e.ID = f.server()
 		switch state := f.u8(); state {
 		case 0:
-			e.State = ryerill.Gone
+			e.State = balancer.Gone
 		case 1:
-			e.State = ryerill.Ready
+			e.State = balancer.Ready
 		case 2:
-			e.State = ryerill.Draining
+			e.State = balancer.Draining
 		default:
 			return fmt.Errorf("entry %d: unknown state %d", i, state)
 		}
@@ -303,7 +303,7 @@
 	return nil
 }
 
-func (r *Reader) metrics(f *fields, ev *ryerill.Event) {
+func (r *Reader) metrics(f *fields, ev *balancer.Event) {
 	n := int(f.u8())
 	if n == 0 || n*4 > len(f.data)-f.pos {
 		f.short = f.short || n > 0
@@ -369,9 +369,9 @@
 }
 
 // server reads an address and a port into one opaque number.
-func (f *fields) server() ryerill.ServerID {
+func (f *fields) server() balancer.ServerID {
 	addr := f.u32()
-	return ryerill.ServerID(addr)<<16 | ryerill.ServerID(f.u16())
+	return balancer.ServerID(addr)<<16 | balancer.ServerID(f.u16())
 }
 
 // Reply builds the reply to one batch in a buffer of its own.
@@ -396,51 +396,51 @@
 
 // Add appends one action of an instance. It reports an action that the wire
 // cannot carry.
-func (w *Reply) Add(instance uint16, a *ryerill.Action) error {
+func (w *Reply) Add(instance uint16, a *balancer.Action) error {
 	switch a.Kind {
-	case ryerill.Send:
+	case balancer.Send:
 		w.record(codeRoute, instance)
 		w.u64(uint64(a.Request))
 		w.micros(a.Wait)
 		w.server(a.Server)
-	case ryerill.Refuse:
+	case balancer.Refuse:
 		w.record(codeSayNo, instance)
 		w.u64(uint64(a.Request))
 		w.micros(a.Wait)
-	case ryerill.Fail:
+	case balancer.Fail:
 		w.record(codeRespondError, instance)
 		w.u64(uint64(a.Request))
-	case ryerill.Cancel:
+	case balancer.Cancel:
 		w.record(codeWithdraw, instance)
 		w.u64(uint64(a.Request))
 		w.buf = append(w.buf, uint8(a.Attempt))
-	case ryerill.SetTimer:
+	case balancer.SetTimer:
 		w.record(codeRemind, instance)
 		w.micros(min(a.Wait, maxTimer))
 		w.u32(a.Token)
-	case ryerill.Probe:
+	case balancer.Probe:
 		w.record(codePing, instance)
 		w.server(a.Server)
-	case ryerill.CloseIdle:
+	case balancer.CloseIdle:
 		w.record(codeShutIdle, instance)
 		w.server(a.Server)
-	case ryerill.Tell:
+	case balancer.Tell:
 		if len(a.Payload) > maxPayload {
 			return fmt.Errorf("a message of %d bytes to a peer is over %d", len(a.Payload), maxPayload)
 		}
 		w.record(codeMemoTo, instance)
 		w.buf = binary.LittleEndian.AppendUint16(w.buf, a.Peer)
 		w.text(string(a.Payload))
-	case ryerill.Subscribe:
+	case balancer.Subscribe:
 		w.record(codeStreamChanges, instance)
 		on := uint8(0)
 		if a.On {
 			on = 1
 		}
 		w.buf = append(w.buf, on)
-	case ryerill.FetchList:
+	case balancer.FetchList:
 		w.record(codeRefresh, instance)
-	case ryerill.Log:
+	case balancer.Log:
 		w.record(codeLog, instance)
 		w.text(a.Text)
 	default:
@@ -470,7 +470,7 @@
 	w.u32(uint32(min(us, math.MaxInt32)))
 }
 
-func (w *Reply) server(id ryerill.ServerID) {
+func (w *Reply) server(id balancer.ServerID) {
 	w.u32(uint32(id >> 16))
 	w.buf = binary.LittleEndian.AppendUint16(w.buf, uint16(id))
 }
--- a/simadapter/wire_test.go
+++ b/simadapter/wire_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 )
 
 func unhex(t testing.TB, text string) []byte {
@@ -71,7 +71,7 @@
 	sampleMemo = "53 0300 ffff 0400 68692037"
 )
 
-const sampleServer = ryerill.ServerID(0x074a120a)<<16 | 0x1f93
+const sampleServer = balancer.ServerID(0x074a120a)<<16 | 0x1f93
 
 func TestSampleFrames(t *testing.T) {
 	r := NewReader(bytes.NewReader(append(unhex(t, sampleEmpty), unhex(t, sampleEvents)...)))
@@ -88,10 +88,10 @@
 		t.Fatal(err)
 	}
 	want := []Record{
-		{Instance: 3, Event: ryerill.Event{Kind: ryerill.Arrival, Request: 0x5f325d3a91c4,
+		{Instance: 3, Event: balancer.Event{Kind: balancer.Arrival, Request: 0x5f325d3a91c4,
 			Key: 0x91f03b7c55d20a64, Remaining: 240 * time.Millisecond, Work: 12 * time.Millisecond}},
-		{Instance: 3, Event: ryerill.Event{Kind: ryerill.Timer, Token: 77}},
-		{Instance: 5, Event: ryerill.Event{Kind: ryerill.Departed, Request: 0x93160_0e6f2b19}},
+		{Instance: 3, Event: balancer.Event{Kind: balancer.Timer, Token: 77}},
+		{Instance: 5, Event: balancer.Event{Kind: balancer.Departed, Request: 0x93160_0e6f2b19}},
 	}
 	if !reflect.DeepEqual(recs, want) {
 		t.Errorf("got  %+v\nwant %+v", recs, want)
@@ -99,11 +99,11 @@
 	w.Begin(r.Number)
 	for _, a := range []struct {
 		who uint16
-		act ryerill.Action
+		act balancer.Action
 	}{
-		{3, ryerill.Action{Kind: ryerill.Send, Request: 0x5f325d3a91c4, Wait: 80 * time.Millisecond, Server: sampleServer}},
-		{3, ryerill.Action{Kind: ryerill.SetTimer, Wait: 500 * time.Millisecond, Token: 77}},
-		{5, ryerill.Action{Kind: ryerill.Log, Text: "two servers known"}},
+		{3, balancer.Action{Kind: balancer.Send, Request: 0x5f325d3a91c4, Wait: 80 * time.Millisecond, Server: sampleServer}},
+		{3, balancer.Action{Kind: balancer.SetTimer, Wait: 500 * time.Millisecond, Token: 77}},
+		{5, balancer.Action{Kind: balancer.Log, Text: "two servers known"}},
 	} {
 		if err := w.Add(a.who, &a.act); err != nil {
 			t.Fatal(err)
@@ -120,21 +120,21 @@
 		t.Fatalf("%+v, %v", recs, err)
 	}
 	list := recs[0].Event
-	if list.List != ryerill.ListCached || list.Version != 41 || len(list.Servers) != 2 {
+	if list.List != balancer.ListCached || list.Version != 41 || len(list.Servers) != 2 {
 		t.Errorf("list %+v", list)
 	}
-	second := ryerill.Server{ID: 0xf211900a<<16 | 0x1fbc, State: ryerill.Ready, Weight: 1.5,
+	second := balancer.Server{ID: 0xf211900a<<16 | 0x1fbc, State: balancer.Ready, Weight: 1.5,
 		Started: 0x5d1420 * time.Microsecond}
 	if list.Servers[1] != second {
 		t.Errorf("second entry %+v, want %+v", list.Servers[1], second)
 	}
 	end := recs[1].Event
-	if end.Outcome != ryerill.OK || !end.Closed || end.Elapsed != 18500*time.Microsecond || end.Server != sampleServer {
+	if end.Outcome != balancer.OK || !end.Closed || end.Elapsed != 18500*time.Microsecond || end.Server != sampleServer {
 		t.Errorf("end %+v", end)
 	}
 	var w Reply
 	w.Begin(0)
-	if err := w.Add(3, &ryerill.Action{Kind: ryerill.Tell, Peer: 0xffff, Payload: []byte("hi 7")}); err != nil {
+	if err := w.Add(3, &balancer.Action{Kind: balancer.Tell, Peer: 0xffff, Payload: []byte("hi 7")}); err != nil {
 		t.Fatal(err)
 	}
 	if want := unhex(t, sampleMemo); !bytes.Equal(w.Bytes()[replyHeader:], want) {
@@ -151,16 +151,16 @@
 	}{
 		{"init", "10 0700 0102030405060708 03000000 613d62", Record{Kind: Start, Instance: 7, Seed: 0x0807060504030201, Settings: "a=b"}},
 		{"stop", "19 0700", Record{Kind: Stop, Instance: 7}},
-		{"begun", "13 0100 0500000000000000 02 0a124a07931f e8030000", Record{Instance: 1, Event: ryerill.Event{
-			Kind: ryerill.StreamBegun, Request: 5, Attempt: 2, Server: sampleServer, Elapsed: time.Millisecond}}},
-		{"status", "17 0100 0a124a07931f 04 e8030000 01" + hex.EncodeToString(load), Record{Instance: 1, Event: ryerill.Event{
-			Kind: ryerill.Probed, Outcome: ryerill.ConnectFailed, Server: sampleServer, Elapsed: time.Millisecond, Load: []float32{0.5}}}},
-		{"heard", "18 0100 09000000 0200 6869", Record{Instance: 1, Event: ryerill.Event{
-			Kind: ryerill.PeerMessage, Peer: 9, Payload: []byte("hi")}}},
-		{"failed list", "11 0100 02 0000000000000000 63", Record{Instance: 1, Event: ryerill.Event{
-			Kind: ryerill.ServerList, List: ryerill.ListFailed}}},
+		{"begun", "13 0100 0500000000000000 02 0a124a07931f e8030000", Record{Instance: 1, Event: balancer.Event{
+			Kind: balancer.StreamBegun, Request: 5, Attempt: 2, Server: sampleServer, Elapsed: time.Millisecond}}},
+		{"status", "17 0100 0a124a07931f 04 e8030000 01" + hex.EncodeToString(load), Record{Instance: 1, Event: balancer.Event{
+			Kind: balancer.Probed, Outcome: balancer.ConnectFailed, Server: sampleServer, Elapsed: time.Millisecond, Load: []float32{0.5}}}},
+		{"heard", "18 0100 09000000 0200 6869", Record{Instance: 1, Event: balancer.Event{
+			Kind: balancer.PeerMessage, Peer: 9, Payload: []byte("hi")}}},
+		{"failed list", "11 0100 02 0000000000000000 63", Record{Instance: 1, Event: balancer.Event{
+			Kind: balancer.ServerList, List: balancer.ListFailed}}},
 		{"no hint", "12 0100 0500000000000000 01 02000000 0000000000000000 01000000 07000000 06", Record{Instance: 1,
-			Event: ryerill.Event{Kind: ryerill.Arrival, Request: 5, Class: 1, Tenant: 2,
+			Event: balancer.Event{Kind: balancer.Arrival, Request: 5, Class: 1, Tenant: 2,
 				Remaining: time.Microsecond, Repeat: true, Write: true}}},
 	} {
 		recs, err := readAll(NewReader(bytes.NewReader(frame(1, 1, 1, unhex(t, c.hex)))))
@@ -173,17 +173,17 @@
 // Every other action, as bytes written out by hand.
 func TestActions(t *testing.T) {
 	for _, c := range []struct {
-		act ryerill.Action
+		act balancer.Action
 		hex string
 	}{
-		{ryerill.Action{Kind: ryerill.Refuse, Request: 5, Wait: time.Millisecond}, "58 0100 0500000000000000 e8030000"},
-		{ryerill.Action{Kind: ryerill.Fail, Request: 5}, "51 0100 0500000000000000"},
-		{ryerill.Action{Kind: ryerill.Cancel, Request: 5, Attempt: 2}, "59 0100 0500000000000000 02"},
-		{ryerill.Action{Kind: ryerill.Probe, Server: sampleServer}, "50 0100 0a124a07931f"},
-		{ryerill.Action{Kind: ryerill.CloseIdle, Server: sampleServer}, "54 0100 0a124a07931f"},
-		{ryerill.Action{Kind: ryerill.Subscribe, On: true}, "57 0100 01"},
-		{ryerill.Action{Kind: ryerill.FetchList}, "5b 0100"},
-		{ryerill.Action{Kind: ryerill.SetTimer, Wait: 1}, "55 0100 01000000 00000000"},
+		{balancer.Action{Kind: balancer.Refuse, Request: 5, Wait: time.Millisecond}, "58 0100 0500000000000000 e8030000"},
+		{balancer.Action{Kind: balancer.Fail, Request: 5}, "51 0100 0500000000000000"},
+		{balancer.Action{Kind: balancer.Cancel, Request: 5, Attempt: 2}, "59 0100 0500000000000000 02"},
+		{balancer.Action{Kind: balancer.Probe, Server: sampleServer}, "50 0100 0a124a07931f"},
+		{balancer.Action{Kind: balancer.CloseIdle, Server: sampleServer}, "54 0100 0a124a07931f"},
+		{balancer.Action{Kind: balancer.Subscribe, On: true}, "57 0100 01"},
+		{balancer.Action{Kind: balancer.FetchList}, "5b 0100"},
+		{balancer.Action{Kind: balancer.SetTimer, Wait: 1}, "55 0100 01000000 00000000"},
 	} {
 		var w Reply
 		w.Begin(1)
@@ -196,7 +196,7 @@
 	}
 	var w Reply
 	w.Begin(1)
-	if w.Add(1, &ryerill.Action{}) == nil || w.Add(1, &ryerill.Action{Kind: ryerill.Tell, Payload: make([]byte, 257)}) == nil {
+	if w.Add(1, &balancer.Action{}) == nil || w.Add(1, &balancer.Action{Kind: balancer.Tell, Payload: make([]byte, 257)}) == nil {
 		t.Error("an action the wire cannot carry was taken")
 	}
 	w.BailOut(1, "no")
@@ -271,17 +271,17 @@
 Goal.TopNines=3
 LoadInfo.Names=pending,cpu_share
 `)
-	want := ryerill.Config{
-		Classes: []ryerill.Class{
-			{Name: "a", Aim: 2500 * time.Millisecond, Deadline: 6 * time.Second, Effect: ryerill.Keyed,
-				Group: ryerill.GroupCell, Memory: 10 * time.Second, LateWorth: 0.25, Worth: 8},
-			{Effect: ryerill.Safe, Group: ryerill.GroupCell, KeepOrder: true},
+	want := balancer.Config{
+		Classes: []balancer.Class{
+			{Name: "a", Aim: 2500 * time.Millisecond, Deadline: 6 * time.Second, Effect: balancer.Keyed,
+				Group: balancer.GroupCell, Memory: 10 * time.Second, LateWorth: 0.25, Worth: 8},
+			{Effect: balancer.Safe, Group: balancer.GroupCell, KeepOrder: true},
 		},
-		Tenants: []ryerill.Tenant{{Name: "x_y", Quota: 49}}, GroupSize: 3, Tier: 1, Tiers: 3,
+		Tenants: []balancer.Tenant{{Name: "x_y", Quota: 49}}, GroupSize: 3, Tier: 1, Tiers: 3,
 		Subscribe: true, ValueByWork: true, LoadNames: []string{"pending", "cpu_share"},
-		Limits:   ryerill.Limits{Attempts: 5, Cancel: true},
-		Contract: ryerill.Contract{ColdFrom: 0.13, WarmUp: 23 * time.Second, DrainBindsAlone: true, KeyRest: 50 * time.Millisecond},
-		Goal:     ryerill.Goal{LogLossPart: 0.2, TopNines: 3},
+		Limits:   balancer.Limits{Attempts: 5, Cancel: true},
+		Contract: balancer.Contract{ColdFrom: 0.13, WarmUp: 23 * time.Second, DrainBindsAlone: true, KeyRest: 50 * time.Millisecond},
+		Goal:     balancer.Goal{LogLossPart: 0.2, TopNines: 3},
 	}
 	if err != nil || !reflect.DeepEqual(cfg, want) {
 		t.Errorf("%v\ngot  %+v\nwant %+v", err, cfg, want)
--- a/upstream/call.go
+++ b/upstream/call.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/internal/framing"
 	"ryerill/internal/http1"
 	"ryerill/internal/socket"
@@ -138,15 +138,15 @@
 
 // Do makes the call and returns how it ended, and the answer if it served. It
 // sends once at most.
-func (p *Pool) Do(c *Call) (ryerill.Outcome, *message.Response) {
+func (p *Pool) Do(c *Call) (balancer.Outcome, *message.Response) {
 	conn, err := p.get(c)
 	switch {
 	case err != nil && c.release():
-		return ryerill.Moot, nil // nothing of it was sent
+		return balancer.Moot, nil // nothing of it was sent
 	case ownFault(err) || err != nil && c.late(): // or it was given less time than a connection may take
-		return ryerill.Moot, nil
+		return balancer.Moot, nil
 	case err != nil:
-		return ryerill.ConnectFailed, nil
+		return balancer.ConnectFailed, nil
 	}
 	// A dial takes its time: what the directory has told meanwhile is looked at again, since the rule on
 	// drains counts from a request's first byte; and so is whether somebody still waits.
@@ -156,19 +156,19 @@
 		} else {
 			p.put(conn)
 		}
-		return ryerill.Moot, nil // nothing of it was written
+		return balancer.Moot, nil // nothing of it was written
 	}
 	outcome, response, again := p.exchange(conn, c)
 	if c.release() {
 		again = false
-		if outcome != ryerill.OK {
-			outcome = ryerill.Cancelled
+		if outcome != balancer.OK {
+			outcome = balancer.Cancelled
 		}
 	}
 	switch {
-	case response != nil && response.Rest != nil && outcome == ryerill.OK:
+	case response != nil && response.Rest != nil && outcome == balancer.OK:
 		return outcome, response // which holds the connection
-	case response != nil && outcome != ryerill.OK:
+	case response != nil && outcome != balancer.OK:
 		response.Free()
 		response = nil
 	}
@@ -182,16 +182,16 @@
 
 // exchange writes the request and reads the answer, whole unless it is long. It
 // reports whether the connection may be used again.
-func (p *Pool) exchange(conn *conn, c *Call) (outcome ryerill.Outcome, response *message.Response, again bool) {
+func (p *Pool) exchange(conn *conn, c *Call) (outcome balancer.Outcome, response *message.Response, again bool) {
 	if c.Request.Rest != nil && c.Request.Rest.Spent() {
-		return ryerill.Moot, nil, false // part of it is gone
+		return balancer.Moot, nil, false // part of it is gone
 	}
 	out := p.write(conn, c)
 	switch {
 	case out == failed:
-		return ryerill.ConnectFailed, nil, false // its last byte was never written: it cannot have run
+		return balancer.ConnectFailed, nil, false // its last byte was never written: it cannot have run
 	case out == unheard:
-		return ryerill.Moot, nil, false
+		return balancer.Moot, nil, false
 	case out == whole && c.Written != nil:
 		if until := c.Written(); !until.IsZero() {
 			c.Until = until
@@ -212,14 +212,14 @@
 		resp, err := http.ReadResponse(r, &request)
 		p.buffers.PutReader(r)
 		if err != nil {
-			return ryerill.Reset, nil, false
+			return balancer.Reset, nil, false
 		}
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
 		frame, err := framing.Judge(head)
 		if err != nil || frame.Length > message.MaxBody {
-			return ryerill.Reset, nil, false
+			return balancer.Reset, nil, false
 		}
 		keep := out == whole && frame.Stated && !resp.Close && resp.ProtoAtLeast(1, 1)
 		if resp.StatusCode == http.StatusOK {
@@ -236,11 +236,11 @@
 		keep = keep && conn.r.Buffered() == 0
 		declined := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
 		if declined && resp.Header.Get(http1.HeaderDeclined) == "1" {
-			return ryerill.Full, nil, keep
+			return balancer.Full, nil, keep
 		}
-		return ryerill.Error, nil, keep
+		return balancer.Error, nil, keep
 	}
-	return ryerill.Reset, nil, false
+	return balancer.Reset, nil, false
 }
 
 // ownFault reports whether a connection could not be opened for want of something
@@ -250,9 +250,9 @@
 }
 
 // broken tells how an attempt ended whose answer cannot be read.
-func broken(err error) ryerill.Outcome {
+func broken(err error) balancer.Outcome {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return ryerill.Timeout
+		return balancer.Timeout
 	}
-	return ryerill.Reset
+	return balancer.Reset
 }
--- a/upstream/crossings_test.go
+++ b/upstream/crossings_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/internal/buffer"
 )
 
@@ -19,15 +19,15 @@
 	for _, tc := range []struct {
 		name    string
 		between func(*Call) (may bool)
-		want    ryerill.Outcome
+		want    balancer.Outcome
 		kept    int // connections, with nothing out
 	}{
-		{"nothing", func(*Call) bool { return true }, ryerill.OK, 1},
-		{"the provider drains", func(*Call) bool { return false }, ryerill.Moot, 1},
-		{"called off", func(c *Call) bool { c.Cancel(); return true }, ryerill.Moot, 0},
-		{"withdrawn", func(c *Call) bool { c.Withdraw(); return true }, ryerill.Moot, 0},
-		{"its time is over", func(c *Call) bool { c.OutBy = time.Now(); return true }, ryerill.Moot, 1},
-		{"called off and the provider drains", func(c *Call) bool { c.Cancel(); return false }, ryerill.Moot, 0},
+		{"nothing", func(*Call) bool { return true }, balancer.OK, 1},
+		{"the provider drains", func(*Call) bool { return false }, balancer.Moot, 1},
+		{"called off", func(c *Call) bool { c.Cancel(); return true }, balancer.Moot, 0},
+		{"withdrawn", func(c *Call) bool { c.Withdraw(); return true }, balancer.Moot, 0},
+		{"its time is over", func(c *Call) bool { c.OutBy = time.Now(); return true }, balancer.Moot, 1},
+		{"called off and the provider drains", func(c *Call) bool { c.Cancel(); return false }, balancer.Moot, 0},
 	} {
 		for _, idle := range []bool{false, true} {
 			address, conns, requests := serve(t, okay, nil)
@@ -45,11 +45,11 @@
 				t.Errorf("%s, on an idle connection %v: %v, %d connections kept", tc.name, idle, outcome, room.used())
 			}
 			// The next call finds all in order, and the provider has had no more than what was wanted.
-			if outcome, _ := p.Do(newCall(address)); outcome != ryerill.OK {
+			if outcome, _ := p.Do(newCall(address)); outcome != balancer.OK {
 				t.Errorf("%s, on an idle connection %v, then: %v", tc.name, idle, outcome)
 			}
 			want := 1
-			if tc.want == ryerill.OK {
+			if tc.want == balancer.OK {
 				want++
 			}
 			for range want {
@@ -69,11 +69,11 @@
 	for _, tc := range []struct {
 		name  string
 		after func(*Call)
-		want  ryerill.Outcome
+		want  balancer.Outcome
 	}{
-		{"withdrawn", (*Call).Withdraw, ryerill.OK},
-		{"called off", (*Call).Cancel, ryerill.Cancelled},
-		{"no repeat would be harmless now", func(c *Call) { c.OutBy = time.Now() }, ryerill.OK},
+		{"withdrawn", (*Call).Withdraw, balancer.OK},
+		{"called off", (*Call).Cancel, balancer.Cancelled},
+		{"no repeat would be harmless now", func(c *Call) { c.OutBy = time.Now() }, balancer.OK},
 	} {
 		answer := make(chan struct{})
 		address, _, _ := serve(t, "", func(c net.Conn) { <-answer; io.WriteString(c, okay) })
@@ -158,14 +158,14 @@
 		name string
 		set  func(*Call)
 		end  func(*Call)
-		want ryerill.Outcome
+		want balancer.Outcome
 	}{
-		{"still wanted", func(*Call) {}, func(*Call) {}, ryerill.OK},
-		{"called off", func(*Call) {}, (*Call).Cancel, ryerill.Moot},
-		{"withdrawn", func(*Call) {}, (*Call).Withdraw, ryerill.Moot},
-		{"no repeat is harmless any more", func(c *Call) { c.OutBy = time.Now().Add(50 * time.Millisecond) }, nil, ryerill.Moot},
-		{"timed out", func(c *Call) { c.Until = time.Now().Add(50 * time.Millisecond) }, nil, ryerill.ConnectFailed},
-		{"on its way, the provider begins to drain", func(c *Call) { c.MayStart = func() bool { return false } }, func(*Call) {}, ryerill.Moot},
+		{"still wanted", func(*Call) {}, func(*Call) {}, balancer.OK},
+		{"called off", func(*Call) {}, (*Call).Cancel, balancer.Moot},
+		{"withdrawn", func(*Call) {}, (*Call).Withdraw, balancer.Moot},
+		{"no repeat is harmless any more", func(c *Call) { c.OutBy = time.Now().Add(50 * time.Millisecond) }, nil, balancer.Moot},
+		{"timed out", func(c *Call) { c.Until = time.Now().Add(50 * time.Millisecond) }, nil, balancer.ConnectFailed},
+		{"on its way, the provider begins to drain", func(c *Call) { c.MayStart = func() bool { return false } }, func(*Call) {}, balancer.Moot},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
@@ -174,7 +174,7 @@
 			p := NewPool(room, time.Hour, 20*time.Second, new(buffer.Pool))
 			c := newCall(d.Addr().String())
 			tc.set(c)
-			over, began := make(chan ryerill.Outcome, 1), time.Now()
+			over, began := make(chan balancer.Outcome, 1), time.Now()
 			go func() {
 				outcome, response := p.Do(c)
 				response.Free()
@@ -205,7 +205,7 @@
 			}
 			io.WriteString(after, "after")
 			first := <-heard
-			if sent := first != "after"; sent != (tc.want == ryerill.OK) {
+			if sent := first != "after"; sent != (tc.want == balancer.OK) {
 				t.Errorf("%q arrived", first)
 			}
 			after.Close()
@@ -246,7 +246,7 @@
 			}
 			outcome, response := p.Do(newCall(address))
 			response.Free()
-			if <-requests; outcome != ryerill.OK {
+			if <-requests; outcome != balancer.OK {
 				t.Errorf("keep %v, call %d: %v", tc.keep, i, outcome)
 			}
 		}
--- a/upstream/provider_test.go
+++ b/upstream/provider_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/internal/buffer"
 	"ryerill/message"
 )
@@ -101,7 +101,7 @@
 		p := NewPool(newRoom(8), tc.idleClose, 5*time.Second, new(buffer.Pool))
 		for range 2 {
 			outcome, response := p.Do(newCall(address))
-			if outcome != ryerill.OK || response.Body.Len() != 2 {
+			if outcome != balancer.OK || response.Body.Len() != 2 {
 				t.Fatalf("%s: %v, %+v", tc.name, outcome, response)
 			}
 			<-requests // what the provider does after its answer is done
@@ -121,15 +121,15 @@
 	defer p.Close()
 	drained := newCall(address)
 	drained.MayStart = func() bool { return false }
-	if outcome, _ := p.Do(drained); outcome != ryerill.Moot {
+	if outcome, _ := p.Do(drained); outcome != balancer.Moot {
 		t.Errorf("drained: %v", outcome)
 	}
 	cancelled := newCall(address)
 	cancelled.Cancel()
-	if outcome, _ := p.Do(cancelled); outcome != ryerill.Moot {
+	if outcome, _ := p.Do(cancelled); outcome != balancer.Moot {
 		t.Errorf("cancelled: %v", outcome)
 	}
-	if outcome, _ := p.Do(newCall(address)); outcome != ryerill.OK || len(requests) > 1 {
+	if outcome, _ := p.Do(newCall(address)); outcome != balancer.OK || len(requests) > 1 {
 		t.Errorf("then: %v, %d requests", outcome, len(requests))
 	}
 }
@@ -141,7 +141,7 @@
 		c.Read(make([]byte, 1)) // and leaves the rest unread: the proxy's end is reset
 		c.Close()
 	})
-	if outcome, _ := p.Do(c); outcome != ryerill.ConnectFailed || !outcome.NeverRan() {
+	if outcome, _ := p.Do(c); outcome != balancer.ConnectFailed || !outcome.NeverRan() {
 		t.Errorf("booked as: %v", outcome)
 	}
 }
@@ -184,18 +184,18 @@
 	p := NewPool(newRoom(1), time.Hour, 5*time.Second, new(buffer.Pool))
 	defer p.Close()
 	for _, address := range []string{first, second, first} {
-		if outcome, _ := p.Do(newCall(address)); outcome != ryerill.OK {
+		if outcome, _ := p.Do(newCall(address)); outcome != balancer.OK {
 			t.Errorf("idle makes room: %v", outcome)
 		}
 	}
-	held, over := newCall(silent), make(chan ryerill.Outcome)
+	held, over := newCall(silent), make(chan balancer.Outcome)
 	go func() { outcome, _ := p.Do(held); over <- outcome }()
 	<-requests
-	if outcome, _ := p.Do(newCall(first)); outcome != ryerill.Moot { // no fault of the provider's
+	if outcome, _ := p.Do(newCall(first)); outcome != balancer.Moot { // no fault of the provider's
 		t.Errorf("with none idle: %v", outcome)
 	}
 	held.Cancel()
-	if outcome := <-over; outcome != ryerill.Cancelled || p.room.(*room).used() != 0 {
+	if outcome := <-over; outcome != balancer.Cancelled || p.room.(*room).used() != 0 {
 		t.Errorf("called off: %v, %d open", outcome, p.room.(*room).used())
 	}
 }
@@ -226,7 +226,7 @@
 	}{{1, 1}, {1, 1}, {2, 2}, {1, 2}} {
 		c := newCall(address)
 		c.Provider = tc.provider
-		if outcome, _ := p.Do(c); outcome != ryerill.OK || len(conns) != tc.conns {
+		if outcome, _ := p.Do(c); outcome != balancer.OK || len(conns) != tc.conns {
 			t.Errorf("call %d: %v, %d connections", i, outcome, len(conns))
 		}
 	}
--- a/upstream/reset_test.go
+++ b/upstream/reset_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/internal/buffer"
 )
 
@@ -61,17 +61,17 @@
 		text string
 		read int // the end comes right before this read
 		end  func(*net.TCPConn)
-		want ryerill.Outcome
+		want balancer.Outcome
 	}{
-		{"whole, the end at the look for more", part, 2, closes, ryerill.OK},
-		{"reset at the look for more", part, 2, reset, ryerill.Reset},
-		{"more, then reset at the read behind it", part, 3, reset, ryerill.Reset},
-		{"reset before a byte of the body", "HTTP/1.1 200 OK\r\n\r\n", 2, reset, ryerill.Reset},
-		{"reset in the head", "HTTP/1.1 200 OK\r\nX-", 2, reset, ryerill.Reset},
-		{"end in the head", "HTTP/1.1 200 OK\r\nX-", 2, closes, ryerill.Reset},
-		{"end in a stated body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 2, closes, ryerill.Reset},
-		{"end in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhalf", 2, closes, ryerill.Reset},
-		{"end before the last chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", 2, closes, ryerill.Reset},
+		{"whole, the end at the look for more", part, 2, closes, balancer.OK},
+		{"reset at the look for more", part, 2, reset, balancer.Reset},
+		{"more, then reset at the read behind it", part, 3, reset, balancer.Reset},
+		{"reset before a byte of the body", "HTTP/1.1 200 OK\r\n\r\n", 2, reset, balancer.Reset},
+		{"reset in the head", "HTTP/1.1 200 OK\r\nX-", 2, reset, balancer.Reset},
+		{"end in the head", "HTTP/1.1 200 OK\r\nX-", 2, closes, balancer.Reset},
+		{"end in a stated body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 2, closes, balancer.Reset},
+		{"end in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhalf", 2, closes, balancer.Reset},
+		{"end before the last chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", 2, closes, balancer.Reset},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			room := newRoom(1)
--- a/upstream/stream.go
+++ b/upstream/stream.go
@@ -9,7 +9,7 @@
 	"os"
 	"time"
 
-	"ryerill"
+	"ryerill/balancer"
 	"ryerill/internal/buffer"
 	"ryerill/internal/framing"
 	"ryerill/internal/socket"
@@ -85,7 +85,7 @@
 
 // served reads the body of an answer that served: whole if it is short, else its
 // beginning, and the connection goes with what follows.
-func (p *Pool) served(conn *conn, c *Call, header http.Header, frame framing.Body, keep bool) (ryerill.Outcome, *message.Response, bool) {
+func (p *Pool) served(conn *conn, c *Call, header http.Header, frame framing.Body, keep bool) (balancer.Outcome, *message.Response, bool) {
 	length := frame.Length
 	if !frame.Stated || frame.Chunked {
 		length = message.Unknown
@@ -99,7 +99,7 @@
 		hold = message.MaxHeld
 	}
 	if hold > message.MaxHeld || p.bodies != nil && !p.bodies.Take(hold) {
-		return ryerill.OK, response, false // it goes on as it comes
+		return balancer.OK, response, false // it goes on as it comes
 	}
 	if p.bodies != nil {
 		response.Done = func() { p.bodies.Give(hold) }
@@ -128,9 +128,9 @@
 		return broken(err), nil, false
 	case all:
 		response.Rest = nil
-		return ryerill.OK, response, keep && conn.r.Buffered() == 0
+		return balancer.OK, response, keep && conn.r.Buffered() == 0
 	}
-	return ryerill.OK, response, false
+	return balancer.OK, response, false
 }
 
 // download is what follows of an answer's body. It holds the connection until Close.
