--- a/admin/ops.go
+++ b/admin/ops.go
@@ -38,48 +38,48 @@
 	maxID        = 256                    // bytes of a provider's id
 )
 
-// ErrUnknown says that nobody has an id.
-var ErrUnknown = errors.New("no backend has this id: see the directory's list for those that there are")
+// ErrUnknownEndpoint says that nobody has an id.
+var ErrUnknownEndpoint = errors.New("no backend has this id: see the directory's list for those that there are")
 
-// Staff carries out what is called for. Its methods are safe for concurrent use
+// Controller carries out what is called for. Its methods are safe for concurrent use
 // and answer soon, whatever the load.
-type Staff interface {
+type Controller interface {
 	Readiness() error // nil is yes
 	Stats() Stats
-	Down(id string) error // ErrUnknown is a 404, any other error a 503
-	Up(id string) error
+	TakeDown(id string) error // ErrUnknown is a 404, any other error a 503
+	Restore(id string) error
 	StartDrain() error
 	StopDrain() error
-	Fleet() (status any, in bool)   // status is nil while there is none; in is false where the proxy is in no fleet
-	Shared() (status any, in bool)  // in is false where copies share nothing
-	Rollout() (status any, in bool) // in is false where the proxy takes no part in rollouts
+	Fleet() (status any, in bool)       // status is nil while there is none; in is false where the proxy is in no fleet
+	SharedState() (status any, in bool) // in is false where copies share nothing
+	Rollout() (status any, in bool)     // in is false where the proxy takes no part in rollouts
 	StartRollout(plan []byte) error
-	RolloutWord(word, body string) error
-	Forget(name string) error // of a dead copy; any error is a 404
+	RolloutCommand(word, body string) error
+	ForgetReplica(name string) error // of a dead copy; any error is a 404
 }
 
 // Stats are the figures of one process since its start.
 type Stats struct {
-	Calls        map[string]Calls `json:"calls"` // by class
-	BackendCalls int64            `json:"backend_calls"`
-	Inflight     int64            `json:"inflight"`
-	HostsListed  int              `json:"hosts_listed"`
-	HostsDown    int              `json:"hosts_down"`
-	ReconfigOK   int64            `json:"reconfig_ok"`
-	ReconfigFail int64            `json:"reconfig_failed"`
+	Requests        map[string]RequestCounts `json:"calls"` // by class
+	Attempts        int64                    `json:"backend_calls"`
+	InFlight        int64                    `json:"inflight"`
+	EndpointsListed int                      `json:"hosts_listed"`
+	EndpointsDown   int                      `json:"hosts_down"`
+	ReloadsOK       int64                    `json:"reconfig_ok"`
+	ReloadsFailed   int64                    `json:"reconfig_failed"`
 }
 
-// Calls counts requests by how they ended.
-type Calls struct {
-	Success int64 `json:"success"`
-	Busy    int64 `json:"busy"`
-	Failure int64 `json:"failure"`
+// RequestCounts counts requests by how they ended.
+type RequestCounts struct {
+	Served int64 `json:"success"`
+	Shed   int64 `json:"busy"`
+	Failed int64 `json:"failure"`
 }
 
-// Door is the listener with its connections.
-type Door struct {
+// Server is the listener with its connections.
+type Server struct {
 	listener *net.TCPListener
-	staff    Staff
+	staff    Controller
 	reserve  *socket.Reserve
 
 	mu    sync.Mutex
@@ -95,25 +95,25 @@
 }
 
 // Listen opens the door at an address; nobody is answered before Serve.
-func Listen(address string) (*Door, error) {
+func Listen(address string) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &Door{listener: l.(*net.TCPListener), reserve: socket.NewReserve(spare), conns: make(map[*conn]struct{})}, nil
+	return &Server{listener: l.(*net.TCPListener), reserve: socket.NewReserve(spare), conns: make(map[*conn]struct{})}, nil
 }
 
 // Address returns the address that the door is at.
-func (d *Door) Address() string { return d.listener.Addr().String() }
+func (d *Server) Address() string { return d.listener.Addr().String() }
 
 // Close ends a door that never served.
-func (d *Door) Close() {
+func (d *Server) Close() {
 	d.listener.Close()
 	d.reserve.Close()
 }
 
 // Serve answers calls until ctx ends and those that are in have their answer.
-func (d *Door) Serve(ctx context.Context, staff Staff) {
+func (d *Server) Serve(ctx context.Context, staff Controller) {
 	d.staff = staff
 	defer context.AfterFunc(ctx, func() {
 		d.listener.Close()
@@ -126,10 +126,10 @@
 		}
 	})()
 	defer d.reserve.Close()
-	var pause socket.Pause
+	var pause socket.Backoff
 	for {
 		nc, err := d.listener.AcceptTCP()
-		if socket.Short(err) && d.reserve.Lend() {
+		if socket.OutOfDescriptors(err) && d.reserve.Lend() {
 			nc, err = d.listener.AcceptTCP()
 		}
 		if errors.Is(err, net.ErrClosed) {
@@ -140,7 +140,7 @@
 			time.Sleep(pause.Next())
 			continue
 		}
-		pause.Over()
+		pause.Reset()
 		d.add(&conn{TCPConn: nc, since: time.Now()})
 	}
 	d.all.Wait()
@@ -149,7 +149,7 @@
 // add starts a connection. At the bound one that has its answer goes, or the one
 // that has waited longest without a whole call; if all have one and wait for its
 // answer, which takes moments, the new one goes.
-func (d *Door) add(c *conn) {
+func (d *Server) add(c *conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.conns) >= most {
@@ -172,7 +172,7 @@
 	go d.serve(c)
 }
 
-func (d *Door) serve(c *conn) {
+func (d *Server) serve(c *conn) {
 	defer d.all.Done()
 	defer func() {
 		d.mu.Lock()
@@ -249,7 +249,7 @@
 	if err != nil {
 		return call{}, err
 	}
-	frame, err := framing.Judge(head)
+	frame, err := framing.ParseLength(head)
 	if err != nil {
 		return call{}, no(http.StatusBadRequest, "%v: state one Content-Length, or chunks", err)
 	}
@@ -297,7 +297,7 @@
 }
 
 // carryOut does what a call says.
-func (d *Door) carryOut(k call) answer {
+func (d *Server) carryOut(k call) answer {
 	method, there := map[string]string{"/ops/readiness": http.MethodGet, "/ops/stats": http.MethodGet,
 		"/ops/backends/down": http.MethodPost, "/ops/backends/up": http.MethodPost,
 		"/ops/drain/start": http.MethodPost, "/ops/drain/stop": http.MethodPost,
@@ -341,7 +341,7 @@
 		}
 		return inJSON(status)
 	case "/ops/fleet/shared":
-		status, in := d.staff.Shared()
+		status, in := d.staff.SharedState()
 		if !in {
 			return no(http.StatusNotFound, "this proxy shares nothing with others: its configuration has no fleet.share block, or it is not in the fleet yet")
 		}
@@ -359,17 +359,17 @@
 		}
 		return inJSON(status)
 	case "/ops/rollout/pause", "/ops/rollout/resume", "/ops/rollout/abort", "/ops/rollout/back", "/ops/rollout/refused":
-		if err := d.staff.RolloutWord(strings.TrimPrefix(k.path, "/ops/rollout/"), id); err != nil {
+		if err := d.staff.RolloutCommand(strings.TrimPrefix(k.path, "/ops/rollout/"), id); err != nil {
 			return no(http.StatusConflict, "%v", err)
 		}
 	case "/ops/fleet/forget":
-		if err := d.staff.Forget(id); err != nil {
+		if err := d.staff.ForgetReplica(id); err != nil {
 			return no(http.StatusNotFound, "%v", err)
 		}
 	case "/ops/backends/down":
-		err = d.staff.Down(id)
+		err = d.staff.TakeDown(id)
 	case "/ops/backends/up":
-		err = d.staff.Up(id)
+		err = d.staff.Restore(id)
 	case "/ops/drain/start":
 		err = d.staff.StartDrain()
 	case "/ops/drain/stop":
@@ -378,7 +378,7 @@
 	switch {
 	case err == nil:
 		return answer{status: http.StatusOK, text: "done"}
-	case errors.Is(err, ErrUnknown):
+	case errors.Is(err, ErrUnknownEndpoint):
 		return no(http.StatusNotFound, "%v", err)
 	}
 	return no(http.StatusServiceUnavailable, "%v", err)
--- a/admin/ops_test.go
+++ b/admin/ops_test.go
@@ -16,57 +16,57 @@
 
 const patience = 20 * time.Second
 
-// staff counts what it is told.
-type staff struct {
+// controller counts what it is told.
+type controller struct {
 	changes atomic.Int64
 	last    atomic.Pointer[string]
 }
 
-func (s *staff) Readiness() error { return nil }
-func (s *staff) Stats() Stats {
-	return Stats{Inflight: 14, Calls: map[string]Calls{"C": {Success: 812}}}
+func (s *controller) Readiness() error { return nil }
+func (s *controller) Stats() Stats {
+	return Stats{InFlight: 14, Requests: map[string]RequestCounts{"C": {Served: 812}}}
 }
-func (s *staff) Down(id string) error {
+func (s *controller) TakeDown(id string) error {
 	s.changes.Add(1)
 	s.last.Store(&id)
 	switch id {
 	case "nobody":
-		return ErrUnknown
+		return ErrUnknownEndpoint
 	case "jammed":
 		return errors.New("call again")
 	}
 	return nil
 }
-func (s *staff) Up(id string) error { s.changes.Add(1); return nil }
-func (s *staff) StartDrain() error  { s.changes.Add(1); return nil }
-func (s *staff) StopDrain() error   { s.changes.Add(1); return nil }
-func (s *staff) Fleet() (any, bool) { return map[string]string{"name": "n1"}, true }
+func (s *controller) Restore(id string) error { s.changes.Add(1); return nil }
+func (s *controller) StartDrain() error       { s.changes.Add(1); return nil }
+func (s *controller) StopDrain() error        { s.changes.Add(1); return nil }
+func (s *controller) Fleet() (any, bool)      { return map[string]string{"name": "n1"}, true }
 
-func (s *staff) Shared() (any, bool) { return nil, false }
+func (s *controller) SharedState() (any, bool) { return nil, false }
 
-func (s *staff) Rollout() (any, bool) { return nil, false }
+func (s *controller) Rollout() (any, bool) { return nil, false }
 
-func (s *staff) StartRollout(plan []byte) error {
+func (s *controller) StartRollout(plan []byte) error {
 	s.changes.Add(1)
 	return nil
 }
 
-func (s *staff) RolloutWord(word, body string) error { s.changes.Add(1); return nil }
+func (s *controller) RolloutCommand(word, body string) error { s.changes.Add(1); return nil }
 
-func (s *staff) Forget(name string) error {
+func (s *controller) ForgetReplica(name string) error {
 	if name != "n2" {
-		return ErrUnknown
+		return ErrUnknownEndpoint
 	}
 	return nil
 }
 
-func open(t *testing.T) (*Door, *staff) {
+func open(t *testing.T) (*Server, *controller) {
 	t.Helper()
 	d, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &staff{}
+	s := &controller{}
 	ctx, stop := context.WithCancel(context.Background())
 	over := make(chan struct{})
 	go func() { d.Serve(ctx, s); close(over) }()
@@ -74,7 +74,7 @@
 	return d, s
 }
 
-func dial(t *testing.T, d *Door) net.Conn {
+func dial(t *testing.T, d *Server) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", d.Address())
 	if err != nil {
@@ -85,7 +85,7 @@
 	return c
 }
 
-func ask(t *testing.T, d *Door, text string) (int, string, *http.Response) {
+func ask(t *testing.T, d *Server, text string) (int, string, *http.Response) {
 	t.Helper()
 	c := dial(t, d)
 	io.WriteString(c, text)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -68,7 +68,7 @@
 	ring        []*server // the same: see settle
 	levels      shelves   // those that may be sent to, by the least rank that they can have now: see place
 	busy, late  int       // servers with calls out, and with such beyond Lmax
-	byID        map[ServerID]*server
+	byID        map[EndpointID]*server
 	ready, near int     // servers to send to, and those near to this copy
 	keeps       bool    // to its own zone
 	rate        float64 // calls served, decaying over WarmUp, at rateAt
@@ -93,18 +93,18 @@
 // New returns a Balancer for cfg. Figures that are missing or impossible are replaced by defaults.
 func New(cfg Config, seed uint64) *Balancer {
 	cfg.complete()
-	b := &Balancer{rng: seed, began: -1, byID: map[ServerID]*server{}, requests: map[RequestID]*request{},
-		sharers: 1, parts: cfg.GroupSize, turns: map[uint64]*turn{}, timers: map[uint32]uint64{}}
-	most := slices.MaxFunc(cfg.Classes, func(x, y Class) int { return cmp.Compare(x.LateWorth, y.LateWorth) })
-	late := math.Ceil(min(most.LateWorth, 1))
+	b := &Balancer{rng: seed, began: -1, byID: map[EndpointID]*server{}, requests: map[RequestID]*request{},
+		sharers: 1, parts: cfg.ReplicaCount, turns: map[uint64]*turn{}, timers: map[uint32]uint64{}}
+	most := slices.MaxFunc(cfg.Classes, func(x, y Class) int { return cmp.Compare(x.LateWeight, y.LateWeight) })
+	late := math.Ceil(min(most.LateWeight, 1))
 	b.lmax, b.start = lmaxInTime+(lmaxShare-lmaxInTime)*late, startInTime+(startSeats-startInTime)*late
 	b.lmax *= float64(cfg.Tiers-cfg.Tier) / float64(cfg.Tiers)
 	for i := range cfg.Classes {
 		c := &cfg.Classes[i]
-		b.topWorth = max(b.topWorth, c.Worth)
-		b.usual, b.fails = append(b.usual, b.lmax*c.Aim.Seconds()), append(b.fails, 0) // until calls have told
-		if b.aim == 0 || c.Aim < b.aim {
-			b.aim = c.Aim
+		b.topWorth = max(b.topWorth, c.PriorityWeight)
+		b.usual, b.fails = append(b.usual, b.lmax*c.LatencyObjective.Seconds()), append(b.fails, 0) // until calls have told
+		if b.aim == 0 || c.LatencyObjective < b.aim {
+			b.aim = c.LatencyObjective
 		}
 	}
 	b.cfg, b.quota, b.flights = cfg, make([]credit, len(cfg.Tenants)), make([]flight, len(cfg.Classes))
@@ -119,20 +119,20 @@
 	b.now, b.out = max(now, b.now), out
 	b.adjust()
 	switch ev.Kind {
-	case ServerList:
+	case EndpointListUpdated:
 		b.list(&ev)
-	case Arrival:
+	case RequestArrived:
 		b.arrive(&ev)
 	case AttemptEnded:
 		b.ended(&ev)
-	case Departed:
+	case ClientLeft:
 		b.departed(&ev)
-	case Timer:
+	case TimerFired:
 		if key, ok := b.timers[ev.Token]; ok {
 			delete(b.timers, ev.Token)
 			b.advance(key)
 		} else if ev.Token == 0 && b.asking {
-			b.asking, b.out = false, append(b.out, Action{Kind: Subscribe, On: true})
+			b.asking, b.out = false, append(b.out, Action{Kind: Subscribe, Enabled: true})
 		}
 	}
 	out, b.out = b.out, nil
@@ -147,7 +147,7 @@
 
 // sample buffers the latency of an ended call, in aims of its class.
 func (b *Balancer) sample(c *Class, wait time.Duration) {
-	b.samples[b.seen%maxSamples] = float64(wait) / float64(c.Aim)
+	b.samples[b.seen%maxSamples] = float64(wait) / float64(c.LatencyObjective)
 	b.seen++
 }
 
@@ -205,7 +205,9 @@
 }
 
 // age is how long the call of r is out, in aims of its class.
-func (b *Balancer) age(r *request) float64 { return float64(b.now-r.sent) / float64(r.c.Aim) }
+func (b *Balancer) age(r *request) float64 {
+	return float64(b.now-r.sent) / float64(r.c.LatencyObjective)
+}
 
 // admits tells whether r finds room. At the front what is worth least meets a lower threshold of the limit,
 // by class and quota, and so does a class whose calls fail more than others': one that drags everywhere would
@@ -216,7 +218,7 @@
 		limit -= (1 - leastAt) * (1 - r.value) * b.maxIFR
 		limit *= (1 - b.fails[r.class]) / (1 - slices.Min(b.fails))
 	}
-	return float64(b.ifr+b.beside) < limit && len(b.requests) < b.cfg.Limits.Open
+	return float64(b.ifr+b.beside) < limit && len(b.requests) < b.cfg.Limits.MaxOpenRequests
 }
 
 // overQuota books a request on its tenant. Each copy at the front holds an equal part of a quota.
@@ -319,7 +321,7 @@
 // --- Server state: list, draining, cold, health.
 
 type server struct {
-	Server
+	Endpoint
 	out          int           // our calls out
 	held         float64       // seats held by failed calls, at touch
 	slow         float64       // latency against the peers' mean, at touch; 1 is as quick as they
@@ -343,11 +345,11 @@
 
 // trusted tells whether s may be sent to for as long as it is remembered.
 func (b *Balancer) trusted(s *server) bool {
-	return s.State == Ready || s.State == Gone && b.cfg.Contract.DrainBindsAlone && !s.drained
+	return s.State == Ready || s.State == Gone && b.cfg.Contract.OnlyDrainingBinds && !s.drained
 }
 
 func (b *Balancer) remembered(s *server) bool {
-	return s.out > 0 || b.cfg.Contract.DrainBindsAlone && b.now-s.known < remember*b.cfg.Contract.WarmUp
+	return s.out > 0 || b.cfg.Contract.OnlyDrainingBinds && b.now-s.known < remember*b.cfg.Contract.WarmUpPeriod
 }
 
 // doubt is how many half seats s stands behind its peers, for being called gone or not near.
@@ -383,7 +385,7 @@
 	case Timeout, ConnectFailed, Reset:
 		s.latest = -1
 		fallthrough
-	case Error, Full:
+	case Error, Rejected:
 		if held = min(held+blame*(held+1), mostHeld); held == mostHeld && s.held < mostHeld/2 {
 			b.logf("server %x: keeps failing (%v), shunned", uint64(s.ID), o)
 		}
@@ -408,9 +410,9 @@
 	if share >= 1 || !s.near {
 		return share >= 1
 	}
-	least := float64(b.ready) / float64(b.parts) / c.OverloadFor.Seconds() // a call a span, by all
+	least := float64(b.ready) / float64(b.parts) / c.OverloadPeriod.Seconds() // a call a span, by all
 	rate := max(b.served(0), least) / float64(b.near*b.sharers) * share
-	saved := rate * c.OverloadFor.Seconds() / 4
+	saved := rate * c.OverloadPeriod.Seconds() / 4
 	if n := s.budget.fill(b.now, rate, math.Inf(1)); n > 1+saved {
 		s.budget.n -= math.Floor(n - saved)
 	}
@@ -419,30 +421,30 @@
 
 // coldShare is the part of a warm server's load that s may be sent: 1 or more when it need not be watched.
 func (b *Balancer) coldShare(s *server) float64 {
-	c, age := &b.cfg.Contract, max(b.now-s.Started, 0)
-	if s.Started > 0 && age < c.WarmUp {
-		return coldSafety * c.FallMultiple * (c.ColdFrom + (1-c.ColdFrom)*float64(age)/float64(c.WarmUp))
+	c, age := &b.cfg.Contract, max(b.now-s.StartedAt, 0)
+	if s.StartedAt > 0 && age < c.WarmUpPeriod {
+		return coldSafety * c.OverloadMultiple * (c.InitialCapacity + (1-c.InitialCapacity)*float64(age)/float64(c.WarmUpPeriod))
 	}
 	return 1
 }
 
 // served adds n to the calls served, a count that decays over one WarmUp, and returns their rate.
 func (b *Balancer) served(n float64) float64 {
-	span := b.cfg.Contract.WarmUp.Seconds()
+	span := b.cfg.Contract.WarmUpPeriod.Seconds()
 	b.rate, b.rateAt = b.rate*math.Exp(-(b.now-b.rateAt).Seconds()/span)+n, b.now
 	return b.rate / span / max(1-math.Exp(-(b.now-b.began).Seconds()/span), 0.01)
 }
 
 // list takes in a server list. Draining and gone servers get nothing from then on.
 func (b *Balancer) list(ev *Event) {
-	if ev.List == ListFailed {
+	if ev.ListKind == ListFailed {
 		if b.failed++; b.failed > 2 {
 			b.logf("server list: %d calls failed in a row", b.failed)
 		}
 		b.ask()
 		return
 	}
-	if ev.List == ListCached {
+	if ev.ListKind == ListCached {
 		b.ask()
 	} else {
 		b.failed = 0
@@ -451,29 +453,29 @@
 		if held, _ := b.standing(s); s.State != Gone {
 			s.known, s.latest = b.now, -int(min(held, 1))
 		}
-		if ev.List != ListChanges {
+		if ev.ListKind != ListChanges {
 			s.State = Gone
 		}
 	}
-	added, old := false, b.cfg.Contract.DrainBindsAlone || ev.Version < b.version // then perhaps
-	for _, e := range ev.Servers {
+	added, old := false, b.cfg.Contract.OnlyDrainingBinds || ev.Version < b.version // then perhaps
+	for _, e := range ev.Endpoints {
 		s := b.byID[e.ID]
 		if s == nil {
-			s = &server{Server: e, slow: 1, known: b.now, level: -1}
+			s = &server{Endpoint: e, slow: 1, known: b.now, level: -1}
 			b.byID[e.ID] = s
 			b.servers, b.ring, added = append(b.servers, s), append(b.ring, s), true
 		} else if e.State == Gone { // perhaps told without them, but calls to it may yet be resent in its group
-			e.Zone, e.Cell, e.Started = s.Zone, s.Cell, max(e.Started, s.Started)
-		} else if old && e.Started <= s.Started {
-			if e.Started = s.Started; s.drained {
+			e.Zone, e.Cell, e.StartedAt = s.Zone, s.Cell, max(e.StartedAt, s.StartedAt)
+		} else if old && e.StartedAt <= s.StartedAt {
+			if e.StartedAt = s.StartedAt; s.drained {
 				e.State = Draining
 			}
 		}
-		s.drained = e.State == Draining || s.drained && e.Started == s.Started
-		if e.Started != s.Started || s.budget.at == 0 { // new or restarted: nothing known of it holds
-			s.held, s.slow, s.budget = 0, 1, credit{n: math.Mod(float64(b.cfg.Self)*math.Phi, 1), at: b.now}
+		s.drained = e.State == Draining || s.drained && e.StartedAt == s.StartedAt
+		if e.StartedAt != s.StartedAt || s.budget.at == 0 { // new or restarted: nothing known of it holds
+			s.held, s.slow, s.budget = 0, 1, credit{n: math.Mod(float64(b.cfg.ReplicaIndex)*math.Phi, 1), at: b.now}
 		}
-		s.Server = e
+		s.Endpoint = e
 	}
 	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
 		forget := s.State == Gone && !b.remembered(s)
@@ -507,7 +509,7 @@
 		return
 	}
 	b.ready = len(fleet)
-	part := float64(b.ready) / float64(b.cfg.GroupSize) * float64(b.cfg.Tiers-b.cfg.Tier)
+	part := float64(b.ready) / float64(b.cfg.ReplicaCount) * float64(b.cfg.Tiers-b.cfg.Tier)
 	if b.ceiling > 0 { // the limit is for so many servers: it keeps its seats for each
 		b.maxIFR *= maxSeats * part / b.ceiling
 	}
@@ -522,8 +524,8 @@
 	}
 	b.near = int(math.Ceil(min(max(nearSeats*startSeats*part, leastNear), float64(len(own)))))
 	// From this copy's place on the ring up to the next copy's, and as many as are near at the least.
-	place := float64(len(own)) / float64(b.cfg.GroupSize)
-	from, to := int(float64(b.cfg.Self)*place), int(float64(b.cfg.Self+1)*place)
+	place := float64(len(own)) / float64(b.cfg.ReplicaCount)
+	from, to := int(float64(b.cfg.ReplicaIndex)*place), int(float64(b.cfg.ReplicaIndex+1)*place)
 	for i := range min(max(b.near, to-from), len(own)) {
 		own[(from+i)%len(own)].near = true
 	}
@@ -544,7 +546,7 @@
 		return
 	}
 	b.asking = true
-	wait := float64(min(b.cfg.Contract.AskWithin, askWithin)) / 32 * math.Exp2(float64(min(b.failed, 3)))
+	wait := float64(min(b.cfg.Contract.MaxPollInterval, askWithin)) / 32 * math.Exp2(float64(min(b.failed, 3)))
 	b.out = append(b.out, Action{Kind: SetTimer, Wait: time.Duration(wait * (0.1 + b.random()))})
 }
 
@@ -558,12 +560,12 @@
 	end      time.Duration // an answer after this is worth nothing
 	attempts []*server
 	sent     time.Duration // when the latest attempt was sent
-	to, at   Server        // where to, as listed then; and of the first that may have run
+	to, at   Endpoint      // where to, as listed then; and of the first that may have run
 
 	open, done bool          // the latest attempt is out; answered
 	key        uint64        // where order is kept
 	due        time.Duration // a turn after this comes too late
-	ran        *Server       // at, once an attempt may have run: keyed work may go near it again,
+	ran        *Endpoint     // at, once an attempt may have run: keyed work may go near it again,
 	lapse      time.Duration // if all of that is out by then
 
 	prev, next *request // in the flight of its class
@@ -597,17 +599,17 @@
 	}
 	c := &b.cfg.Classes[class]
 	r := b.spares.take()
-	*r = request{id: ev.Request, class: class, c: c, value: c.Worth / b.topWorth, end: b.now + ev.Remaining,
+	*r = request{id: ev.Request, class: class, c: c, value: c.PriorityWeight / b.topWorth, end: b.now + ev.Remaining,
 		attempts: r.attempts[:0]}
-	if c.LateWorth == 0 {
-		r.end = min(r.end, b.now+time.Duration(aimMargin*(float64(c.Aim)+max(c.AimStretch, 0)*float64(ev.Work))))
+	if c.LateWeight == 0 {
+		r.end = min(r.end, b.now+time.Duration(aimMargin*(float64(c.LatencyObjective)+max(c.ObjectivePerWork, 0)*float64(ev.ExpectedWork))))
 	}
 	if b.overQuota(ev.Tenant) {
-		r.value *= min(max(b.cfg.OverShareWorth, 0), 1)
+		r.value *= min(max(b.cfg.OverQuotaWeight, 0), 1)
 	}
 	b.requests[r.id] = r
 	b.fails[class] *= 1 - meanGain/5 // a class that is hardly sent is tried again
-	if !c.KeepOrder || ev.Key == 0 || len(b.requests) >= b.cfg.Limits.Open {
+	if !c.OrderedByKey || ev.Key == 0 || len(b.requests) >= b.cfg.Limits.MaxOpenRequests {
 		b.begin(r)
 		return
 	}
@@ -679,7 +681,7 @@
 	if s == nil {
 		return false
 	}
-	r.attempts, r.sent, r.to, r.open = append(r.attempts, s), b.now, s.Server, true
+	r.attempts, r.sent, r.to, r.open = append(r.attempts, s), b.now, s.Endpoint, true
 	if b.flights[r.class].add(r); s.out == 0 {
 		b.busy++
 	}
@@ -691,9 +693,9 @@
 		s.budget.n--
 	}
 	b.place(s)
-	a := Action{Kind: Send, Request: r.id, Server: s.ID, Wait: left, Within: left}
+	a := Action{Kind: Send, Request: r.id, Endpoint: s.ID, Wait: left, WriteTimeout: left}
 	if r.ran != nil && r.c.Effect == Keyed { // a connection may come up late
-		a.Within = min(left, r.lapse-b.now)
+		a.WriteTimeout = min(left, r.lapse-b.now)
 	}
 	b.out = append(b.out, a)
 	return true
@@ -717,10 +719,10 @@
 	}
 	o := ev.Outcome
 	switch {
-	case o == OK, (o == Timeout || o == Cancelled) && float64(ev.Elapsed) > b.lmax*float64(r.c.Aim):
+	case o == OK, (o == Timeout || o == Cancelled) && float64(ev.Elapsed) > b.lmax*float64(r.c.LatencyObjective):
 		b.sample(r.c, ev.Elapsed) // cut short, a call tells something beyond Lmax only
 	case o == Error && ev.Elapsed.Seconds() > quickShare*b.usual[r.class]:
-		b.sample(r.c, max(ev.Elapsed, r.c.Aim)) // a refusal from deeper down asks for a cut here
+		b.sample(r.c, max(ev.Elapsed, r.c.LatencyObjective)) // a refusal from deeper down asks for a cut here
 	case o == ConnectFailed:
 		b.sample(r.c, max(ev.Elapsed, b.cfg.Limits.ConnectTimeout))
 	}
@@ -729,14 +731,14 @@
 		b.fails[r.class] += meanGain
 	}
 	if !o.NeverRan() && r.ran == nil {
-		r.ran, r.at, r.lapse = &r.at, r.to, r.sent+time.Duration(memoryPart*float64(r.c.Memory))
+		r.ran, r.at, r.lapse = &r.at, r.to, r.sent+time.Duration(memoryPart*float64(r.c.IdempotencyWindow))
 	}
 	if t := b.turns[r.key]; t != nil && (o == Timeout || o == Reset || o == Cancelled) {
-		t.rest = b.now + b.cfg.Contract.KeyRest
-		b.wake(r.key, b.cfg.Contract.KeyRest)
+		t.rest = b.now + b.cfg.Contract.KeyQuarantine
+		b.wake(r.key, b.cfg.Contract.KeyQuarantine)
 	}
-	r.done = r.done || ev.Closed
-	again := !ev.Spent && (r.ran == nil || r.c.Effect != Unsafe) && len(r.attempts) < b.cfg.Limits.Attempts
+	r.done = r.done || ev.RequestClosed
+	again := !ev.BodyConsumed && (r.ran == nil || r.c.Effect != Unsafe) && len(r.attempts) < b.cfg.Limits.MaxAttempts
 	if !r.done && !(again && b.send(r)) {
 		b.answer(r)
 	}
@@ -748,10 +750,10 @@
 func (b *Balancer) answer(r *request) {
 	a := Action{Kind: Fail, Request: r.id}
 	if r.ran == nil || r.c.Effect == Safe || r.c.Effect == Keyed && r.c.Group == GroupAll {
-		a.Kind = Refuse
-		if b.cfg.Tier == 0 && b.cfg.Limits.RetryAfter {
+		a.Kind = Shed
+		if b.cfg.Tier == 0 && b.cfg.Limits.SendRetryAfter {
 			// Half an aim away the limit has had time to move; the spread keeps clients apart.
-			a.Wait = min(time.Duration((0.25+0.5*b.random())*float64(r.c.Aim)), b.cfg.Limits.MaxRetryAfter)
+			a.Wait = min(time.Duration((0.25+0.5*b.random())*float64(r.c.LatencyObjective)), b.cfg.Limits.MaxRetryAfter)
 		}
 	}
 	b.out = append(b.out, a)
@@ -765,7 +767,7 @@
 		return
 	}
 	r.done = true
-	if r.open && b.cfg.Limits.Cancel {
+	if r.open && b.cfg.Limits.AllowCancel {
 		b.out = append(b.out, Action{Kind: Cancel, Request: r.id, Attempt: len(r.attempts) - 1})
 	}
 	b.release(r)
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -21,9 +21,9 @@
 	acts []Action
 }
 
-func newNode(t testing.TB, cfg Config, servers ...Server) *node {
+func newNode(t testing.TB, cfg Config, servers ...Endpoint) *node {
 	n := &node{t: t, b: New(cfg, 1), now: time.Hour}
-	n.handle(Event{Kind: ServerList, List: ListCached, Servers: servers})
+	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListCached, Endpoints: servers})
 	return n
 }
 
@@ -40,14 +40,14 @@
 // keyed brings a request of a class with a key, for a client that waits for a time.
 func (n *node) keyed(class int, key uint64, remaining time.Duration) (RequestID, []Action) {
 	n.next++
-	return n.next, n.handle(Event{Kind: Arrival, Request: n.next, Class: class, Key: key, Remaining: remaining})
+	return n.next, n.handle(Event{Kind: RequestArrived, Request: n.next, Class: class, Key: key, Remaining: remaining})
 }
 
 func (n *node) end(id RequestID, attempt int, o Outcome, after time.Duration) []Action {
 	r := n.b.requests[id]
 	s := r.attempts[attempt].ID
 	n.now = r.sent + after
-	return n.handle(Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Outcome: o, Closed: o == OK, Server: s, Elapsed: after})
+	return n.handle(Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Outcome: o, RequestClosed: o == OK, Endpoint: s, Elapsed: after})
 }
 
 func only(t testing.TB, acts []Action, kind ActionKind) Action {
@@ -67,22 +67,22 @@
 // classes: 0 safe, 1 keyed in all, 2 keyed in a zone, 3 keyed in a cell, 4 unsafe.
 func testConfig() Config {
 	class := func(e Effect, g Group) Class {
-		return Class{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, LateWorth: 0.5, Effect: e, Group: g, Memory: 300 * ms}
+		return Class{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, LateWeight: 0.5, Effect: e, Group: g, IdempotencyWindow: 300 * ms}
 	}
 	return Config{
 		Classes: []Class{class(Safe, 0), class(Keyed, GroupAll), class(Keyed, GroupZone), class(Keyed, GroupCell), class(Unsafe, 0)},
-		Tiers:   1, GroupSize: 1,
-		Limits: Limits{Attempts: 3, MaxRetryAfter: 400 * ms, RetryAfter: true, Cancel: true, ConnectTimeout: 100 * ms},
-		Contract: Contract{DrainGrace: 500 * ms, AskWithin: 10 * time.Second, ColdFrom: 0.2, WarmUp: 10 * time.Second,
-			FallMultiple: 2, OverloadFor: time.Second},
+		Tiers:   1, ReplicaCount: 1,
+		Limits: Limits{MaxAttempts: 3, MaxRetryAfter: 400 * ms, SendRetryAfter: true, AllowCancel: true, ConnectTimeout: 100 * ms},
+		Contract: Contract{DrainGrace: 500 * ms, MaxPollInterval: 10 * time.Second, InitialCapacity: 0.2, WarmUpPeriod: 10 * time.Second,
+			OverloadMultiple: 2, OverloadPeriod: time.Second},
 	}
 }
 
-func up(id ServerID) Server { return Server{ID: id, State: Ready} }
+func up(id EndpointID) Endpoint { return Endpoint{ID: id, State: Ready} }
 
-func fleet(n int) (list []Server) {
+func fleet(n int) (list []Endpoint) {
 	for i := range n {
-		list = append(list, up(ServerID(i+1)))
+		list = append(list, up(EndpointID(i+1)))
 	}
 	return list
 }
@@ -93,7 +93,7 @@
 		n.b.sample(&n.b.cfg.Classes[0], latency)
 	}
 	n.now = max(n.now, n.b.windowEnd)
-	n.handle(Event{Kind: Timer})
+	n.handle(Event{Kind: TimerFired})
 }
 
 func TestLimiter(t *testing.T) {
@@ -130,7 +130,7 @@
 // aim and more, and the ceiling alone refused one invocation in ten.
 func TestCalmFrontRefusesNothing(t *testing.T) {
 	cfg := testConfig()
-	cfg.Tiers, cfg.GroupSize = 3, 2
+	cfg.Tiers, cfg.ReplicaCount = 3, 2
 	n := newNode(t, cfg, fleet(4)...)
 	for range 20 {
 		var open []RequestID
@@ -153,7 +153,7 @@
 	feed(n, 900*ms)
 	seats := n.b.maxIFR / 8
 	for _, servers := range []int{4, 2, 6, 8} {
-		n.handle(Event{Kind: ServerList, List: ListFull, Servers: fleet(servers)})
+		n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: fleet(servers)})
 		if got := n.b.maxIFR / float64(servers); got < 0.999*seats || got > 1.001*seats {
 			t.Errorf("%d servers: %v seats each, want %v", servers, got, seats)
 		}
@@ -163,7 +163,7 @@
 		n.b.sample(&n.b.cfg.Classes[0], 100*ms)
 	}
 	n.now += time.Second
-	if n.handle(Event{Kind: Timer}); n.b.maxIFR <= was {
+	if n.handle(Event{Kind: TimerFired}); n.b.maxIFR <= was {
 		t.Errorf("ten quick answers leave the limit at %v", n.b.maxIFR)
 	}
 }
@@ -172,7 +172,7 @@
 // able to grow, yet not to twice as much, at which gateways jam (0.27 at 16 seats).
 func TestOneCopyGrowsBeyondItsLoad(t *testing.T) {
 	cfg := testConfig()
-	cfg.Tiers, cfg.GroupSize = 3, 2
+	cfg.Tiers, cfg.ReplicaCount = 3, 2
 	n := newNode(t, cfg, fleet(2)...)
 	for range 60 {
 		feed(n, 500*ms)
@@ -187,14 +187,14 @@
 func TestTheListIsAskedForSoon(t *testing.T) {
 	for _, within := range []time.Duration{500 * ms, 10 * time.Second, 10 * time.Minute} { // whatever the settings allow
 		cfg := testConfig()
-		cfg.Subscribe, cfg.Contract.AskWithin = true, within
+		cfg.Subscribe, cfg.Contract.MaxPollInterval = true, within
 		n := newNode(t, cfg, fleet(2)...)
 		for _, most := range []time.Duration{350 * ms, 700 * ms} {
 			if a := only(t, n.acts, SetTimer); a.Wait > min(most, within) {
 				t.Errorf("of %v: after %d failures the list is asked for in %v", within, n.b.failed, a.Wait)
 			}
-			n.handle(Event{Kind: Timer})
-			n.handle(Event{Kind: ServerList, List: ListFailed})
+			n.handle(Event{Kind: TimerFired})
+			n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFailed})
 		}
 	}
 }
@@ -207,7 +207,7 @@
 	for _, tc := range []struct{ servers, own, least, most int }{{21, 7, 100, 100}, {12, 4, 100, 100}, {21, 2, 0, 60}} {
 		for self := range 12 {
 			cfg := testConfig()
-			cfg.Tier, cfg.Tiers, cfg.GroupSize, cfg.Self, cfg.Zone = 1, 3, 12, self, 2
+			cfg.Tier, cfg.Tiers, cfg.ReplicaCount, cfg.ReplicaIndex, cfg.Zone = 1, 3, 12, self, 2
 			servers := fleet(tc.servers)
 			for i := range servers {
 				if servers[i].Zone = i % 2; i < tc.own {
@@ -217,7 +217,7 @@
 			n, stayed := newNode(t, cfg, servers...), 0
 			for range 100 {
 				id, acts := n.arrive(0)
-				if int(only(t, acts, Send).Server) <= tc.own {
+				if int(only(t, acts, Send).Endpoint) <= tc.own {
 					stayed++
 				}
 				n.end(id, 0, OK, 100*ms)
@@ -235,12 +235,12 @@
 		n.b.sample(&n.b.cfg.Classes[0], 900*ms)
 	}
 	n.now += time.Minute
-	n.handle(Event{Kind: Timer})
+	n.handle(Event{Kind: TimerFired})
 	if n.b.maxIFR != startSeats*10 {
 		t.Fatalf("limit moved to %v on too few samples", n.b.maxIFR)
 	}
 	n.b.sample(&n.b.cfg.Classes[0], 900*ms)
-	n.handle(Event{Kind: Timer})
+	n.handle(Event{Kind: TimerFired})
 	if n.b.maxIFR >= startSeats*10 {
 		t.Errorf("limit stayed at %v: samples were lost", n.b.maxIFR)
 	}
@@ -252,10 +252,10 @@
 	for _, c := range []struct{ late, seats float64 }{{0.5, startSeats}, {0.01, startSeats}, {7, startSeats}, {0, startInTime}} {
 		cfg := testConfig()
 		for i := range cfg.Classes {
-			cfg.Classes[i].LateWorth = c.late
+			cfg.Classes[i].LateWeight = c.late
 		}
 		n := newNode(t, cfg)
-		n.handle(Event{Kind: ServerList, List: ListFull, Servers: fleet(20)})
+		n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: fleet(20)})
 		if n.b.maxIFR != c.seats*20 {
 			t.Errorf("late answers worth %v: limit %v, want %v", c.late, n.b.maxIFR, c.seats*20)
 		}
@@ -268,7 +268,7 @@
 	for _, c := range []struct {
 		o    Outcome
 		want int
-	}{{Error, 1}, {Reset, 0}, {Full, 0}, {OK, 1}, {Timeout, 1}, {ConnectFailed, 1}} {
+	}{{Error, 1}, {Reset, 0}, {Rejected, 0}, {OK, 1}, {Timeout, 1}, {ConnectFailed, 1}} {
 		n.b.seen, n.b.usual[4] = 0, 0.5
 		id, _ := n.arrive(4)
 		after := 400 * ms
@@ -300,7 +300,7 @@
 		}
 	}
 	_, acts := n.arrive(0)
-	if a := only(t, acts, Refuse); a.Wait <= 0 || a.Wait > 400*ms {
+	if a := only(t, acts, Shed); a.Wait <= 0 || a.Wait > 400*ms {
 		t.Errorf("retry-after %v", a.Wait)
 	}
 	n.end(1, 0, OK, 10*ms)
@@ -313,7 +313,7 @@
 	cfg.Tiers, cfg.Tier = 3, 1
 	n := newNode(t, cfg)
 	_, acts := n.arrive(4)
-	if a := only(t, acts, Refuse); a.Wait != 0 {
+	if a := only(t, acts, Shed); a.Wait != 0 {
 		t.Errorf("retry-after %v at a deeper tier", a.Wait)
 	}
 	if n.b.lmax >= lmaxShare || n.b.lmax <= lmaxShare/3 {
@@ -329,22 +329,22 @@
 	n.b.ifr = 15
 	arrive := func(class, tenant int) []Action {
 		n.next++
-		return n.handle(Event{Kind: Arrival, Request: n.next, Class: class, Tenant: tenant, Remaining: time.Second})
+		return n.handle(Event{Kind: RequestArrived, Request: n.next, Class: class, Tenant: tenant, Remaining: time.Second})
 	}
 	only(t, arrive(0, 0), Send) // in quota: 15 of 20
 	only(t, arrive(0, 1), Send) // its quota allows two
 	only(t, arrive(0, 1), Send)
 	n.b.ifr = 15
-	only(t, arrive(0, 1), Refuse)
+	only(t, arrive(0, 1), Shed)
 	only(t, arrive(0, 7), Send) // a tenant that no setting names
 }
 
 func TestPicker(t *testing.T) {
 	n := newNode(t, testConfig(), fleet(3)...)
-	used := map[ServerID]int{}
+	used := map[EndpointID]int{}
 	for range 9 {
 		_, acts := n.arrive(0)
-		used[only(t, acts, Send).Server]++
+		used[only(t, acts, Send).Endpoint]++
 	}
 	for id, calls := range used {
 		if calls != 3 {
@@ -361,30 +361,30 @@
 func TestPickerPrefersOwnZoneAmongEquals(t *testing.T) {
 	cfg := testConfig()
 	cfg.Zone = 1
-	n := newNode(t, cfg, Server{ID: 1, State: Ready}, Server{ID: 2, State: Ready, Zone: 1})
+	n := newNode(t, cfg, Endpoint{ID: 1, State: Ready}, Endpoint{ID: 2, State: Ready, Zone: 1})
 	_, first := n.arrive(0)
 	_, second := n.arrive(0)
-	if only(t, first, Send).Server != 2 || only(t, second, Send).Server != 1 {
+	if only(t, first, Send).Endpoint != 2 || only(t, second, Send).Endpoint != 1 {
 		t.Errorf("sent to %v then %v: want the own zone, then the idle server", first, second)
 	}
 }
 
 // A quick error frees its seat at once and would draw the next pick: it goes on holding it.
 func TestFailedCallsHoldTheirSeat(t *testing.T) {
-	for _, o := range []Outcome{Error, Timeout, ConnectFailed, Reset, Full} {
+	for _, o := range []Outcome{Error, Timeout, ConnectFailed, Reset, Rejected} {
 		cfg := testConfig()
-		cfg.Limits.Attempts = 1
+		cfg.Limits.MaxAttempts = 1
 		n := newNode(t, cfg, fleet(3)...)
 		id, acts := n.arrive(4)
-		bad := only(t, acts, Send).Server
+		bad := only(t, acts, Send).Endpoint
 		n.end(id, 0, o, ms)
 		for range 2 {
-			if _, acts := n.arrive(4); only(t, acts, Send).Server == bad {
+			if _, acts := n.arrive(4); only(t, acts, Send).Endpoint == bad {
 				t.Errorf("outcome %d: picked again at once", o)
 			}
 		}
 		n.now += time.Minute
-		n.handle(Event{Kind: Timer})
+		n.handle(Event{Kind: TimerFired})
 		if held, _ := n.b.standing(n.b.byID[bad]); held > 0.01 {
 			t.Errorf("outcome %d: still holds %v seats a minute later", o, held)
 		}
@@ -410,12 +410,12 @@
 		n.b.judge(slow, 0, OK, 300*ms)
 	}
 	for range 2 {
-		if _, acts := n.arrive(0); only(t, acts, Send).Server == 1 {
+		if _, acts := n.arrive(0); only(t, acts, Send).Endpoint == 1 {
 			t.Errorf("%v times slower: picked as if idle", slow.slow)
 		}
 	}
 	n.now += time.Minute
-	n.handle(Event{Kind: Timer})
+	n.handle(Event{Kind: TimerFired})
 	if _, left := n.b.standing(slow); left >= slowFrom {
 		t.Errorf("a minute later %v times slower, which still holds seats", left)
 	}
@@ -436,32 +436,32 @@
 func TestEffectsAgainstOutcomes(t *testing.T) {
 	cfg := testConfig()
 	cfg.Zone = 9 // no server is nearer than another
-	servers := []Server{up(1), {ID: 2, State: Ready}, {ID: 3, State: Ready, Cell: 1}, {ID: 4, State: Ready, Zone: 1, Cell: 2}}
-	all, none := []ServerID{2, 3, 4}, []ServerID(nil)
-	mayRun := [][]ServerID{all, all, {2, 3}, {2}, none}
-	answers := []ActionKind{Refuse, Refuse, Fail, Fail, Fail}
+	servers := []Endpoint{up(1), {ID: 2, State: Ready}, {ID: 3, State: Ready, Cell: 1}, {ID: 4, State: Ready, Zone: 1, Cell: 2}}
+	all, none := []EndpointID{2, 3, 4}, []EndpointID(nil)
+	mayRun := [][]EndpointID{all, all, {2, 3}, {2}, none}
+	answers := []ActionKind{Shed, Shed, Fail, Fail, Fail}
 	for class := range mayRun {
-		for _, o := range []Outcome{Error, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot} {
+		for _, o := range []Outcome{Error, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent} {
 			want, answer := mayRun[class], answers[class]
 			if o.NeverRan() {
-				want, answer = all, Refuse
+				want, answer = all, Shed
 			}
 			// first ends the first attempt and returns what follows.
 			first := func(seed uint64, late time.Duration) []Action {
 				n := newNode(t, cfg, servers[0])
 				n.b.rng = seed
 				id, _ := n.arrive(class)
-				n.handle(Event{Kind: ServerList, List: ListFull, Servers: servers})
+				n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: servers})
 				return n.end(id, 0, o, 10*ms+late)
 			}
-			got := map[ServerID]bool{}
+			got := map[EndpointID]bool{}
 			for seed := range uint64(40) {
 				acts := first(seed, 0)
 				if len(want) == 0 {
 					only(t, acts, answer)
 					break
 				}
-				got[only(t, acts, Send).Server] = true
+				got[only(t, acts, Send).Endpoint] = true
 			}
 			if len(got) != len(want) {
 				t.Errorf("class %d, outcome %d: resent to %v, want %v", class, o, got, want)
@@ -485,15 +485,15 @@
 	id, acts := n.arrive(0)
 	for attempt := range 2 {
 		only(t, acts, Send)
-		acts = n.end(id, attempt, Full, ms)
+		acts = n.end(id, attempt, Rejected, ms)
 	}
 	only(t, acts, Send)
-	only(t, n.end(id, 2, Full, ms), Refuse)
+	only(t, n.end(id, 2, Rejected, ms), Shed)
 	if len(n.b.requests) != 0 || n.b.ifr != 0 {
 		t.Errorf("%d requests and %d calls are left", len(n.b.requests), n.b.ifr)
 	}
-	for _, ev := range []Event{{Kind: AttemptEnded, Request: id, Attempt: 2}, {Kind: Departed, Request: id},
-		{Kind: AttemptEnded, Request: 999}, {Kind: Probed}, {Kind: PeerMessage}, {Kind: StreamBegun, Request: id}} {
+	for _, ev := range []Event{{Kind: AttemptEnded, Request: id, Attempt: 2}, {Kind: ClientLeft, Request: id},
+		{Kind: AttemptEnded, Request: 999}, {Kind: ProbeEnded}, {Kind: PeerMessageReceived}, {Kind: StreamStarted, Request: id}} {
 		if acts := n.handle(ev); len(acts) > 0 {
 			t.Errorf("%+v on an ended request gave %+v", ev, acts)
 		}
@@ -502,11 +502,11 @@
 
 func TestAnswersBeforeTheRequestsOwnTimeIsUp(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes[0].LateWorth = 0
+	cfg.Classes[0].LateWeight = 0
 	n := newNode(t, cfg, fleet(3)...)
 	arrive := func(class int, left time.Duration) []Action {
 		n.next++
-		return n.handle(Event{Kind: Arrival, Request: n.next, Class: class, Remaining: left})
+		return n.handle(Event{Kind: RequestArrived, Request: n.next, Class: class, Remaining: left})
 	}
 	if a := only(t, arrive(4, 700*ms), Send); a.Wait > 700*ms {
 		t.Errorf("time-out %v beyond the time left", a.Wait)
@@ -514,15 +514,15 @@
 	if a := only(t, arrive(0, 2*time.Second), Send); a.Wait >= time.Second {
 		t.Errorf("time-out %v beyond the aim, after which an answer is worth nothing", a.Wait)
 	}
-	only(t, arrive(4, 0), Refuse)
-	only(t, arrive(4, ms), Refuse)
+	only(t, arrive(4, 0), Shed)
+	only(t, arrive(4, ms), Shed)
 	only(t, n.end(1, 0, Timeout, 700*ms), Fail)
 }
 
 func TestDepartedClientsWorkIsCalledOff(t *testing.T) {
 	n := newNode(t, testConfig(), fleet(3)...)
 	id, _ := n.arrive(0)
-	only(t, n.handle(Event{Kind: Departed, Request: id}), Cancel)
+	only(t, n.handle(Event{Kind: ClientLeft, Request: id}), Cancel)
 	if acts := n.end(id, 0, Cancelled, ms); len(acts) > 0 || len(n.b.requests) > 0 {
 		t.Errorf("after the client left: %+v", acts)
 	}
@@ -530,14 +530,14 @@
 
 func TestLists(t *testing.T) {
 	n := newNode(t, testConfig(), fleet(3)...)
-	sends := func() map[ServerID]bool {
-		got := map[ServerID]bool{}
+	sends := func() map[EndpointID]bool {
+		got := map[EndpointID]bool{}
 		var out []RequestID
 		for range 4 {
 			id, acts := n.arrive(0)
 			for _, a := range acts {
 				if a.Kind == Send {
-					got[a.Server] = true
+					got[a.Endpoint] = true
 					out = append(out, id)
 				}
 			}
@@ -547,25 +547,25 @@
 		}
 		return got
 	}
-	n.handle(Event{Kind: ServerList, List: ListChanges, Servers: []Server{{ID: 2, State: Draining}}})
+	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 2, State: Draining}}})
 	if got := sends(); got[2] || !got[1] || !got[3] {
 		t.Errorf("2 drains: sent to %v", got)
 	}
-	n.handle(Event{Kind: ServerList, List: ListFull, Servers: []Server{{ID: 2, State: Ready, Kind: 99, Cell: 200}, up(1)}})
+	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: []Endpoint{{ID: 2, State: Ready, Kind: 99, Cell: 200}, up(1)}})
 	if got := sends(); got[3] || !got[1] || !got[2] {
 		t.Errorf("3 is absent from the full list: sent to %v", got)
 	}
-	n.handle(Event{Kind: ServerList, List: ListFailed})
+	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFailed})
 	if got := sends(); len(got) != 2 {
 		t.Errorf("after a failed call: sent to %v", got)
 	}
-	n.handle(Event{Kind: ServerList, List: ListChanges, Servers: []Server{{ID: 1, State: Gone}, {ID: 8, State: Gone}}})
+	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 1, State: Gone}, {ID: 8, State: Gone}}})
 	if got := sends(); len(got) != 1 || !got[2] {
 		t.Errorf("1 is gone: sent to %v", got)
 	}
-	n.handle(Event{Kind: ServerList, List: ListFull})
+	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull})
 	_, acts := n.arrive(4)
-	only(t, acts, Refuse)
+	only(t, acts, Shed)
 }
 
 func TestListIsAskedForAndAskedAgain(t *testing.T) {
@@ -574,14 +574,14 @@
 	n := newNode(t, cfg, fleet(1)...)
 	for try := range 4 {
 		timer := only(t, n.acts, SetTimer)
-		if timer.Wait <= 0 || timer.Wait > cfg.Contract.AskWithin {
+		if timer.Wait <= 0 || timer.Wait > cfg.Contract.MaxPollInterval {
 			t.Errorf("try %d: asked after %v", try, timer.Wait)
 		}
 		n.now += timer.Wait
-		if a := only(t, n.handle(Event{Kind: Timer, Token: timer.Token}), Subscribe); !a.On {
+		if a := only(t, n.handle(Event{Kind: TimerFired, Token: timer.Token}), Subscribe); !a.Enabled {
 			t.Error("subscription turned off")
 		}
-		n.handle(Event{Kind: ServerList, List: ListFailed})
+		n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFailed})
 	}
 	n = newNode(t, testConfig(), fleet(1)...)
 	if len(n.acts) > 0 {
@@ -593,7 +593,7 @@
 	n := newNode(t, testConfig(), fleet(2)...)
 	s := n.b.byID[1]
 	s.held, s.slow, s.touch = 9, 5, n.now
-	n.handle(Event{Kind: ServerList, List: ListChanges, Servers: []Server{{ID: 1, State: Ready, Started: n.now}}})
+	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 1, State: Ready, StartedAt: n.now}}})
 	if s.held != 0 || s.slow != 1 {
 		t.Errorf("held %v, %v times slower after a restart", s.held, s.slow)
 	}
@@ -606,11 +606,11 @@
 func TestColdBudgetOverManyCopies(t *testing.T) {
 	const copies, servers, perSecond = 12, 10, 10 // each copy
 	cfg := testConfig()
-	cfg.GroupSize = copies
+	cfg.ReplicaCount = copies
 	list := fleet(servers)
 	nodes := make([]*node, copies)
 	for i := range nodes {
-		cfg.Self = i
+		cfg.ReplicaIndex = i
 		nodes[i] = newNode(t, cfg, list...)
 		nodes[i].b.rng = uint64(i) << 20
 	}
@@ -621,17 +621,17 @@
 	for now := start; now < born+8*time.Second; now += step {
 		for _, n := range nodes {
 			if n.now = now; now == born {
-				n.handle(Event{Kind: ServerList, List: ListChanges, Servers: []Server{{ID: 99, State: Ready, Started: born}}})
+				n.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 99, State: Ready, StartedAt: born}}})
 			}
 			id, acts := n.arrive(0)
-			if only(t, acts, Send).Server == 99 {
+			if only(t, acts, Send).Endpoint == 99 {
 				toCold = append(toCold, now-born)
 			}
 			n.end(id, 0, OK, 5*ms)
 		}
 	}
 	// A warm server bears 12 calls a second; the budget of any span at age a is multiple x (cold share at a) x that.
-	span := cfg.Contract.OverloadFor
+	span := cfg.Contract.OverloadPeriod
 	for from := time.Duration(0); from < 8*time.Second; from += 100 * ms {
 		sent := 0
 		for _, at := range toCold {
@@ -639,8 +639,8 @@
 				sent++
 			}
 		}
-		capacity := float64(copies*perSecond) / servers * (cfg.Contract.ColdFrom + (1-cfg.Contract.ColdFrom)*float64(from)/float64(cfg.Contract.WarmUp))
-		if budget := cfg.Contract.FallMultiple * capacity * span.Seconds(); float64(sent) > budget {
+		capacity := float64(copies*perSecond) / servers * (cfg.Contract.InitialCapacity + (1-cfg.Contract.InitialCapacity)*float64(from)/float64(cfg.Contract.WarmUpPeriod))
+		if budget := cfg.Contract.OverloadMultiple * capacity * span.Seconds(); float64(sent) > budget {
 			t.Errorf("%v after its start: %d calls within %v, budget %.1f", from, sent, span, budget)
 		}
 	}
@@ -674,10 +674,10 @@
 	for _, copies := range []int{1, 3, 40, 300} {
 		const servers, step = 30, 10 * ms
 		cfg := testConfig()
-		cfg.GroupSize = copies
+		cfg.ReplicaCount = copies
 		nodes := make([]*node, min(copies, 40)) // a sample of the copies
 		for i := range nodes {
-			cfg.Self = i
+			cfg.ReplicaIndex = i
 			nodes[i] = newNode(t, cfg, fleet(servers)...)
 		}
 		type call struct {
@@ -724,7 +724,7 @@
 	}{{[]float64{0, 0}, 0, 1, lmaxInTime}, {[]float64{0, 0.1}, 0, 1, lmaxShare}, {[]float64{1}, 0, 2, lmaxShare}, {[]float64{0}, 1, 2, lmaxInTime / 2}, {[]float64{7}, 0, 1, lmaxShare}} {
 		cfg := Config{Tier: tc.tier, Tiers: tc.tiers}
 		for _, late := range tc.late {
-			cfg.Classes = append(cfg.Classes, Class{LateWorth: late})
+			cfg.Classes = append(cfg.Classes, Class{LateWeight: late})
 		}
 		if got := New(cfg, 1).lmax; math.Abs(got-tc.want) > 1e-9 {
 			t.Errorf("%+v: %v", tc, got)
@@ -736,11 +736,11 @@
 // all at one time: else they call in step, choke the tier together, and learn of it in step.
 func TestQuietCopiesPayBackApart(t *testing.T) {
 	cfg := testConfig()
-	cfg.GroupSize = 400
+	cfg.ReplicaCount = 400
 	var waits []time.Duration
 	for seed := range uint64(40) {
 		n := &node{t: t, b: New(cfg, seed+1), now: time.Hour}
-		n.handle(Event{Kind: ServerList, List: ListCached, Servers: fleet(10)})
+		n.handle(Event{Kind: EndpointListUpdated, ListKind: ListCached, Endpoints: fleet(10)})
 		id, _ := n.arrive(0)
 		n.end(id, 0, OK, 500*ms)
 		ended := n.now
@@ -765,7 +765,7 @@
 // A quiet copy must bear calls that chance bunches, and pays them back.
 func TestUnusedSeatsAreSaved(t *testing.T) {
 	cfg := testConfig()
-	cfg.GroupSize = 80
+	cfg.ReplicaCount = 80
 	n := newNode(t, cfg, fleet(10)...)
 	n.now += 2 * time.Second
 	sent := 0
@@ -781,7 +781,7 @@
 		n.end(id, 0, OK, time.Second)
 	}
 	_, acts := n.arrive(0)
-	only(t, acts, Refuse) // what was overdrawn is paid back
+	only(t, acts, Shed) // what was overdrawn is paid back
 }
 
 // Where copies are many, a copy that spread its calls over the whole fleet met a server too seldom to know it.
@@ -789,10 +789,10 @@
 	const servers = 60
 	for _, copies := range []int{1, 2, 30, 300} {
 		cfg := testConfig()
-		cfg.GroupSize = copies
-		near := map[ServerID]int{}
+		cfg.ReplicaCount = copies
+		near := map[EndpointID]int{}
 		for i := range copies {
-			cfg.Self = i
+			cfg.ReplicaIndex = i
 			n := newNode(t, cfg, fleet(servers)...)
 			own := 0
 			for _, s := range n.b.servers {
@@ -804,12 +804,12 @@
 			if own < int(leastNear) || copies <= 2 && own != servers {
 				t.Fatalf("%d copies: copy %d keeps to %d servers", copies, i, own)
 			}
-			if _, acts := n.arrive(0); !n.b.byID[only(t, acts, Send).Server].near {
+			if _, acts := n.arrive(0); !n.b.byID[only(t, acts, Send).Endpoint].near {
 				t.Errorf("%d copies: an idle near server was passed over", copies)
 			}
 		}
 		least, most := copies, 0
-		for id := range ServerID(servers) {
+		for id := range EndpointID(servers) {
 			least, most = min(least, near[id+1]), max(most, near[id+1])
 		}
 		if most-least > copies/20+1 {
@@ -817,7 +817,7 @@
 		}
 	}
 	cfg := testConfig()
-	cfg.GroupSize, cfg.Self = 300, -7
+	cfg.ReplicaCount, cfg.ReplicaIndex = 300, -7
 	n := newNode(t, cfg, fleet(servers)...)
 	for range 8 { // near servers that hold calls give way to idle ones elsewhere
 		n.b.maxIFR = 20
@@ -826,7 +826,7 @@
 	if n.b.near >= 8 || n.b.ifr < 6 {
 		t.Errorf("near %v, %d calls out", n.b.near, n.b.ifr)
 	}
-	n.handle(Event{Kind: ServerList, List: ListFull, Servers: fleet(1)})
+	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: fleet(1)})
 	if n.b.near != 1 || !n.b.byID[1].near {
 		t.Error("the only server is not near")
 	}
@@ -835,12 +835,12 @@
 // Overload once raised the cold budget: calls turned away or timed out say nothing of what a server can do.
 func TestColdBudgetGoesByCallsServed(t *testing.T) {
 	cfg := testConfig()
-	cfg.Limits.Attempts = 1
+	cfg.Limits.MaxAttempts = 1
 	n := newNode(t, cfg, fleet(10)...)
 	for range 200 {
 		n.now += 20 * ms
 		id, _ := n.arrive(4)
-		n.end(id, 0, Full, 0)
+		n.end(id, 0, Rejected, 0)
 	}
 	if rate := n.b.served(0); rate > 0.01 {
 		t.Errorf("%.2f calls served a second, of none", rate)
@@ -855,13 +855,13 @@
 // Copies that saved a whole call each for a cold server once came all at once.
 func TestUnusedColdCreditLapses(t *testing.T) {
 	cfg := testConfig()
-	cfg.GroupSize = 100
+	cfg.ReplicaCount = 100
 	mature := 0
 	for i := range 100 {
-		cfg.Self = i
+		cfg.ReplicaIndex = i
 		n := newNode(t, cfg, fleet(10)...)
 		n.b.rng = uint64(i) << 20
-		n.handle(Event{Kind: ServerList, List: ListChanges, Servers: []Server{{ID: 99, State: Ready, Started: n.now}}})
+		n.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 99, State: Ready, StartedAt: n.now}}})
 		n.now += 3 * time.Second
 		if s := n.b.byID[99]; s.near && n.b.warmEnough(s) {
 			mature++
@@ -875,7 +875,7 @@
 // Near servers across a cut link once cost every second call a failed connection.
 func TestNearServersAreOfTheOwnZoneWhereItHasEnough(t *testing.T) {
 	cfg := testConfig()
-	cfg.GroupSize, cfg.Zone = 40, 1
+	cfg.ReplicaCount, cfg.Zone = 40, 1
 	for _, c := range []struct {
 		own int // servers of 20 in zone 1
 		far bool
@@ -885,8 +885,8 @@
 			list[i].Zone = 1
 		}
 		far := 0
-		for i := range cfg.GroupSize {
-			cfg.Self = i
+		for i := range cfg.ReplicaCount {
+			cfg.ReplicaIndex = i
 			for _, s := range newNode(t, cfg, list...).b.servers {
 				if s.near && s.Zone != 1 {
 					far++
@@ -901,7 +901,7 @@
 
 func TestOutcomesHaveNames(t *testing.T) {
 	seen := map[string]bool{}
-	for o := OK; o <= Moot; o++ {
+	for o := OK; o <= NotSent; o++ {
 		if name := o.String(); name == "" || name == "unknown" || seen[name] {
 			t.Errorf("outcome %d is called %q", o, name)
 		}
@@ -917,12 +917,12 @@
 	for _, c := range []struct {
 		after time.Duration
 		want  ActionKind
-	}{{250 * ms, Send}, {280 * ms, Refuse}} { // of 300 ms
+	}{{250 * ms, Send}, {280 * ms, Shed}} { // of 300 ms
 		n := newNode(t, testConfig(), fleet(3)...)
 		id, _ := n.arrive(1)
 		a := only(t, n.end(id, 0, Error, c.after), c.want)
-		if a.Kind == Send && c.after+a.Within != 270*ms {
-			t.Errorf("sent again after %v, to be out within %v", c.after, a.Within)
+		if a.Kind == Send && c.after+a.WriteTimeout != 270*ms {
+			t.Errorf("sent again after %v, to be out within %v", c.after, a.WriteTimeout)
 		}
 	}
 }
@@ -934,14 +934,14 @@
 		class int
 		o     Outcome
 		soon  bool
-	}{{"safe", 0, Reset, false}, {"keyed, never ran", 1, ConnectFailed, false}, {"keyed", 1, Reset, true}, {"unsafe, never ran", 4, Full, false}} {
+	}{{"safe", 0, Reset, false}, {"keyed, never ran", 1, ConnectFailed, false}, {"keyed", 1, Reset, true}, {"unsafe, never ran", 4, Rejected, false}} {
 		n := newNode(t, testConfig(), fleet(3)...)
 		id, first := n.arrive(c.class)
-		if a := only(t, first, Send); a.Within != a.Wait {
-			t.Errorf("%s: first sent within %v of %v", c.name, a.Within, a.Wait)
+		if a := only(t, first, Send); a.WriteTimeout != a.Wait {
+			t.Errorf("%s: first sent within %v of %v", c.name, a.WriteTimeout, a.Wait)
 		}
-		if a := only(t, n.end(id, 0, c.o, 10*ms), Send); a.Within < a.Wait != c.soon {
-			t.Errorf("%s: sent again within %v of %v", c.name, a.Within, a.Wait)
+		if a := only(t, n.end(id, 0, c.o, 10*ms), Send); a.WriteTimeout < a.Wait != c.soon {
+			t.Errorf("%s: sent again within %v of %v", c.name, a.WriteTimeout, a.Wait)
 		}
 	}
 }
@@ -950,14 +950,14 @@
 	for _, servers := range []int{10, 100, 300} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			cfg := testConfig()
-			cfg.GroupSize, cfg.Classes[0].KeepOrder = 4*servers, true
+			cfg.ReplicaCount, cfg.Classes[0].OrderedByKey = 4*servers, true
 			n := newNode(b, cfg, fleet(servers)...)
 			var out []Action
 			for i := range b.N {
 				n.now += 500 * ms
 				id := RequestID(i + 1)
-				out = n.b.Handle(n.now, Event{Kind: Arrival, Request: id, Key: uint64(i%50 + 1), Remaining: time.Second}, out[:0])
-				n.b.Handle(n.now+ms, Event{Kind: AttemptEnded, Request: id, Closed: true, Elapsed: ms}, out)
+				out = n.b.Handle(n.now, Event{Kind: RequestArrived, Request: id, Key: uint64(i%50 + 1), Remaining: time.Second}, out[:0])
+				n.b.Handle(n.now+ms, Event{Kind: AttemptEnded, Request: id, RequestClosed: true, Elapsed: ms}, out)
 			}
 		})
 	}
@@ -966,9 +966,9 @@
 // The list may name a server gone, and tell nothing else of it, while its call is out: the group in which a
 // repeat is dropped stays that of the server as it was when the call was sent.
 func TestGroupOfKeyedWorkOutlivesItsServer(t *testing.T) {
-	n := newNode(t, testConfig(), Server{ID: 1, State: Ready, Zone: 1, Cell: 5})
+	n := newNode(t, testConfig(), Endpoint{ID: 1, State: Ready, Zone: 1, Cell: 5})
 	id, _ := n.arrive(3)
-	n.handle(Event{Kind: ServerList, List: ListChanges, Servers: []Server{{ID: 1, State: Gone}, up(2)}})
+	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 1, State: Gone}, up(2)}})
 	only(t, n.end(id, 0, Error, 10*ms), Fail) // server 2 is in cell 0
 }
 
@@ -978,17 +978,17 @@
 		cell int // of the only other server
 		want ActionKind
 	}{{5, Send}, {6, Fail}} {
-		n := newNode(t, testConfig(), Server{ID: 1, State: Ready, Zone: 1, Cell: 5})
+		n := newNode(t, testConfig(), Endpoint{ID: 1, State: Ready, Zone: 1, Cell: 5})
 		id, _ := n.arrive(3)
-		n.handle(Event{Kind: ServerList, List: ListChanges, Servers: []Server{{ID: 1, State: Ready, Cell: 6}, {ID: 2, State: Ready, Cell: c.cell}}})
+		n.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 1, State: Ready, Cell: 6}, {ID: 2, State: Ready, Cell: c.cell}}})
 		only(t, n.end(id, 0, Error, 10*ms), c.want)
 	}
 }
 
 func orderConfig() Config {
 	cfg := testConfig()
-	cfg.Classes[0].KeepOrder, cfg.Classes[4].KeepOrder = true, true
-	cfg.Contract.KeyRest = 50 * ms
+	cfg.Classes[0].OrderedByKey, cfg.Classes[4].OrderedByKey = true, true
+	cfg.Contract.KeyQuarantine = 50 * ms
 	return cfg
 }
 
@@ -1001,10 +1001,10 @@
 	timer := only(t, acts, SetTimer)
 	n.b.usual[0], n.b.usual[4] = 0.001, 0.001
 	n.now += timer.Wait
-	if a := only(t, n.handle(Event{Kind: Timer, Token: timer.Token}), Refuse); a.Request != id {
+	if a := only(t, n.handle(Event{Kind: TimerFired, Token: timer.Token}), Shed); a.Request != id {
 		t.Errorf("refused %d, want %d", a.Request, id)
 	}
-	if acts := n.handle(Event{Kind: Timer, Token: timer.Token}); len(acts) != 0 {
+	if acts := n.handle(Event{Kind: TimerFired, Token: timer.Token}); len(acts) != 0 {
 		t.Errorf("a stale token did %+v", acts)
 	}
 }
@@ -1033,11 +1033,11 @@
 		t.Fatalf("a broken connection gave %+v, want a rest and the answer", acts)
 	}
 	n.now += 49 * ms
-	if acts := n.handle(Event{Kind: Timer, Token: 99}); len(acts) != 0 {
+	if acts := n.handle(Event{Kind: TimerFired, Token: 99}); len(acts) != 0 {
 		t.Errorf("an unknown token did %+v", acts)
 	}
 	n.now += ms
-	if a := only(t, n.handle(Event{Kind: Timer, Token: acts[0].Token}), Send); a.Request != third {
+	if a := only(t, n.handle(Event{Kind: TimerFired, Token: acts[0].Token}), Send); a.Request != third {
 		t.Errorf("sent %d, want %d", a.Request, third)
 	}
 	n.end(third, 0, OK, ms)
@@ -1051,11 +1051,11 @@
 	n := newNode(t, orderConfig(), fleet(4)...)
 	first, _ := n.keyed(0, 7, 2*time.Second)
 	waiting, _ := n.keyed(0, 7, 2*time.Second)
-	only(t, n.handle(Event{Kind: Departed, Request: first}), Cancel)
+	only(t, n.handle(Event{Kind: ClientLeft, Request: first}), Cancel)
 	acts := n.end(first, 0, Cancelled, 10*ms)
 	timer := only(t, acts, SetTimer)
 	n.now += timer.Wait
-	if a := only(t, n.handle(Event{Kind: Timer, Token: timer.Token}), Send); a.Request != waiting {
+	if a := only(t, n.handle(Event{Kind: TimerFired, Token: timer.Token}), Send); a.Request != waiting {
 		t.Errorf("sent %d, want %d", a.Request, waiting)
 	}
 }
@@ -1067,12 +1067,12 @@
 	n.keyed(0, 7, 2*time.Second)
 	n.keyed(0, 7, 2*time.Second)
 	_, acts := n.keyed(0, 7, 600*ms) // two ahead take 800 ms
-	only(t, acts, Refuse)
+	only(t, acts, Shed)
 }
 
 func wrongListNode(t *testing.T, binds bool) *node {
 	cfg := testConfig()
-	cfg.Contract.DrainBindsAlone = !binds
+	cfg.Contract.OnlyDrainingBinds = !binds
 	return newNode(t, cfg, fleet(10)...)
 }
 
@@ -1080,7 +1080,7 @@
 func TestEmptyListIsDoubtedWhereDrainingBindsAlone(t *testing.T) {
 	n := wrongListNode(t, false)
 	n.b.maxIFR = 12
-	n.handle(Event{Kind: ServerList, List: ListFull})
+	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull})
 	if n.b.maxIFR != 12 || n.b.ceiling != maxSeats*10 {
 		t.Errorf("limit %v of %v", n.b.maxIFR, n.b.ceiling)
 	}
@@ -1088,10 +1088,10 @@
 	only(t, acts, Send)
 	n = wrongListNode(t, true)
 	n.b.maxIFR = 12
-	n.handle(Event{Kind: ServerList, List: ListFull})
+	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull})
 	_, acts = n.arrive(4)
-	only(t, acts, Refuse)
-	n.handle(Event{Kind: ServerList, List: ListFull, Servers: fleet(10)})
+	only(t, acts, Shed)
+	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: fleet(10)})
 	if n.b.maxIFR != 12 {
 		t.Errorf("after an empty list the limit began anew at %v", n.b.maxIFR)
 	}
@@ -1100,7 +1100,7 @@
 // Servers left out come after the listed ones until they have served, and last once a call to them has failed.
 func TestOwnCallsOutweighTheList(t *testing.T) {
 	n := wrongListNode(t, false)
-	n.handle(Event{Kind: ServerList, List: ListChanges, Servers: []Server{{ID: 1}, {ID: 2}}})
+	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 1}, {ID: 2}}})
 	alive, dead := n.b.byID[1], n.b.byID[2]
 	if alive.doubt() == 0 || !n.b.usable(alive) {
 		t.Fatal("a server left out is not a candidate behind the listed ones")
@@ -1110,8 +1110,8 @@
 	if alive.doubt() != 0 || dead.doubt() < mostHeld || n.b.ready != 9 {
 		t.Errorf("doubts %d and %d, %d servers counted", alive.doubt(), dead.doubt(), n.b.ready)
 	}
-	n.now += time.Duration(remember)*n.b.cfg.Contract.WarmUp + time.Second
-	n.handle(Event{Kind: ServerList, List: ListChanges})
+	n.now += time.Duration(remember)*n.b.cfg.Contract.WarmUpPeriod + time.Second
+	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges})
 	if len(n.b.servers) != 8 || len(n.b.byID) != 8 {
 		t.Errorf("%d servers are remembered for ever", len(n.b.servers))
 	}
@@ -1128,17 +1128,17 @@
 	}{{6, 0, false}, {7, 0, true}, {8, 0, true}, {6, ms, true}} {
 		n := newNode(t, testConfig(), fleet(3)...)
 		start := n.now
-		first := []Server{{ID: 1, State: Draining, Started: start}, up(2), {ID: 3, State: Ready, Started: start}}
-		n.handle(Event{Kind: ServerList, List: ListFull, Version: 7, Servers: first})
-		again := []Server{{ID: 1, State: Ready, Started: start + c.started}, up(2), {ID: 3, State: Ready}}
-		n.handle(Event{Kind: ServerList, List: ListFull, Version: c.version, Servers: again})
+		first := []Endpoint{{ID: 1, State: Draining, StartedAt: start}, up(2), {ID: 3, State: Ready, StartedAt: start}}
+		n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Version: 7, Endpoints: first})
+		again := []Endpoint{{ID: 1, State: Ready, StartedAt: start + c.started}, up(2), {ID: 3, State: Ready}}
+		n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Version: c.version, Endpoints: again})
 		if got := n.b.usable(n.b.byID[1]); got != c.usable {
 			t.Errorf("%+v: usable %v", c, got)
 		}
-		if c.version < 7 && n.b.byID[3].Started != start {
+		if c.version < 7 && n.b.byID[3].StartedAt != start {
 			t.Errorf("%+v: a cold server counts as warm", c)
 		}
-		n.handle(Event{Kind: ServerList, List: ListFull, Version: c.version, Servers: again})
+		n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Version: c.version, Endpoints: again})
 		if !n.b.usable(n.b.byID[1]) {
 			t.Errorf("%+v: told once more at that version, it is not believed", c)
 		}
@@ -1147,16 +1147,16 @@
 
 func TestOldListBreaksNoDrainAndNoColdStart(t *testing.T) {
 	n := wrongListNode(t, false)
-	n.handle(Event{Kind: ServerList, List: ListChanges, Servers: []Server{{ID: 1, State: Draining}, {ID: 2, State: Ready, Started: n.now}}})
-	n.handle(Event{Kind: ServerList, List: ListFull}) // gone after draining
-	n.handle(Event{Kind: ServerList, List: ListFull, Servers: fleet(10)})
+	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 1, State: Draining}, {ID: 2, State: Ready, StartedAt: n.now}}})
+	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull}) // gone after draining
+	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: fleet(10)})
 	if n.b.usable(n.b.byID[1]) {
 		t.Error("a drained server is sent to again")
 	}
-	if s := n.b.byID[2]; s.Started != n.now || n.b.coldShare(s) >= 1 {
+	if s := n.b.byID[2]; s.StartedAt != n.now || n.b.coldShare(s) >= 1 {
 		t.Error("a cold server counts as warm")
 	}
-	n.handle(Event{Kind: ServerList, List: ListChanges, Servers: []Server{{ID: 1, State: Ready, Started: n.now + ms}}})
+	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 1, State: Ready, StartedAt: n.now + ms}}})
 	if !n.b.usable(n.b.byID[1]) {
 		t.Error("a server started again is not sent to")
 	}
@@ -1167,7 +1167,7 @@
 	n := newNode(t, testConfig(), fleet(2)...)
 	for _, o := range []Outcome{Timeout, Cancelled} {
 		id, acts := n.arrive(4)
-		s := n.b.byID[only(t, acts, Send).Server]
+		s := n.b.byID[only(t, acts, Send).Endpoint]
 		n.end(id, 0, o, 100*ms)
 		if n.b.seen != 0 || s.slow != 1 {
 			t.Errorf("outcome %v: %d samples, server counts as %v", o, n.b.seen, s.slow)
@@ -1183,11 +1183,11 @@
 // At the brim the class worth most once was refused as often as the others.
 func TestWhatIsWorthLeastGivesWayFirst(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes[0].Worth, cfg.Classes[1].Worth = 1, 12
+	cfg.Classes[0].PriorityWeight, cfg.Classes[1].PriorityWeight = 1, 12
 	n := newNode(t, cfg, fleet(4)...)
 	n.b.maxIFR, n.b.ifr = 14, 12
 	_, acts := n.arrive(0)
-	only(t, acts, Refuse)
+	only(t, acts, Shed)
 	_, acts = n.arrive(1)
 	only(t, acts, Send)
 }
@@ -1201,7 +1201,7 @@
 	}
 	n.now += time.Minute
 	id, acts := n.arrive(4)
-	s := n.b.byID[only(t, acts, Send).Server]
+	s := n.b.byID[only(t, acts, Send).Endpoint]
 	n.end(id, 0, Timeout, time.Second)
 	if held, _ := n.b.standing(s); held > 0.1 {
 		t.Errorf("a time-out among many holds %.2f seats", held)
@@ -1221,7 +1221,7 @@
 	}
 	n.b.maxIFR, n.b.ifr, n.b.spare = 20, 15, 0
 	_, acts := n.arrive(0)
-	only(t, acts, Refuse)
+	only(t, acts, Shed)
 	_, acts = n.arrive(4)
 	only(t, acts, Send)
 	sent := false
@@ -1238,7 +1238,7 @@
 func TestClockMayStartAtZero(t *testing.T) {
 	b := New(testConfig(), 1)
 	for now := range 3 * time.Second / ms {
-		b.Handle(now*ms, Event{Kind: Timer}, nil)
+		b.Handle(now*ms, Event{Kind: TimerFired}, nil)
 	}
 	if b.began != 0 {
 		t.Errorf("began at %v", b.began)
@@ -1263,7 +1263,7 @@
 				n.now += tc.apart
 				n.b.sample(&n.b.cfg.Classes[0], 2*time.Second)
 			}
-			n.handle(Event{Kind: Timer, Token: 99})
+			n.handle(Event{Kind: TimerFired, Token: 99})
 		}
 		n.now += time.Second
 		feed()
@@ -1284,13 +1284,13 @@
 		cut  bool
 	}{{1, false}, {2, false}, {3, true}, {4, true}} {
 		n := newNode(t, testConfig(), fleet(4)...)
-		n.b.cfg.Limits.SecondCopies = false
-		slow := map[ServerID]bool{}
+		n.b.cfg.Limits.AllowHedging = false
+		slow := map[EndpointID]bool{}
 		var ids []RequestID
 		for range 16 {
 			id, acts := n.arrive(0)
 			ids = append(ids, id)
-			if s := only(t, acts, Send).Server; len(slow) < tc.hung {
+			if s := only(t, acts, Send).Endpoint; len(slow) < tc.hung {
 				slow[s] = true
 			}
 		}
@@ -1310,7 +1310,7 @@
 			n.b.sample(&n.b.cfg.Classes[0], 100*ms)
 		}
 		n.b.windowEnd = n.now
-		n.handle(Event{Kind: Timer})
+		n.handle(Event{Kind: TimerFired})
 		if cut := n.b.maxIFR < before; cut != tc.cut {
 			t.Errorf("%d of 4 servers with calls out too long: limit %v to %v", tc.hung, before, n.b.maxIFR)
 		}
@@ -1323,12 +1323,12 @@
 	for _, tc := range []struct {
 		outcome Outcome
 		want    ActionKind
-	}{{ConnectFailed, Refuse}, {Moot, Refuse}, {Error, Fail}} {
+	}{{ConnectFailed, Shed}, {NotSent, Shed}, {Error, Fail}} {
 		n := newNode(t, testConfig(), fleet(3)...)
 		id, _ := n.arrive(3)
 		r := n.b.requests[id]
 		n.now += 10 * ms
-		acts := n.handle(Event{Kind: AttemptEnded, Request: id, Server: r.attempts[0].ID, Outcome: tc.outcome, Spent: true, Elapsed: 10 * ms})
+		acts := n.handle(Event{Kind: AttemptEnded, Request: id, Endpoint: r.attempts[0].ID, Outcome: tc.outcome, BodyConsumed: true, Elapsed: 10 * ms})
 		only(t, acts, tc.want)
 	}
 }
@@ -1338,18 +1338,18 @@
 	first, second := newNode(t, testConfig(), fleet(2)...), newNode(t, testConfig(), fleet(2)...)
 	feed(first, 900*ms)
 	first.b.usual[0] = 0.123
-	second.b.Adopt(first.b.Learnt())
+	second.b.Restore(first.b.Snapshot())
 	if second.b.maxIFR != first.b.maxIFR || second.b.usual[0] != 0.123 {
 		t.Errorf("adopted limit %v of %v, usual %v", second.b.maxIFR, first.b.maxIFR, second.b.usual[0])
 	}
-	second.b.Adopt(Learnt{Limit: -1, Rate: math.NaN(), Usual: []float64{-1}, Fails: []float64{7}})
+	second.b.Restore(Snapshot{Limit: -1, Rate: math.NaN(), TypicalLatency: []float64{-1}, ErrorRate: []float64{7}})
 	if second.b.maxIFR != first.b.maxIFR || second.b.usual[0] != 0.123 || second.b.fails[0] == 7 {
 		t.Error("what is impossible was adopted")
 	}
-	second.b.Beside(1, 2*int(second.b.ceiling))
+	second.b.SetSiblings(1, 2*int(second.b.ceiling))
 	_, acts := second.arrive(0)
-	only(t, acts, Refuse)
-	second.b.Beside(0, 0)
+	only(t, acts, Shed)
+	second.b.SetSiblings(0, 0)
 	_, acts = second.arrive(0)
 	only(t, acts, Send)
 }
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -36,7 +36,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				f.next++
-				f.out = f.n.b.Handle(f.n.now, Event{Kind: Arrival, Request: f.next, Remaining: 2 * time.Second}, f.out[:0])
+				f.out = f.n.b.Handle(f.n.now, Event{Kind: RequestArrived, Request: f.next, Remaining: 2 * time.Second}, f.out[:0])
 			}
 		})
 	}
@@ -54,7 +54,7 @@
 			for b.Loop() {
 				f.n.now += time.Second
 				f.n.b.seen = minRequests
-				f.out = f.n.b.Handle(f.n.now, Event{Kind: Timer, Token: 1}, f.out[:0])
+				f.out = f.n.b.Handle(f.n.now, Event{Kind: TimerFired, Token: 1}, f.out[:0])
 			}
 		})
 	}
@@ -65,14 +65,14 @@
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			f := newFlow(b, size)
-			states := []ServerState{Draining, Ready}
-			list := []Server{up(1)}
+			states := []EndpointState{Draining, Ready}
+			list := []Endpoint{up(1)}
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
 				i++
 				list[0].State = states[i%2]
-				f.out = f.n.b.Handle(f.n.now, Event{Kind: ServerList, List: ListChanges, Servers: list}, f.out[:0])
+				f.out = f.n.b.Handle(f.n.now, Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: list}, f.out[:0])
 			}
 		})
 	}
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -10,31 +10,31 @@
 // A host hands its Balancer one event at a time and carries out the actions it gets back.
 func Example() {
 	b := balancer.New(balancer.Config{
-		Classes: []balancer.Class{{Name: "read", Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 1,
+		Classes: []balancer.Class{{Name: "read", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1,
 			Effect: balancer.Safe}},
-		GroupSize: 1,
-		Limits:    balancer.Limits{Attempts: 3},
+		ReplicaCount: 1,
+		Limits:       balancer.Limits{MaxAttempts: 3},
 	}, 42)
 
 	now := 10 * time.Second // of the host's clock; only differences matter
 	var actions []balancer.Action
-	actions = b.Handle(now, balancer.Event{Kind: balancer.ServerList, Servers: []balancer.Server{
+	actions = b.Handle(now, balancer.Event{Kind: balancer.EndpointListUpdated, Endpoints: []balancer.Endpoint{
 		{ID: 1, State: balancer.Ready},
 	}}, actions[:0])
 
-	actions = b.Handle(now, balancer.Event{Kind: balancer.Arrival, Request: 7,
+	actions = b.Handle(now, balancer.Event{Kind: balancer.RequestArrived, Request: 7,
 		Remaining: time.Second}, actions[:0])
 	for _, a := range actions {
 		if a.Kind == balancer.Send {
-			fmt.Printf("send request %d to server %d for up to %v\n", a.Request, a.Server, a.Wait)
+			fmt.Printf("send request %d to server %d for up to %v\n", a.Request, a.Endpoint, a.Wait)
 		}
 	}
 
 	now += 20 * time.Millisecond
-	actions = b.Handle(now, balancer.Event{Kind: balancer.AttemptEnded, Request: 7, Server: 1,
+	actions = b.Handle(now, balancer.Event{Kind: balancer.AttemptEnded, Request: 7, Endpoint: 1,
 		Outcome: balancer.ConnectFailed, Elapsed: 20 * time.Millisecond}, actions[:0])
 	for _, a := range actions {
-		if a.Kind == balancer.Refuse {
+		if a.Kind == balancer.Shed {
 			fmt.Printf("refuse request %d\n", a.Request)
 		}
 	}
--- a/balancer/explore_test.go
+++ b/balancer/explore_test.go
@@ -20,8 +20,8 @@
 	cfg      Config
 	now      time.Duration
 	requests []*asked
-	servers  []Server          // as last told
-	drained  map[ServerID]bool // since their start
+	servers  []Endpoint          // as last told
+	drained  map[EndpointID]bool // since their start
 	restarts int
 	changes  int
 	steps    int // of time
@@ -39,8 +39,8 @@
 	left     bool // its consumer did
 	finals   int
 	out      int // the attempt that is out; -1 is none
-	sent     []ServerID
-	mayRun   []ServerID    // servers of attempts that may have run
+	sent     []EndpointID
+	mayRun   []EndpointID  // servers of attempts that may have run
 	again    bool          // an older attempt was told once more
 	ranAt    time.Duration // when the first of them was sent
 	sentAt   time.Duration
@@ -72,13 +72,13 @@
 }
 
 func (p plot) start() modelcheck.System {
-	cfg := Config{GroupSize: 1, Limits: Limits{Attempts: p.attempts, Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second, ConnectTimeout: 100 * ms}, Contract: Contract{DrainBindsAlone: p.alone}}
+	cfg := Config{ReplicaCount: 1, Limits: Limits{MaxAttempts: p.attempts, AllowCancel: true, SendRetryAfter: true, MaxRetryAfter: time.Second, ConnectTimeout: 100 * ms}, Contract: Contract{OnlyDrainingBinds: p.alone}}
 	for _, e := range p.effects {
-		cfg.Classes = append(cfg.Classes, Class{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, LateWorth: 0.5, Effect: e, Group: p.group, Memory: 1200 * ms})
+		cfg.Classes = append(cfg.Classes, Class{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, LateWeight: 0.5, Effect: e, Group: p.group, IdempotencyWindow: 1200 * ms})
 	}
-	w := &corner{b: New(cfg, 1), twin: New(cfg, 1), cfg: cfg, now: time.Hour, drained: map[ServerID]bool{}, most: mostSteps * max(1, len(p.effects)/4)}
+	w := &corner{b: New(cfg, 1), twin: New(cfg, 1), cfg: cfg, now: time.Hour, drained: map[EndpointID]bool{}, most: mostSteps * max(1, len(p.effects)/4)}
 	for i := range p.servers {
-		w.servers = append(w.servers, Server{ID: ServerID(i + 1), State: Ready, Cell: i / 2})
+		w.servers = append(w.servers, Endpoint{ID: EndpointID(i + 1), State: Ready, Cell: i / 2})
 	}
 	for i := range p.effects {
 		w.requests = append(w.requests, &asked{id: RequestID(i + 1), class: i, out: -1})
@@ -86,7 +86,7 @@
 	if !p.changes {
 		w.changes = mostChanges
 	}
-	w.tell(Event{Kind: ServerList, List: ListFull, Servers: w.servers})
+	w.tell(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: w.servers})
 	w.look()
 	return w
 }
@@ -112,7 +112,7 @@
 		switch a.Kind {
 		case Send:
 			w.sent(&a)
-		case Refuse, Fail:
+		case Shed, Fail:
 			r := w.find(a.Request)
 			if r.left {
 				w.fail("none-after-leaving", "request %d left and is answered", r.id)
@@ -120,7 +120,7 @@
 			if r.finals++; r.finals > 1 {
 				w.fail("one-final-answer", "request %d is answered %d times", r.id, r.finals)
 			}
-			if a.Kind == Refuse && len(r.mayRun) > 0 && w.cfg.Classes[r.class].Effect == Unsafe {
+			if a.Kind == Shed && len(r.mayRun) > 0 && w.cfg.Classes[r.class].Effect == Unsafe {
 				w.fail("refused-is-harmless", "request %d is refused and may have run", r.id)
 			}
 		case Cancel:
@@ -147,13 +147,13 @@
 		w.fail("none-after-leaving", "request %d left and is sent", r.id)
 	case r.out >= 0:
 		w.fail("one-attempt-at-a-time", "request %d", r.id)
-	case len(r.sent) >= w.cfg.Limits.Attempts:
+	case len(r.sent) >= w.cfg.Limits.MaxAttempts:
 		w.fail("attempts-bounded", "request %d goes out %d times", r.id, len(r.sent)+1)
-	case slices.Contains(r.sent, a.Server):
-		w.fail("never-twice-to-one", "request %d goes to server %d again", r.id, a.Server)
+	case slices.Contains(r.sent, a.Endpoint):
+		w.fail("never-twice-to-one", "request %d goes to server %d again", r.id, a.Endpoint)
 	}
-	s := w.servers[a.Server-1]
-	if s.State == Draining || s.State == Gone && (!w.cfg.Contract.DrainBindsAlone || w.drained[s.ID]) {
+	s := w.servers[a.Endpoint-1]
+	if s.State == Draining || s.State == Gone && (!w.cfg.Contract.OnlyDrainingBinds || w.drained[s.ID]) {
 		w.fail("nothing-new-to-a-drained", "request %d goes to server %d, which is told as %d", r.id, s.ID, s.State)
 	}
 	if len(r.mayRun) > 0 {
@@ -163,22 +163,22 @@
 			w.fail("no-repeat-against-its-class", "unsafe request %d may have run at %v and goes out again", r.id, r.mayRun)
 		case c.Effect == Keyed && c.Group == GroupCell && s.Cell != first.Cell:
 			w.fail("no-repeat-against-its-class", "keyed request %d may have run in cell %d and goes to cell %d", r.id, first.Cell, s.Cell)
-		case c.Effect == Keyed && w.now-r.ranAt >= c.Memory:
+		case c.Effect == Keyed && w.now-r.ranAt >= c.IdempotencyWindow:
 			w.fail("no-repeat-against-its-class", "keyed request %d goes out %v after it may have run", r.id, w.now-r.ranAt)
-		case c.Effect == Keyed && w.now+a.Within-r.ranAt >= c.Memory:
-			w.fail("no-repeat-against-its-class", "keyed request %d may be out %v after it may have run", r.id, w.now+a.Within-r.ranAt)
+		case c.Effect == Keyed && w.now+a.WriteTimeout-r.ranAt >= c.IdempotencyWindow:
+			w.fail("no-repeat-against-its-class", "keyed request %d may be out %v after it may have run", r.id, w.now+a.WriteTimeout-r.ranAt)
 		}
 	}
-	if a.Wait <= 0 || a.Wait > patience || a.Within <= 0 || a.Within > a.Wait {
+	if a.Wait <= 0 || a.Wait > patience || a.WriteTimeout <= 0 || a.WriteTimeout > a.Wait {
 		w.fail("every-attempt-has-a-deadline", "%v", a.Wait)
 	}
-	r.sent = append(r.sent, a.Server)
+	r.sent = append(r.sent, a.Endpoint)
 	r.out, r.withdrew, r.sentAt = len(r.sent)-1, false, w.now
 }
 
 // settled checks what holds between events.
 func (w *corner) settled() {
-	b, out := w.b, map[ServerID]int{}
+	b, out := w.b, map[EndpointID]int{}
 	all := 0
 	for _, r := range w.requests {
 		if r.out >= 0 {
@@ -235,7 +235,7 @@
 	if o == OK && !r.left && r.finals == 0 {
 		r.finals, closed = 1, true
 	}
-	w.tell(Event{Kind: AttemptEnded, Request: r.id, Attempt: k, Server: r.sent[k], Outcome: o, Closed: closed || r.left, Elapsed: 50 * ms})
+	w.tell(Event{Kind: AttemptEnded, Request: r.id, Attempt: k, Endpoint: r.sent[k], Outcome: o, RequestClosed: closed || r.left, Elapsed: 50 * ms})
 }
 
 // look finds what may happen next.
@@ -247,19 +247,19 @@
 		case !r.came:
 			add(fmt.Sprintf("request %d comes", r.id), func() {
 				r.came = true
-				w.tell(Event{Kind: Arrival, Request: r.id, Class: r.class, Tenant: -1, Remaining: patience})
+				w.tell(Event{Kind: RequestArrived, Request: r.id, Class: r.class, Tenant: -1, Remaining: patience})
 			})
 			if r.id == 1 { // requests are alike but for their class: the second comes after the first
 				goto rest
 			}
 		case r.out >= 0:
-			for _, o := range []Outcome{OK, Error, Full, Timeout, Reset} {
+			for _, o := range []Outcome{OK, Error, Rejected, Timeout, Reset} {
 				add(fmt.Sprintf("attempt %d of request %d ends: %v", r.out, r.id, o), func() { w.ends(r, o) })
 			}
 			if r.out > 0 && !r.again {
 				add(fmt.Sprintf("attempt %d of request %d is told to have ended once more", r.out-1, r.id), func() {
 					r.again = true
-					w.tell(Event{Kind: AttemptEnded, Request: r.id, Attempt: r.out - 1, Server: r.sent[r.out-1], Outcome: Error, Elapsed: 50 * ms})
+					w.tell(Event{Kind: AttemptEnded, Request: r.id, Attempt: r.out - 1, Endpoint: r.sent[r.out-1], Outcome: Error, Elapsed: 50 * ms})
 				})
 			}
 			if r.withdrew {
@@ -269,7 +269,7 @@
 		if r.came && !r.left && r.finals == 0 {
 			add(fmt.Sprintf("the consumer of request %d leaves", r.id), func() {
 				r.left = true
-				w.tell(Event{Kind: Departed, Request: r.id})
+				w.tell(Event{Kind: ClientLeft, Request: r.id})
 			})
 		}
 	}
@@ -277,13 +277,13 @@
 	if w.changes < mostChanges {
 		for i := range w.servers {
 			s := &w.servers[i]
-			for _, state := range []ServerState{Gone, Ready, Draining} {
+			for _, state := range []EndpointState{Gone, Ready, Draining} {
 				if state != s.State {
 					add(fmt.Sprintf("server %d is told as %d", s.ID, state), func() {
 						w.changes++
 						s.State = state
 						w.drained[s.ID] = w.drained[s.ID] || state == Draining
-						w.tell(Event{Kind: ServerList, List: ListChanges, Servers: []Server{*s}})
+						w.tell(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{*s}})
 					})
 				}
 			}
@@ -291,13 +291,13 @@
 		add("the whole list comes without the last server", func() {
 			w.changes++
 			w.servers[len(w.servers)-1].State = Gone
-			w.tell(Event{Kind: ServerList, List: ListFull, Servers: w.servers[:len(w.servers)-1]})
+			w.tell(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: w.servers[:len(w.servers)-1]})
 		})
 		add("server 1 is told as started anew", func() {
 			w.changes++
-			w.servers[0].State, w.servers[0].Started = Ready, w.now
+			w.servers[0].State, w.servers[0].StartedAt = Ready, w.now
 			delete(w.drained, w.servers[0].ID)
-			w.tell(Event{Kind: ServerList, List: ListChanges, Servers: w.servers[:1]})
+			w.tell(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: w.servers[:1]})
 		})
 	}
 	if w.steps < w.most {
@@ -307,7 +307,7 @@
 		add("a timer is due", func() {
 			token := w.timers[0]
 			w.timers = w.timers[1:]
-			w.tell(Event{Kind: Timer, Token: token})
+			w.tell(Event{Kind: TimerFired, Token: token})
 		})
 	}
 }
@@ -332,7 +332,7 @@
 	b := w.b
 	fmt.Fprint(&t, w.steps, w.changes, len(w.timers), b.rng, b.ifr, b.maxIFR, b.spare, b.now-b.spareAt, b.windowEnd-b.now, b.samples[:min(b.seen, 16)], b.seen, b.busy, b.late, b.rate, b.now-b.rateAt, b.usual, b.fails, b.asking, b.failed)
 	for _, s := range b.servers {
-		fmt.Fprint(&t, ";", s.ID, s.State, b.now-s.Started, s.out, s.held, s.slow, b.now-s.touch, b.now-s.known, s.drained, s.latest, s.near, s.late, s.at, s.level, s.spot, s.budget)
+		fmt.Fprint(&t, ";", s.ID, s.State, b.now-s.StartedAt, s.out, s.held, s.slow, b.now-s.touch, b.now-s.known, s.drained, s.latest, s.near, s.late, s.at, s.level, s.spot, s.budget)
 	}
 	for _, r := range w.requests {
 		fmt.Fprint(&t, "|", r.came, r.left, r.finals, r.out, r.sent, r.mayRun, w.now-r.ranAt, r.withdrew)
@@ -341,7 +341,7 @@
 		}
 	}
 	for _, s := range w.servers {
-		fmt.Fprint(&t, s.State, w.now-s.Started)
+		fmt.Fprint(&t, s.State, w.now-s.StartedAt)
 	}
 	return t.String()
 }
@@ -392,15 +392,15 @@
 		return mutant.Mutant{Name: name, File: "balancer.go", From: from, To: to}
 	}
 	mutant.Find(t, "ExploreRequests|WalkRequests", []mutant.Mutant{
-		one("one attempt too many", "len(r.attempts) < b.cfg.Limits.Attempts", "len(r.attempts) <= b.cfg.Limits.Attempts"),
+		one("one attempt too many", "len(r.attempts) < b.cfg.Limits.MaxAttempts", "len(r.attempts) <= b.cfg.Limits.MaxAttempts"),
 		one("an attempt goes to a server tried already", "if slices.ContainsFunc(r.attempts, func(o *server) bool { return o.ID == s.ID }) {", "if false {"),
 		one("a full answer counts as having run", "if !o.NeverRan() && r.ran == nil {", "if r.ran == nil && !o.NeverRan() && o != Timeout {"),
 		one("keyed work leaves its group", "r.c.Group == GroupCell && s.Cell == r.ran.Cell", "r.c.Group == GroupCell"),
 		one("the memory of a group is not looked at", "if r.c.Effect == Unsafe || now >= r.lapse {", "if r.c.Effect == Unsafe {"),
-		one("a repeat may be out at any time", "a.Within = min(left, r.lapse-b.now)", "a.Within = left"),
+		one("a repeat may be out at any time", "a.WriteTimeout = min(left, r.lapse-b.now)", "a.WriteTimeout = left"),
 		one("memory counts from the answer", "&r.at, r.to, r.sent+time", "&r.at, r.to, b.now+600*time.Millisecond+time"),
 		one("who left is answered", "	if !r.done && !(again && b.send(r)) {", "	if !(again && b.send(r)) {"),
-		one("a served one is answered once more", "	r.done = r.done || ev.Closed\n", "	r.done = r.done || ev.Closed && o != OK\n"),
+		one("a served one is answered once more", "	r.done = r.done || ev.RequestClosed\n", "	r.done = r.done || ev.RequestClosed && o != OK\n"),
 		one("an ended attempt holds its seat", "r.open, s.out, b.ifr = false, s.out-1, b.ifr-1", "r.open, s.out, b.ifr = false, s.out-1, b.ifr"),
 		one("an ended attempt holds its server", "r.open, s.out, b.ifr = false, s.out-1, b.ifr-1", "r.open, s.out, b.ifr = false, s.out, b.ifr-1"),
 		one("a double release", "r.open, s.out, b.ifr = false, s.out-1, b.ifr-1", "r.open, s.out, b.ifr = false, s.out-1, b.ifr-2"),
@@ -409,9 +409,9 @@
 		one("late calls are not counted down", "		if s.late--; s.late == 0 {\n			b.late--\n		}\n", "		s.late--\n"),
 		one("what is answered is kept", "		delete(b.requests, r.id)\n", ""),
 		one("what is open is forgotten", "if r.done && !r.open && b.requests[r.id] == r {", "if r.done && b.requests[r.id] == r {"),
-		one("gone servers are sent to", "return s.State == Ready || s.State == Gone && b.cfg.Contract.DrainBindsAlone && !s.drained", "return s.State == Ready || s.State == Gone && !s.drained"),
-		one("a drain is forgotten once it is gone", "s.drained = e.State == Draining || s.drained && e.Started == s.Started", "s.drained = e.State == Draining"),
-		one("a whole list leaves nobody out", "		if ev.List != ListChanges {\n			s.State = Gone\n		}\n", ""),
+		one("gone servers are sent to", "return s.State == Ready || s.State == Gone && b.cfg.Contract.OnlyDrainingBinds && !s.drained", "return s.State == Ready || s.State == Gone && !s.drained"),
+		one("a drain is forgotten once it is gone", "s.drained = e.State == Draining || s.drained && e.StartedAt == s.StartedAt", "s.drained = e.State == Draining"),
+		one("a whole list leaves nobody out", "		if ev.ListKind != ListChanges {\n			s.State = Gone\n		}\n", ""),
 		one("a refusal where the work may have run", "if r.ran == nil || r.c.Effect == Safe ||", "if true || r.ran == nil || r.c.Effect == Safe ||"),
 		one("no answer where there is no server", "	if !b.admits(r) || !b.send(r) {\n		b.answer(r)\n", "	if !b.admits(r) || !b.send(r) {\n"),
 		one("the limit grows beyond its ceiling", "b.maxIFR = min(before+min(1, mostStep*b.ceiling), b.ceiling)", "b.maxIFR = before + 50"),
--- a/balancer/index_test.go
+++ b/balancer/index_test.go
@@ -113,7 +113,7 @@
 func TestLossOfTheSample(t *testing.T) {
 	for _, tc := range []struct{ size, copies int }{{140, 30}, {700, 150}, {7000, 1500}, {140, 1}, {7000, 1}} {
 		size, cfg := tc.size, testConfig()
-		cfg.GroupSize, cfg.Tiers = tc.copies, 3 // the front of a chain: most are near
+		cfg.ReplicaCount, cfg.Tiers = tc.copies, 3 // the front of a chain: most are near
 		n, rng := newNode(t, cfg, fleet(size)...), rand.New(rand.NewSource(int64(size)))
 		const picks = 400
 		worse, others, slower := 0, 0, 0.0
@@ -180,7 +180,7 @@
 
 func newFlow(t testing.TB, size int) *flow {
 	cfg := testConfig()
-	cfg.GroupSize, cfg.Tiers = max(size*3/14, 1), 3 // the front of a chain: most are near
+	cfg.ReplicaCount, cfg.Tiers = max(size*3/14, 1), 3 // the front of a chain: most are near
 	f := &flow{n: newNode(t, cfg, fleet(size)...)}
 	for range 8 {
 		f.arrive()
@@ -191,7 +191,7 @@
 func (f *flow) arrive() {
 	f.next++
 	f.open = append(f.open, f.next)
-	f.out = f.n.b.Handle(f.n.now, Event{Kind: Arrival, Request: f.next, Remaining: 2 * time.Second}, f.out[:0])
+	f.out = f.n.b.Handle(f.n.now, Event{Kind: RequestArrived, Request: f.next, Remaining: 2 * time.Second}, f.out[:0])
 }
 
 // turn ends the oldest call and begins another.
@@ -200,7 +200,7 @@
 	id := f.open[0]
 	copy(f.open, f.open[1:])
 	f.open = f.open[:len(f.open)-1]
-	f.out = f.n.b.Handle(f.n.now, Event{Kind: AttemptEnded, Request: id, Closed: true, Elapsed: 80 * ms}, f.out[:0])
+	f.out = f.n.b.Handle(f.n.now, Event{Kind: AttemptEnded, Request: id, RequestClosed: true, Elapsed: 80 * ms}, f.out[:0])
 	f.arrive()
 }
 
@@ -209,14 +209,14 @@
 	n := newNode(t, testConfig(), fleet(50)...)
 	for gen := range 20 {
 		id, _ := n.arrive(0)
-		var list []Server
+		var list []Endpoint
 		for i := range 50 {
-			list = append(list, up(ServerID(1000*(gen+1)+i)))
+			list = append(list, up(EndpointID(1000*(gen+1)+i)))
 		}
-		n.handle(Event{Kind: ServerList, List: ListFull, Servers: list})
+		n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: list})
 		n.end(id, 0, OK, ms)
 	}
-	n.handle(Event{Kind: ServerList, List: ListChanges})
+	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges})
 	kept := 0
 	for _, shelf := range n.b.levels {
 		for _, s := range shelf[:cap(shelf)] {
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -16,10 +16,10 @@
 	until    time.Duration
 	answered bool
 	ran      bool // an attempt may have run
-	ranOn    Server
+	ranOn    Endpoint
 	ranAt    time.Duration
 	out      int
-	attempts []Server
+	attempts []Endpoint
 	key      uint64
 }
 
@@ -30,22 +30,22 @@
 	cfg       Config
 	b         *Balancer
 	now       time.Duration
-	servers   map[ServerID]Server
+	servers   map[EndpointID]Endpoint
 	reqs      map[RequestID]*seen
 	open      []RequestID
 	trace     []Action
-	calls     []time.Duration              // all calls sent
-	toCold    map[ServerID][]time.Duration // calls to a server since its start
+	calls     []time.Duration                // all calls sent
+	toCold    map[EndpointID][]time.Duration // calls to a server since its start
 	ready     []readyCount
 	sentAt    map[RequestID]time.Duration // when the latest attempt was sent
 	due       []Event                     // outcomes and timers to come, with Elapsed as their time
 	turns     map[uint64][]RequestID      // by key, requests of classes that keep order, as they came
 	rest      map[uint64]time.Duration
-	drained   map[ServerID]time.Duration // start of a server when it was called draining
-	drainedAt map[ServerID]time.Duration
-	named     map[ServerID]Server // as last named, by lists that may be wrong
-	old       []Server            // an earlier list
-	most      int                 // servers
+	drained   map[EndpointID]time.Duration // start of a server when it was called draining
+	drainedAt map[EndpointID]time.Duration
+	named     map[EndpointID]Endpoint // as last named, by lists that may be wrong
+	old       []Endpoint              // an earlier list
+	most      int                     // servers
 
 	picks, others int // compared with a plain scan, and those that differ
 }
@@ -61,23 +61,23 @@
 		switch a.Kind {
 		case Send:
 			w.sent(a)
-		case Refuse, Fail:
+		case Shed, Fail:
 			w.answered(a)
 		case Cancel:
 			if r := w.reqs[a.Request]; r == nil || a.Attempt >= len(r.attempts) {
 				w.fail("cancel of an attempt never made: %+v", a)
 			}
 		case SetTimer:
-			w.due = append(w.due, Event{Kind: Timer, Token: a.Token, Elapsed: w.now + a.Wait})
-		case Probe, Tell:
+			w.due = append(w.due, Event{Kind: TimerFired, Token: a.Token, Elapsed: w.now + a.Wait})
+		case Probe, SendToPeer:
 			w.fail("%+v is not allowed here", a)
 		}
 	}
 }
 
-func (w *world) drainedNow(s Server) bool {
+func (w *world) drainedNow(s Endpoint) bool {
 	start, ok := w.drained[s.ID]
-	return ok && s.Started <= start && float64(w.now-w.drainedAt[s.ID]) < remember*float64(w.cfg.Contract.WarmUp)
+	return ok && s.StartedAt <= start && float64(w.now-w.drainedAt[s.ID]) < remember*float64(w.cfg.Contract.WarmUpPeriod)
 }
 
 // over takes a request that is answered and has no attempt out from the queue of its key.
@@ -90,23 +90,23 @@
 }
 
 func (w *world) sent(a Action) {
-	r, s := w.reqs[a.Request], w.named[a.Server]
+	r, s := w.reqs[a.Request], w.named[a.Endpoint]
 	c := &w.cfg.Classes[r.class]
 	switch {
 	case r.answered:
 		w.fail("sent after the final answer: %+v", a)
 	case r.out > 0:
 		w.fail("two attempts out: %+v", a)
-	case w.cfg.Contract.DrainBindsAlone && w.drainedNow(s):
+	case w.cfg.Contract.OnlyDrainingBinds && w.drainedNow(s):
 		w.fail("sent to a drained server: %+v", a)
-	case w.cfg.Contract.DrainBindsAlone && s.ID == 0:
+	case w.cfg.Contract.OnlyDrainingBinds && s.ID == 0:
 		w.fail("sent to a server that no list has named: %+v", a)
-	case s.State != Ready && !w.cfg.Contract.DrainBindsAlone:
+	case s.State != Ready && !w.cfg.Contract.OnlyDrainingBinds:
 		w.fail("sent to a server in state %d: %+v", s.State, a)
-	case len(r.attempts) >= w.cfg.Limits.Attempts:
+	case len(r.attempts) >= w.cfg.Limits.MaxAttempts:
 		w.fail("attempt %d", len(r.attempts))
-	case a.Within <= 0 || a.Within > a.Wait:
-		w.fail("to be out in %v, time-out %v", a.Within, a.Wait)
+	case a.WriteTimeout <= 0 || a.WriteTimeout > a.Wait:
+		w.fail("to be out in %v, time-out %v", a.WriteTimeout, a.Wait)
 	case a.Wait <= 0 || w.now+a.Wait > r.until:
 		w.fail("time-out %v, request ends at %v", a.Wait, r.until)
 	}
@@ -120,21 +120,21 @@
 	}
 	if r.ran && c.Effect != Safe {
 		inGroup := c.Group == GroupAll || c.Group == GroupZone && s.Zone == r.ranOn.Zone || c.Group == GroupCell && s.Cell == r.ranOn.Cell
-		if c.Effect == Unsafe || !inGroup || w.now-r.ranAt >= c.Memory {
+		if c.Effect == Unsafe || !inGroup || w.now-r.ranAt >= c.IdempotencyWindow {
 			w.fail("resent what may have run: %+v", a)
 		}
-		if w.now+a.Within >= r.ranAt+c.Memory {
+		if w.now+a.WriteTimeout >= r.ranAt+c.IdempotencyWindow {
 			w.fail("what may have run may be resent up to its memory's end: %+v", a)
 		}
 	}
 	r.attempts = append(r.attempts, s)
 	r.out++
 	w.calls = append(w.calls, w.now)
-	if s.Started > 0 && w.now-s.Started < w.cfg.Contract.WarmUp/2 {
+	if s.StartedAt > 0 && w.now-s.StartedAt < w.cfg.Contract.WarmUpPeriod/2 {
 		w.toCold[s.ID] = append(w.toCold[s.ID], w.now)
 		w.checkCold(s)
 	}
-	w.due = append(w.due, Event{Kind: AttemptEnded, Request: a.Request, Attempt: len(r.attempts) - 1, Server: a.Server,
+	w.due = append(w.due, Event{Kind: AttemptEnded, Request: a.Request, Attempt: len(r.attempts) - 1, Endpoint: a.Endpoint,
 		Elapsed: w.now + min(time.Duration(w.rng.Int63n(int64(60*ms))), a.Wait)})
 	w.sentAt[a.Request] = w.now
 	if w.rng.Intn(16) == 0 {
@@ -144,7 +144,7 @@
 
 // checkCold compares this node's calls to a cold server within the contract's span with its part of the
 // budget: the multiple of the share the server is sure to have, of what a server bears on average.
-func (w *world) checkCold(s Server) {
+func (w *world) checkCold(s Endpoint) {
 	c := &w.cfg.Contract
 	within := func(times []time.Duration, span time.Duration) (n float64) {
 		for _, at := range times {
@@ -156,16 +156,16 @@
 	}
 	ready := len(w.servers)
 	for i, log := range w.ready {
-		if i+1 == len(w.ready) || w.now-w.ready[i+1].at < 2*c.OverloadFor { // in force within the last spans
+		if i+1 == len(w.ready) || w.now-w.ready[i+1].at < 2*c.OverloadPeriod { // in force within the last spans
 			ready = min(ready, log.n)
 		}
 	}
-	share := c.ColdFrom + (1-c.ColdFrom)*float64(w.now-s.Started)/float64(c.WarmUp)
-	span := min(c.WarmUp, w.now-time.Hour)
+	share := c.InitialCapacity + (1-c.InitialCapacity)*float64(w.now-s.StartedAt)/float64(c.WarmUpPeriod)
+	span := min(c.WarmUpPeriod, w.now-time.Hour)
 	mean := within(w.calls, span+1) / span.Seconds() / min(float64(ready), float64(w.b.near)) // of the near servers
 	// One whole call more: a part can be less than a call, and calls come whole.
-	if n, budget := within(w.toCold[s.ID], c.OverloadFor), c.FallMultiple*share*mean*c.OverloadFor.Seconds()+1; n > budget {
-		w.fail("%v calls to a server started %v ago, budget %.2f", n, w.now-s.Started, budget)
+	if n, budget := within(w.toCold[s.ID], c.OverloadPeriod), c.OverloadMultiple*share*mean*c.OverloadPeriod.Seconds()+1; n > budget {
+		w.fail("%v calls to a server started %v ago, budget %.2f", n, w.now-s.StartedAt, budget)
 	}
 }
 
@@ -175,7 +175,7 @@
 	if r.answered || r.out > 0 {
 		w.fail("answered twice or with an attempt out: %+v", a)
 	}
-	if a.Kind == Refuse && r.ran && c.Effect != Safe && !(c.Effect == Keyed && c.Group == GroupAll) {
+	if a.Kind == Shed && r.ran && c.Effect != Safe && !(c.Effect == Keyed && c.Group == GroupAll) {
 		w.fail("refused what may have run: %+v", a)
 	}
 	if w.now > r.until {
@@ -191,21 +191,21 @@
 // list changes some servers and tells of it.
 func (w *world) list() {
 	kind := []ListKind{ListFull, ListChanges, ListFailed}[w.rng.Intn(3)]
-	ev := Event{Kind: ServerList, List: kind}
+	ev := Event{Kind: EndpointListUpdated, ListKind: kind}
 	if kind != ListFailed {
-		for id := ServerID(1); id <= ServerID(w.most); id++ {
+		for id := EndpointID(1); id <= EndpointID(w.most); id++ {
 			s, known := w.servers[id]
 			change := w.rng.Intn(10)
 			if change > 3 || !known && change > 0 {
 				if kind == ListFull && known && s.State != Gone {
-					ev.Servers = append(ev.Servers, s)
+					ev.Endpoints = append(ev.Endpoints, s)
 				}
 				continue
 			}
-			s = Server{ID: id, Zone: int(id) % 2, Cell: int(id) % 4, Started: s.Started,
-				State: []ServerState{Gone, Draining, Ready, Ready, Ready}[w.rng.Intn(5)]}
+			s = Endpoint{ID: id, Zone: int(id) % 2, Cell: int(id) % 4, StartedAt: s.StartedAt,
+				State: []EndpointState{Gone, Draining, Ready, Ready, Ready}[w.rng.Intn(5)]}
 			if w.rng.Intn(2) == 0 {
-				s.Started = w.now - time.Duration(w.rng.Int63n(int64(time.Second)))
+				s.StartedAt = w.now - time.Duration(w.rng.Int63n(int64(time.Second)))
 				w.toCold[id] = nil
 			}
 			if kind == ListFull && s.State == Gone {
@@ -213,7 +213,7 @@
 				continue
 			}
 			w.servers[id] = s
-			ev.Servers = append(ev.Servers, s)
+			ev.Endpoints = append(ev.Endpoints, s)
 		}
 	}
 	ready := 0
@@ -228,30 +228,30 @@
 
 // tell hands a list over, now and then a wrong one where only draining binds: shrunken, empty, old or with ghosts.
 func (w *world) tell(ev Event) {
-	if w.cfg.Contract.DrainBindsAlone && ev.List == ListFull {
+	if w.cfg.Contract.OnlyDrainingBinds && ev.ListKind == ListFull {
 		switch w.rng.Intn(6) {
 		case 0:
-			ev.Servers = nil
+			ev.Endpoints = nil
 		case 1:
-			ev.Servers = ev.Servers[:len(ev.Servers)/2]
+			ev.Endpoints = ev.Endpoints[:len(ev.Endpoints)/2]
 		case 2:
-			ev.Servers = append(ev.Servers, Server{ID: ServerID(1000 + w.rng.Intn(5)), State: Ready})
+			ev.Endpoints = append(ev.Endpoints, Endpoint{ID: EndpointID(1000 + w.rng.Intn(5)), State: Ready})
 		case 3:
-			ev.Servers = w.old
+			ev.Endpoints = w.old
 		}
-		w.old = ev.Servers
+		w.old = ev.Endpoints
 	}
-	for _, s := range ev.Servers {
-		if was, ok := w.named[s.ID]; ok && w.cfg.Contract.DrainBindsAlone {
-			s.Started = max(s.Started, was.Started)
+	for _, s := range ev.Endpoints {
+		if was, ok := w.named[s.ID]; ok && w.cfg.Contract.OnlyDrainingBinds {
+			s.StartedAt = max(s.StartedAt, was.StartedAt)
 		}
 		if w.named[s.ID] = s; s.State == Draining {
-			w.drained[s.ID], w.drainedAt[s.ID] = s.Started, w.now
+			w.drained[s.ID], w.drainedAt[s.ID] = s.StartedAt, w.now
 		}
 	}
-	if ev.List == ListFull && !w.cfg.Contract.DrainBindsAlone {
+	if ev.ListKind == ListFull && !w.cfg.Contract.OnlyDrainingBinds {
 		for id, s := range w.named {
-			if !slices.ContainsFunc(ev.Servers, func(e Server) bool { return e.ID == id }) {
+			if !slices.ContainsFunc(ev.Endpoints, func(e Endpoint) bool { return e.ID == id }) {
 				s.State = Gone
 				w.named[id] = s
 			}
@@ -279,8 +279,8 @@
 	}
 	ev, late := w.due[first], w.now
 	w.due = slices.Delete(w.due, first, first+1)
-	if w.now = ev.Elapsed; ev.Kind == Timer {
-		w.handle(Event{Kind: Timer, Token: ev.Token})
+	if w.now = ev.Elapsed; ev.Kind == TimerFired {
+		w.handle(Event{Kind: TimerFired, Token: ev.Token})
 	} else {
 		w.end(ev)
 	}
@@ -296,23 +296,23 @@
 	case roll < 2:
 		w.list()
 	case roll < 4:
-		w.handle(Event{Kind: Timer, Token: w.rng.Uint32() >> w.rng.Intn(32)})
+		w.handle(Event{Kind: TimerFired, Token: w.rng.Uint32() >> w.rng.Intn(32)})
 	case roll < 6 && len(w.open) > 0:
 		id := w.open[len(w.open)-1-w.rng.Intn(min(len(w.open), 6))]
 		w.reqs[id].answered = true
 		w.over(id)
-		w.handle(Event{Kind: Departed, Request: id})
+		w.handle(Event{Kind: ClientLeft, Request: id})
 	default:
 		r := &seen{class: w.rng.Intn(len(w.cfg.Classes)), until: w.now + time.Duration(w.rng.Int63n(int64(time.Second)))}
 		w.reqs[next] = r
 		w.open = append(w.open, next)
 		key := uint64(w.rng.Intn(4))
-		if w.cfg.Classes[r.class].KeepOrder && key > 0 {
+		if w.cfg.Classes[r.class].OrderedByKey && key > 0 {
 			r.key = key
 			w.turns[key] = append(w.turns[key], next)
 		}
-		w.handle(Event{Kind: Arrival, Request: next, Class: r.class, Key: key, Tenant: w.rng.Intn(4), Remaining: r.until - w.now,
-			Work: time.Duration(w.rng.Int63n(3)) * 10 * ms, Repeat: w.rng.Intn(2) == 0})
+		w.handle(Event{Kind: RequestArrived, Request: next, Class: r.class, Key: key, Tenant: w.rng.Intn(4), Remaining: r.until - w.now,
+			ExpectedWork: time.Duration(w.rng.Int63n(3)) * 10 * ms, ClientRetry: w.rng.Intn(2) == 0})
 	}
 }
 
@@ -328,10 +328,10 @@
 	r.out--
 	r.answered = r.answered || ev.Outcome == OK
 	if ev.Outcome == Timeout || ev.Outcome == Reset || ev.Outcome == Cancelled {
-		w.rest[r.key] = w.now + w.cfg.Contract.KeyRest
+		w.rest[r.key] = w.now + w.cfg.Contract.KeyQuarantine
 	}
 	w.over(ev.Request)
-	ev.Closed = r.answered
+	ev.RequestClosed = r.answered
 	ev.Elapsed = w.now - w.sentAt[ev.Request]
 	w.handle(ev)
 }
@@ -339,23 +339,23 @@
 func newWorld(t testing.TB, seed int64) *world {
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Quota: 5}, {Quota: 50}, {}}
-	cfg.GroupSize = 1 + int(seed)%3
+	cfg.ReplicaCount = 1 + int(seed)%3
 	if seed%5 == 4 { // copies that outnumber the servers
-		cfg.GroupSize, cfg.Self = 60, int(seed)
+		cfg.ReplicaCount, cfg.ReplicaIndex = 60, int(seed)
 	}
-	cfg.Classes[seed%5].LateWorth = 0
+	cfg.Classes[seed%5].LateWeight = 0
 	for i := range cfg.Classes {
-		cfg.Classes[i].Memory = 60 * ms
+		cfg.Classes[i].IdempotencyWindow = 60 * ms
 	}
 	cfg.Subscribe = seed%2 == 0
-	cfg.Contract.DrainBindsAlone = seed%4 > 1
+	cfg.Contract.OnlyDrainingBinds = seed%4 > 1
 	if seed%3 > 0 {
-		cfg.Classes[0].KeepOrder, cfg.Classes[4].KeepOrder, cfg.Contract.KeyRest = true, true, 20*ms
+		cfg.Classes[0].OrderedByKey, cfg.Classes[4].OrderedByKey, cfg.Contract.KeyQuarantine = true, true, 20*ms
 	}
 	return &world{t: t, most: 12, rng: rand.New(rand.NewSource(seed)), cfg: cfg, b: New(cfg, uint64(seed)), now: time.Hour,
-		servers: map[ServerID]Server{}, reqs: map[RequestID]*seen{}, toCold: map[ServerID][]time.Duration{},
+		servers: map[EndpointID]Endpoint{}, reqs: map[RequestID]*seen{}, toCold: map[EndpointID][]time.Duration{},
 		sentAt: map[RequestID]time.Duration{}, turns: map[uint64][]RequestID{}, rest: map[uint64]time.Duration{},
-		drained: map[ServerID]time.Duration{}, drainedAt: map[ServerID]time.Duration{}, named: map[ServerID]Server{}}
+		drained: map[EndpointID]time.Duration{}, drainedAt: map[EndpointID]time.Duration{}, named: map[EndpointID]Endpoint{}}
 }
 
 func play(t testing.TB, seed int64) []Action {
@@ -383,10 +383,10 @@
 		for _, a := range trace {
 			kinds[a.Kind]++
 		}
-		if seed%5 == 4 && kinds[Send] > 50 && kinds[Refuse] > 10 { // its part of the limit is a call or less
+		if seed%5 == 4 && kinds[Send] > 50 && kinds[Shed] > 10 { // its part of the limit is a call or less
 			continue
 		}
-		if kinds[Send] < 300 || kinds[Refuse] < 10 || kinds[Fail] < 10 || kinds[Cancel] < 2 {
+		if kinds[Send] < 300 || kinds[Shed] < 10 || kinds[Fail] < 10 || kinds[Cancel] < 2 {
 			t.Errorf("seed %d: a tame sequence: %v actions by kind", seed, kinds)
 		}
 	}
@@ -399,21 +399,21 @@
 }
 
 func TestOddConfigsAndEvents(t *testing.T) {
-	bad := []Config{{}, {GroupSize: -1, Tier: -5, Tiers: -2, Classes: []Class{{Aim: -1, Deadline: -1, Worth: -3}},
+	bad := []Config{{}, {ReplicaCount: -1, Tier: -5, Tiers: -2, Classes: []Class{{LatencyObjective: -1, Deadline: -1, PriorityWeight: -3}},
 		Tenants:  []Tenant{{Quota: -1}},
-		Contract: Contract{ColdFrom: -1, WarmUp: -1, FallMultiple: -1, OverloadFor: -1, AskWithin: -1},
-		Limits:   Limits{Attempts: -1, Open: -1, MaxRetryAfter: -1, ConnectTimeout: -1}},
-		{Tier: 99, Tiers: 2, Classes: []Class{{Deadline: 1}}}, {GroupSize: 1 << 30, Self: 1 << 40, Tiers: 3},
-		{GroupSize: 200, Self: -1, LoadNames: []string{"unheard_of"}},
-		{GroupSize: 3, Self: 1 << 62, OverShareWorth: -4, Classes: []Class{{KeepOrder: true, Worth: math.Inf(1)}, {Worth: math.NaN()}},
-			Contract: Contract{DrainBindsAlone: true, KeyRest: -time.Second}, Goal: Goal{LogLossPart: math.NaN(), TopNines: -3}}}
+		Contract: Contract{InitialCapacity: -1, WarmUpPeriod: -1, OverloadMultiple: -1, OverloadPeriod: -1, MaxPollInterval: -1},
+		Limits:   Limits{MaxAttempts: -1, MaxOpenRequests: -1, MaxRetryAfter: -1, ConnectTimeout: -1}},
+		{Tier: 99, Tiers: 2, Classes: []Class{{Deadline: 1}}}, {ReplicaCount: 1 << 30, ReplicaIndex: 1 << 40, Tiers: 3},
+		{ReplicaCount: 200, ReplicaIndex: -1, LoadReportNames: []string{"unheard_of"}},
+		{ReplicaCount: 3, ReplicaIndex: 1 << 62, OverQuotaWeight: -4, Classes: []Class{{OrderedByKey: true, PriorityWeight: math.Inf(1)}, {PriorityWeight: math.NaN()}},
+			Contract: Contract{OnlyDrainingBinds: true, KeyQuarantine: -time.Second}, Goal: Goal{LogLossWeight: math.NaN(), TopNines: -3}}}
 	for i, cfg := range bad {
-		n := newNode(t, cfg, Server{ID: 1, State: Ready, Started: 1 << 62, Weight: -1}, Server{ID: 1, State: Ready}, Server{ID: 2, State: 77})
-		for _, ev := range []Event{{Kind: 200}, {Kind: Arrival, Request: 1, Class: -4, Tenant: -9, Remaining: -5, Work: -7},
-			{Kind: Arrival, Request: 2, Class: 300, Tenant: 1 << 30, Remaining: time.Hour, Key: 1},
-			{Kind: Arrival, Request: 3, Key: 1, Remaining: -time.Hour}, {Kind: Timer, Token: 1 << 31}, {Kind: ServerList, List: ListFull},
+		n := newNode(t, cfg, Endpoint{ID: 1, State: Ready, StartedAt: 1 << 62, Weight: -1}, Endpoint{ID: 1, State: Ready}, Endpoint{ID: 2, State: 77})
+		for _, ev := range []Event{{Kind: 200}, {Kind: RequestArrived, Request: 1, Class: -4, Tenant: -9, Remaining: -5, ExpectedWork: -7},
+			{Kind: RequestArrived, Request: 2, Class: 300, Tenant: 1 << 30, Remaining: time.Hour, Key: 1},
+			{Kind: RequestArrived, Request: 3, Key: 1, Remaining: -time.Hour}, {Kind: TimerFired, Token: 1 << 31}, {Kind: EndpointListUpdated, ListKind: ListFull},
 			{Kind: AttemptEnded, Request: 2, Attempt: -1}, {Kind: AttemptEnded, Request: 2, Attempt: 9},
-			{Kind: AttemptEnded, Request: 2, Outcome: 250, Elapsed: -1, Load: []float32{float32(math.NaN()), -1}}, {Kind: AttemptEnded, Request: 2}, {Kind: ServerList, List: 99}} {
+			{Kind: AttemptEnded, Request: 2, Outcome: 250, Elapsed: -1, LoadReport: []float32{float32(math.NaN()), -1}}, {Kind: AttemptEnded, Request: 2}, {Kind: EndpointListUpdated, ListKind: 99}} {
 			n.now += ms
 			n.handle(ev)
 		}
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Standing tells the limit on calls in flight and how many are: for those who
+// Concurrency tells the limit on calls in flight and how many are: for those who
 // watch a Balancer. It changes nothing and decides nothing.
-func (b *Balancer) Standing() (limit float64, inFlight int) { return b.maxIFR, b.ifr }
+func (b *Balancer) Concurrency() (limit float64, inFlight int) { return b.maxIFR, b.ifr }
 
-// Adjust replaces what the deployment allows, from the next event on. What the
+// SetLimits replaces what the deployment allows, from the next event on. What the
 // Balancer has learnt stays. Figures that are missing get New's defaults.
-func (b *Balancer) Adjust(limits Limits) {
+func (b *Balancer) SetLimits(limits Limits) {
 	b.cfg.Limits = New(Config{Limits: limits}, 0).cfg.Limits
 }
 
 // Avoids tells whether a server is not sent to now: it is not ready by the list,
 // or calls to it have failed so often that others come first.
-func (b *Balancer) Avoids(id ServerID) bool {
+func (b *Balancer) Avoids(id EndpointID) bool {
 	s := b.byID[id]
 	if s == nil {
 		return true
@@ -26,34 +26,34 @@
 	return !b.usable(s) || held >= mostHeld/2
 }
 
-// Beside tells that other Balancers stand at this one's place, as two processes of
+// SetSiblings tells that other Balancers stand at this one's place, as two processes of
 // one proxy do at an upgrade, and how many calls they have in flight: the limit
 // is for all of them together, and so are quotas and budgets of cold servers.
-func (b *Balancer) Beside(others, inFlight int) {
+func (b *Balancer) SetSiblings(others, inFlight int) {
 	b.sharers, b.beside = 1+max(others, 0), max(inFlight, 0)
 }
 
 // noPart is the divisor of a copy that has no part of what all copies share.
 const noPart = 1 << 30
 
-// Copies tells anew which of how many copies this one is, and among how many that
+// SetReplicas tells anew which of how many copies this one is, and among how many that
 // may be there quotas and cold budgets are divided; 0 is that it has no part of
 // them yet. What it has learnt stays.
-func (b *Balancer) Copies(self, of, among int) {
+func (b *Balancer) SetReplicas(self, of, among int) {
 	if of = max(of, 1); among <= 0 {
 		among = noPart
 	}
 	b.parts = among
-	if self = min(max(self, 0), of-1); self != b.cfg.Self || of != b.cfg.GroupSize {
-		b.cfg.Self, b.cfg.GroupSize = self, of
+	if self = min(max(self, 0), of-1); self != b.cfg.ReplicaIndex || of != b.cfg.ReplicaCount {
+		b.cfg.ReplicaIndex, b.cfg.ReplicaCount = self, of
 		b.settle()
 	}
 }
 
-// Quota tells the part of a tenant's quota that this copy may use for a time, and the
+// SetQuota tells the part of a tenant's quota that this copy may use for a time, and the
 // part that it may use from then on if nothing else is told: what was borrowed ends
 // by itself.
-func (b *Balancer) Quota(tenant int, part, after float64, lasts time.Duration) {
+func (b *Balancer) SetQuota(tenant int, part, after float64, lasts time.Duration) {
 	if tenant >= 0 && tenant < len(b.quota) {
 		c := &b.quota[tenant]
 		c.part, c.after, c.until, c.shared = part, after, b.now+lasts, true
@@ -72,9 +72,9 @@
 	return whole * c.after
 }
 
-// Hearsay says that several copies found a server bad: it comes after its peers for a
+// Penalize says that several copies found a server bad: it comes after its peers for a
 // while, as if calls of this copy had failed. It never makes one that is not usable.
-func (b *Balancer) Hearsay(id ServerID) {
+func (b *Balancer) Penalize(id EndpointID) {
 	if s := b.byID[id]; s != nil && b.usable(s) {
 		_, slow := b.standing(s)
 		s.held, s.slow, s.touch = mostHeld, slow, b.now
@@ -82,8 +82,8 @@
 	}
 }
 
-// Slowness is a server's latency against its peers', by this copy's own calls.
-func (b *Balancer) Slowness(id ServerID) float64 {
+// RelativeLatency is a server's latency against its peers', by this copy's own calls.
+func (b *Balancer) RelativeLatency(id EndpointID) float64 {
 	if s := b.byID[id]; s != nil {
 		_, slow := b.standing(s)
 		return slow
@@ -91,24 +91,24 @@
 	return 1
 }
 
-// Learnt is what a Balancer has found out of its tier that the next one at its
+// Snapshot is what a Balancer has found out of its tier that the next one at its
 // place need not find out again. Slices are by class.
-type Learnt struct {
-	Limit float64   `json:"Limit"` // on calls in flight
-	Rate  float64   `json:"Rate"`  // calls served a second
-	Usual []float64 `json:"Usual"` // usual latency, seconds
-	Fails []float64 `json:"Fails"` // part of the calls that failed of late
+type Snapshot struct {
+	Limit          float64   `json:"Limit"` // on calls in flight
+	Rate           float64   `json:"Rate"`  // calls served a second
+	TypicalLatency []float64 `json:"Usual"` // usual latency, seconds
+	ErrorRate      []float64 `json:"Fails"` // part of the calls that failed of late
 }
 
-// Learnt tells what has been found out.
-func (b *Balancer) Learnt() Learnt {
-	return Learnt{b.maxIFR, b.served(0), slices.Clone(b.usual), slices.Clone(b.fails)}
+// Snapshot tells what has been found out.
+func (b *Balancer) Snapshot() Snapshot {
+	return Snapshot{b.maxIFR, b.served(0), slices.Clone(b.usual), slices.Clone(b.fails)}
 }
 
-// Adopt takes over what another Balancer for the same classes has found out. What
+// Restore takes over what another Balancer for the same classes has found out. What
 // is impossible in it is passed over.
-func (b *Balancer) Adopt(l Learnt) {
-	span := b.cfg.Contract.WarmUp
+func (b *Balancer) Restore(l Snapshot) {
+	span := b.cfg.Contract.WarmUpPeriod
 	if l.Limit > 0 && b.ceiling > 0 {
 		b.maxIFR = min(max(l.Limit, b.floor), b.ceiling)
 	}
@@ -116,11 +116,11 @@
 		b.began, b.rate, b.rateAt = min(b.began, b.now-100*span), l.Rate*span.Seconds(), b.now
 	}
 	for i := range b.usual {
-		if i < len(l.Usual) && l.Usual[i] > 0 && l.Usual[i] < 1e6 {
-			b.usual[i] = l.Usual[i]
+		if i < len(l.TypicalLatency) && l.TypicalLatency[i] > 0 && l.TypicalLatency[i] < 1e6 {
+			b.usual[i] = l.TypicalLatency[i]
 		}
-		if i < len(l.Fails) && l.Fails[i] >= 0 && l.Fails[i] < 1 {
-			b.fails[i] = l.Fails[i]
+		if i < len(l.ErrorRate) && l.ErrorRate[i] >= 0 && l.ErrorRate[i] < 1 {
+			b.fails[i] = l.ErrorRate[i]
 		}
 	}
 }
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -15,9 +15,9 @@
 // RequestID names a request at one balancer. It is never used twice.
 type RequestID uint64
 
-// ServerID names a server. It is an opaque value: equal ids mean the same
+// EndpointID names a server. It is an opaque value: equal ids mean the same
 // server, and nothing else can be read from it.
-type ServerID uint64
+type EndpointID uint64
 
 // Effect says how often a request of a class may be executed.
 type Effect uint8
@@ -41,17 +41,17 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name       string
-	Aim        time.Duration // an answer within this time earns the full worth
-	AimStretch float64       // the aim grows by this multiple of a request's own work
-	Deadline   time.Duration // the longest time a client waits over all its tries
-	Worth      float64       // worth of an answer within the aim
-	LateWorth  float64       // share of the worth left after the aim
-	Effect     Effect
-	Group      Group         // for Keyed
-	Memory     time.Duration // for Keyed: how long repeats are dropped
-	Streaming  bool
-	KeepOrder  bool // requests with one key run one at a time, as they arrived at this balancer
+	Name              string
+	LatencyObjective  time.Duration // an answer within this time earns the full worth
+	ObjectivePerWork  float64       // the aim grows by this multiple of a request's own work
+	Deadline          time.Duration // the longest time a client waits over all its tries
+	PriorityWeight    float64       // worth of an answer within the aim
+	LateWeight        float64       // share of the worth left after the aim
+	Effect            Effect
+	Group             Group         // for Keyed
+	IdempotencyWindow time.Duration // for Keyed: how long repeats are dropped
+	Streaming         bool
+	OrderedByKey      bool // requests with one key run one at a time, as they arrived at this balancer
 }
 
 // Tenant describes one customer.
@@ -64,20 +64,20 @@
 // Config holds what a Balancer is told at its start. The zero value of a field
 // means that nothing is known; New makes do with defaults.
 type Config struct {
-	Classes        []Class
-	Tenants        []Tenant
-	Tier           int     // index of the tier that this balancer sends to; 0 is the front
-	Tiers          int     // number of tiers in the chain
-	Zone           int     // zone of this balancer
-	Self           int     // index among the balancers of the tier
-	GroupSize      int     // number of balancers sending to the tier
-	Subscribe      bool    // the server list must be asked for
-	ValueByWork    bool    // worth counts for each unit of work rather than each request
-	OverShareWorth float64 // share of the worth left to a tenant's traffic above its quota
-	LoadNames      []string
-	Limits         Limits
-	Contract       Contract
-	Goal           Goal
+	Classes         []Class
+	Tenants         []Tenant
+	Tier            int     // index of the tier that this balancer sends to; 0 is the front
+	Tiers           int     // number of tiers in the chain
+	Zone            int     // zone of this balancer
+	ReplicaIndex    int     // index among the balancers of the tier
+	ReplicaCount    int     // number of balancers sending to the tier
+	Subscribe       bool    // the server list must be asked for
+	WeightByWork    bool    // worth counts for each unit of work rather than each request
+	OverQuotaWeight float64 // share of the worth left to a tenant's traffic above its quota
+	LoadReportNames []string
+	Limits          Limits
+	Contract        Contract
+	Goal            Goal
 }
 
 // complete replaces what is missing or impossible by defaults.
@@ -88,22 +88,22 @@
 	}
 	for i := range cfg.Classes {
 		c := &cfg.Classes[i]
-		orElse(&c.Deadline, 2*max(c.Aim, time.Second))
-		orElse(&c.Aim, c.Deadline/2)
-		orElse(&c.Worth, 1)
+		orElse(&c.Deadline, 2*max(c.LatencyObjective, time.Second))
+		orElse(&c.LatencyObjective, c.Deadline/2)
+		orElse(&c.PriorityWeight, 1)
 	}
-	orElse(&cfg.GroupSize, 1)
+	orElse(&cfg.ReplicaCount, 1)
 	orElse(&cfg.Tiers, 1)
-	cfg.Self = max(cfg.Self, 0) % cfg.GroupSize
+	cfg.ReplicaIndex = max(cfg.ReplicaIndex, 0) % cfg.ReplicaCount
 	cfg.Tier = min(max(cfg.Tier, 0), cfg.Tiers-1)
-	orElse(&cfg.Limits.Attempts, 3)
-	orElse(&cfg.Limits.Open, math.MaxInt)
-	orElse(&cfg.Contract.AskWithin, 10*time.Second)
-	orElse(&cfg.Contract.ColdFrom, 0.1)
-	orElse(&cfg.Contract.WarmUp, 30*time.Second)
-	orElse(&cfg.Contract.FallMultiple, 2)
-	orElse(&cfg.Contract.OverloadFor, time.Second)
-	orElse(&cfg.Contract.KeyRest, 0)
+	orElse(&cfg.Limits.MaxAttempts, 3)
+	orElse(&cfg.Limits.MaxOpenRequests, math.MaxInt)
+	orElse(&cfg.Contract.MaxPollInterval, 10*time.Second)
+	orElse(&cfg.Contract.InitialCapacity, 0.1)
+	orElse(&cfg.Contract.WarmUpPeriod, 30*time.Second)
+	orElse(&cfg.Contract.OverloadMultiple, 2)
+	orElse(&cfg.Contract.OverloadPeriod, time.Second)
+	orElse(&cfg.Contract.KeyQuarantine, 0)
 }
 
 func orElse[T int | float64 | time.Duration](v *T, other T) {
@@ -114,60 +114,60 @@
 
 // Goal says how service is valued where that is not the worth alone.
 type Goal struct {
-	LogLossPart float64 // weight of the nines: of how far the unserved share of short spans lies below the whole
-	TopNines    float64 // nines that give full marks: with 3 one part in 1,000 may be lost
+	LogLossWeight float64 // weight of the nines: of how far the unserved share of short spans lies below the whole
+	TopNines      float64 // nines that give full marks: with 3 one part in 1,000 may be lost
 }
 
 // Limits is what a deployment allows its balancers.
 type Limits struct {
-	Attempts       int // attempts for each request; 0 is no limit
-	Open           int // open requests; 0 is no limit
-	MaxRetryAfter  time.Duration
-	ConnectTimeout time.Duration
-	RetryAfter     bool // clients are shown the retry-after of a refusal
-	SecondCopies   bool // two attempts of one request may be out at once
-	Cancel         bool
-	Probes         bool
-	Peers          bool
+	MaxAttempts     int // attempts for each request; 0 is no limit
+	MaxOpenRequests int // open requests; 0 is no limit
+	MaxRetryAfter   time.Duration
+	ConnectTimeout  time.Duration
+	SendRetryAfter  bool // clients are shown the retry-after of a refusal
+	AllowHedging    bool // two attempts of one request may be out at once
+	AllowCancel     bool
+	AllowProbes     bool
+	AllowPeers      bool
 }
 
 // Contract holds the figures of the rules that a Balancer must keep.
 type Contract struct {
-	AnswerSlack  time.Duration // a final answer counts this long after the deadline
-	DrainGrace   time.Duration // nothing new goes to a draining server after this
-	AskWithin    time.Duration // longest time between two calls for the list, if not subscribed
-	ColdFrom     float64       // share of its capacity a server starts with, at least
-	WarmUp       time.Duration // a started server is warm after this, at the latest
-	FallMultiple float64       // a cold server sent more than this multiple of its capacity
-	OverloadFor  time.Duration // for this long falls over
+	AnswerSlack      time.Duration // a final answer counts this long after the deadline
+	DrainGrace       time.Duration // nothing new goes to a draining server after this
+	MaxPollInterval  time.Duration // longest time between two calls for the list, if not subscribed
+	InitialCapacity  float64       // share of its capacity a server starts with, at least
+	WarmUpPeriod     time.Duration // a started server is warm after this, at the latest
+	OverloadMultiple float64       // a cold server sent more than this multiple of its capacity
+	OverloadPeriod   time.Duration // for this long falls over
 
 	// DrainBindsAlone says that a server may still be sent to when the list calls it gone or leaves it
 	// out, unless it was called draining before. Otherwise gone binds as draining does.
-	DrainBindsAlone bool
+	OnlyDrainingBinds bool
 	// KeyRest is how long the key of a class that keeps order rests after an attempt that may still be
 	// running: one that timed out, was cancelled or lost its connection.
-	KeyRest time.Duration
+	KeyQuarantine time.Duration
 }
 
-// ServerState is the state of a listed server.
-type ServerState uint8
+// EndpointState is the state of a listed server.
+type EndpointState uint8
 
 // The states of a server.
 const (
-	Gone ServerState = iota
+	Gone EndpointState = iota
 	Ready
 	Draining
 )
 
-// Server is one entry of a server list.
-type Server struct {
-	ID      ServerID
-	State   ServerState
-	Zone    int
-	Cell    int
-	Kind    int
-	Weight  float64
-	Started time.Duration // clock time of its latest start; 0 is long ago
+// Endpoint is one entry of a server list.
+type Endpoint struct {
+	ID        EndpointID
+	State     EndpointState
+	Zone      int
+	Cell      int
+	Kind      int
+	Weight    float64
+	StartedAt time.Duration // clock time of its latest start; 0 is long ago
 }
 
 // ListKind says how the Servers of a list event are to be read.
@@ -188,12 +188,12 @@
 const (
 	OK            Outcome = iota // served
 	Error                        // error answer; it may have run
-	Full                         // turned away unseen; it never ran
+	Rejected                     // turned away unseen; it never ran
 	Timeout                      // no answer in time; it may have run or be running
 	ConnectFailed                // no connection; it never ran
 	Reset                        // connection broke; it may have run
 	Cancelled                    // cancelled; it may have run
-	Moot                         // not sent; it never ran
+	NotSent                      // not sent; it never ran
 )
 
 // String names the outcome as log lines and on-call do.
@@ -206,47 +206,47 @@
 }
 
 // NeverRan reports whether the outcome proves that the attempt was not executed.
-func (o Outcome) NeverRan() bool { return o == Full || o == ConnectFailed || o == Moot }
+func (o Outcome) NeverRan() bool { return o == Rejected || o == ConnectFailed || o == NotSent }
 
 // EventKind tells which fields of an Event are set.
 type EventKind uint8
 
 // The kinds of event, each with the fields it sets.
 const (
-	ServerList   EventKind = iota + 1 // List, Version, Servers
-	Arrival                           // Request, Class, Tenant, Key, Remaining, Work, Repeat, Write
-	StreamBegun                       // Request, Attempt, Server, Elapsed
-	AttemptEnded                      // Request, Attempt, Server, Outcome, Closed, Spent, Elapsed, Load
-	Departed                          // Request: the client left; no answer is owed
-	Timer                             // Token
-	Probed                            // Server, Outcome, Elapsed, Load
-	PeerMessage                       // Peer, Payload
+	EndpointListUpdated EventKind = iota + 1 // List, Version, Servers
+	RequestArrived                           // Request, Class, Tenant, Key, Remaining, Work, Repeat, Write
+	StreamStarted                            // Request, Attempt, Server, Elapsed
+	AttemptEnded                             // Request, Attempt, Server, Outcome, Closed, Spent, Elapsed, Load
+	ClientLeft                               // Request: the client left; no answer is owed
+	TimerFired                               // Token
+	ProbeEnded                               // Server, Outcome, Elapsed, Load
+	PeerMessageReceived                      // Peer, Payload
 )
 
 // Event is something that happened. Slices are read during Handle only.
 type Event struct {
-	Kind      EventKind
-	Outcome   Outcome
-	List      ListKind
-	Closed    bool // the request is finished, by this outcome or earlier
-	Spent     bool // part of the request is gone: it can't be sent again
-	Repeat    bool // marked by the client as a retry
-	Write     bool
-	Class     int
-	Tenant    int
-	Attempt   int
-	Token     uint32
-	Peer      uint32
-	Request   RequestID
-	Key       uint64
-	Version   uint64
-	Server    ServerID
-	Remaining time.Duration // time until the client gives this try up
-	Work      time.Duration // expected work; 0 is unknown
-	Elapsed   time.Duration // since the attempt was sent
-	Load      []float32     // load report in the order of Config.LoadNames
-	Servers   []Server
-	Payload   []byte
+	Kind          EventKind
+	Outcome       Outcome
+	ListKind      ListKind
+	RequestClosed bool // the request is finished, by this outcome or earlier
+	BodyConsumed  bool // part of the request is gone: it can't be sent again
+	ClientRetry   bool // marked by the client as a retry
+	Write         bool
+	Class         int
+	Tenant        int
+	Attempt       int
+	Token         uint32
+	Peer          uint32
+	Request       RequestID
+	Key           uint64
+	Version       uint64
+	Endpoint      EndpointID
+	Remaining     time.Duration // time until the client gives this try up
+	ExpectedWork  time.Duration // expected work; 0 is unknown
+	Elapsed       time.Duration // since the attempt was sent
+	LoadReport    []float32     // load report in the order of Config.LoadNames
+	Endpoints     []Endpoint
+	Payload       []byte
 }
 
 // ActionKind tells which fields of an Action are set.
@@ -254,30 +254,30 @@
 
 // The kinds of action, each with the fields it sets.
 const (
-	Send      ActionKind = iota + 1 // Request, Server, Within, Wait: the attempt's time-out
-	Refuse                          // Request, Wait: retry-after. Tells that a retry is harmless
-	Fail                            // Request: final, with no promise
-	Cancel                          // Request, Attempt
-	SetTimer                        // Wait, Token
-	Probe                           // Server
-	CloseIdle                       // Server
-	Tell                            // Peer, Payload; Peer 0xffff is every peer
-	Subscribe                       // On
-	FetchList                       // none
-	Log                             // Text
+	Send           ActionKind = iota + 1 // Request, Server, Within, Wait: the attempt's time-out
+	Shed                                 // Request, Wait: retry-after. Tells that a retry is harmless
+	Fail                                 // Request: final, with no promise
+	Cancel                               // Request, Attempt
+	SetTimer                             // Wait, Token
+	Probe                                // Server
+	CloseIdle                            // Server
+	SendToPeer                           // Peer, Payload; Peer 0xffff is every peer
+	Subscribe                            // On
+	FetchEndpoints                       // none
+	Log                                  // Text
 )
 
 // Action is something that the host is to do.
 type Action struct {
-	Kind    ActionKind
-	On      bool
-	Attempt int
-	Token   uint32
-	Peer    uint16
-	Request RequestID
-	Server  ServerID
-	Wait    time.Duration
-	Within  time.Duration // Send: its last byte has to be out in this time
-	Payload []byte
-	Text    string
+	Kind         ActionKind
+	Enabled      bool
+	Attempt      int
+	Token        uint32
+	Peer         uint16
+	Request      RequestID
+	Endpoint     EndpointID
+	Wait         time.Duration
+	WriteTimeout time.Duration // Send: its last byte has to be out in this time
+	Payload      []byte
+	Text         string
 }
--- a/cli/command.go
+++ b/cli/command.go
@@ -53,7 +53,7 @@
 		rolloutCommand(getenv, stdout),
 		&cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs,
 			Run: func(*cobra.Command, []string) {
-				fmt.Fprintf(stdout, "ryerill %s\nfleet levels %d to %d\n", version(), codec.LeastLevel, codec.Level)
+				fmt.Fprintf(stdout, "ryerill %s\nfleet levels %d to %d\n", version(), codec.MinLevel, codec.MaxLevel)
 			}},
 	)
 	err := root.Execute()
@@ -77,7 +77,7 @@
 	for _, p := range cfg.Pools {
 		b := &p.Settings.Balancer
 		fmt.Fprintf(out, "%s: pool %s, tier %d of %d, %d classes, %d providers known\n", cfg.Name, p.Name, b.Tier+1, b.Tiers,
-			len(b.Classes), len(p.Known.Endpoints))
+			len(b.Classes), len(p.KnownEndpoints.Endpoints))
 	}
 }
 
@@ -87,7 +87,7 @@
 // version is that of the module as it was built.
 func version() string {
 	if info, ok := debug.ReadBuildInfo(); ok && info.Main.Version != "" {
-		return info.Main.Version + " " + info.GoVersion + codec.Note
+		return info.Main.Version + " " + info.GoVersion + codec.VersionSuffix
 	}
 	return "(unknown)"
 }
@@ -123,14 +123,14 @@
 		log.Warn("configuration", "warning", w)
 	}
 	stated, may := cfg.Limits.Sockets, descriptors()
-	if least := cfg.Bound(may); least > 0 {
+	if least := cfg.LimitSockets(may); least > 0 {
 		return runError{fmt.Errorf("this process may hold %d descriptors and needs %d: raise its limit (ulimit -n)", may, least)}
 	}
 	if cfg.Limits.Sockets < stated {
 		log.Warn("fewer descriptors than limits.sockets states", "stated", stated, "allowed", may)
 	}
 	var p *proxy.Proxy
-	p, err = proxy.New(cfg, rollouts(getenv, &p, func(c *config.Config) { c.Bound(may) }), proxy.WithLogger(log), proxy.WithProgram(version()), proxy.WithShare(func(part float64) {
+	p, err = proxy.New(cfg, rollouts(getenv, &p, func(c *config.Config) { c.LimitSockets(may) }), proxy.WithLogger(log), proxy.WithProgram(version()), proxy.WithProcessShare(func(part float64) {
 		debug.SetMemoryLimit(int64(part * memoryPart * float64(cfg.Limits.Memory)))
 	}))
 	var address *config.AddressError
@@ -144,10 +144,10 @@
 		for range reload {
 			cfg, warnings, err := config.Reload(getenv)
 			if err == nil {
-				cfg.Bound(may)
+				cfg.LimitSockets(may)
 				err = p.Reload(cfg)
 			} else {
-				p.NotReloaded()
+				p.CountFailedReload()
 			}
 			if err != nil {
 				log.Error("configuration not reloaded, the old one holds", "error", err)
--- a/cli/config_test.go
+++ b/cli/config_test.go
@@ -75,7 +75,7 @@
 		t.Fatal(err, out)
 	}
 	x, y := a.Pools[0].Settings.Balancer.Classes[0], b.Pools[0].Settings.Balancer.Classes[0]
-	if x.Name != y.Name || x.Aim != y.Aim || x.Deadline != y.Deadline || x.Effect != y.Effect || a.Pools[0].Directory != b.Pools[0].Directory {
+	if x.Name != y.Name || x.LatencyObjective != y.LatencyObjective || x.Deadline != y.Deadline || x.Effect != y.Effect || a.Pools[0].Discovery != b.Pools[0].Discovery {
 		t.Errorf("%+v\n%+v", x, y)
 	}
 }
--- a/cli/fleet.go
+++ b/cli/fleet.go
@@ -123,11 +123,11 @@
 	if named != "" {
 		return named
 	}
-	if at := getenv(config.EnvMgmt); at != "" {
+	if at := getenv(config.EnvAdmin); at != "" {
 		return at
 	}
 	if cfg, _, err := config.Load(getenv); err == nil {
-		return cfg.Mgmt
+		return cfg.Admin
 	}
 	return ""
 }
@@ -176,10 +176,10 @@
 			heard = "never"
 		}
 		switch {
-		case len(m.Accused) > 0:
-			note = "accused by " + strings.Join(m.Accused, ", ")
+		case len(m.SuspectedBy) > 0:
+			note = "accused by " + strings.Join(m.SuspectedBy, ", ")
 		case m.Status == "dead":
-			note = "by " + m.By + "; counts among budgets until it leaves, restarts or is forgotten"
+			note = "by " + m.ReportedBy + "; counts among budgets until it leaves, restarts or is forgotten"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Status, m.Phase, ago(m.SinceMS), heard, m.Zone, m.Address, m.Program, m.Settings, note)
 	}
@@ -196,8 +196,8 @@
 	switch {
 	case s.Displaced:
 		fmt.Fprintln(w, "certainty\tnone: another process of this name started later; this one has no part of any budget")
-	case s.CutOff:
-		fmt.Fprintf(w, "certainty\tlow: this copy is likely the one that is cut off, since %s\n", ago(s.CutOffMS))
+	case s.Partitioned:
+		fmt.Fprintf(w, "certainty\tlow: this copy is likely the one that is cut off, since %s\n", ago(s.PartitionedMS))
 	case s.StaleMS > 0:
 		fmt.Fprintf(w, "certainty\tstale: nobody was heard for %s\n", ago(s.StaleMS))
 	default:
@@ -205,28 +205,28 @@
 	}
 	fmt.Fprintf(w, "own health\t%d (0 is good, 8 worst)\nanswers take\t%v\n", s.Health, time.Duration(s.RTTMicros)*time.Microsecond)
 	bad := uint64(0)
-	for _, n := range s.Frames.Bad {
+	for _, n := range s.Frames.Invalid {
 		bad += n
 	}
 	fmt.Fprintf(w, "frames\t%d in, %d out, %d dropped as bad\n", s.Frames.FramesIn, s.Frames.FramesOut, bad)
 	for _, name := range sortedNames(s.Pools) {
 		p := s.Pools[name]
-		fmt.Fprintf(w, "pool %s\tnumber %d of %d, budgets among %d, own part %.4g, %d there, %d out of reach\n", name, p.Number, p.Of, p.Among, p.Part, p.There, p.Lost)
+		fmt.Fprintf(w, "pool %s\tnumber %d of %d, budgets among %d, own part %.4g, %d there, %d out of reach\n", name, p.Index, p.Of, p.QuotaReplicas, p.QuotaFraction, p.Alive, p.Unreachable)
 	}
 }
 
 func budgetsTable(w io.Writer, s *fleet.SharedStatus) {
 	fmt.Fprintln(w, "BUDGET\tWHOLE\tGUARANTEED\tLENT\tBORROWED\tMAY SPEND\tWANTED\tLOANS (A SECOND)")
-	for _, b := range s.Budgets {
+	for _, b := range s.Quotas {
 		var loans []string
 		for _, l := range b.Loans {
 			way := "from"
-			if l.Given {
+			if l.Lent {
 				way = "to"
 			}
-			loans = append(loans, fmt.Sprintf("%.3g %s %s, ends in %s", l.Amount, way, l.With, ago(max(l.EndsMS, 0))))
+			loans = append(loans, fmt.Sprintf("%.3g %s %s, ends in %s", l.Amount, way, l.Peer, ago(max(l.ExpiresInMS, 0))))
 		}
-		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%s\n", b.Name, b.Whole, b.Guaranteed, b.Lent, b.Borrowed, b.Rate, b.Wanted, strings.Join(loans, "; "))
+		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%s\n", b.Name, b.Total, b.Guaranteed, b.Lent, b.Borrowed, b.Rate, b.Demand, strings.Join(loans, "; "))
 	}
 }
 
@@ -237,9 +237,9 @@
 		if v.Stale {
 			note = "stale: a part is too old to go by"
 		}
-		fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%s\t%d\t%s\n", name, v.N, v.Least, v.Most, ago(v.AgeMS), v.Parts, note)
+		fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%s\t%d\t%s\n", name, v.Value, v.Lower, v.Upper, ago(v.AgeMS), v.Replicas, note)
 	}
-	for _, p := range s.Speakers {
+	for _, p := range s.Senders {
 		zone := ""
 		if p.Zone != "" {
 			zone = ", for zone " + p.Zone
@@ -251,13 +251,13 @@
 func verdictsTable(w io.Writer, s *fleet.SharedStatus) {
 	fmt.Fprintln(w, "PROVIDER\tBY\tZONE\tCALLS\tERRORS\tHANGS\tSLOWER THAN PEERS\tPEERS FAIL")
 	for _, e := range s.Evidence {
-		fmt.Fprintf(w, "%016x\t%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f times\t%.2f\n", e.Server, e.Reporter, e.Zone, e.Calls, e.Errors, e.Hangs, e.Slow, e.Peers)
+		fmt.Fprintf(w, "%016x\t%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f times\t%.2f\n", e.Endpoint, e.Reporter, e.Zone, e.Attempts, e.Errors, e.Timeouts, e.RelativeLatency, e.PeerErrorRate)
 	}
 }
 
 // watchFleet prints what changes from look to look.
 func watchFleet(ctx context.Context, every time.Duration, ask func() (fleet.Status, error), inJSON bool, stdout io.Writer) error {
-	before, first, down := map[string]fleet.Member{}, true, false
+	before, first, down := map[string]fleet.MemberStatus{}, true, false
 	tick := time.NewTicker(max(every, 100*time.Millisecond))
 	defer tick.Stop()
 	for {
@@ -280,7 +280,7 @@
 				} else if !known {
 					fmt.Fprintln(stdout, now, m.Name, m.Status, m.Phase)
 				} else {
-					fmt.Fprintln(stdout, now, m.Name, was.Status, was.Phase, "->", m.Status, m.Phase, strings.Join(m.Accused, ", "))
+					fmt.Fprintln(stdout, now, m.Name, was.Status, was.Phase, "->", m.Status, m.Phase, strings.Join(m.SuspectedBy, ", "))
 				}
 			}
 		}
--- a/cli/rollout.go
+++ b/cli/rollout.go
@@ -29,7 +29,7 @@
 
 // changer brings about what a rollout tells this copy: settings by the reload that
 // there is, after the check that there is. What does not hold is taken back by itself.
-func changer(getenv func(string) string, take func(config.Config) error, settled func(time.Duration) error) fleet.Changer {
+func changer(getenv func(string) string, take func(config.Config) error, settled func(time.Duration) error) fleet.ChangeFunc {
 	return func(kind rollout.Kind, target string, text []byte, back bool) error {
 		if kind != rollout.Settings {
 			return nil // the operator's own means do it: see rollout agent
@@ -93,7 +93,7 @@
 	return proxy.WithRollouts(changer(getenv, func(cfg config.Config) error {
 		bound(&cfg)
 		return (*p).Reload(cfg)
-	}, func(within time.Duration) error { return (*p).Settled(within) }), planner(getenv))
+	}, func(within time.Duration) error { return (*p).AwaitReady(within) }), planner(getenv))
 }
 
 // rolloutCommand hands plans to a fleet and asks how they stand.
@@ -142,21 +142,21 @@
 			}
 			copies, zones := 0, map[string]bool{}
 			if s, err := ask(); err == nil {
-				for _, k := range s.Copies {
+				for _, k := range s.Replicas {
 					copies++
 					zones[k.Zone] = true
 				}
 			}
-			fmt.Fprintf(stdout, "%s: %s to %s, at most %d away at once, going back %v\n", p.ID, map[rollout.Kind]string{rollout.Settings: "settings", rollout.Program: "program"}[p.Kind], p.Target, p.Away, p.Back)
+			fmt.Fprintf(stdout, "%s: %s to %s, at most %d away at once, going back %v\n", p.ID, map[rollout.Kind]string{rollout.Settings: "settings", rollout.Program: "program"}[p.Kind], p.Target, p.MaxUnavailable, p.RollBack)
 			for i, s := range p.Stages {
 				size := "of the fleet that the door names"
 				if copies > 0 {
 					size = fmt.Sprintf("%d of %d copies", p.Size(i, copies, len(zones)), copies)
 				}
-				fmt.Fprintf(stdout, "stage %d: %s (count %d, part %g, one a zone %v), watched for %v\n", i+1, size, s.Count, s.Part, s.PerZone, s.Soak)
+				fmt.Fprintf(stdout, "stage %d: %s (count %d, part %g, one a zone %v), watched for %v\n", i+1, size, s.Count, s.Fraction, s.PerZone, s.Observation)
 			}
 			fmt.Fprintf(stdout, "stopped if goodput is %.1f points lower or answers %.0f%% slower than at unchanged copies; wrongly in %.2g of plans, missed in %.2g of stages\n",
-				100*p.Guards.Goodput, 100*p.Guards.Latency, p.Guards.Wrong, p.Guards.Missed)
+				100*p.Guardrails.Goodput, 100*p.Guardrails.Latency, p.Guardrails.FalseAlarm, p.Guardrails.MissedRegression)
 			return nil
 		}}
 	plan.Flags().StringVar(&own, "over", "", "the configuration that it is laid over; default that in "+config.EnvFile)
@@ -175,7 +175,7 @@
 				for _, at := range doors {
 					if one, bad := askRollout(at); bad != nil {
 						err = errors.Join(err, bad)
-					} else if s.Wanted.Plan == "" {
+					} else if s.Desired.Plan == "" {
 						s = one
 					}
 				}
@@ -238,7 +238,7 @@
 		fmt.Fprintln(w, "no plan was ever taken")
 		return
 	}
-	fmt.Fprintf(w, "plan\t%s: %s to %s\nphase\t%s\nwhy\t%s\nled by\t%s, number %d\ntaken\t%s ago\n", s.Plan, s.Kind, s.Target, s.Phase, s.Reason, first(s.Leader, "nobody yet"), s.Number, ago(s.AgeMS))
+	fmt.Fprintf(w, "plan\t%s: %s to %s\nphase\t%s\nwhy\t%s\nled by\t%s, number %d\ntaken\t%s ago\n", s.Plan, s.Kind, s.Target, s.Phase, s.Reason, first(s.Leader, "nobody yet"), s.FencingToken, ago(s.AgeMS))
 	if s.Evidence != "" {
 		fmt.Fprintf(w, "evidence\t%s\n", s.Evidence)
 	} else if !s.Ended && s.Leader != "" {
@@ -252,23 +252,23 @@
 		case i+1 == s.Stage:
 			mark = "here"
 		}
-		fmt.Fprintf(w, "stage %d\t%d copies, watched for %s\t%s\n", i+1, st.Copies, st.Soak, mark)
+		fmt.Fprintf(w, "stage %d\t%d copies, watched for %s\t%s\n", i+1, st.Replicas, st.Observation, mark)
 	}
-	for _, k := range s.Copies {
+	for _, k := range s.Replicas {
 		note := ""
 		switch {
-		case k.Refused != "":
-			note = "could not: " + k.Refused
-		case k.Holds == s.Target:
+		case k.RefusedReason != "":
+			note = "could not: " + k.RefusedReason
+		case k.Version == s.Target:
 			note = "holds it"
 		case !k.Alive:
 			note = "not there"
 		case !k.Ready:
 			note = "not ready"
 		}
-		fmt.Fprintf(w, "%s\t%s %s\t%s\n", k.Name, k.Zone, k.Holds, note)
+		fmt.Fprintf(w, "%s\t%s %s\t%s\n", k.Name, k.Zone, k.Version, note)
 	}
-	if len(s.Failed) > 0 {
-		fmt.Fprintf(w, "failed at\t%s\n", strings.Join(s.Failed, ", "))
+	if len(s.FailedReplicas) > 0 {
+		fmt.Fprintf(w, "failed at\t%s\n", strings.Join(s.FailedReplicas, ", "))
 	}
 }
--- a/cli/rolloutagent/agent.go
+++ b/cli/rolloutagent/agent.go
@@ -20,9 +20,9 @@
 // Run runs a command each time that a rollout wants another program beside it. It is
 // a process of its own: the proxy starts none.
 func Run(ctx context.Context, ask func() (fleet.RolloutStatus, error), tell func(path, body string) error, args []string, within time.Duration, stdout io.Writer) error {
-	done := fleet.Wanted{}
+	done := fleet.DesiredVersion{}
 	if s, err := ask(); err == nil { // what was wanted before this agent began is over
-		done = s.Wanted
+		done = s.Desired
 	}
 	tick := time.NewTicker(askEvery)
 	defer tick.Stop()
@@ -33,14 +33,14 @@
 		case <-tick.C:
 		}
 		s, err := ask()
-		if err != nil || s.Wanted == done || s.Wanted.Plan == "" || s.Kind != "program" {
+		if err != nil || s.Desired == done || s.Desired.Plan == "" || s.Kind != "program" {
 			continue
 		}
-		done = s.Wanted
-		fmt.Fprintf(stdout, "plan %s wants %s, back %v\n", done.Plan, done.Target, done.Back)
+		done = s.Desired
+		fmt.Fprintf(stdout, "plan %s wants %s, back %v\n", done.Plan, done.Target, done.RollingBack)
 		run, end := context.WithTimeout(ctx, within)
 		cmd := exec.CommandContext(run, args[0], args[1:]...)
-		cmd.Env = append(os.Environ(), "RYERILL_PLAN="+done.Plan, "RYERILL_TARGET="+s.Target, "RYERILL_BACK="+strconv.FormatBool(done.Back))
+		cmd.Env = append(os.Environ(), "RYERILL_PLAN="+done.Plan, "RYERILL_TARGET="+s.Target, "RYERILL_BACK="+strconv.FormatBool(done.RollingBack))
 		cmd.Stdout, cmd.Stderr = stdout, stdout
 		err = cmd.Run()
 		end()
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -98,7 +98,7 @@
 func (h *host) guard(instance uint16, decide func()) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.reply.BailOut(instance, fmt.Sprint("panic: ", p))
+			h.reply.Abort(instance, fmt.Sprint("panic: ", p))
 		}
 	}()
 	decide()
--- a/config/config.go
+++ b/config/config.go
@@ -22,9 +22,9 @@
 	EnvFile      = "ROUTER_CONFIG"
 	EnvName      = "ROUTER_NAME"
 	EnvListen    = "ROUTER_LISTEN"
-	EnvDirectory = "ROUTER_DISCOVERY"
-	EnvMgmt      = "ROUTER_MGMT"
-	EnvScratch   = "TMPDIR"
+	EnvDiscovery = "ROUTER_DISCOVERY"
+	EnvAdmin     = "ROUTER_MGMT"
+	EnvTempDir   = "TMPDIR"
 )
 
 // Defaults of what a configuration may leave out.
@@ -44,8 +44,8 @@
 	Name      string
 	Seed      uint64
 	Limits    Limits
-	Mgmt      string // address of the operators' door; empty is none
-	Scratch   string // directory that the processes of this proxy share; empty is none
+	Admin     string // address of the operators' door; empty is none
+	SharedDir string // directory that the processes of this proxy share; empty is none
 	Listeners []Listener
 	Routes    []Route
 	Pools     []Pool
@@ -67,17 +67,17 @@
 
 // Pool is a set of providers with all that belongs to it.
 type Pool struct {
-	Name      string
-	Directory string         // address of the directory; empty is none, and Known is the whole list
-	Known     discovery.List // the providers as last heard of, perhaps long ago
-	Settings  Settings
-	Guarantee Shares
-	Weight    float64
-	Drain     time.Duration // how long it may finish its calls once a reload has taken it away
+	Name           string
+	Discovery      string                 // address of the directory; empty is none, and Known is the whole list
+	KnownEndpoints discovery.EndpointList // the providers as last heard of, perhaps long ago
+	Settings       Settings
+	Guarantee      Shares
+	Weight         float64
+	Drain          time.Duration // how long it may finish its calls once a reload has taken it away
 
 	// PaysDirectory says that the connection to the directory is one of the pool's
 	// sockets. In the platform's form the spare ones hold it.
-	PaysDirectory bool
+	CountsDiscoverySocket bool
 }
 
 // AddressError says that an address that the configuration names can't be used.
@@ -169,11 +169,11 @@
 		}
 		return Config{}, fmt.Errorf("configuration: %w", err)
 	}
-	pool := Pool{Name: only, Directory: orElse(getenv(EnvDirectory), file.Discovery), Weight: 1}
+	pool := Pool{Name: only, Discovery: orElse(getenv(EnvDiscovery), file.Discovery), Weight: 1}
 	if again {
-		pool.Directory = orElse(file.Discovery, pool.Directory)
+		pool.Discovery = orElse(file.Discovery, pool.Discovery)
 	}
-	cfg := Config{Name: orElse(getenv(EnvName), file.Name), Mgmt: orElse(getenv(EnvMgmt), file.Mgmt), Scratch: getenv(EnvScratch),
+	cfg := Config{Name: orElse(getenv(EnvName), file.Name), Admin: orElse(getenv(EnvAdmin), file.Mgmt), SharedDir: getenv(EnvTempDir),
 		Listeners: []Listener{{Name: only, Address: orElse(getenv(EnvListen), file.Listen)}},
 		Routes:    []Route{{Rule: route.Rule{Name: only, Pool: only}}}}
 	var problems []error
@@ -186,9 +186,9 @@
 		}
 	}
 	address("listen", cfg.Listeners[0].Address)
-	address("discovery", pool.Directory)
-	if cfg.Mgmt != "" {
-		address("mgmt", cfg.Mgmt)
+	address("discovery", pool.Discovery)
+	if cfg.Admin != "" {
+		address("mgmt", cfg.Admin)
 	}
 	if len(file.Fleet) > 0 && string(file.Fleet) != "null" {
 		problems = append(problems, errors.New("fleet, setting Limits.Peers: the platform's form has no fleet: its proxies don't speak to each other; "+
@@ -206,11 +206,11 @@
 		bad("limits.memory_mb", memory, fmt.Sprintf("%d or more", leastMemoryMB))
 	}
 	cfg.Limits = Limits{Cores: cores, Memory: int64(memory * (1 << 20)), Sockets: valueOr(file.Limits.Sockets, defaultSockets)}
-	if least := leastSocketsWith(cfg.Mgmt, false); cfg.Limits.Sockets < least {
+	if least := leastSocketsWith(cfg.Admin, false); cfg.Limits.Sockets < least {
 		bad("limits.sockets", cfg.Limits.Sockets, fmt.Sprintf("%d or more", least))
 	}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
-		if pool.Known, err = discovery.Parse(file.Known); err != nil {
+		if pool.KnownEndpoints, err = discovery.Parse(file.Known); err != nil {
 			problems = append(problems, fmt.Errorf("known: %w", err))
 		}
 	}
@@ -221,7 +221,7 @@
 	} else {
 		pool.Settings.complete(bad)
 		// On sockets a list that nobody pushes has to be asked for, also where nothing is stated.
-		pool.Settings.Balancer.Subscribe = !pool.Settings.Pushed
+		pool.Settings.Balancer.Subscribe = !pool.Settings.PushedDiscovery
 	}
 	for _, c := range pool.Settings.Balancer.Classes {
 		pool.Drain = max(pool.Drain, c.Deadline+time.Second)
@@ -235,11 +235,11 @@
 	return leastSockets - sparedAlways + spareSockets(mgmt, fleet)
 }
 
-// Bound lowers the descriptors to what the process may hold. It returns how many
+// LimitSockets lowers the descriptors to what the process may hold. It returns how many
 // it needs at least if these are too few, else 0.
-func (c *Config) Bound(descriptors int) (least int) {
+func (c *Config) LimitSockets(descriptors int) (least int) {
 	c.Limits.Sockets = min(c.Limits.Sockets, descriptors)
-	if least = leastSocketsWith(c.Mgmt, c.Fleet != nil); c.Limits.Sockets < least {
+	if least = leastSocketsWith(c.Admin, c.Fleet != nil); c.Limits.Sockets < least {
 		return least
 	}
 	return 0
@@ -276,8 +276,8 @@
 	if b.Zone < 0 || len(s.Zones) > 0 && b.Zone >= len(s.Zones) {
 		bad("setting Zone", b.Zone, "an index in Areas")
 	}
-	if b.Self < 0 || b.GroupSize < 0 || b.GroupSize > 0 && b.Self >= b.GroupSize {
-		bad("setting Me", b.Self, "a number below GroupSize")
+	if b.ReplicaIndex < 0 || b.ReplicaCount < 0 || b.ReplicaCount > 0 && b.ReplicaIndex >= b.ReplicaCount {
+		bad("setting Me", b.ReplicaIndex, "a number below GroupSize")
 	}
 	for _, d := range []struct {
 		key   string
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -59,7 +59,7 @@
 	cfg, err := Parse([]byte(whole), func(name string) string {
 		return map[string]string{EnvName: "n9", EnvListen: "127.0.0.9:1"}[name]
 	})
-	if err != nil || cfg.Name != "n9" || cfg.Listeners[0].Address != "127.0.0.9:1" || cfg.Pools[0].Directory != "127.0.0.1:8500" {
+	if err != nil || cfg.Name != "n9" || cfg.Listeners[0].Address != "127.0.0.9:1" || cfg.Pools[0].Discovery != "127.0.0.1:8500" {
 		t.Errorf("%+v, %v", cfg, err)
 	}
 	for _, file := range []string{"", "/nonexistent/config.json"} {
@@ -75,7 +75,7 @@
 func TestReload(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	getenv := func(name string) string {
-		return map[string]string{EnvFile: file, EnvDirectory: "127.0.0.1:9", EnvListen: "127.0.0.9:1"}[name]
+		return map[string]string{EnvFile: file, EnvDiscovery: "127.0.0.1:9", EnvListen: "127.0.0.9:1"}[name]
 	}
 	for _, tc := range []struct{ name, text, directory, err string }{
 		{"another directory", whole, "127.0.0.1:8500", ""},
@@ -88,12 +88,12 @@
 			t.Fatal(err)
 		}
 		cfg, _, err := Reload(getenv)
-		if tc.err == "" && (err != nil || cfg.Pools[0].Directory != tc.directory || cfg.Listeners[0].Address != "127.0.0.9:1") ||
+		if tc.err == "" && (err != nil || cfg.Pools[0].Discovery != tc.directory || cfg.Listeners[0].Address != "127.0.0.9:1") ||
 			tc.err != "" && (err == nil || !strings.Contains(err.Error(), tc.err)) {
 			t.Errorf("%s: %+v, %v", tc.name, cfg, err)
 		}
-		if first, _, err := Load(getenv); err == nil && first.Pools[0].Directory != "127.0.0.1:9" {
-			t.Errorf("%s: at the start %q", tc.name, first.Pools[0].Directory)
+		if first, _, err := Load(getenv); err == nil && first.Pools[0].Discovery != "127.0.0.1:9" {
+			t.Errorf("%s: at the start %q", tc.name, first.Pools[0].Discovery)
 		}
 	}
 }
@@ -126,13 +126,13 @@
 		text := `{` + tc.file + `"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2",
 			"settings":{"Classes":[{"Name":"read","Deadline":1000000,"Effect":"pure"}]}}`
 		cfg, err := Parse([]byte(text), func(name string) string {
-			if name == EnvMgmt {
+			if name == EnvAdmin {
 				return tc.env
 			}
 			return ""
 		})
-		if tc.fault == "" && (err != nil || cfg.Mgmt != tc.want) || tc.fault != "" && (err == nil || !strings.Contains(err.Error(), tc.fault)) {
-			t.Errorf("%s with %q: %q, %v", tc.file, tc.env, cfg.Mgmt, err)
+		if tc.fault == "" && (err != nil || cfg.Admin != tc.want) || tc.fault != "" && (err == nil || !strings.Contains(err.Error(), tc.fault)) {
+			t.Errorf("%s with %q: %q, %v", tc.file, tc.env, cfg.Admin, err)
 		}
 	}
 }
@@ -145,8 +145,8 @@
 		pushed, asked bool
 	}{{`"subscribe"`, false, true}, {`"automatic"`, true, false}, {`""`, false, true}} {
 		cfg, err := Parse([]byte(strings.Replace(whole, `"subscribe"`, tc.stated, 1)), none)
-		if s := cfg.Pools[0].Settings; err != nil || s.Pushed != tc.pushed || s.Balancer.Subscribe != tc.asked {
-			t.Errorf("%s: pushed %v, asked for %v, %v", tc.stated, s.Pushed, s.Balancer.Subscribe, err)
+		if s := cfg.Pools[0].Settings; err != nil || s.PushedDiscovery != tc.pushed || s.Balancer.Subscribe != tc.asked {
+			t.Errorf("%s: pushed %v, asked for %v, %v", tc.stated, s.PushedDiscovery, s.Balancer.Subscribe, err)
 		}
 	}
 }
--- a/config/file.go
+++ b/config/file.go
@@ -22,7 +22,7 @@
 type File struct {
 	Name      string         `yaml:"name,omitempty" json:"name,omitempty" jsonschema_description:"the proxy's name, in its log"`
 	Seed      string         `yaml:"seed,omitempty" json:"seed,omitempty" jsonschema_description:"for random numbers, at most 16 hexadecimal digits"`
-	Mgmt      string         `yaml:"mgmt,omitempty" json:"mgmt,omitempty" jsonschema_description:"IP and port of the operators' door, as in 127.0.0.1:9100; default none"`
+	Admin     string         `yaml:"mgmt,omitempty" json:"mgmt,omitempty" jsonschema_description:"IP and port of the operators' door, as in 127.0.0.1:9100; default none"`
 	Machine   MachineFile    `yaml:"machine,omitempty" json:"machine,omitempty" jsonschema_description:"what the machine allows the program"`
 	Listeners []ListenerFile `yaml:"listeners" json:"listeners" jsonschema:"minItems=1"`
 	Classes   []ClassFile    `yaml:"classes,omitempty" json:"classes,omitempty" jsonschema_description:"of the pools that state none"`
@@ -48,14 +48,14 @@
 
 // ClassFile is a class of requests.
 type ClassFile struct {
-	Name      string        `yaml:"name" json:"name"`
-	Aim       time.Duration `yaml:"aim,omitempty" json:"aim,omitempty" jsonschema_description:"an answer within this time earns the full worth; default half of the deadline"`
-	Deadline  time.Duration `yaml:"deadline" json:"deadline" jsonschema_description:"the longest time that a consumer waits"`
-	Worth     float64       `yaml:"worth,omitempty" json:"worth,omitempty" jsonschema_description:"default 1"`
-	LateWorth float64       `yaml:"late_worth,omitempty" json:"late_worth,omitempty" jsonschema_description:"part of the worth left after the aim; 0 to 1"`
-	Effect    string        `yaml:"effect,omitempty" json:"effect,omitempty" jsonschema:"enum=safe,enum=keyed,enum=unsafe" jsonschema_description:"whether a request may run again; default unsafe"`
-	Group     string        `yaml:"group,omitempty" json:"group,omitempty" jsonschema:"enum=all,enum=zone,enum=cell" jsonschema_description:"for keyed: the providers that drop each other's repeats; default cell"`
-	Memory    time.Duration `yaml:"memory,omitempty" json:"memory,omitempty" jsonschema_description:"for keyed: how long they drop them"`
+	Name              string        `yaml:"name" json:"name"`
+	LatencyObjective  time.Duration `yaml:"aim,omitempty" json:"aim,omitempty" jsonschema_description:"an answer within this time earns the full worth; default half of the deadline"`
+	Deadline          time.Duration `yaml:"deadline" json:"deadline" jsonschema_description:"the longest time that a consumer waits"`
+	PriorityWeight    float64       `yaml:"worth,omitempty" json:"worth,omitempty" jsonschema_description:"default 1"`
+	LateWeight        float64       `yaml:"late_worth,omitempty" json:"late_worth,omitempty" jsonschema_description:"part of the worth left after the aim; 0 to 1"`
+	Effect            string        `yaml:"effect,omitempty" json:"effect,omitempty" jsonschema:"enum=safe,enum=keyed,enum=unsafe" jsonschema_description:"whether a request may run again; default unsafe"`
+	Group             string        `yaml:"group,omitempty" json:"group,omitempty" jsonschema:"enum=all,enum=zone,enum=cell" jsonschema_description:"for keyed: the providers that drop each other's repeats; default cell"`
+	IdempotencyWindow time.Duration `yaml:"memory,omitempty" json:"memory,omitempty" jsonschema_description:"for keyed: how long they drop them"`
 }
 
 // TenantFile is a customer.
@@ -80,53 +80,53 @@
 
 // PoolFile is a pool of providers with all that belongs to it.
 type PoolFile struct {
-	Name      string         `yaml:"name" json:"name"`
-	Zone      string         `yaml:"zone,omitempty" json:"zone,omitempty" jsonschema_description:"of this proxy"`
-	Zones     []string       `yaml:"zones,omitempty" json:"zones,omitempty"`
-	Tier      int            `yaml:"tier,omitempty" json:"tier,omitempty" jsonschema_description:"its place in a chain of tiers; 0 is the front"`
-	Tiers     int            `yaml:"tiers,omitempty" json:"tiers,omitempty" jsonschema_description:"length of the chain; default 1"`
-	Copy      int            `yaml:"copy,omitempty" json:"copy,omitempty" jsonschema_description:"number of this proxy among those that send to the pool, from 0"`
-	Copies    int            `yaml:"copies,omitempty" json:"copies,omitempty" jsonschema_description:"how many there are; default 1"`
-	Classes   []ClassFile    `yaml:"classes,omitempty" json:"classes,omitempty" jsonschema_description:"default: those of the file"`
-	Tenants   []TenantFile   `yaml:"tenants,omitempty" json:"tenants,omitempty" jsonschema_description:"default: those of the file"`
-	OverQuota float64        `yaml:"over_quota_worth,omitempty" json:"over_quota_worth,omitempty" jsonschema_description:"part of the worth of what goes beyond a quota"`
-	Limits    LimitsFile     `yaml:"limits,omitempty" json:"limits,omitempty"`
-	Rules     RulesFile      `yaml:"rules,omitempty" json:"rules,omitempty"`
-	Directory string         `yaml:"directory,omitempty" json:"directory,omitempty" jsonschema_description:"IP and port of the directory that lists the providers"`
-	Providers []ProviderFile `yaml:"providers,omitempty" json:"providers,omitempty" jsonschema_description:"the providers, or with a directory those known at the start"`
-	Guarantee GuaranteeFile  `yaml:"guarantee,omitempty" json:"guarantee,omitempty" jsonschema_description:"what no other pool can take; default an equal part of half of what there is"`
-	Weight    float64        `yaml:"weight,omitempty" json:"weight,omitempty" jsonschema_description:"its part of what is lent, against others'; default 1"`
-	Drain     time.Duration  `yaml:"drain,omitempty" json:"drain,omitempty" jsonschema_description:"how long a pool that a reload takes away may finish its calls; default its longest deadline and 1s"`
+	Name         string         `yaml:"name" json:"name"`
+	Zone         string         `yaml:"zone,omitempty" json:"zone,omitempty" jsonschema_description:"of this proxy"`
+	Zones        []string       `yaml:"zones,omitempty" json:"zones,omitempty"`
+	Tier         int            `yaml:"tier,omitempty" json:"tier,omitempty" jsonschema_description:"its place in a chain of tiers; 0 is the front"`
+	Tiers        int            `yaml:"tiers,omitempty" json:"tiers,omitempty" jsonschema_description:"length of the chain; default 1"`
+	ReplicaIndex int            `yaml:"copy,omitempty" json:"copy,omitempty" jsonschema_description:"number of this proxy among those that send to the pool, from 0"`
+	ReplicaCount int            `yaml:"copies,omitempty" json:"copies,omitempty" jsonschema_description:"how many there are; default 1"`
+	Classes      []ClassFile    `yaml:"classes,omitempty" json:"classes,omitempty" jsonschema_description:"default: those of the file"`
+	Tenants      []TenantFile   `yaml:"tenants,omitempty" json:"tenants,omitempty" jsonschema_description:"default: those of the file"`
+	OverQuota    float64        `yaml:"over_quota_worth,omitempty" json:"over_quota_worth,omitempty" jsonschema_description:"part of the worth of what goes beyond a quota"`
+	Limits       LimitsFile     `yaml:"limits,omitempty" json:"limits,omitempty"`
+	Rules        RulesFile      `yaml:"rules,omitempty" json:"rules,omitempty"`
+	Discovery    string         `yaml:"directory,omitempty" json:"directory,omitempty" jsonschema_description:"IP and port of the directory that lists the providers"`
+	Endpoints    []EndpointFile `yaml:"providers,omitempty" json:"providers,omitempty" jsonschema_description:"the providers, or with a directory those known at the start"`
+	Guarantee    GuaranteeFile  `yaml:"guarantee,omitempty" json:"guarantee,omitempty" jsonschema_description:"what no other pool can take; default an equal part of half of what there is"`
+	Weight       float64        `yaml:"weight,omitempty" json:"weight,omitempty" jsonschema_description:"its part of what is lent, against others'; default 1"`
+	Drain        time.Duration  `yaml:"drain,omitempty" json:"drain,omitempty" jsonschema_description:"how long a pool that a reload takes away may finish its calls; default its longest deadline and 1s"`
 
 	classesAt, tenantsAt string // where they stand, if not in the pool
 }
 
 // LimitsFile is what a pool allows its invocations and connections.
 type LimitsFile struct {
-	Attempts       int           `yaml:"attempts,omitempty" json:"attempts,omitempty" jsonschema_description:"for each request, 1 to 20; default 3"`
-	Open           int           `yaml:"open,omitempty" json:"open,omitempty" jsonschema_description:"requests open at once; default 20000"`
-	RetryAfter     *bool         `yaml:"retry_after,omitempty" json:"retry_after,omitempty" jsonschema_description:"whether refusals say when to come back; default true"`
-	MaxRetryAfter  time.Duration `yaml:"max_retry_after,omitempty" json:"max_retry_after,omitempty" jsonschema_description:"default 2s"`
-	SecondCopies   *bool         `yaml:"second_copies,omitempty" json:"second_copies,omitempty" jsonschema_description:"default true"`
-	Peers          *bool         `yaml:"peers,omitempty" json:"peers,omitempty" jsonschema_description:"false forbids that proxies speak to each other; default: as fleet says"`
-	Cancel         *bool         `yaml:"cancel,omitempty" json:"cancel,omitempty" jsonschema_description:"whether calls that nobody waits for are called off; default true"`
-	ConnectTimeout time.Duration `yaml:"connect_timeout,omitempty" json:"connect_timeout,omitempty" jsonschema_description:"default 100ms"`
-	IdleClose      time.Duration `yaml:"idle_close,omitempty" json:"idle_close,omitempty" jsonschema_description:"providers close idle connections after this; default 5s"`
+	MaxAttempts     int           `yaml:"attempts,omitempty" json:"attempts,omitempty" jsonschema_description:"for each request, 1 to 20; default 3"`
+	MaxOpenRequests int           `yaml:"open,omitempty" json:"open,omitempty" jsonschema_description:"requests open at once; default 20000"`
+	RetryAfter      *bool         `yaml:"retry_after,omitempty" json:"retry_after,omitempty" jsonschema_description:"whether refusals say when to come back; default true"`
+	MaxRetryAfter   time.Duration `yaml:"max_retry_after,omitempty" json:"max_retry_after,omitempty" jsonschema_description:"default 2s"`
+	SecondCopies    *bool         `yaml:"second_copies,omitempty" json:"second_copies,omitempty" jsonschema_description:"default true"`
+	Peers           *bool         `yaml:"peers,omitempty" json:"peers,omitempty" jsonschema_description:"false forbids that proxies speak to each other; default: as fleet says"`
+	Cancel          *bool         `yaml:"cancel,omitempty" json:"cancel,omitempty" jsonschema_description:"whether calls that nobody waits for are called off; default true"`
+	ConnectTimeout  time.Duration `yaml:"connect_timeout,omitempty" json:"connect_timeout,omitempty" jsonschema_description:"default 100ms"`
+	IdleClose       time.Duration `yaml:"idle_close,omitempty" json:"idle_close,omitempty" jsonschema_description:"providers close idle connections after this; default 5s"`
 }
 
 // RulesFile holds the figures of the rules.
 type RulesFile struct {
-	AnswerSlack  time.Duration `yaml:"answer_slack,omitempty" json:"answer_slack,omitempty" jsonschema_description:"default 20ms"`
-	DrainGrace   time.Duration `yaml:"drain_grace,omitempty" json:"drain_grace,omitempty" jsonschema_description:"nothing new to a draining provider after this; default 1s"`
-	AskWithin    time.Duration `yaml:"ask_within,omitempty" json:"ask_within,omitempty" jsonschema_description:"default 10s"`
-	ColdFrom     float64       `yaml:"cold_from,omitempty" json:"cold_from,omitempty" jsonschema_description:"part of its capacity that a provider starts with; default 0.1"`
-	WarmUp       time.Duration `yaml:"warm_up,omitempty" json:"warm_up,omitempty" jsonschema_description:"default 30s"`
-	FallMultiple float64       `yaml:"fall_multiple,omitempty" json:"fall_multiple,omitempty" jsonschema_description:"default 2"`
-	OverloadFor  time.Duration `yaml:"overload_for,omitempty" json:"overload_for,omitempty" jsonschema_description:"default 1s"`
+	AnswerSlack      time.Duration `yaml:"answer_slack,omitempty" json:"answer_slack,omitempty" jsonschema_description:"default 20ms"`
+	DrainGrace       time.Duration `yaml:"drain_grace,omitempty" json:"drain_grace,omitempty" jsonschema_description:"nothing new to a draining provider after this; default 1s"`
+	AskWithin        time.Duration `yaml:"ask_within,omitempty" json:"ask_within,omitempty" jsonschema_description:"default 10s"`
+	InitialCapacity  float64       `yaml:"cold_from,omitempty" json:"cold_from,omitempty" jsonschema_description:"part of its capacity that a provider starts with; default 0.1"`
+	WarmUpPeriod     time.Duration `yaml:"warm_up,omitempty" json:"warm_up,omitempty" jsonschema_description:"default 30s"`
+	OverloadMultiple float64       `yaml:"fall_multiple,omitempty" json:"fall_multiple,omitempty" jsonschema_description:"default 2"`
+	OverloadPeriod   time.Duration `yaml:"overload_for,omitempty" json:"overload_for,omitempty" jsonschema_description:"default 1s"`
 }
 
-// ProviderFile is a provider that the file itself lists.
-type ProviderFile struct {
+// EndpointFile is a provider that the file itself lists.
+type EndpointFile struct {
 	Name    string `yaml:"name" json:"name"`
 	Address string `yaml:"address" json:"address"`
 	Zone    string `yaml:"zone,omitempty" json:"zone,omitempty"`
@@ -175,7 +175,7 @@
 	f.Complete()
 	cfg, problems := f.build()
 	cfg.Text = text
-	cfg.Scratch = getenv(EnvScratch)
+	cfg.SharedDir = getenv(EnvTempDir)
 	var faults []error
 	told := map[string]bool{} // what pools share is checked with each
 	for _, p := range problems {
@@ -203,12 +203,12 @@
 		}
 	}
 	set("name", EnvName, &f.Name)
-	set("mgmt", EnvMgmt, &f.Mgmt)
+	set("mgmt", EnvAdmin, &f.Admin)
 	if len(f.Listeners) == 1 {
 		set("listeners[0].address", EnvListen, &f.Listeners[0].Address)
 	}
 	if len(f.Pools) == 1 {
-		set("pools[0].directory", EnvDirectory, &f.Pools[0].Directory)
+		set("pools[0].directory", EnvDiscovery, &f.Pools[0].Discovery)
 	}
 	return keys
 }
@@ -238,7 +238,7 @@
 	for i := range f.Routes {
 		set(&f.Routes[i].Name, fmt.Sprintf("route-%d", i))
 	}
-	share := Shared(f.Machine.Sockets-spareSockets(f.Mgmt, f.Fleet != nil), int64(f.Machine.MemoryMB*(1<<20)))
+	share := Shared(f.Machine.Sockets-spareSockets(f.Admin, f.Fleet != nil), int64(f.Machine.MemoryMB*(1<<20)))
 	for i := range f.Pools {
 		p := &f.Pools[i]
 		if len(p.Classes) == 0 {
@@ -249,8 +249,8 @@
 		}
 		for j := range p.Classes {
 			c := &p.Classes[j]
-			set(&c.Aim, c.Deadline/2)
-			set(&c.Worth, 1)
+			set(&c.LatencyObjective, c.Deadline/2)
+			set(&c.PriorityWeight, 1)
 			set(&c.Effect, "unsafe")
 			set(&c.Group, "cell")
 		}
@@ -258,17 +258,17 @@
 			if p.Zone != "" {
 				p.Zones = []string{p.Zone}
 			}
-			for _, e := range p.Providers {
+			for _, e := range p.Endpoints {
 				if e.Zone != "" && !slices.Contains(p.Zones, e.Zone) {
 					p.Zones = append(p.Zones, e.Zone)
 				}
 			}
 		}
 		set(&p.Tiers, 1)
-		set(&p.Copies, 1)
+		set(&p.ReplicaCount, 1)
 		l, r := &p.Limits, &p.Rules
-		set(&l.Attempts, 3)
-		set(&l.Open, defaultOpen)
+		set(&l.MaxAttempts, 3)
+		set(&l.MaxOpenRequests, defaultOpen)
 		yes(&l.RetryAfter)
 		yes(&l.SecondCopies)
 		yes(&l.Cancel)
@@ -278,19 +278,19 @@
 		set(&r.AnswerSlack, defaultSlack)
 		set(&r.DrainGrace, time.Second)
 		set(&r.AskWithin, 10*time.Second)
-		set(&r.ColdFrom, 0.1)
-		set(&r.WarmUp, 30*time.Second)
-		set(&r.FallMultiple, 2)
-		set(&r.OverloadFor, time.Second)
+		set(&r.InitialCapacity, 0.1)
+		set(&r.WarmUpPeriod, 30*time.Second)
+		set(&r.OverloadMultiple, 2)
+		set(&r.OverloadPeriod, time.Second)
 		set(&p.Weight, 1)
 		// Half of what there is, evenly: the other half goes where it is wanted.
 		n := 2 * len(f.Pools)
 		least := 1
-		if p.Directory != "" {
+		if p.Discovery != "" {
 			least = 2 // its connection to the directory is one of them
 		}
 		set(&p.Guarantee.Sockets, max(share.Sockets/n, least))
-		set(&p.Guarantee.BodiesKB, max(share.Bodies/n, message.MaxHeld)>>10)
+		set(&p.Guarantee.BodiesKB, max(share.Bodies/n, message.MaxBufferedBody)>>10)
 		set(&p.Guarantee.Open, max(share.Open/n, 1))
 		set(&p.Guarantee.WorkPerS, f.Machine.WorkPerS/n)
 		longest := time.Duration(0)
@@ -322,7 +322,7 @@
 
 func (c *checker) word(key, v string, words ...string) {
 	if !slices.Contains(words, v) {
-		c.bad(key, v, "one of "+strings.Join(words, ", ")+yamlfile.Near(v, words))
+		c.bad(key, v, "one of "+strings.Join(words, ", ")+yamlfile.Suggest(v, words))
 	}
 }
 
@@ -345,18 +345,18 @@
 // build checks a completed file and turns it into what the proxy runs by.
 func (f *File) build() (Config, []Problem) {
 	c := &checker{}
-	cfg := Config{Name: f.Name, Mgmt: f.Mgmt, Limits: Limits{Cores: f.Machine.Cores, Memory: int64(f.Machine.MemoryMB * (1 << 20)), Sockets: f.Machine.Sockets, Work: f.Machine.WorkPerS}}
+	cfg := Config{Name: f.Name, Admin: f.Admin, Limits: Limits{Cores: f.Machine.Cores, Memory: int64(f.Machine.MemoryMB * (1 << 20)), Sockets: f.Machine.Sockets, Work: f.Machine.WorkPerS}}
 	var err error
 	if cfg.Seed, err = parseSeed(f.Seed); err != nil {
 		c.bad("seed", f.Seed, "at most 16 hexadecimal digits")
 	}
-	if f.Mgmt != "" {
-		c.address("mgmt", f.Mgmt)
+	if f.Admin != "" {
+		c.address("mgmt", f.Admin)
 	}
 	c.number("machine.cores", f.Machine.Cores, 0.01, 1024)
 	c.number("machine.memory_mb", f.Machine.MemoryMB, leastMemoryMB, 1<<30)
 	c.number("machine.work_per_s", float64(f.Machine.WorkPerS), 0, 1e7)
-	c.number("machine.sockets", float64(f.Machine.Sockets), float64(leastSocketsWith(f.Mgmt, f.Fleet != nil)), 1<<20)
+	c.number("machine.sockets", float64(f.Machine.Sockets), float64(leastSocketsWith(f.Admin, f.Fleet != nil)), 1<<20)
 	if n := len(f.Listeners); n == 0 || n > maxListeners {
 		c.bad("listeners", n, fmt.Sprintf("1 to %d listeners", maxListeners))
 	}
@@ -437,7 +437,7 @@
 		used[r.Pool] = true
 		n, known := pools[r.Pool]
 		if !known {
-			c.bad(at+".pool", r.Pool, "the name of a pool"+yamlfile.Near(r.Pool, poolNames))
+			c.bad(at+".pool", r.Pool, "the name of a pool"+yamlfile.Suggest(r.Pool, poolNames))
 			continue
 		}
 		has := func(class string) bool {
@@ -445,18 +445,18 @@
 		}
 		for j, class := range r.Classes {
 			if !has(class) {
-				c.bad(fmt.Sprintf("%s.classes[%d]", at, j), class, fmt.Sprintf("a class of pool %s%s", r.Pool, yamlfile.Near(class, classes)))
+				c.bad(fmt.Sprintf("%s.classes[%d]", at, j), class, fmt.Sprintf("a class of pool %s%s", r.Pool, yamlfile.Suggest(class, classes)))
 			}
 		}
 		if r.Class != "" && !has(r.Class) {
-			c.bad(at+".class", r.Class, fmt.Sprintf("a class of pool %s%s", r.Pool, yamlfile.Near(r.Class, classes)))
+			c.bad(at+".class", r.Class, fmt.Sprintf("a class of pool %s%s", r.Pool, yamlfile.Suggest(r.Class, classes)))
 		}
 	}
 	rules := make([]route.Rule, len(cfg.Routes))
 	for i := range rules {
 		rules[i] = cfg.Routes[i].Rule
 	}
-	_, problems := route.New(rules, route.Known{Methods: Methods, Classes: append(classes, "")})
+	_, problems := route.New(rules, route.Vocabulary{Methods: Methods, Classes: append(classes, "")})
 	for _, p := range problems {
 		key := "routes"
 		if len(p.Rules) > 0 {
@@ -482,38 +482,38 @@
 
 // build checks a pool and turns it into what it runs by.
 func (p *PoolFile) build(at string, c *checker) Pool {
-	out := Pool{Name: p.Name, Directory: p.Directory, Weight: p.Weight, Drain: p.Drain,
+	out := Pool{Name: p.Name, Discovery: p.Discovery, Weight: p.Weight, Drain: p.Drain,
 		Guarantee: Shares{Sockets: p.Guarantee.Sockets, Bodies: p.Guarantee.BodiesKB << 10, Open: p.Guarantee.Open, Work: p.Guarantee.WorkPerS},
-		Settings:  Settings{Zones: p.Zones, IdleClose: p.Limits.IdleClose, AnyPath: true}, PaysDirectory: p.Directory != ""}
-	if p.Directory != "" {
-		c.address(at+".directory", p.Directory)
-	} else if len(p.Providers) == 0 {
+		Settings:  Settings{Zones: p.Zones, IdleClose: p.Limits.IdleClose, AnyPath: true}, CountsDiscoverySocket: p.Discovery != ""}
+	if p.Discovery != "" {
+		c.address(at+".directory", p.Discovery)
+	} else if len(p.Endpoints) == 0 {
 		c.bad(at+".providers", 0, "one provider or more, or a directory")
 	}
-	if len(p.Providers) > maxProviders {
-		c.bad(at+".providers", len(p.Providers), fmt.Sprintf("at most %d", maxProviders))
+	if len(p.Endpoints) > maxProviders {
+		c.bad(at+".providers", len(p.Endpoints), fmt.Sprintf("at most %d", maxProviders))
 	}
 	if p.Zone != "" && !slices.Contains(p.Zones, p.Zone) {
-		c.bad(at+".zone", p.Zone, "one of the pool's zones: "+strings.Join(p.Zones, ", ")+yamlfile.Near(p.Zone, p.Zones))
+		c.bad(at+".zone", p.Zone, "one of the pool's zones: "+strings.Join(p.Zones, ", ")+yamlfile.Suggest(p.Zone, p.Zones))
 	}
 	seen := map[string]int{}
-	out.Known = discovery.List{Index: 1, Snapshot: true, Endpoints: []discovery.Endpoint{}}
-	for i, e := range p.Providers {
+	out.KnownEndpoints = discovery.EndpointList{Index: 1, Snapshot: true, Endpoints: []discovery.Endpoint{}}
+	for i, e := range p.Endpoints {
 		here := fmt.Sprintf("%s.providers[%d]", at, i)
 		c.name(here+".name", e.Name, seen, i)
 		c.address(here+".address", e.Address)
 		if e.Zone != "" && !slices.Contains(p.Zones, e.Zone) {
-			c.bad(here+".zone", e.Zone, "one of the pool's zones: "+strings.Join(p.Zones, ", ")+yamlfile.Near(e.Zone, p.Zones))
+			c.bad(here+".zone", e.Zone, "one of the pool's zones: "+strings.Join(p.Zones, ", ")+yamlfile.Suggest(e.Zone, p.Zones))
 		}
-		out.Known.Endpoints = append(out.Known.Endpoints, discovery.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Group: e.Group, Status: discovery.Ready, Weight: 1})
+		out.KnownEndpoints.Endpoints = append(out.KnownEndpoints.Endpoints, discovery.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Group: e.Group, Status: discovery.Ready, Weight: 1})
 	}
 	b := &out.Settings.Balancer
-	b.Tier, b.Tiers, b.Self, b.GroupSize, b.Zone = p.Tier, p.Tiers, p.Copy, p.Copies, max(slices.Index(p.Zones, p.Zone), 0)
-	b.Subscribe, b.OverShareWorth = p.Directory != "", p.OverQuota
+	b.Tier, b.Tiers, b.ReplicaIndex, b.ReplicaCount, b.Zone = p.Tier, p.Tiers, p.ReplicaIndex, p.ReplicaCount, max(slices.Index(p.Zones, p.Zone), 0)
+	b.Subscribe, b.OverQuotaWeight = p.Discovery != "", p.OverQuota
 	c.number(at+".tiers", float64(p.Tiers), 1, 100)
 	c.number(at+".tier", float64(p.Tier), 0, float64(p.Tiers-1))
-	c.number(at+".copies", float64(p.Copies), 1, 1e6)
-	c.number(at+".copy", float64(p.Copy), 0, float64(p.Copies-1))
+	c.number(at+".copies", float64(p.ReplicaCount), 1, 1e6)
+	c.number(at+".copy", float64(p.ReplicaIndex), 0, float64(p.ReplicaCount-1))
 	c.number(at+".over_quota_worth", p.OverQuota, 0, 1)
 	c.number(at+".weight", p.Weight, 0, 1e6)
 	c.span(at+".drain", p.Drain, 0, maxSpan)
@@ -525,16 +525,16 @@
 		here := fmt.Sprintf("%s[%d]", orElse(p.classesAt, at+".classes"), i)
 		c.name(here+".name", k.Name, classes, i)
 		c.span(here+".deadline", k.Deadline, time.Millisecond, maxSpan)
-		c.span(here+".aim", k.Aim, 0, max(k.Deadline, 0))
-		c.number(here+".worth", k.Worth, 1e-9, 1e9)
-		c.number(here+".late_worth", k.LateWorth, 0, 1)
+		c.span(here+".aim", k.LatencyObjective, 0, max(k.Deadline, 0))
+		c.number(here+".worth", k.PriorityWeight, 1e-9, 1e9)
+		c.number(here+".late_worth", k.LateWeight, 0, 1)
 		c.word(here+".effect", k.Effect, "safe", "keyed", "unsafe")
 		c.word(here+".group", k.Group, "all", "zone", "cell")
 		if k.Effect == "keyed" {
-			c.span(here+".memory", k.Memory, time.Millisecond, 24*time.Hour)
+			c.span(here+".memory", k.IdempotencyWindow, time.Millisecond, 24*time.Hour)
 		}
-		b.Classes = append(b.Classes, balancer.Class{Name: k.Name, Aim: k.Aim, Deadline: k.Deadline, Worth: k.Worth, LateWorth: k.LateWorth,
-			Effect: effects[k.Effect], Group: groups[k.Group], Memory: k.Memory})
+		b.Classes = append(b.Classes, balancer.Class{Name: k.Name, LatencyObjective: k.LatencyObjective, Deadline: k.Deadline, PriorityWeight: k.PriorityWeight, LateWeight: k.LateWeight,
+			Effect: effects[k.Effect], Group: groups[k.Group], IdempotencyWindow: k.IdempotencyWindow})
 	}
 	tenants := map[string]int{}
 	for i, t := range p.Tenants {
@@ -545,22 +545,22 @@
 		b.Tenants = append(b.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota, Share: t.Share})
 	}
 	l, r := &p.Limits, &p.Rules
-	c.number(at+".limits.attempts", float64(l.Attempts), 1, maxAttempts)
-	c.number(at+".limits.open", float64(l.Open), 1, 1e6)
+	c.number(at+".limits.attempts", float64(l.MaxAttempts), 1, maxAttempts)
+	c.number(at+".limits.open", float64(l.MaxOpenRequests), 1, 1e6)
 	c.span(at+".limits.max_retry_after", l.MaxRetryAfter, 0, maxSpan)
 	c.span(at+".limits.connect_timeout", l.ConnectTimeout, time.Millisecond, time.Minute)
 	c.span(at+".limits.idle_close", l.IdleClose, time.Millisecond, 24*time.Hour)
 	c.span(at+".rules.answer_slack", r.AnswerSlack, 0, time.Minute)
 	c.span(at+".rules.drain_grace", r.DrainGrace, 0, maxSpan)
 	c.span(at+".rules.ask_within", r.AskWithin, time.Millisecond, maxSpan)
-	c.number(at+".rules.cold_from", r.ColdFrom, 0.001, 1)
-	c.span(at+".rules.warm_up", r.WarmUp, 0, maxSpan)
-	c.number(at+".rules.fall_multiple", r.FallMultiple, 1, 100)
-	c.span(at+".rules.overload_for", r.OverloadFor, time.Millisecond, maxSpan)
-	b.Limits = balancer.Limits{Attempts: l.Attempts, Open: l.Open, MaxRetryAfter: l.MaxRetryAfter, ConnectTimeout: l.ConnectTimeout,
-		RetryAfter: *l.RetryAfter, SecondCopies: *l.SecondCopies, Cancel: *l.Cancel}
-	b.Contract = balancer.Contract{AnswerSlack: r.AnswerSlack, DrainGrace: r.DrainGrace, AskWithin: r.AskWithin, ColdFrom: r.ColdFrom,
-		WarmUp: r.WarmUp, FallMultiple: r.FallMultiple, OverloadFor: r.OverloadFor}
+	c.number(at+".rules.cold_from", r.InitialCapacity, 0.001, 1)
+	c.span(at+".rules.warm_up", r.WarmUpPeriod, 0, maxSpan)
+	c.number(at+".rules.fall_multiple", r.OverloadMultiple, 1, 100)
+	c.span(at+".rules.overload_for", r.OverloadPeriod, time.Millisecond, maxSpan)
+	b.Limits = balancer.Limits{MaxAttempts: l.MaxAttempts, MaxOpenRequests: l.MaxOpenRequests, MaxRetryAfter: l.MaxRetryAfter, ConnectTimeout: l.ConnectTimeout,
+		SendRetryAfter: *l.RetryAfter, AllowHedging: *l.SecondCopies, AllowCancel: *l.Cancel}
+	b.Contract = balancer.Contract{AnswerSlack: r.AnswerSlack, DrainGrace: r.DrainGrace, MaxPollInterval: r.AskWithin, InitialCapacity: r.InitialCapacity,
+		WarmUpPeriod: r.WarmUpPeriod, OverloadMultiple: r.OverloadMultiple, OverloadPeriod: r.OverloadPeriod}
 	return out
 }
 
@@ -612,7 +612,7 @@
 
 // Connections is how many descriptors consumers and providers may hold together.
 func (c *Config) Connections() int {
-	return max(c.Limits.Sockets-spareSockets(c.Mgmt, c.Fleet != nil), 2)
+	return max(c.Limits.Sockets-spareSockets(c.Admin, c.Fleet != nil), 2)
 }
 
 // memoryOfOpen is what an open invocation takes beyond its body, at most: its
--- a/config/file_test.go
+++ b/config/file_test.go
@@ -100,7 +100,7 @@
 	one := strings.Replace(written, "  - {name: two, zone: a, providers: [{name: p1, address: 127.0.0.1:9001, zone: a}]}\n", "", 1)
 	one = strings.Replace(one, "pool: two", "pool: one", 1)
 	lines, err := Show("r.yaml", []byte(one), func(name string) string {
-		return map[string]string{EnvDirectory: "127.0.0.1:99"}[name]
+		return map[string]string{EnvDiscovery: "127.0.0.1:99"}[name]
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/config/fleet.go
+++ b/config/fleet.go
@@ -14,25 +14,25 @@
 
 // FleetFile switches the fleet on: what this proxy and its copies tell each other.
 type FleetFile struct {
-	Name      string            `yaml:"name" json:"name" jsonschema_description:"of the fleet; proxies of another one are not heard"`
-	Listen    string            `yaml:"listen" json:"listen" jsonschema_description:"IP and port, for UDP and TCP"`
-	Advertise string            `yaml:"advertise,omitempty" json:"advertise,omitempty" jsonschema_description:"where the others reach this proxy; default listen"`
-	Seeds     []string          `yaml:"seeds,omitempty" json:"seeds,omitempty" jsonschema_description:"addresses of others, as in 10.0.0.4:7946; one that is up is enough"`
-	Via       map[string]string `yaml:"via,omitempty" json:"via,omitempty" jsonschema_description:"by name of a proxy, the address by which this one reaches it, where it differs from what that one says"`
-	KeyFile   string            `yaml:"key_file" json:"key_file" jsonschema_description:"a key a line, of 16 characters or more: the first signs, two may be valid at once; proxy fleet key makes one"`
-	Remember  string            `yaml:"remember,omitempty" json:"remember,omitempty" jsonschema_description:"file that keeps the others' addresses over a restart; default none"`
-	Zone      string            `yaml:"zone,omitempty" json:"zone,omitempty" jsonschema_description:"of this proxy; default that of its first pool"`
-	Period    time.Duration     `yaml:"period,omitempty" json:"period,omitempty" jsonschema_description:"between probes, 50ms to 10s; default 200ms"`
-	Share     *ShareFile        `yaml:"share,omitempty" json:"share,omitempty" jsonschema_description:"what the copies share beyond who is there; default nothing"`
-	Budget    int               `yaml:"bytes_per_s,omitempty" json:"bytes_per_s,omitempty" jsonschema_description:"of news beside probes; default 1200"`
+	Name             string            `yaml:"name" json:"name" jsonschema_description:"of the fleet; proxies of another one are not heard"`
+	Listen           string            `yaml:"listen" json:"listen" jsonschema_description:"IP and port, for UDP and TCP"`
+	Advertise        string            `yaml:"advertise,omitempty" json:"advertise,omitempty" jsonschema_description:"where the others reach this proxy; default listen"`
+	Seeds            []string          `yaml:"seeds,omitempty" json:"seeds,omitempty" jsonschema_description:"addresses of others, as in 10.0.0.4:7946; one that is up is enough"`
+	AddressOverrides map[string]string `yaml:"via,omitempty" json:"via,omitempty" jsonschema_description:"by name of a proxy, the address by which this one reaches it, where it differs from what that one says"`
+	KeyFile          string            `yaml:"key_file" json:"key_file" jsonschema_description:"a key a line, of 16 characters or more: the first signs, two may be valid at once; proxy fleet key makes one"`
+	StateFile        string            `yaml:"remember,omitempty" json:"remember,omitempty" jsonschema_description:"file that keeps the others' addresses over a restart; default none"`
+	Zone             string            `yaml:"zone,omitempty" json:"zone,omitempty" jsonschema_description:"of this proxy; default that of its first pool"`
+	Period           time.Duration     `yaml:"period,omitempty" json:"period,omitempty" jsonschema_description:"between probes, 50ms to 10s; default 200ms"`
+	Sharing          *SharingFile      `yaml:"share,omitempty" json:"share,omitempty" jsonschema_description:"what the copies share beyond who is there; default nothing"`
+	BytesPerSecond   int               `yaml:"bytes_per_s,omitempty" json:"bytes_per_s,omitempty" jsonschema_description:"of news beside probes; default 1200"`
 }
 
-// ShareFile says what copies share.
-type ShareFile struct {
-	Quotas   bool `yaml:"quotas,omitempty" json:"quotas,omitempty" jsonschema_description:"what one copy does not need of a tenant's quota another may use"`
-	Counts   bool `yaml:"counts,omitempty" json:"counts,omitempty" jsonschema_description:"arrivals, calls in flight and how requests ended are counted over all copies"`
-	Verdicts bool `yaml:"verdicts,omitempty" json:"verdicts,omitempty" jsonschema_description:"copies tell each other which providers fail, hang or are slow"`
-	Budget   int  `yaml:"bytes_per_s,omitempty" json:"bytes_per_s,omitempty" jsonschema_description:"that a copy sends of it; default 1500"`
+// SharingFile says what copies share.
+type SharingFile struct {
+	Quotas         bool `yaml:"quotas,omitempty" json:"quotas,omitempty" jsonschema_description:"what one copy does not need of a tenant's quota another may use"`
+	Counters       bool `yaml:"counts,omitempty" json:"counts,omitempty" jsonschema_description:"arrivals, calls in flight and how requests ended are counted over all copies"`
+	Evidence       bool `yaml:"verdicts,omitempty" json:"verdicts,omitempty" jsonschema_description:"copies tell each other which providers fail, hang or are slow"`
+	BytesPerSecond int  `yaml:"bytes_per_s,omitempty" json:"bytes_per_s,omitempty" jsonschema_description:"that a copy sends of it; default 1500"`
 }
 
 // Fleet is what the fleet's host is told.
@@ -95,14 +95,14 @@
 	for i, s := range b.Seeds {
 		c.address(fmt.Sprintf("fleet.seeds[%d]", i), s)
 	}
-	for _, name := range sortedKeys(b.Via) {
-		c.address("fleet.via."+name, b.Via[name])
+	for _, name := range sortedKeys(b.AddressOverrides) {
+		c.address("fleet.via."+name, b.AddressOverrides[name])
 	}
 	if b.Period != 0 {
 		c.span("fleet.period", b.Period, 50*time.Millisecond, 10*time.Second)
 	}
-	if b.Budget != 0 {
-		c.number("fleet.bytes_per_s", float64(b.Budget), 100, 1e7)
+	if b.BytesPerSecond != 0 {
+		c.number("fleet.bytes_per_s", float64(b.BytesPerSecond), 100, 1e7)
 	}
 	keys, err := ReadKeys(b.KeyFile)
 	if err != nil {
@@ -113,28 +113,28 @@
 	zone := b.Zone
 	for _, p := range f.Pools {
 		pools = append(pools, p.Name)
-		copies[p.Name] = p.Copies
+		copies[p.Name] = p.ReplicaCount
 		if zone == "" {
 			zone = p.Zone
 		}
 	}
 	slices.Sort(pools)
-	if !membership.FitPools(pools) {
+	if !membership.PoolsFit(pools) {
 		c.bad("fleet", len(pools), fmt.Sprintf("at most %d pools beside it, with %d bytes of names: each copy tells which it has", membership.MaxPools, membership.MaxPoolBytes))
 	}
 	tier := 0
 	if len(f.Pools) > 0 {
 		tier = f.Pools[0].Tier
 	}
-	var share *fleet.Share
-	if sh := b.Share; sh != nil {
-		if share = (*fleet.Share)(sh); !sh.Quotas && !sh.Counts && !sh.Verdicts {
+	var share *fleet.SharingConfig
+	if sh := b.Sharing; sh != nil {
+		if share = (*fleet.SharingConfig)(sh); !sh.Quotas && !sh.Counters && !sh.Evidence {
 			c.bad("fleet.share", "nothing", "quotas, counts or verdicts to be true, or no share block")
 		}
-		if sh.Budget != 0 {
-			c.number("fleet.share.bytes_per_s", float64(sh.Budget), 200, 1e7)
+		if sh.BytesPerSecond != 0 {
+			c.number("fleet.share.bytes_per_s", float64(sh.BytesPerSecond), 200, 1e7)
 		}
 	}
-	cfg.Fleet = &Fleet{KeyFile: b.KeyFile, Config: fleet.Config{Name: f.Name, Fleet: b.Name, Listen: b.Listen, Advertise: b.Advertise, Seeds: b.Seeds, Via: b.Via,
-		Keys: keys, Remember: b.Remember, Copies: copies, Zone: zone, Tier: tier, Pools: pools, Seed: cfg.Seed, Period: b.Period, Budget: b.Budget, Share: share}}
+	cfg.Fleet = &Fleet{KeyFile: b.KeyFile, Config: fleet.Config{Name: f.Name, Fleet: b.Name, Listen: b.Listen, Advertise: b.Advertise, Seeds: b.Seeds, AddressOverrides: b.AddressOverrides,
+		Keys: keys, StateFile: b.StateFile, ReplicaCounts: copies, Zone: zone, Tier: tier, Pools: pools, Seed: cfg.Seed, Period: b.Period, BytesPerSecond: b.BytesPerSecond, Sharing: share}}
 }
--- a/config/overlay.go
+++ b/config/overlay.go
@@ -97,35 +97,35 @@
 
 // PlanFile is a plan as a person writes it, in YAML.
 type PlanFile struct {
-	ID       string         `yaml:"id"`
-	Kind     string         `yaml:"kind"`
-	Settings map[string]any `yaml:"settings,omitempty"`
-	Program  string         `yaml:"program,omitempty"` // version
-	Speaks   []uint8        `yaml:"speaks,omitempty"`  // least and most level that it speaks, as proxy version prints
-	Stages   []StageFile    `yaml:"stages,omitempty"`
-	Away     int            `yaml:"away,omitempty"`
-	Watch    time.Duration  `yaml:"watch,omitempty"`
-	Wait     time.Duration  `yaml:"wait,omitempty"`
-	Unknown  time.Duration  `yaml:"unknown,omitempty"`
-	Back     *bool          `yaml:"back,omitempty"` // default true
-	Expires  time.Duration  `yaml:"expires,omitempty"`
-	Guards   GuardsFile     `yaml:"guards,omitempty"`
+	ID               string         `yaml:"id"`
+	Kind             string         `yaml:"kind"`
+	Settings         map[string]any `yaml:"settings,omitempty"`
+	Program          string         `yaml:"program,omitempty"` // version
+	Levels           []uint8        `yaml:"speaks,omitempty"`  // least and most level that it speaks, as proxy version prints
+	Stages           []StageFile    `yaml:"stages,omitempty"`
+	MaxUnavailable   int            `yaml:"away,omitempty"`
+	Baseline         time.Duration  `yaml:"watch,omitempty"`
+	ReadyTimeout     time.Duration  `yaml:"wait,omitempty"`
+	ExtraObservation time.Duration  `yaml:"unknown,omitempty"`
+	RollBack         *bool          `yaml:"back,omitempty"` // default true
+	ExpiresAfter     time.Duration  `yaml:"expires,omitempty"`
+	Guardrails       GuardrailsFile `yaml:"guards,omitempty"`
 }
 
 // StageFile is one stage.
 type StageFile struct {
-	Count   int           `yaml:"count,omitempty"`
-	Part    float64       `yaml:"part,omitempty"`
-	PerZone bool          `yaml:"per_zone,omitempty"`
-	Soak    time.Duration `yaml:"soak,omitempty"`
+	Count       int           `yaml:"count,omitempty"`
+	Fraction    float64       `yaml:"part,omitempty"`
+	PerZone     bool          `yaml:"per_zone,omitempty"`
+	Observation time.Duration `yaml:"soak,omitempty"`
 }
 
-// GuardsFile says what a stage must not cost.
-type GuardsFile struct {
-	Goodput float64 `yaml:"goodput,omitempty"`
-	Latency float64 `yaml:"latency,omitempty"`
-	Wrong   float64 `yaml:"wrong,omitempty"`
-	Missed  float64 `yaml:"missed,omitempty"`
+// GuardrailsFile says what a stage must not cost.
+type GuardrailsFile struct {
+	Goodput          float64 `yaml:"goodput,omitempty"`
+	Latency          float64 `yaml:"latency,omitempty"`
+	FalseAlarm       float64 `yaml:"wrong,omitempty"`
+	MissedRegression float64 `yaml:"missed,omitempty"`
 
 	Attempts float64 `yaml:"attempts,omitempty"`
 	Memory   float64 `yaml:"memory,omitempty"`
@@ -140,14 +140,14 @@
 		return p, err
 	}
 	at := func(key string, err error) error { return fmt.Errorf("%s%s: %w", name, tree.Position(key), err) }
-	p = rollout.Plan{ID: f.ID, Kind: map[string]rollout.Kind{"settings": rollout.Settings, "program": rollout.Program}[f.Kind], Away: f.Away, Watch: f.Watch, Wait: f.Wait, Unknown: f.Unknown,
-		Back: f.Back == nil || *f.Back, Expires: f.Expires, Target: f.Program, Guards: rollout.Guards(f.Guards)}
-	switch len(f.Speaks) {
+	p = rollout.Plan{ID: f.ID, Kind: map[string]rollout.Kind{"settings": rollout.Settings, "program": rollout.Program}[f.Kind], MaxUnavailable: f.MaxUnavailable, Baseline: f.Baseline, ReadyTimeout: f.ReadyTimeout, ExtraObservation: f.ExtraObservation,
+		RollBack: f.RollBack == nil || *f.RollBack, ExpiresAfter: f.ExpiresAfter, Target: f.Program, Guardrails: rollout.Guardrails(f.Guardrails)}
+	switch len(f.Levels) {
 	case 0:
 	case 2:
-		p.Least, p.Most = f.Speaks[0], f.Speaks[1]
+		p.MinLevel, p.MaxLevel = f.Levels[0], f.Levels[1]
 	default:
-		return p, at("speaks", fmt.Errorf("speaks: unexpected value %v, want the least and the most level, as in [1, 2]", f.Speaks))
+		return p, at("speaks", fmt.Errorf("speaks: unexpected value %v, want the least and the most level, as in [1, 2]", f.Levels))
 	}
 	for _, s := range f.Stages {
 		p.Stages = append(p.Stages, rollout.Stage(s))
@@ -160,10 +160,10 @@
 	case p.Kind == rollout.Program && f.Program == "":
 		return p, at("program", fmt.Errorf("program: missing: say which version proxy version is to print"))
 	case p.Kind == rollout.Settings:
-		if p.Text, err = yaml.Marshal(f.Settings); err != nil {
+		if p.Settings, err = yaml.Marshal(f.Settings); err != nil {
 			return p, at("settings", err)
 		}
-		next, err := Overlay(own, p.Text)
+		next, err := Overlay(own, p.Settings)
 		if err != nil {
 			return p, at("settings", err)
 		}
--- a/config/settings.go
+++ b/config/settings.go
@@ -18,12 +18,12 @@
 // Settings is what a deployment states about itself: what the Balancer is told
 // and what only a host on sockets needs.
 type Settings struct {
-	Balancer  balancer.Config
-	Zones     []string
-	Kinds     []string
-	IdleClose time.Duration // a provider's machine closes idle connections after this
-	AnyPath   bool          // a class need not be the first part of the path
-	Pushed    bool          // an agent on this machine holds the list: watching it costs nobody anything
+	Balancer        balancer.Config
+	Zones           []string
+	Kinds           []string
+	IdleClose       time.Duration // a provider's machine closes idle connections after this
+	AnyPath         bool          // a class need not be the first part of the path
+	PushedDiscovery bool          // an agent on this machine holds the list: watching it costs nobody anything
 }
 
 // SettingsFromPairs reads settings in the form of the simulator's wire, a
@@ -93,58 +93,58 @@
 func (v *values) settings() (Settings, error) {
 	s := Settings{Zones: v.many["Areas"], Kinds: v.many["Kinds"], IdleClose: v.micros("Limits.IdleClose")}
 	s.Balancer = balancer.Config{
-		Tier:           v.int("Tier"),
-		Tiers:          len(v.many["Tiers"]),
-		Zone:           v.int("Zone"),
-		Self:           v.int("Me"),
-		GroupSize:      v.int("GroupSize"),
-		Subscribe:      v.word("Discovery", "subscribe", "automatic") == "subscribe",
-		ValueByWork:    v.is("ValueBy", "work"),
-		OverShareWorth: v.part("OverShareWorth"),
-		LoadNames:      v.many["LoadInfo.Names"],
+		Tier:            v.int("Tier"),
+		Tiers:           len(v.many["Tiers"]),
+		Zone:            v.int("Zone"),
+		ReplicaIndex:    v.int("Me"),
+		ReplicaCount:    v.int("GroupSize"),
+		Subscribe:       v.word("Discovery", "subscribe", "automatic") == "subscribe",
+		WeightByWork:    v.is("ValueBy", "work"),
+		OverQuotaWeight: v.part("OverShareWorth"),
+		LoadReportNames: v.many["LoadInfo.Names"],
 		Limits: balancer.Limits{
-			Attempts:       v.int("Limits.TryLimit"),
-			Open:           v.int("Limits.MostHeld"),
-			MaxRetryAfter:  v.micros("Limits.MaxRetryAfter"),
-			ConnectTimeout: v.micros("Limits.ConnectTimeout"),
-			RetryAfter:     v.bool("Limits.RetryAfter"),
-			SecondCopies:   v.bool("Limits.SecondCopies"),
-			Cancel:         v.bool("Limits.MayCancel"),
-			Probes:         v.bool("Limits.Probes"),
-			Peers:          v.bool("Limits.Peers"),
+			MaxAttempts:     v.int("Limits.TryLimit"),
+			MaxOpenRequests: v.int("Limits.MostHeld"),
+			MaxRetryAfter:   v.micros("Limits.MaxRetryAfter"),
+			ConnectTimeout:  v.micros("Limits.ConnectTimeout"),
+			SendRetryAfter:  v.bool("Limits.RetryAfter"),
+			AllowHedging:    v.bool("Limits.SecondCopies"),
+			AllowCancel:     v.bool("Limits.MayCancel"),
+			AllowProbes:     v.bool("Limits.Probes"),
+			AllowPeers:      v.bool("Limits.Peers"),
 		},
 		Contract: balancer.Contract{
-			AnswerSlack:  v.micros("Contract.AnswerSlack"),
-			DrainGrace:   v.micros("Contract.StopSendingWithin"),
-			AskWithin:    v.micros("Contract.AskWithin"),
-			ColdFrom:     v.part("Contract.ColdFrom"),
-			WarmUp:       v.micros("Contract.WarmUp"),
-			FallMultiple: v.float("Contract.FallMultiple"),
-			OverloadFor:  v.micros("Contract.OverloadFor"),
+			AnswerSlack:      v.micros("Contract.AnswerSlack"),
+			DrainGrace:       v.micros("Contract.StopSendingWithin"),
+			MaxPollInterval:  v.micros("Contract.AskWithin"),
+			InitialCapacity:  v.part("Contract.ColdFrom"),
+			WarmUpPeriod:     v.micros("Contract.WarmUp"),
+			OverloadMultiple: v.float("Contract.FallMultiple"),
+			OverloadPeriod:   v.micros("Contract.OverloadFor"),
 
-			DrainBindsAlone: v.bool("Contract.DrainBindsAlone"),
-			KeyRest:         v.micros("Contract.KeyRest"),
+			OnlyDrainingBinds: v.bool("Contract.DrainBindsAlone"),
+			KeyQuarantine:     v.micros("Contract.KeyRest"),
 		},
 		Goal: balancer.Goal{
-			LogLossPart: v.float("Goal.LogLossPart"),
-			TopNines:    v.float("Goal.TopNines"),
+			LogLossWeight: v.float("Goal.LogLossPart"),
+			TopNines:      v.float("Goal.TopNines"),
 		},
 	}
-	s.Pushed = v.one["Discovery"] == "automatic"
+	s.PushedDiscovery = v.one["Discovery"] == "automatic"
 	for i := range v.count("Classes") {
 		at := "Classes." + strconv.Itoa(i) + "."
 		s.Balancer.Classes = append(s.Balancer.Classes, balancer.Class{
-			Name:       v.one[at+"Name"],
-			Aim:        v.micros(at + "Slo"),
-			AimStretch: v.float(at + "AimStretch"),
-			Deadline:   v.micros(at + "Deadline"),
-			Worth:      v.float(at + "Worth"),
-			LateWorth:  v.part(at + "LateWorth"),
-			Effect:     v.effect(at + "Effect"),
-			Group:      v.group(at + "Group"),
-			Memory:     v.micros(at + "MemorySpan"),
-			Streaming:  v.bool(at + "Streaming"),
-			KeepOrder:  v.bool(at + "KeepOrder"),
+			Name:              v.one[at+"Name"],
+			LatencyObjective:  v.micros(at + "Slo"),
+			ObjectivePerWork:  v.float(at + "AimStretch"),
+			Deadline:          v.micros(at + "Deadline"),
+			PriorityWeight:    v.float(at + "Worth"),
+			LateWeight:        v.part(at + "LateWorth"),
+			Effect:            v.effect(at + "Effect"),
+			Group:             v.group(at + "Group"),
+			IdempotencyWindow: v.micros(at + "MemorySpan"),
+			Streaming:         v.bool(at + "Streaming"),
+			OrderedByKey:      v.bool(at + "KeepOrder"),
 		})
 	}
 	for i := range v.count("Customers") {
