--- a/config/show.go
+++ b/config/show.go
@@ -39,7 +39,7 @@
 		var lines []Line
 		flatten("", reflect.ValueOf(*f), func(key, value string) { lines = append(lines, Line{key, value, FromFile}) })
 		for i := range lines {
-			for key, variable := range map[string]string{"name": EnvName, "mgmt": EnvMgmt, "listeners[0].address": EnvListen, "pools[0].directory": EnvDirectory} {
+			for key, variable := range map[string]string{"name": EnvName, "mgmt": EnvAdmin, "listeners[0].address": EnvListen, "pools[0].directory": EnvDiscovery} {
 				if lines[i].Key == key && getenv(variable) != "" {
 					lines[i].From = FromEnvironment
 				}
@@ -136,7 +136,7 @@
 // fileOf is a configuration in the form of a file: what the platform's form
 // amounts to.
 func fileOf(cfg Config) *File {
-	f := &File{Name: cfg.Name, Mgmt: cfg.Mgmt, Machine: MachineFile{Cores: cfg.Limits.Cores, MemoryMB: float64(cfg.Limits.Memory) / (1 << 20), Sockets: cfg.Limits.Sockets, WorkPerS: cfg.Limits.Work}}
+	f := &File{Name: cfg.Name, Admin: cfg.Admin, Machine: MachineFile{Cores: cfg.Limits.Cores, MemoryMB: float64(cfg.Limits.Memory) / (1 << 20), Sockets: cfg.Limits.Sockets, WorkPerS: cfg.Limits.Work}}
 	if cfg.Seed != 0 {
 		f.Seed = fmt.Sprintf("%x", cfg.Seed)
 	}
@@ -154,27 +154,27 @@
 
 func poolOf(p Pool) PoolFile {
 	b := &p.Settings.Balancer
-	out := PoolFile{Name: p.Name, Zones: p.Settings.Zones, Tier: b.Tier, Tiers: b.Tiers, Copy: b.Self, Copies: b.GroupSize,
-		OverQuota: b.OverShareWorth, Directory: p.Directory, Weight: p.Weight, Drain: p.Drain,
-		Limits: LimitsFile{Attempts: b.Limits.Attempts, Open: b.Limits.Open, RetryAfter: &b.Limits.RetryAfter, MaxRetryAfter: b.Limits.MaxRetryAfter,
-			SecondCopies: &b.Limits.SecondCopies, Cancel: &b.Limits.Cancel, ConnectTimeout: b.Limits.ConnectTimeout, IdleClose: p.Settings.IdleClose},
-		Rules: RulesFile{AnswerSlack: b.Contract.AnswerSlack, DrainGrace: b.Contract.DrainGrace, AskWithin: b.Contract.AskWithin,
-			ColdFrom: b.Contract.ColdFrom, WarmUp: b.Contract.WarmUp, FallMultiple: b.Contract.FallMultiple, OverloadFor: b.Contract.OverloadFor}}
+	out := PoolFile{Name: p.Name, Zones: p.Settings.Zones, Tier: b.Tier, Tiers: b.Tiers, ReplicaIndex: b.ReplicaIndex, ReplicaCount: b.ReplicaCount,
+		OverQuota: b.OverQuotaWeight, Discovery: p.Discovery, Weight: p.Weight, Drain: p.Drain,
+		Limits: LimitsFile{MaxAttempts: b.Limits.MaxAttempts, MaxOpenRequests: b.Limits.MaxOpenRequests, RetryAfter: &b.Limits.SendRetryAfter, MaxRetryAfter: b.Limits.MaxRetryAfter,
+			SecondCopies: &b.Limits.AllowHedging, Cancel: &b.Limits.AllowCancel, ConnectTimeout: b.Limits.ConnectTimeout, IdleClose: p.Settings.IdleClose},
+		Rules: RulesFile{AnswerSlack: b.Contract.AnswerSlack, DrainGrace: b.Contract.DrainGrace, AskWithin: b.Contract.MaxPollInterval,
+			InitialCapacity: b.Contract.InitialCapacity, WarmUpPeriod: b.Contract.WarmUpPeriod, OverloadMultiple: b.Contract.OverloadMultiple, OverloadPeriod: b.Contract.OverloadPeriod}}
 	if b.Zone < len(p.Settings.Zones) {
 		out.Zone = p.Settings.Zones[b.Zone]
 	}
 	effect := map[balancer.Effect]string{balancer.Safe: "safe", balancer.Keyed: "keyed", balancer.Unsafe: "unsafe"}
 	group := map[balancer.Group]string{balancer.GroupAll: "all", balancer.GroupZone: "zone", balancer.GroupCell: "cell"}
 	for _, c := range b.Classes {
-		out.Classes = append(out.Classes, ClassFile{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.LateWorth,
-			Effect: effect[c.Effect], Group: group[c.Group], Memory: c.Memory})
+		out.Classes = append(out.Classes, ClassFile{Name: c.Name, LatencyObjective: c.LatencyObjective, Deadline: c.Deadline, PriorityWeight: c.PriorityWeight, LateWeight: c.LateWeight,
+			Effect: effect[c.Effect], Group: group[c.Group], IdempotencyWindow: c.IdempotencyWindow})
 	}
 	for _, t := range b.Tenants {
 		out.Tenants = append(out.Tenants, TenantFile{Name: t.Name, Quota: t.Quota, Share: t.Share})
 	}
-	for _, e := range p.Known.Endpoints {
+	for _, e := range p.KnownEndpoints.Endpoints {
 		if e.Status == discovery.Ready {
-			out.Providers = append(out.Providers, ProviderFile{Name: e.Name, Address: e.Address, Zone: e.Zone, Group: e.Group})
+			out.Endpoints = append(out.Endpoints, EndpointFile{Name: e.Name, Address: e.Address, Zone: e.Zone, Group: e.Group})
 		}
 	}
 	return out
--- a/discovery/client.go
+++ b/discovery/client.go
@@ -30,11 +30,11 @@
 	agentMost  = 200 * time.Millisecond
 )
 
-// Sink is told what the directory answers. Its methods are called in turn and
+// Listener is told what the directory answers. Its methods are called in turn and
 // must not block.
-type Sink interface {
-	Listed(List)
-	ListFailed(error) // a call failed, or the watch ended; what was listed still holds
+type Listener interface {
+	EndpointsListed(EndpointList)
+	ListingFailed(error) // a call failed, or the watch ended; what was listed still holds
 }
 
 // errMoved ends a call to a directory that is no longer the one to ask.
@@ -42,7 +42,7 @@
 
 // Client speaks to the directory. It calls only when told to.
 type Client struct {
-	sink    Sink
+	sink    Listener
 	buffers *buffer.Pool
 	reserve *socket.Reserve
 	dial    net.Dialer
@@ -63,7 +63,7 @@
 
 // NewClient returns a client of the directory at address, whose calls end with
 // ctx. known is the list held already, if it is a whole one.
-func NewClient(ctx context.Context, address string, known List, buffers *buffer.Pool, sink Sink) *Client {
+func NewClient(ctx context.Context, address string, known EndpointList, buffers *buffer.Pool, sink Listener) *Client {
 	c := &Client{ctx: ctx, address: address, held: known.Snapshot, index: known.Index, buffers: buffers, sink: sink,
 		reserve: socket.NewReserve(1)}
 	context.AfterFunc(ctx, c.reserve.Close)
@@ -73,7 +73,7 @@
 // NewAgentClient returns a client of an agent on the proxy's own machine, to
 // which lists are pushed. Its watch goes on by itself, whatever fails: only the
 // first of several failures in a row is told.
-func NewAgentClient(ctx context.Context, address string, known List, buffers *buffer.Pool, sink Sink) *Client {
+func NewAgentClient(ctx context.Context, address string, known EndpointList, buffers *buffer.Pool, sink Listener) *Client {
 	c := NewClient(ctx, address, known, buffers, sink)
 	c.agent = true
 	c.Subscribe(true)
@@ -109,11 +109,11 @@
 	}()
 }
 
-// Move makes address the directory to ask. A watch goes on there at once and
+// SetAddress makes address the directory to ask. A watch goes on there at once and
 // with the whole list, as another directory may count its versions otherwise;
 // the call that is out at the old one is let go. Once Move has returned, the
 // sink is told nothing more of the old directory.
-func (c *Client) Move(address string) {
+func (c *Client) SetAddress(address string) {
 	c.telling.Lock()
 	defer c.telling.Unlock()
 	c.mu.Lock()
@@ -213,7 +213,7 @@
 
 // tell passes on how a call ended, unless nobody waits for it any more. It
 // reports whether it has passed on a list.
-func (c *Client) tell(ctx context.Context, l *connection, list List, err error) bool {
+func (c *Client) tell(ctx context.Context, l *connection, list EndpointList, err error) bool {
 	c.telling.Lock()
 	defer c.telling.Unlock()
 	c.mu.Lock()
@@ -223,10 +223,10 @@
 	case !current || ctx.Err() != nil:
 		return false
 	case err != nil:
-		c.sink.ListFailed(fmt.Errorf("directory %s: %w", l.address, err))
+		c.sink.ListingFailed(fmt.Errorf("directory %s: %w", l.address, err))
 		return false
 	}
-	c.sink.Listed(list)
+	c.sink.EndpointsListed(list)
 	return true
 }
 
@@ -255,18 +255,18 @@
 }
 
 // get makes one call and books the index of its answer.
-func (c *Client) get(ctx context.Context, l *connection, target string, wait time.Duration) (List, error) {
+func (c *Client) get(ctx context.Context, l *connection, target string, wait time.Duration) (EndpointList, error) {
 	until := time.Now().Add(wait + c.overdue())
 	ctx, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
 	if l.conn == nil {
 		conn, err := c.dial.DialContext(ctx, "tcp", l.address)
-		if socket.Short(err) && c.reserve.Lend() {
+		if socket.OutOfDescriptors(err) && c.reserve.Lend() {
 			conn, err = c.dial.DialContext(ctx, "tcp", l.address)
 		}
 		if err != nil {
 			c.reserve.Fill()
-			return List{}, err
+			return EndpointList{}, err
 		}
 		l.conn, l.r = conn, c.buffers.Reader(conn)
 	}
@@ -277,22 +277,22 @@
 		l.close()
 	}
 	if err != nil {
-		return List{}, err
+		return EndpointList{}, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if l.moves != c.moves {
-		return List{}, errMoved
+		return EndpointList{}, errMoved
 	}
 	if !list.Snapshot && (!c.held || list.Index < c.index) {
 		c.held = false // changes of another history: the next call asks for the whole list
-		return List{}, fmt.Errorf("changes up to version %d do not follow what is held", list.Index)
+		return EndpointList{}, fmt.Errorf("changes up to version %d do not follow what is held", list.Index)
 	}
 	c.held, c.index = true, list.Index
 	return list, nil
 }
 
-func (c *Client) exchange(l *connection, target string, until time.Time) (list List, keep bool, err error) {
+func (c *Client) exchange(l *connection, target string, until time.Time) (list EndpointList, keep bool, err error) {
 	if err := l.conn.SetDeadline(until); err != nil {
 		return list, false, err
 	}
--- a/discovery/client_test.go
+++ b/discovery/client_test.go
@@ -16,8 +16,8 @@
 // told passes on what a client is told.
 type told chan string
 
-func (c told) Listed(l List)        { c <- fmt.Sprint("list ", l.Index) }
-func (c told) ListFailed(err error) { c <- "failed" }
+func (c told) EndpointsListed(l EndpointList) { c <- fmt.Sprint("list ", l.Index) }
+func (c told) ListingFailed(err error)        { c <- "failed" }
 
 // A watch goes on from answer to answer, over one connection while it lasts;
 // when a call fails it is over until the next Subscribe.
@@ -38,7 +38,7 @@
 	news := make(told, 8)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	c := NewClient(ctx, server.Listener.Addr().String(), List{}, new(buffer.Pool), news)
+	c := NewClient(ctx, server.Listener.Addr().String(), EndpointList{}, new(buffer.Pool), news)
 	const list = `{"index":%d,"snapshot":%v,"endpoints":[{"name":"s","status":"Gone"}]}`
 	says := func(index int, whole bool) func(http.ResponseWriter) {
 		return func(w http.ResponseWriter) { fmt.Fprintf(w, list, index, whole) }
@@ -135,11 +135,11 @@
 	news := make(told, 8)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	c := NewClient(ctx, old, List{Index: 41, Snapshot: true}, new(buffer.Pool), news)
+	c := NewClient(ctx, old, EndpointList{Index: 41, Snapshot: true}, new(buffer.Pool), news)
 	c.Subscribe(true)
 	waiting := next(oldCalls, "since=41&timeout_ms=2000")
-	c.Move(old) // the same again changes nothing
-	c.Move(fresh)
+	c.SetAddress(old) // the same again changes nothing
+	c.SetAddress(fresh)
 	<-waiting.left
 	answer(next(freshCalls, ""), `{"index":3,"snapshot":true,"endpoints":[]}`)
 	if text := <-news; text != "list 3" {
@@ -151,7 +151,7 @@
 	if text := <-news; text != "failed" {
 		t.Errorf("told %q", text)
 	}
-	c.Move(old) // while no watch is on: it has failed and would be started again only later
+	c.SetAddress(old) // while no watch is on: it has failed and would be started again only later
 	next(oldCalls, "")
 	if len(oldCalls)+len(freshCalls)+len(news) > 0 {
 		t.Errorf("%d and %d more calls, %d more told", len(oldCalls), len(freshCalls), len(news))
@@ -166,7 +166,7 @@
 	news := make(told, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	NewClient(ctx, server.Listener.Addr().String(), List{Snapshot: true}, new(buffer.Pool), news).Subscribe(true)
+	NewClient(ctx, server.Listener.Addr().String(), EndpointList{Snapshot: true}, new(buffer.Pool), news).Subscribe(true)
 	select {
 	case text := <-news:
 		if text != "failed" {
@@ -179,7 +179,7 @@
 
 // A list of a fleet ten times today's largest, 7,000 providers, is taken whole.
 func TestLargeList(t *testing.T) {
-	var list List
+	var list EndpointList
 	list.Snapshot, list.Index = true, 1
 	for i := range 7000 {
 		list.Endpoints = append(list.Endpoints, Endpoint{Name: fmt.Sprintf("s-%08x", i), Address: "127.0.0.1:10000", Zone: "surabaya",
@@ -191,7 +191,7 @@
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write(text) }))
 	defer server.Close()
-	c := NewClient(t.Context(), server.Listener.Addr().String(), List{}, new(buffer.Pool), nil)
+	c := NewClient(t.Context(), server.Listener.Addr().String(), EndpointList{}, new(buffer.Pool), nil)
 	c.mu.Lock()
 	l := c.connection()
 	c.mu.Unlock()
@@ -228,7 +228,7 @@
 	news := make(told, 8)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	c := NewAgentClient(ctx, server.Listener.Addr().String(), List{}, new(buffer.Pool), news)
+	c := NewAgentClient(ctx, server.Listener.Addr().String(), EndpointList{}, new(buffer.Pool), news)
 	c.Subscribe(true) // of no effect
 	within := (agentFor + agentIn + agentMost).Milliseconds()
 	for i, step := range []struct{ answer, told string }{
--- a/discovery/crossings_test.go
+++ b/discovery/crossings_test.go
@@ -73,7 +73,7 @@
 				news := make(told, 8)
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				known := List{Index: 7, Snapshot: true}
+				known := EndpointList{Index: 7, Snapshot: true}
 				var c *Client
 				if agent {
 					c = NewAgentClient(ctx, l.Addr().String(), known, new(buffer.Pool), news)
@@ -155,10 +155,10 @@
 		b, fromB, endB := peer()
 		news := make(told, 8)
 		ctx, cancel := context.WithCancel(t.Context())
-		c := NewClient(ctx, a, List{}, new(buffer.Pool), news)
+		c := NewClient(ctx, a, EndpointList{}, new(buffer.Pool), news)
 		c.Subscribe(true)
 		first := <-fromA
-		c.Move(b)
+		c.SetAddress(b)
 		second := <-fromB
 		if early {
 			says(second, 2)
@@ -166,7 +166,7 @@
 				t.Errorf("told %q", text)
 			}
 		}
-		c.Move(a)
+		c.SetAddress(a)
 		says(first, 1)
 		if !early {
 			says(second, 2)
--- a/discovery/list.go
+++ b/discovery/list.go
@@ -29,8 +29,8 @@
 	SinceMS int64   `json:"since_ms"` // its last start in Unix milliseconds; 0 is long ago
 }
 
-// List is an answer of the directory: the whole list or changes of it.
-type List struct {
+// EndpointList is an answer of the directory: the whole list or changes of it.
+type EndpointList struct {
 	Index     uint64     `json:"index"`
 	Snapshot  bool       `json:"snapshot"` // the whole list
 	Endpoints []Endpoint `json:"endpoints"`
@@ -38,22 +38,22 @@
 
 // Parse reads a list and checks each of its entries, so that a damaged answer
 // is a failed call and never half a list.
-func Parse(text []byte) (List, error) {
+func Parse(text []byte) (EndpointList, error) {
 	var shape struct {
-		List
+		EndpointList
 		Index     *uint64     `json:"index"`
 		Endpoints *[]Endpoint `json:"endpoints"`
 	}
 	if err := json.Unmarshal(text, &shape); err != nil {
-		return List{}, fmt.Errorf("list of providers: %w", err)
+		return EndpointList{}, fmt.Errorf("list of providers: %w", err)
 	}
 	if shape.Index == nil || shape.Endpoints == nil {
-		return List{}, errors.New("list of providers: index or endpoints are missing")
+		return EndpointList{}, errors.New("list of providers: index or endpoints are missing")
 	}
-	list := List{Index: *shape.Index, Snapshot: shape.Snapshot, Endpoints: *shape.Endpoints}
+	list := EndpointList{Index: *shape.Index, Snapshot: shape.Snapshot, Endpoints: *shape.Endpoints}
 	for i, e := range list.Endpoints {
 		if err := e.check(); err != nil {
-			return List{}, fmt.Errorf("list of providers: endpoints.%d: %w", i, err)
+			return EndpointList{}, fmt.Errorf("list of providers: endpoints.%d: %w", i, err)
 		}
 	}
 	return list, nil
--- a/downstream/conn.go
+++ b/downstream/conn.go
@@ -147,7 +147,7 @@
 	} else {
 		c.enter(idle, c.accepted.Add(firstTimeout))
 	}
-	if c.server.phase().Closing {
+	if c.server.phase().ClosesIdle {
 		c.wane()
 	}
 }
@@ -226,33 +226,33 @@
 		c.reject(err)
 		return false
 	}
-	if c.refused || c.server.present().Refusing {
-		c.server.services.Turned(c.class, true)
-		inv.Request.Free()
+	if c.refused || c.server.present().Rejects {
+		c.server.services.CountRejected(c.class, true)
+		inv.Outgoing.Free()
 		c.write(head(http.StatusServiceUnavailable, 0, false, nil, time.Second, true), nil)
 		return false
 	}
-	if socket.Left(c.nc) { // while its request lay here: in the listener's queue, or behind another
-		inv.Request.Free()
+	if socket.PeerClosed(c.nc) { // while its request lay here: in the listener's queue, or behind another
+		inv.Outgoing.Free()
 		c.failed = true
 		return false
 	}
 	id := req.Header.Get(http1.HeaderID)
 	if !c.server.hold(id, c) {
-		inv.Request.Free()
+		inv.Outgoing.Free()
 		c.reject(&httpError{http.StatusConflict, http1.HeaderID + " is open already"})
 		return false
 	}
-	inv.Left = c.server.left(inv.Left)
-	rest, _ := inv.Request.Rest.(*upload)
+	inv.Remaining = c.server.left(inv.Remaining)
+	rest, _ := inv.Outgoing.Stream.(*upload)
 	closes := req.Close || c.old
-	inv.Reply = func(a message.Answer) { go c.answer(a, id, closes, rest, answered) }
-	left := inv.Left
+	inv.Reply = func(a message.Result) { go c.answer(a, id, closes, rest, answered) }
+	left := inv.Remaining
 	if rest == nil {
-		c.nc.SetReadDeadline(inv.Taken.Add(left + leaveMargin))
+		c.nc.SetReadDeadline(inv.ReceivedAt.Add(left + leaveMargin))
 		c.N = maxHead
 	}
-	ticket := way.Service.Take(inv)
+	ticket := way.Service.Accept(inv)
 	c.server.mu.Lock()
 	c.service, c.ticket = way.Service, ticket
 	c.server.mu.Unlock()
@@ -262,10 +262,10 @@
 			case <-rest.over:
 				whole = true
 			case <-time.After(lookAgain):
-				if !rest.waits() || !socket.Left(c.nc) {
+				if !rest.waits() || !socket.PeerClosed(c.nc) {
 					continue
 				}
-				way.Service.Leave(ticket)
+				way.Service.ClientLeft(ticket)
 				rest.abandon()
 				c.failed = true // nobody else reads it any more
 				c.server.release(id, c)
@@ -273,7 +273,7 @@
 			}
 		}
 		if err := rest.err; !errors.Is(err, io.EOF) {
-			if !errors.Is(err, errAbandoned) && way.Service.Leave(ticket) {
+			if !errors.Is(err, errAbandoned) && way.Service.ClientLeft(ticket) {
 				c.class = "" // its end is booked by now
 				c.server.release(id, c)
 				c.reject(err)
@@ -289,7 +289,7 @@
 	goesOn, gone := c.watch(answered)
 	if gone {
 		c.failed = true
-		way.Service.Leave(ticket)
+		way.Service.ClientLeft(ticket)
 		c.server.release(id, c)
 	}
 	return goesOn
@@ -312,7 +312,7 @@
 		case goesOn := <-answered:
 			return goesOn, false
 		case <-time.After(lookAgain):
-			if socket.Left(c.nc) {
+			if socket.PeerClosed(c.nc) {
 				return false, true
 			}
 		}
@@ -320,7 +320,7 @@
 }
 
 // invocation reads what is left of a request whose head is in, and finds its way.
-func (c *conn) invocation(req *http.Request, frame framing.Body) (way Way, inv *message.Invocation, err error) {
+func (c *conn) invocation(req *http.Request, frame framing.Body) (way Route, inv *message.Request, err error) {
 	if way, err = c.server.find(req); err != nil {
 		return way, nil, err
 	}
@@ -329,11 +329,11 @@
 	}
 	give := func() {}
 	if size := frame.Length; size > 0 || frame.Chunked {
-		if size = min(size, message.MaxHeld); frame.Chunked {
-			size = message.MaxHeld
+		if size = min(size, message.MaxBufferedBody); frame.Chunked {
+			size = message.MaxBufferedBody
 		}
 		var ok bool
-		if give, ok = way.Service.Hold(int(size)); !ok {
+		if give, ok = way.Service.ReserveBody(int(size)); !ok {
 			return way, nil, &httpError{http.StatusServiceUnavailable, "no room for the body"}
 		}
 	}
@@ -342,10 +342,10 @@
 		c.taken()
 		length := frame.Length
 		if frame.Chunked {
-			length = message.Unknown
+			length = message.UnknownLength
 		}
 		if inv, err = way.parse(req, body, rest, length, time.Now()); err == nil {
-			inv.Request.Done = give
+			inv.Outgoing.OnFree = give
 			return way, inv, nil
 		}
 		body.Free()
@@ -356,13 +356,13 @@
 
 // answer writes a final answer and tells the reader whether the connection
 // goes on.
-func (c *conn) answer(a message.Answer, id string, closes bool, rest *upload, answered chan<- bool) {
+func (c *conn) answer(a message.Result, id string, closes bool, rest *upload, answered chan<- bool) {
 	defer a.Response.Free()
 	c.server.release(id, c)
 	early := rest != nil && !rest.abandon()
 	closes = closes || early
 	c.server.mu.Lock()
-	closes = closes || c.server.phase().Last
+	closes = closes || c.server.phase().ClosesAfterResponse
 	c.server.mu.Unlock()
 	var header http.Header
 	var body *buffer.Body
@@ -370,10 +370,10 @@
 		header, body = a.Response.Header, a.Response.Body
 	}
 	var whole bool
-	if a.Response != nil && a.Response.Rest != nil {
-		whole = c.stream(status(a.Verdict), a.Response, closes)
+	if a.Response != nil && a.Response.Stream != nil {
+		whole = c.stream(status(a.Kind), a.Response, closes)
 	} else {
-		whole = c.write(head(status(a.Verdict), int64(body.Len()), c.old, header, a.RetryAfter, closes), body)
+		whole = c.write(head(status(a.Kind), int64(body.Len()), c.old, header, a.RetryAfter, closes), body)
 	}
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -403,7 +403,7 @@
 // first moment on, with the providers known from before.
 func (c *conn) ready(closes bool) bool {
 	now, code := c.server.present(), http.StatusOK
-	closes = closes || now.Last || c.refused
+	closes = closes || now.ClosesAfterResponse || c.refused
 	if !now.Ready {
 		code, closes = http.StatusServiceUnavailable, true
 	}
@@ -423,7 +423,7 @@
 		return
 	}
 	if c.class != "" {
-		c.server.services.Turned(c.class, e.status == http.StatusServiceUnavailable)
+		c.server.services.CountRejected(c.class, e.status == http.StatusServiceUnavailable)
 	}
 	c.write(head(e.status, 0, false, nil, e.retryAfter(), true), nil)
 }
--- a/downstream/crossings_test.go
+++ b/downstream/crossings_test.go
@@ -26,7 +26,7 @@
 // holding takes each invocation and answers it when the test says so.
 type holding struct {
 	prompt
-	taken   chan *message.Invocation
+	taken   chan *message.Request
 	left    chan uint64
 	expired chan uint64
 	plan    func(killed time.Duration) drain.Plan
@@ -34,20 +34,20 @@
 	mu     sync.Mutex
 	last   uint64
 	ending map[uint64]bool // answered or left
-	open   map[uint64]*message.Invocation
+	open   map[uint64]*message.Request
 }
 
 func newHolding(deadline time.Duration) *holding {
-	return &holding{prompt: prompt{Names{Classes: []string{"read", "burn"}, Effects: []balancer.Effect{balancer.Safe, balancer.Unsafe},
-		Deadlines: []time.Duration{deadline, deadline}}}, taken: make(chan *message.Invocation, 64), left: make(chan uint64, 64),
-		expired: make(chan uint64, 64), plan: drain.Ending, ending: map[uint64]bool{}, open: map[uint64]*message.Invocation{}}
+	return &holding{prompt: prompt{PoolClasses{Classes: []string{"read", "burn"}, Effects: []balancer.Effect{balancer.Safe, balancer.Unsafe},
+		Deadlines: []time.Duration{deadline, deadline}}}, taken: make(chan *message.Request, 64), left: make(chan uint64, 64),
+		expired: make(chan uint64, 64), plan: drain.Shutdown, ending: map[uint64]bool{}, open: map[uint64]*message.Request{}}
 }
 
-func (h *holding) Find(req *http.Request, _ string) (Way, error) {
-	return Way{Service: h, Target: req.RequestURI}, nil
+func (h *holding) Find(req *http.Request, _ string) (Route, error) {
+	return Route{Service: h, Target: req.RequestURI}, nil
 }
-func (h *holding) Ending(killed time.Duration) drain.Plan { return h.plan(killed) }
-func (h *holding) Take(inv *message.Invocation) uint64 {
+func (h *holding) ShutdownPlan(killed time.Duration) drain.Plan { return h.plan(killed) }
+func (h *holding) Accept(inv *message.Request) uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.last++
@@ -55,7 +55,7 @@
 	h.taken <- inv
 	return h.last
 }
-func (h *holding) Leave(ticket uint64) bool {
+func (h *holding) ClientLeft(ticket uint64) bool {
 	if h.over(ticket) {
 		return false
 	}
@@ -65,7 +65,7 @@
 func (h *holding) Expire(ticket uint64) {
 	if !h.over(ticket) {
 		h.expired <- ticket
-		h.open[ticket].Reply(message.Answer{Verdict: message.Overdue})
+		h.open[ticket].Reply(message.Result{Kind: message.TimedOut})
 	}
 }
 
@@ -84,12 +84,12 @@
 	inv := h.open[ticket]
 	h.mu.Unlock()
 	if !h.over(ticket) {
-		inv.Reply(message.Answer{Verdict: message.Served})
+		inv.Reply(message.Result{Kind: message.Served})
 	}
 }
 
 // serving runs a server for a test, whose end leaves nothing behind.
-func serving(t *testing.T, services Services, most int) (s *Server, stop func()) {
+func serving(t *testing.T, services Router, most int) (s *Server, stop func()) {
 	t.Helper()
 	leaks := goleak.IgnoreCurrent()
 	s, err := Listen("127.0.0.1:0", most, false, new(buffer.Pool))
@@ -227,7 +227,7 @@
 			c.Close()
 			select {
 			case inv := <-h.taken:
-				t.Errorf("%s was sent on after the sending side was shut", inv.Request.Header.Get("Req-Id"))
+				t.Errorf("%s was sent on after the sending side was shut", inv.Outgoing.Header.Get("Req-Id"))
 			default:
 			}
 		})
@@ -290,7 +290,7 @@
 			inv := came(t, h.taken, "the request")
 			leave(c)
 			came(t, h.left, "the consumer is gone")
-			if _, err := inv.Request.Rest.Read(make([]byte, 1)); err == nil || errors.Is(err, io.EOF) {
+			if _, err := inv.Outgoing.Stream.Read(make([]byte, 1)); err == nil || errors.Is(err, io.EOF) {
 				t.Errorf("the rest of its body: %v", err)
 			}
 		})
@@ -337,8 +337,8 @@
 		t.Run(fmt.Sprint("stays ", stays), func(t *testing.T) {
 			h := newHolding(300 * time.Millisecond)
 			h.plan = func(killed time.Duration) drain.Plan {
-				p := drain.Ending(killed)
-				p.Stays = stays
+				p := drain.Shutdown(killed)
+				p.KeepsProcess = stays
 				return p
 			}
 			s, stop := serving(t, h, 64)
@@ -456,7 +456,7 @@
 				go func() { over <- s.Serve(ctx, h) }()
 				other, r := connect(t, s.Address()) // whose request comes behind it
 				send(t, other, get(2, ""))
-				if inv := came(t, h.taken, "the other request"); inv.Request.Header.Get("Req-Id") == "1" {
+				if inv := came(t, h.taken, "the other request"); inv.Outgoing.Header.Get("Req-Id") == "1" {
 					t.Error("sent on though its consumer had left")
 				} else {
 					h.serve(1)
--- a/downstream/head.go
+++ b/downstream/head.go
@@ -48,7 +48,7 @@
 			}
 		}
 	}
-	body, err := framing.Judge(head)
+	body, err := framing.ParseLength(head)
 	switch {
 	case errors.Is(err, framing.ErrCoding):
 		return framing.Body{}, &httpError{http.StatusNotImplemented, err.Error()}
--- a/downstream/head_test.go
+++ b/downstream/head_test.go
@@ -13,7 +13,7 @@
 	"ryerill/internal/buffer"
 )
 
-var names = Names{Classes: []string{"read", "pay", "burn"}, Tenants: []string{"t"},
+var names = PoolClasses{Classes: []string{"read", "pay", "burn"}, Tenants: []string{"t"},
 	Effects:   []balancer.Effect{balancer.Safe, balancer.Keyed, balancer.Unsafe},
 	Deadlines: []time.Duration{time.Second, time.Second, time.Second}}
 
--- a/downstream/http.go
+++ b/downstream/http.go
@@ -89,7 +89,7 @@
 	}
 	c.comesIn()
 	src := f.Reader(c.r)
-	body, whole, err := c.server.buffers.ReadPart(src, message.MaxHeld+1, nil)
+	body, whole, err := c.server.buffers.ReadPart(src, message.MaxBufferedBody+1, nil)
 	switch {
 	case err != nil:
 		body.Free()
@@ -102,7 +102,7 @@
 }
 
 // find returns the way of a request.
-func (s *Server) find(req *http.Request) (Way, error) {
+func (s *Server) find(req *http.Request) (Route, error) {
 	way, err := s.services.Find(req, stated(req))
 	switch {
 	case errors.Is(err, route.ErrPath):
@@ -141,20 +141,20 @@
 
 // parse turns a request into an invocation. Where it can't, what it was given
 // is still the caller's.
-func (w *Way) parse(req *http.Request, body *buffer.Body, rest *upload, length int64, taken time.Time) (*message.Invocation, error) {
-	inv, err := w.Service.Names().read(req, body, taken, w.Class)
+func (w *Route) parse(req *http.Request, body *buffer.Body, rest *upload, length int64, taken time.Time) (*message.Request, error) {
+	inv, err := w.Service.Classes().read(req, body, taken, w.Class)
 	if err != nil {
 		return nil, err
 	}
-	inv.Request = &message.Request{Method: req.Method, Target: w.Target, Host: req.Host, Header: req.Header, Body: body, Length: length}
+	inv.Outgoing = &message.OutgoingRequest{Method: req.Method, Target: w.Target, Host: req.Host, Header: req.Header, Body: body, Length: length}
 	if rest != nil {
-		inv.Request.Rest = rest
+		inv.Outgoing.Stream = rest
 	}
 	return inv, nil
 }
 
-func (n *Names) read(req *http.Request, body *buffer.Body, taken time.Time, class string) (*message.Invocation, error) {
-	bad := func(text string) (*message.Invocation, error) { return nil, &httpError{http.StatusBadRequest, text} }
+func (n *PoolClasses) read(req *http.Request, body *buffer.Body, taken time.Time, class string) (*message.Request, error) {
+	bad := func(text string) (*message.Request, error) { return nil, &httpError{http.StatusBadRequest, text} }
 	id := req.Header.Get(http1.HeaderID)
 	switch {
 	case req.ProtoMajor != 1:
@@ -170,8 +170,8 @@
 			kind = first
 		}
 	}
-	inv := &message.Invocation{Class: slices.Index(n.Classes, kind), Tenant: slices.Index(n.Tenants, req.Header.Get(http1.HeaderOwner)),
-		Repeat: req.Header.Get(http1.HeaderRetry) == "1", Write: req.Method != http.MethodGet, Taken: taken}
+	inv := &message.Request{Class: slices.Index(n.Classes, kind), Tenant: slices.Index(n.Tenants, req.Header.Get(http1.HeaderOwner)),
+		ClientRetry: req.Header.Get(http1.HeaderRetry) == "1", Write: req.Method != http.MethodGet, ReceivedAt: taken}
 	switch {
 	case inv.Class < 0:
 		return nil, &httpError{http.StatusNotFound, "unknown " + http1.HeaderKind}
@@ -189,13 +189,13 @@
 	case effect == balancer.Keyed && req.Header.Get(http1.HeaderKey) == "":
 		return bad(http1.HeaderKey + " is missing")
 	}
-	inv.Left = n.Deadlines[inv.Class]
+	inv.Remaining = n.Deadlines[inv.Class]
 	if text, stated := req.Header[http1.HeaderDeadline]; stated {
 		ms, ok := framing.Digits(text[0])
 		if !ok {
 			return bad("malformed " + http1.HeaderDeadline)
 		}
-		inv.Left = time.Duration(min(ms, maxLeft.Milliseconds())) * time.Millisecond
+		inv.Remaining = time.Duration(min(ms, maxLeft.Milliseconds())) * time.Millisecond
 	}
 	if key := req.URL.Query().Get(keyQuery); req.URL.RawQuery != "" && key != "" {
 		h := fnv.New64a()
@@ -215,7 +215,7 @@
 	b = append(strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(code), 10), ' ')
 	b = append(append(b, http.StatusText(code)...), "\r\n"...)
 	switch {
-	case length != message.Unknown:
+	case length != message.UnknownLength:
 		b = append(strconv.AppendInt(append(b, "Content-Length: "...), length, 10), "\r\n"...)
 	case !old:
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
@@ -232,13 +232,13 @@
 }
 
 // status is the status code of a verdict.
-func status(v message.Verdict) int {
+func status(v message.ResultKind) int {
 	switch v {
 	case message.Served:
 		return http.StatusOK
-	case message.Refused:
+	case message.Shed:
 		return http.StatusServiceUnavailable
-	case message.Overdue:
+	case message.TimedOut:
 		return http.StatusGatewayTimeout
 	}
 	return http.StatusBadGateway
--- a/downstream/names.go
+++ b/downstream/names.go
@@ -11,8 +11,8 @@
 	"ryerill/message"
 )
 
-// Names are the words of the settings that headers carry, by index.
-type Names struct {
+// PoolClasses are the words of the settings that headers carry, by index.
+type PoolClasses struct {
 	Classes   []string
 	Deadlines []time.Duration // by class: where an invocation states none
 	Effects   []balancer.Effect
@@ -22,31 +22,31 @@
 
 // Service is what a request goes to.
 type Service interface {
-	message.Intake
-	Names() *Names
+	message.Handler
+	Classes() *PoolClasses
 
-	// Hold takes room for a body of so many bytes at most, and returns what gives
+	// ReserveBody takes room for a body of so many bytes at most, and returns what gives
 	// it back. It reports false if there is no room now.
-	Hold(bytes int) (give func(), ok bool)
+	ReserveBody(bytes int) (give func(), ok bool)
 }
 
-// Way is where a request goes.
-type Way struct {
+// Route is where a request goes.
+type Route struct {
 	Service Service
 	Class   string // of requests that state none; empty is the first part of the path
 	Target  string // path and query as they go on
 }
 
-// Services stand behind a front.
-type Services interface {
+// Router stand behind a front.
+type Router interface {
 	// Find returns the way of a request of a class as it states it, or an error of
 	// package route.
-	Find(req *http.Request, class string) (Way, error)
-	// Longest is the longest deadline of all classes.
-	Longest() time.Duration
-	// Ending is the plan by which a front ends that will be killed after so long.
-	Ending(killed time.Duration) drain.Plan
-	// Turned books that a request of a class, which may be none of ours, was refused
+	Find(req *http.Request, class string) (Route, error)
+	// MaxDeadline is the longest deadline of all classes.
+	MaxDeadline() time.Duration
+	// ShutdownPlan is the plan by which a front ends that will be killed after so long.
+	ShutdownPlan(killed time.Duration) drain.Plan
+	// CountRejected records that a request of a class, which may be none of ours, was refused
 	// or failed before it became an invocation.
-	Turned(class string, refused bool)
+	CountRejected(class string, refused bool)
 }
--- a/downstream/server.go
+++ b/downstream/server.go
@@ -40,7 +40,7 @@
 // Server accepts the consumers' connections and speaks HTTP/1.1 on them.
 type Server struct {
 	listener *net.TCPListener
-	services Services
+	services Router
 	buffers  *buffer.Pool
 	most     int // connections
 	reserve  *socket.Reserve
@@ -108,14 +108,14 @@
 // the connections that it has for half the time that is left to it: until
 // another proxy is back, there may be nobody else. It returns when all that was
 // taken in has been answered.
-func (s *Server) Serve(ctx context.Context, services Services) error {
+func (s *Server) Serve(ctx context.Context, services Router) error {
 	s.services = services
 	defer s.Close()
 	defer context.AfterFunc(ctx, s.stop)()
-	var pause socket.Pause
+	var pause socket.Backoff
 	for {
 		nc, err := s.listener.AcceptTCP()
-		lent := socket.Short(err) && s.makeRoom()
+		lent := socket.OutOfDescriptors(err) && s.makeRoom()
 		if lent { // for one who asks whether this proxy is ready, and to tell others that there is no room
 			nc, err = s.listener.AcceptTCP()
 		}
@@ -130,14 +130,14 @@
 			time.Sleep(pause.Next())
 			continue
 		}
-		pause.Over()
+		pause.Reset()
 		s.add(nc, lent && !s.reserve.Fill()) // it may have come much later
 	}
 	s.hearOut()
 	s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer time.AfterFunc(time.Until(s.stopped.Add(s.ending.Close)), s.close).Stop()
+	defer time.AfterFunc(time.Until(s.stopped.Add(s.ending.CloseIdle)), s.close).Stop()
 	if s.last != nil {
 		defer s.last.Stop()
 	}
@@ -155,12 +155,12 @@
 	if err != nil {
 		return
 	}
-	var pause socket.Pause
+	var pause socket.Backoff
 	for end := time.Now().Add(grace); time.Now().Before(end); {
 		fd := -1
 		raw.Control(func(l uintptr) { fd, _, err = unix.Accept4(int(l), unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC) })
 		switch {
-		case socket.Short(err): // who waits there has been taken: it is worth waiting for one
+		case socket.OutOfDescriptors(err): // who waits there has been taken: it is worth waiting for one
 			s.makeRoom()
 			time.Sleep(pause.Next())
 			continue
@@ -171,11 +171,11 @@
 		}
 		f := os.NewFile(uintptr(fd), "consumer")
 		nc, err := net.FileConn(f)
-		if socket.Short(err) && s.makeRoom() { // it needs a second one for a moment
+		if socket.OutOfDescriptors(err) && s.makeRoom() { // it needs a second one for a moment
 			nc, err = net.FileConn(f)
 		}
 		if f.Close(); err == nil {
-			pause.Over()
+			pause.Reset()
 			s.add(nc.(*net.TCPConn), false)
 		}
 	}
@@ -194,15 +194,15 @@
 
 func (s *Server) stop() {
 	var killed time.Duration
-	if longest := s.services.Longest(); longest > 0 {
+	if longest := s.services.MaxDeadline(); longest > 0 {
 		killed = min(longest, killedAfter) + killedLater
 	}
-	plan := s.services.Ending(killed)
+	plan := s.services.ShutdownPlan(killed)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopped, s.killed, s.ending = time.Now(), killed, plan
 	s.listener.SetDeadline(s.stopped.Add(s.ending.StopAccepting))
-	if killed > 0 && !plan.Stays {
+	if killed > 0 && !plan.KeepsProcess {
 		s.last = time.AfterFunc(killed-killMargin, s.expire)
 	}
 }
@@ -228,7 +228,7 @@
 
 // beforeKill is t, or shortly before this process may be killed. The mutex is held.
 func (s *Server) beforeKill(t time.Time) time.Time {
-	if s.stopped.IsZero() || s.killed == 0 || s.ending.Stays {
+	if s.stopped.IsZero() || s.killed == 0 || s.ending.KeepsProcess {
 		return t
 	}
 	return earlier(t, s.stopped.Add(s.killed-killMargin/4))
@@ -244,7 +244,7 @@
 		s.sweep = nil
 	}
 	if s.byHand = since; !since.IsZero() {
-		s.sweep = time.AfterFunc(time.Until(since.Add(drain.ByHand().Close)), s.close)
+		s.sweep = time.AfterFunc(time.Until(since.Add(drain.Manual().CloseIdle)), s.close)
 	}
 }
 
@@ -255,7 +255,7 @@
 		now = s.ending.At(time.Since(s.stopped))
 	}
 	if !s.byHand.IsZero() {
-		now = drain.Both(now, drain.ByHand().At(time.Since(s.byHand)))
+		now = drain.Combine(now, drain.Manual().At(time.Since(s.byHand)))
 	}
 	return now
 }
@@ -271,7 +271,7 @@
 func (s *Server) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.phase().Closing {
+	if !s.phase().ClosesIdle {
 		return
 	}
 	for c := range s.conns {
@@ -285,7 +285,7 @@
 func (s *Server) left(d time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.stopped.IsZero() || s.ending.Stays || time.Since(s.stopped) < killedLater-killMargin/2 {
+	if s.stopped.IsZero() || s.ending.KeepsProcess || time.Since(s.stopped) < killedLater-killMargin/2 {
 		return d
 	}
 	return min(d, max(time.Until(s.stopped.Add(s.killed-killMargin)), 0))
--- a/downstream/server_test.go
+++ b/downstream/server_test.go
@@ -135,22 +135,22 @@
 }
 
 // prompt serves each invocation at once.
-type prompt struct{ names Names }
+type prompt struct{ names PoolClasses }
 
-func (p prompt) Names() *Names                          { return &p.names }
-func (prompt) Hold(int) (give func(), ok bool)          { return func() {}, true }
-func (p prompt) Longest() time.Duration                 { return slices.Max(p.names.Deadlines) }
-func (p prompt) Ending(killed time.Duration) drain.Plan { return drain.Ending(killed) }
-func (p prompt) Turned(string, bool)                    {}
-func (p prompt) Find(req *http.Request, _ string) (Way, error) {
-	return Way{Service: p, Target: req.RequestURI}, nil
+func (p prompt) Classes() *PoolClasses                        { return &p.names }
+func (prompt) ReserveBody(int) (give func(), ok bool)         { return func() {}, true }
+func (p prompt) MaxDeadline() time.Duration                   { return slices.Max(p.names.Deadlines) }
+func (p prompt) ShutdownPlan(killed time.Duration) drain.Plan { return drain.Shutdown(killed) }
+func (p prompt) CountRejected(string, bool)                   {}
+func (p prompt) Find(req *http.Request, _ string) (Route, error) {
+	return Route{Service: p, Target: req.RequestURI}, nil
 }
-func (prompt) Take(inv *message.Invocation) uint64 {
-	inv.Reply(message.Answer{Verdict: message.Served})
+func (prompt) Accept(inv *message.Request) uint64 {
+	inv.Reply(message.Result{Kind: message.Served})
 	return 0
 }
-func (prompt) Leave(uint64) bool { return false }
-func (prompt) Expire(uint64)     {}
+func (prompt) ClientLeft(uint64) bool { return false }
+func (prompt) Expire(uint64)          {}
 
 // After the word to stop, consumers go on with the connections that they have:
 // until another proxy is back there may be nobody else. Then they are told.
@@ -162,7 +162,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	over := make(chan error)
 	go func() {
-		over <- s.Serve(ctx, prompt{Names{Classes: names.Classes, Effects: names.Effects, Deadlines: []time.Duration{time.Minute, 0, 0}}})
+		over <- s.Serve(ctx, prompt{PoolClasses{Classes: names.Classes, Effects: names.Effects, Deadlines: []time.Duration{time.Minute, 0, 0}}})
 	}()
 	c, err := net.Dial("tcp", s.Address())
 	if err != nil {
@@ -211,15 +211,15 @@
 	turned chan string
 }
 
-func (s torn) Turned(class string, _ bool) { s.turned <- class }
-func (s torn) Find(req *http.Request, _ string) (Way, error) {
-	return Way{Service: s, Target: req.RequestURI}, nil
+func (s torn) CountRejected(class string, _ bool) { s.turned <- class }
+func (s torn) Find(req *http.Request, _ string) (Route, error) {
+	return Route{Service: s, Target: req.RequestURI}, nil
 }
-func (torn) Take(inv *message.Invocation) uint64 {
-	go io.Copy(io.Discard, inv.Request.Rest)
+func (torn) Accept(inv *message.Request) uint64 {
+	go io.Copy(io.Discard, inv.Outgoing.Stream)
 	return 1
 }
-func (torn) Leave(uint64) bool { return true } // and books its end
+func (torn) ClientLeft(uint64) bool { return true } // and books its end
 
 // An upload that breaks off is booked as an invocation's end where it was taken; the
 // front, which tells the consumer, must not book it too.
@@ -228,7 +228,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	service := torn{prompt{Names{Classes: []string{"burn"}, Deadlines: []time.Duration{time.Second}, Effects: []balancer.Effect{balancer.Unsafe}}}, make(chan string, 4)}
+	service := torn{prompt{PoolClasses{Classes: []string{"burn"}, Deadlines: []time.Duration{time.Second}, Effects: []balancer.Effect{balancer.Unsafe}}}, make(chan string, 4)}
 	ctx, stop := context.WithCancel(context.Background())
 	over := make(chan error)
 	go func() { over <- s.Serve(ctx, service) }()
--- a/downstream/stream.go
+++ b/downstream/stream.go
@@ -77,8 +77,8 @@
 	return n, err
 }
 
-// Spent tells whether any of it has been read.
-func (u *upload) Spent() bool {
+// Consumed tells whether any of it has been read.
+func (u *upload) Consumed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.spent
@@ -143,10 +143,10 @@
 
 // stream writes an answer whose body is still coming.
 func (c *conn) stream(code int, r *message.Response, closes bool) bool {
-	chunked := r.Length == message.Unknown && !c.old
+	chunked := r.Length == message.UnknownLength && !c.old
 	c.nc.SetReadDeadline(time.Time{}) // it may take longer than the consumer would have waited for its beginning
 	whole := c.write(head(code, r.Length, c.old, r.Header, 0, closes), nil) &&
-		(r.Body.Len() == 0 || c.part(r.Body.AppendTo(nil), chunked)) && c.pass(r.Rest, chunked)
+		(r.Body.Len() == 0 || c.part(r.Body.AppendTo(nil), chunked)) && c.pass(r.Stream, chunked)
 	if !whole && c.old {
 		c.nc.SetLinger(0) // a plain end would say that this was all
 	}
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -9,42 +9,42 @@
 
 // Plan says when each phase of an emptying begins, counted from its word.
 type Plan struct {
-	Stays         bool          // only this door closes, the process stays: nobody is killed
-	Ready         bool          // "/ready" goes on saying yes: another process of this proxy serves on
-	Last          time.Duration // answers close their connections
-	Close         time.Duration // and idle ones go
-	Refuse        time.Duration // what comes is refused at once
-	StopAccepting time.Duration // no connection is accepted any more
+	KeepsProcess       bool          // only this door closes, the process stays: nobody is killed
+	Ready              bool          // "/ready" goes on saying yes: another process of this proxy serves on
+	CloseAfterResponse time.Duration // answers close their connections
+	CloseIdle          time.Duration // and idle ones go
+	Reject             time.Duration // what comes is refused at once
+	StopAccepting      time.Duration // no connection is accepted any more
 }
 
-// ByHand is the plan of a drain that staff have ordered: the front goes on for
+// Manual is the plan of a drain that staff have ordered: the front goes on for
 // up to 0.3 s, and 4 s after the word nothing may be left that came in the last 2 s.
-func ByHand() Plan {
-	return Plan{Last: 500 * time.Millisecond, Close: 500 * time.Millisecond, Refuse: 1500 * time.Millisecond, StopAccepting: Never}
+func Manual() Plan {
+	return Plan{CloseAfterResponse: 500 * time.Millisecond, CloseIdle: 500 * time.Millisecond, Reject: 1500 * time.Millisecond, StopAccepting: Never}
 }
 
-// Ending is the plan of a process that ends and is killed after so long at the
+// Shutdown is the plan of a process that ends and is killed after so long at the
 // earliest: connections keep arriving for up to 0.4 s, and those that it has are
 // served for half of its time, as there may be nobody else.
-func Ending(killed time.Duration) Plan {
-	return Plan{Last: killed / 2, Close: killed / 2, Refuse: Never, StopAccepting: 550 * time.Millisecond}
+func Shutdown(killed time.Duration) Plan {
+	return Plan{CloseAfterResponse: killed / 2, CloseIdle: killed / 2, Reject: Never, StopAccepting: 550 * time.Millisecond}
 }
 
 // Handover is the plan of a process whose successor serves already: it hears
 // only who was about to connect to it, and each answer leads its consumer over.
 func Handover() Plan {
-	return Plan{Ready: true, StopAccepting: 50 * time.Millisecond, Close: 1200 * time.Millisecond, Refuse: Never}
+	return Plan{Ready: true, StopAccepting: 50 * time.Millisecond, CloseIdle: 1200 * time.Millisecond, Reject: Never}
 }
 
 // Phase is what holds at one moment.
-type Phase struct{ Ready, Last, Closing, Refusing, StopAccepting bool }
+type Phase struct{ Ready, ClosesAfterResponse, ClosesIdle, Rejects, StopsAccepting bool }
 
 // At returns what holds so long after the word.
 func (p Plan) At(since time.Duration) Phase {
-	return Phase{Ready: p.Ready, Last: since >= p.Last, Closing: since >= p.Close, Refusing: since >= p.Refuse, StopAccepting: since >= p.StopAccepting}
+	return Phase{Ready: p.Ready, ClosesAfterResponse: since >= p.CloseAfterResponse, ClosesIdle: since >= p.CloseIdle, Rejects: since >= p.Reject, StopsAccepting: since >= p.StopAccepting}
 }
 
-// Both is what holds while two plans do.
-func Both(a, b Phase) Phase {
-	return Phase{Ready: a.Ready && b.Ready, Last: a.Last || b.Last, Closing: a.Closing || b.Closing, Refusing: a.Refusing || b.Refusing, StopAccepting: a.StopAccepting || b.StopAccepting}
+// Combine is what holds while two plans do.
+func Combine(a, b Phase) Phase {
+	return Phase{Ready: a.Ready && b.Ready, ClosesAfterResponse: a.ClosesAfterResponse || b.ClosesAfterResponse, ClosesIdle: a.ClosesIdle || b.ClosesIdle, Rejects: a.Rejects || b.Rejects, StopsAccepting: a.StopsAccepting || b.StopsAccepting}
 }
--- a/fairshare/budget.go
+++ b/fairshare/budget.go
@@ -20,13 +20,13 @@
 type Claim struct {
 	Guarantee int     // its own at all times; 0 or more
 	Weight    float64 // its part of the rest against others'; 0 borrows nothing
-	Most      int     // its allowance never exceeds this; 0 is no bound
+	Max       int     // its allowance never exceeds this; 0 is no bound
 }
 
-// Share divides an amount by weighted max-min fairness: nobody gets more than it
+// Divide divides an amount by weighted max-min fairness: nobody gets more than it
 // wants, and nobody could get more without taking from one who has less for its
 // weight. Parts are whole; what rounding leaves goes to the first in line.
-func Share(amount int, wants []int, weights []float64) []int {
+func Divide(amount int, wants []int, weights []float64) []int {
 	parts := make([]int, len(wants))
 	if amount <= 0 {
 		return parts
@@ -113,8 +113,8 @@
 	}
 	for name, c := range claims {
 		c.Guarantee = max(c.Guarantee, 0)
-		if c.Most > 0 {
-			c.Most = max(c.Most, c.Guarantee)
+		if c.Max > 0 {
+			c.Max = max(c.Max, c.Guarantee)
 		}
 		if p := l.pools[name]; p != nil {
 			p.claim, p.leaving = c, false
@@ -142,18 +142,18 @@
 		p, u := l.pools[name], usage[name]
 		rest -= p.claim.Guarantee
 		want := u.Used + u.Wanted
-		if p.claim.Most > 0 {
-			want = min(want, p.claim.Most)
+		if p.claim.Max > 0 {
+			want = min(want, p.claim.Max)
 		}
 		wants, weights = append(wants, max(want-p.claim.Guarantee, 0)), append(weights, p.claim.Weight)
 	}
-	lent := Share(rest, wants, weights)
+	lent := Divide(rest, wants, weights)
 	// What nobody wants now is spread as well, or the first who wants it would wait a step.
 	spare := rest
 	for _, n := range lent {
 		spare -= n
 	}
-	for i, n := range Share(spare, headroom(l, names, lent, spare), weights) {
+	for i, n := range Divide(spare, headroom(l, names, lent, spare), weights) {
 		lent[i] += n
 	}
 	out := make(map[string]int, len(names))
@@ -197,8 +197,8 @@
 	for i, name := range names {
 		p := l.pools[name]
 		room[i] = spare
-		if p.claim.Most > 0 {
-			room[i] = min(spare, max(p.claim.Most-p.claim.Guarantee-lent[i], 0))
+		if p.claim.Max > 0 {
+			room[i] = min(spare, max(p.claim.Max-p.claim.Guarantee-lent[i], 0))
 		}
 		if p.leaving {
 			room[i] = 0
@@ -221,21 +221,21 @@
 		c, u := claims[name], usage[name]
 		rest -= c.Guarantee
 		want, most := u.Used+u.Wanted, total
-		if c.Most > 0 {
-			most = max(c.Most, c.Guarantee)
+		if c.Max > 0 {
+			most = max(c.Max, c.Guarantee)
 		}
 		wants = append(wants, max(min(want, most)-c.Guarantee, 0))
 		room = append(room, max(most-c.Guarantee, 0))
 		weights = append(weights, c.Weight)
 	}
 	rest = max(rest, 0)
-	lent := Share(rest, wants, weights)
+	lent := Divide(rest, wants, weights)
 	for i := range lent {
 		rest -= lent[i]
 		room[i] = max(room[i]-lent[i], 0)
 	}
 	out := make(map[string]int, len(names))
-	for i, more := range Share(rest, room, weights) {
+	for i, more := range Divide(rest, room, weights) {
 		out[names[i]] = claims[names[i]].Guarantee + lent[i] + more
 	}
 	return out
--- a/fairshare/budget_test.go
+++ b/fairshare/budget_test.go
@@ -24,7 +24,7 @@
 		{"nothing", 0, []int{5}, []float64{1}, []int{0}},
 		{"nobody", 5, nil, nil, []int{}},
 	} {
-		if diff := cmp.Diff(tc.want, Share(tc.amount, tc.wants, tc.weights)); diff != "" {
+		if diff := cmp.Diff(tc.want, Divide(tc.amount, tc.wants, tc.weights)); diff != "" {
 			t.Errorf("%s: %s", tc.name, diff)
 		}
 	}
@@ -44,7 +44,7 @@
 			weights = append(weights, float64(rapid.IntRange(1, 4).Draw(t, "weight")))
 			all += wants[len(wants)-1]
 		}
-		parts := Share(amount, wants, weights)
+		parts := Divide(amount, wants, weights)
 		sum := 0
 		for i, p := range parts {
 			sum += p
@@ -77,7 +77,7 @@
 				g := rapid.IntRange(0, left/2).Draw(t, "guarantee")
 				left -= g
 				claims[fmt.Sprint(i)] = Claim{Guarantee: g, Weight: float64(rapid.IntRange(0, 3).Draw(t, "weight")),
-					Most: rapid.SampledFrom([]int{0, 5, 20}).Draw(t, "most")}
+					Max: rapid.SampledFrom([]int{0, 5, 20}).Draw(t, "most")}
 			}
 			return claims
 		}
@@ -183,7 +183,7 @@
 }
 
 func TestRatesAreDividedAnewInEachSpan(t *testing.T) {
-	claims := map[string]Claim{"calm": {Guarantee: 10, Weight: 1}, "flood": {Guarantee: 10, Weight: 1}, "most": {Weight: 1, Most: 5}}
+	claims := map[string]Claim{"calm": {Guarantee: 10, Weight: 1}, "flood": {Guarantee: 10, Weight: 1}, "most": {Weight: 1, Max: 5}}
 	for _, tc := range []struct {
 		name  string
 		usage map[string]Usage
--- a/fleet/codec/compatibility_test.go
+++ b/fleet/codec/compatibility_test.go
@@ -16,24 +16,24 @@
 
 // kinds are messages as members send them, in the order of their kinds.
 func kinds() []*membership.Message {
-	head := membership.Head{Name: "c1", Epoch: 1_700_000_000_000, Inc: 7, Status: membership.Alive, Tagged: 5}
-	other := membership.Record{Head: membership.Head{Name: "c2", Epoch: 1_700_000_000_001, Inc: 3, Status: membership.Suspect, Tagged: 2}, By: "c1"}
-	whole := membership.Record{Head: membership.Head{Name: "c3", Epoch: 1_700_000_000_002, Inc: 9, Status: membership.Left, Tagged: 9}, By: "c3",
-		Tags: &membership.Tags{Address: "127.0.0.1:7400", Zone: "z1", Tier: 2, Pools: []string{"main", "more"}, Program: "v1", Settings: "0123456789abcdef", Phase: membership.Leaving,
-			Least: 1, Most: 1, Later: "\xa1\x18\x64\x65later"}}
+	head := membership.State{Name: "c1", Epoch: 1_700_000_000_000, Incarnation: 7, Status: membership.Alive, TagsIncarnation: 5}
+	other := membership.Record{State: membership.State{Name: "c2", Epoch: 1_700_000_000_001, Incarnation: 3, Status: membership.Suspect, TagsIncarnation: 2}, ReportedBy: "c1"}
+	whole := membership.Record{State: membership.State{Name: "c3", Epoch: 1_700_000_000_002, Incarnation: 9, Status: membership.Left, TagsIncarnation: 9}, ReportedBy: "c3",
+		Tags: &membership.Tags{Address: "127.0.0.1:7400", Zone: "z1", Tier: 2, Pools: []string{"main", "more"}, ProgramVersion: "v1", SettingsHash: "0123456789abcdef", Phase: membership.Leaving,
+			MinLevel: 1, MaxLevel: 1, Unknown: "\xa1\x18\x64\x65later"}}
 	return []*membership.Message{
-		{Kind: membership.Ping, Seq: 1, From: head, Target: "c2", Digest: 0x1122334455667788, Counted: 0x99, News: []membership.Record{other}},
-		{Kind: membership.Ack, Seq: 1, From: head, Target: "c2", Digest: 1, News: []membership.Record{whole}},
+		{Kind: membership.Ping, Seq: 1, From: head, Target: "c2", Digest: 0x1122334455667788, ReplicaSetDigest: 0x99, Updates: []membership.Record{other}},
+		{Kind: membership.Ack, Seq: 1, From: head, Target: "c2", Digest: 1, Updates: []membership.Record{whole}},
 		{Kind: membership.PingReq, Seq: 2, From: head, Target: "c3"},
 		{Kind: membership.Nack, Seq: 2, From: head},
-		{Kind: membership.Gossip, From: head, News: []membership.Record{other, whole}},
-		{Kind: membership.Heads, From: head, Digest: 2, News: []membership.Record{{Head: other.Head}, {Head: whole.Head}}},
-		{Kind: membership.Delta, From: head, News: []membership.Record{whole}, Want: []string{"c2", "c4"}},
-		{Kind: membership.Rest, From: head, News: []membership.Record{whole, other}},
-		{Kind: membership.Shared, From: head, Target: "c2", Digest: 3, Counted: 4, Share: []byte("what is shared")},
-		{Kind: membership.Rolling, From: head, Target: "c2", Digest: 3, Counted: 4, Share: []byte("of a rollout")},
-		{Kind: membership.Fetch, From: head},
-		{Kind: membership.Fetched, From: head, Share: []byte("a state")},
+		{Kind: membership.Gossip, From: head, Updates: []membership.Record{other, whole}},
+		{Kind: membership.SyncRequest, From: head, Digest: 2, Updates: []membership.Record{{State: other.State}, {State: whole.State}}},
+		{Kind: membership.SyncResponse, From: head, Updates: []membership.Record{whole}, Requested: []string{"c2", "c4"}},
+		{Kind: membership.SyncFinal, From: head, Updates: []membership.Record{whole, other}},
+		{Kind: membership.StateSync, From: head, Target: "c2", Digest: 3, ReplicaSetDigest: 4, Payload: []byte("what is shared")},
+		{Kind: membership.Rollout, From: head, Target: "c2", Digest: 3, ReplicaSetDigest: 4, Payload: []byte("of a rollout")},
+		{Kind: membership.RolloutFetch, From: head},
+		{Kind: membership.RolloutState, From: head, Payload: []byte("a state")},
 	}
 }
 
@@ -79,7 +79,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := reader.Decode(text, MaxPiece)
+		got, err := reader.Decode(text, MaxSyncMessage)
 		if err != nil || !reflect.DeepEqual(got, m) {
 			t.Errorf("kind %d: %v\n%+v\n%+v", m.Kind, err, got, m)
 		}
@@ -91,11 +91,11 @@
 
 // The levels and the names of faults are told to other programs and to operators.
 func TestRecordedLevelsAndFaults(t *testing.T) {
-	if Version != 1 || LeastLevel != 1 || Level != 1 || MaxDatagram != 1200 {
-		t.Errorf("version %d, levels %d to %d, datagrams of %d bytes", Version, LeastLevel, Level, MaxDatagram)
+	if Version != 1 || MinLevel != 1 || MaxLevel != 1 || MaxDatagram != 1200 {
+		t.Errorf("version %d, levels %d to %d, datagrams of %d bytes", Version, MinLevel, MaxLevel, MaxDatagram)
 	}
 	names := []string{"of another version", "of another fleet", "by a key that is not known", "its code does not fit", "torn", "too large", "seen before"}
-	for i, err := range Faults {
+	for i, err := range Errors {
 		if err.Error() != names[i] {
 			t.Errorf("fault %d is %q, and was %q", i, err, names[i])
 		}
--- a/fleet/codec/frame.go
+++ b/fleet/codec/frame.go
@@ -30,10 +30,10 @@
 
 // Bounds and form of a frame.
 const (
-	Version     = 1
-	MaxDatagram = 1200    // bytes: under the least MTU that is met in practice
-	MaxPiece    = 2 << 20 // bytes of one message of an exchange: a view of 8,192 members
-	LeastKey    = 16      // bytes of a key
+	Version        = 1
+	MaxDatagram    = 1200    // bytes: under the least MTU that is met in practice
+	MaxSyncMessage = 2 << 20 // bytes of one message of an exchange: a view of 8,192 members
+	MinKey         = 16      // bytes of a key
 
 	header = 14
 	code   = 16
@@ -41,17 +41,17 @@
 
 // What can be wrong with a frame.
 var (
-	ErrVersion = errors.New("of another version")
-	ErrFleet   = errors.New("of another fleet")
-	ErrKey     = errors.New("by a key that is not known")
-	ErrCode    = errors.New("its code does not fit")
-	ErrTorn    = errors.New("torn")
-	ErrLarge   = errors.New("too large")
-	ErrAgain   = errors.New("seen before")
+	ErrVersion        = errors.New("of another version")
+	ErrFleet          = errors.New("of another fleet")
+	ErrKey            = errors.New("by a key that is not known")
+	ErrAuthentication = errors.New("its code does not fit")
+	ErrMalformed      = errors.New("torn")
+	ErrLarge          = errors.New("too large")
+	ErrReplayed       = errors.New("seen before")
 )
 
-// Faults are all of them, in the order in which they are told.
-var Faults = []error{ErrVersion, ErrFleet, ErrKey, ErrCode, ErrTorn, ErrLarge, ErrAgain}
+// Errors are all of them, in the order in which they are told.
+var Errors = []error{ErrVersion, ErrFleet, ErrKey, ErrAuthentication, ErrMalformed, ErrLarge, ErrReplayed}
 
 // Codec writes and reads the frames of one fleet. What it writes is numbered, so it
 // is not safe for concurrent use.
@@ -74,7 +74,7 @@
 	c := &Codec{fleet: fleet, keys: map[byte][]byte{}, seen: map[string]*window{}}
 	sum := sha256.Sum256([]byte(fleet))
 	copy(c.short[:], sum[:])
-	if err := c.Keys(keys); err != nil {
+	if err := c.SetKeys(keys); err != nil {
 		return nil, err
 	}
 	var err error
@@ -85,12 +85,12 @@
 	return c, err
 }
 
-// Keys puts other keys in the place of those that hold.
-func (c *Codec) Keys(keys [][]byte) error {
+// SetKeys puts other keys in the place of those that hold.
+func (c *Codec) SetKeys(keys [][]byte) error {
 	next := map[byte][]byte{}
 	for i, k := range keys {
-		if len(k) < LeastKey {
-			return fmt.Errorf("key %d has %d bytes, and %d are the least", i, len(k), LeastKey)
+		if len(k) < MinKey {
+			return fmt.Errorf("key %d has %d bytes, and %d are the least", i, len(k), MinKey)
 		}
 		if _, twice := next[keyID(k)]; twice {
 			return fmt.Errorf("key %d can't be told from another: make another one", i)
@@ -144,13 +144,13 @@
 
 // tags writes what a member says of itself, and what it says that is not known here.
 func (c *Codec) tags(t *membership.Tags) (cbor.RawMessage, error) {
-	text, err := c.enc.Marshal(wireTags{Address: t.Address, Zone: t.Zone, Tier: t.Tier, Pools: t.Pools, Program: t.Program, Settings: t.Settings, Phase: uint8(t.Phase),
-		Least: t.Least, Most: t.Most})
-	if err != nil || len(t.Later) == 0 {
+	text, err := c.enc.Marshal(wireTags{Address: t.Address, Zone: t.Zone, Tier: t.Tier, Pools: t.Pools, Program: t.ProgramVersion, Settings: t.SettingsHash, Phase: uint8(t.Phase),
+		Least: t.MinLevel, Most: t.MaxLevel})
+	if err != nil || len(t.Unknown) == 0 {
 		return text, err
 	}
 	all := map[uint64]cbor.RawMessage{}
-	if err := errors.Join(c.dec.Unmarshal([]byte(t.Later), &all), c.dec.Unmarshal(text, &all)); err != nil {
+	if err := errors.Join(c.dec.Unmarshal([]byte(t.Unknown), &all), c.dec.Unmarshal(text, &all)); err != nil {
 		return text, nil // what was not understood is no reason to say nothing
 	}
 	return c.enc.Marshal(all)
@@ -161,8 +161,8 @@
 	if err := c.dec.Unmarshal(text, &w); err != nil {
 		return nil, err
 	}
-	t := &membership.Tags{Address: w.Address, Zone: w.Zone, Tier: w.Tier, Pools: w.Pools, Program: w.Program, Settings: w.Settings, Phase: membership.Phase(w.Phase),
-		Least: w.Least, Most: w.Most}
+	t := &membership.Tags{Address: w.Address, Zone: w.Zone, Tier: w.Tier, Pools: w.Pools, ProgramVersion: w.Program, SettingsHash: w.Settings, Phase: membership.Phase(w.Phase),
+		MinLevel: w.Least, MaxLevel: w.Most}
 	all := map[uint64]cbor.RawMessage{}
 	if err := c.dec.Unmarshal(text, &all); err != nil {
 		return nil, err
@@ -174,15 +174,15 @@
 	}
 	if len(all) > 0 {
 		later, err := c.enc.Marshal(all)
-		if err == nil && len(later) <= membership.MaxLater {
-			t.Later = string(later)
+		if err == nil && len(later) <= membership.MaxUnknown {
+			t.Unknown = string(later)
 		}
 	}
 	return t, nil
 }
 
 func (c *Codec) toWire(r *membership.Record) (w wireRecord, err error) {
-	w = wireRecord{Name: r.Name, Epoch: r.Epoch, Inc: r.Inc, Status: uint8(r.Status), Tagged: r.Tagged, By: r.By}
+	w = wireRecord{Name: r.Name, Epoch: r.Epoch, Inc: r.Incarnation, Status: uint8(r.Status), Tagged: r.TagsIncarnation, By: r.ReportedBy}
 	if r.Tags != nil {
 		w.Tags, err = c.tags(r.Tags)
 	}
@@ -190,7 +190,7 @@
 }
 
 func (c *Codec) fromWire(w *wireRecord) (r membership.Record, err error) {
-	r = membership.Record{Head: membership.Head{Name: w.Name, Epoch: w.Epoch, Inc: w.Inc, Status: membership.Status(w.Status), Tagged: w.Tagged}, By: w.By}
+	r = membership.Record{State: membership.State{Name: w.Name, Epoch: w.Epoch, Incarnation: w.Inc, Status: membership.Status(w.Status), TagsIncarnation: w.Tagged}, ReportedBy: w.By}
 	if len(w.Tags) > 0 {
 		r.Tags, err = c.readTags(w.Tags)
 	}
@@ -199,13 +199,13 @@
 
 // Encode makes a frame of a message.
 func (c *Codec) Encode(m *membership.Message) ([]byte, error) {
-	w := wireMessage{Kind: uint8(m.Kind), Seq: m.Seq, Target: m.Target, Digest: m.Digest, Counted: m.Counted, Want: m.Want, Share: m.Share}
+	w := wireMessage{Kind: uint8(m.Kind), Seq: m.Seq, Target: m.Target, Digest: m.Digest, Counted: m.ReplicaSetDigest, Want: m.Requested, Share: m.Payload}
 	var err error
-	if w.From, err = c.toWire(&membership.Record{Head: m.From}); err != nil {
+	if w.From, err = c.toWire(&membership.Record{State: m.From}); err != nil {
 		return nil, err
 	}
-	for i := range m.News {
-		r, err := c.toWire(&m.News[i])
+	for i := range m.Updates {
+		r, err := c.toWire(&m.Updates[i])
 		if err != nil {
 			return nil, err
 		}
@@ -237,7 +237,7 @@
 	case len(text) > most:
 		return nil, ErrLarge
 	case len(text) < header+code:
-		return nil, ErrTorn
+		return nil, ErrMalformed
 	case text[0] != Version:
 		return nil, ErrVersion
 	case [4]byte(text[1:5]) != c.short:
@@ -249,23 +249,23 @@
 	}
 	end := len(text) - code
 	if !hmac.Equal(text[end:], c.code(key, text[:end])) {
-		return nil, ErrCode
+		return nil, ErrAuthentication
 	}
 	var w wireMessage
 	if err := c.dec.Unmarshal(text[header:end], &w); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrTorn, err)
+		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
-	m := &membership.Message{Kind: membership.MessageKind(w.Kind), Seq: w.Seq, Target: w.Target, Digest: w.Digest, Counted: w.Counted, Want: w.Want, Share: w.Share}
+	m := &membership.Message{Kind: membership.MessageKind(w.Kind), Seq: w.Seq, Target: w.Target, Digest: w.Digest, ReplicaSetDigest: w.Counted, Requested: w.Want, Payload: w.Share}
 	from, err := c.fromWire(&w.From)
 	for i := range w.News {
 		r, bad := c.fromWire(&w.News[i])
-		m.News, err = append(m.News, r), errors.Join(err, bad)
+		m.Updates, err = append(m.Updates, r), errors.Join(err, bad)
 	}
-	if m.From = from.Head; err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrTorn, err)
+	if m.From = from.State; err != nil {
+		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
 	if !c.fresh(m.From.Name, m.From.Epoch, binary.BigEndian.Uint64(text[6:])) {
-		return nil, ErrAgain
+		return nil, ErrReplayed
 	}
 	return m, nil
 }
--- a/fleet/codec/frame_test.go
+++ b/fleet/codec/frame_test.go
@@ -35,15 +35,15 @@
 	for range 4 {
 		pools = append(pools, long)
 	}
-	tags := &membership.Tags{Address: long, Zone: long, Tier: 3, Pools: pools, Program: long, Settings: long, Phase: membership.Draining}
-	h := membership.Head{Name: long, Epoch: 1 << 60, Inc: 1 << 29, Status: membership.Suspect, Tagged: 1 << 28}
-	return &membership.Message{Kind: membership.Ping, Seq: 1 << 31, From: h, Target: long, Digest: 1 << 63, Counted: 1 << 62, News: []membership.Record{{Head: h, Tags: tags, By: long}}}
+	tags := &membership.Tags{Address: long, Zone: long, Tier: 3, Pools: pools, ProgramVersion: long, SettingsHash: long, Phase: membership.Draining}
+	h := membership.State{Name: long, Epoch: 1 << 60, Incarnation: 1 << 29, Status: membership.Suspect, TagsIncarnation: 1 << 28}
+	return &membership.Message{Kind: membership.Ping, Seq: 1 << 31, From: h, Target: long, Digest: 1 << 63, ReplicaSetDigest: 1 << 62, Updates: []membership.Record{{State: h, Tags: tags, ReportedBy: long}}}
 }
 
 func TestWhatIsWrittenIsRead(t *testing.T) {
 	a, b := codec(t, "f", key1), codec(t, "f", key2, key1)
-	for _, m := range []*membership.Message{{Kind: membership.Ack, From: membership.Head{Name: "a", Epoch: 1, Status: membership.Alive}}, full(),
-		{Kind: membership.Delta, From: membership.Head{Name: "a", Epoch: 1}, Want: []string{"x", "y"}}} {
+	for _, m := range []*membership.Message{{Kind: membership.Ack, From: membership.State{Name: "a", Epoch: 1, Status: membership.Alive}}, full(),
+		{Kind: membership.SyncResponse, From: membership.State{Name: "a", Epoch: 1}, Requested: []string{"x", "y"}}} {
 		text, err := a.Encode(m)
 		if err != nil || len(text) > MaxDatagram {
 			t.Fatalf("%d bytes, %v", len(text), err)
@@ -52,17 +52,17 @@
 		if err != nil || !reflect.DeepEqual(got, m) {
 			t.Errorf("%v\n%+v\n%+v", err, got, m)
 		}
-		if _, err := b.Decode(text, MaxDatagram); !errors.Is(err, ErrAgain) {
+		if _, err := b.Decode(text, MaxDatagram); !errors.Is(err, ErrReplayed) {
 			t.Errorf("a second time: %v", err)
 		}
 	}
 	// The size by which news is packed is never less than what it takes.
 	one, more := full(), full()
-	more.News = append(more.News, more.News[0])
+	more.Updates = append(more.Updates, more.Updates[0])
 	x, _ := a.Encode(one)
 	y, _ := a.Encode(more)
-	if grown := len(y) - len(x); grown > one.News[0].Size() {
-		t.Errorf("a record takes %d bytes and is taken for %d", grown, one.News[0].Size())
+	if grown := len(y) - len(x); grown > one.Updates[0].Size() {
+		t.Errorf("a record takes %d bytes and is taken for %d", grown, one.Updates[0].Size())
 	}
 }
 
@@ -74,8 +74,8 @@
 	for name, tc := range map[string]struct {
 		text []byte
 		want error
-	}{"nothing": {nil, ErrTorn}, "cut": {good[:len(good)-1], ErrCode}, "version": {change(0), ErrVersion}, "fleet": {other, ErrFleet}, "key": {stranger, ErrKey},
-		"changed": {change(40), ErrCode}, "number": {change(12), ErrCode}, "code": {change(len(good) - 1), ErrCode}, "large": {make([]byte, MaxDatagram+1), ErrLarge}} {
+	}{"nothing": {nil, ErrMalformed}, "cut": {good[:len(good)-1], ErrAuthentication}, "version": {change(0), ErrVersion}, "fleet": {other, ErrFleet}, "key": {stranger, ErrKey},
+		"changed": {change(40), ErrAuthentication}, "number": {change(12), ErrAuthentication}, "code": {change(len(good) - 1), ErrAuthentication}, "large": {make([]byte, MaxDatagram+1), ErrLarge}} {
 		if _, err := codec(t, "f", key1).Decode(tc.text, MaxDatagram); !errors.Is(err, tc.want) {
 			t.Errorf("%s: %v, want %v", name, err, tc.want)
 		}
@@ -126,7 +126,7 @@
 			end := len(text) - code
 			copy(text[end:], c.code(c.keys[c.sign], text[:end]))
 			if m, err := c.Decode(text, MaxDatagram); err == nil {
-				membership.New(membership.Config{Name: "x"}).Handle(0, membership.Event{Kind: membership.Heard, Message: m}, nil)
+				membership.New(membership.Config{Name: "x"}).Handle(0, membership.Event{Kind: membership.MessageReceived, Message: m}, nil)
 			}
 		}
 	})
--- a/fleet/codec/level.go
+++ b/fleet/codec/level.go
@@ -7,15 +7,15 @@
 // that it speaks; what no two of a fleet have in common is refused before a rollout's
 // first stage.
 const (
-	LeastLevel = 1
-	Level      = 1
+	MinLevel = 1
+	MaxLevel = 1
 )
 
-// Later is what this build says of itself that Level 1 does not know.
-const Later = ""
+// UnknownTags is what this build says of itself that Level 1 does not know.
+const UnknownTags = ""
 
-// Note tells this build's version from others that are made of one tree.
-const Note = ""
+// VersionSuffix tells this build's version from others that are made of one tree.
+const VersionSuffix = ""
 
 // later is the message as it is written. The build of a later level, which tests
 // play beside this one, adds to it.
--- a/fleet/counter/tally.go
+++ b/fleet/counter/tally.go
@@ -15,11 +15,11 @@
 
 // Bounds.
 const (
-	MostKeys    = 64   // that one copy counts apart; what comes beyond counts as Other
-	MostMembers = 8192 // whose counts are kept
-	MostZones   = 256
-	paceMost    = 2.0 // by which a pace may have grown since it was told, in bounds
-	staleAfter  = 10 * time.Second
+	MaxKeys    = 64   // that one copy counts apart; what comes beyond counts as Other
+	MaxMembers = 8192 // whose counts are kept
+	MaxZones   = 256
+	paceMost   = 2.0 // by which a pace may have grown since it was told, in bounds
+	staleAfter = 10 * time.Second
 )
 
 // Key is what is counted apart.
@@ -50,8 +50,8 @@
 	return c.Arrivals < most && c.Served < most && c.Refused < most && c.Failed < most && c.InFlight >= 0 && c.InFlight < 1<<32
 }
 
-// Item is what one copy says of itself, or of its zone.
-type Item struct {
+// Update is what one copy says of itself, or of its zone.
+type Update struct {
 	Name    string // of the copy; of the zone's speaker if Zone is given
 	Epoch   uint64
 	Version uint64 // grows with each that the process makes
@@ -63,14 +63,14 @@
 
 // entry is the newest item of one speaker.
 type entry struct {
-	Item
+	Update
 	at       time.Duration // when it came, less the age that it had
 	before   map[Key]Counts
 	beforeAt time.Duration
 }
 
-// Tally is one copy's knowledge. It is not safe for concurrent use.
-type Tally struct {
+// Set is one copy's knowledge. It is not safe for concurrent use.
+type Set struct {
 	name, zone string
 	epoch      uint64
 	version    uint64
@@ -79,18 +79,18 @@
 	members    map[string]*entry
 	zones      map[string]*entry
 	gone       map[string]uint64 // the newest start of each that is over: older ones never come back
-	Bad        uint64
+	Invalid    uint64
 }
 
 // New returns a tally of a copy in a zone.
-func New(name, zone string, epoch uint64) *Tally {
-	return &Tally{name: name, zone: zone, epoch: epoch, own: map[Key]Counts{}, members: map[string]*entry{}, zones: map[string]*entry{}, gone: map[string]uint64{}}
+func New(name, zone string, epoch uint64) *Set {
+	return &Set{name: name, zone: zone, epoch: epoch, own: map[Key]Counts{}, members: map[string]*entry{}, zones: map[string]*entry{}, gone: map[string]uint64{}}
 }
 
-// Count sets what this copy counts of a key.
-func (t *Tally) Count(now time.Duration, k Key, c Counts) {
+// Record sets what this copy counts of a key.
+func (t *Set) Record(now time.Duration, k Key, c Counts) {
 	t.now = max(t.now, now)
-	if _, known := t.own[k]; !known && len(t.own) >= MostKeys {
+	if _, known := t.own[k]; !known && len(t.own) >= MaxKeys {
 		k = other
 		sum := t.own[k]
 		sum.add(c)
@@ -101,28 +101,28 @@
 	t.own[k] = before
 }
 
-// Own is what this copy says of itself next.
-func (t *Tally) Own(now time.Duration) Item {
+// LocalUpdate is what this copy says of itself next.
+func (t *Set) LocalUpdate(now time.Duration) Update {
 	t.now = max(t.now, now)
 	t.version++
 	counts := make(map[Key]Counts, len(t.own))
 	for k, c := range t.own {
 		counts[k] = c
 	}
-	return Item{Name: t.name, Epoch: t.epoch, Version: t.version, Counts: counts}
+	return Update{Name: t.name, Epoch: t.epoch, Version: t.version, Counts: counts}
 }
 
-// OfZone is the sum over those of this copy's zone that are named, for copies of
+// ZoneUpdate is the sum over those of this copy's zone that are named, for copies of
 // other zones: one speaker for a zone is enough, and what is lost by it is who counted
 // what, and as much time as a message takes more.
-func (t *Tally) OfZone(now time.Duration, names []string) Item {
+func (t *Set) ZoneUpdate(now time.Duration, names []string) Update {
 	t.now = max(t.now, now)
 	t.version++
-	item := Item{Name: t.name, Epoch: t.epoch, Version: t.version, Zone: t.zone, Counts: map[Key]Counts{}}
+	item := Update{Name: t.name, Epoch: t.epoch, Version: t.version, Zone: t.zone, Counts: map[Key]Counts{}}
 	add := func(counts map[Key]Counts) {
 		item.Members++
 		for k, c := range counts {
-			if _, known := item.Counts[k]; !known && len(item.Counts) >= MostKeys {
+			if _, known := item.Counts[k]; !known && len(item.Counts) >= MaxKeys {
 				k = other
 			}
 			sum := item.Counts[k]
@@ -141,25 +141,25 @@
 }
 
 // Merge takes an item in, and tells whether it was news.
-func (t *Tally) Merge(now time.Duration, item Item) bool {
+func (t *Set) Merge(now time.Duration, item Update) bool {
 	t.now = max(t.now, now)
-	bad := item.Name == "" || len(item.Counts) > MostKeys+1 || item.AgeMS < 0 || item.AgeMS > 1e9 || item.Members < 0
+	bad := item.Name == "" || len(item.Counts) > MaxKeys+1 || item.AgeMS < 0 || item.AgeMS > 1e9 || item.Members < 0
 	for _, c := range item.Counts {
 		bad = bad || !c.sound()
 	}
 	if bad {
-		t.Bad++
+		t.Invalid++
 		return false
 	}
 	if item.Epoch < t.gone[item.Name] || item.Name == t.name {
 		return false
 	}
-	all, key, most := t.members, item.Name, MostMembers
+	all, key, most := t.members, item.Name, MaxMembers
 	if item.Zone != "" {
 		if item.Zone == t.zone {
 			return false // one's own zone is known copy by copy
 		}
-		all, key, most = t.zones, item.Zone, MostZones
+		all, key, most = t.zones, item.Zone, MaxZones
 	}
 	e := all[key]
 	switch {
@@ -192,17 +192,17 @@
 	} else {
 		e.before = nil
 	}
-	e.Item, e.at = item, at
+	e.Update, e.at = item, at
 	return true
 }
 
-// Over says that starts of a copy up to an epoch are over: they left, or another
+// Expire says that starts of a copy up to an epoch are over: they left, or another
 // followed. What they counted goes, and nothing of them comes back.
-func (t *Tally) Over(name string, epoch uint64) {
+func (t *Set) Expire(name string, epoch uint64) {
 	if epoch++; epoch <= t.gone[name] {
 		return
 	}
-	if len(t.gone) >= 4*MostMembers {
+	if len(t.gone) >= 4*MaxMembers {
 		clear(t.gone)
 	}
 	t.gone[name] = epoch
@@ -218,15 +218,15 @@
 
 // Value is a figure with what it is worth.
 type Value struct {
-	N           float64
-	Least, Most float64
-	Age         time.Duration // of the oldest part
-	Parts       int           // copies in it
-	Stale       bool          // a part is too old to go by
+	Estimate     float64
+	Lower, Upper float64
+	Age          time.Duration // of the oldest part
+	Replicas     int           // copies in it
+	Stale        bool          // a part is too old to go by
 }
 
 // Sum adds up over all copies what pick takes of the counts of keys that match.
-func (t *Tally) Sum(now time.Duration, match func(Key) bool, pick func(Counts) float64) (v Value) {
+func (t *Set) Sum(now time.Duration, match func(Key) bool, pick func(Counts) float64) (v Value) {
 	t.now = max(t.now, now)
 	add := func(counts map[Key]Counts) (n float64) {
 		for k, c := range counts {
@@ -236,8 +236,8 @@
 		}
 		return n
 	}
-	v.N = add(t.own)
-	v.Least, v.Most, v.Parts = v.N, v.N, 1
+	v.Estimate = add(t.own)
+	v.Lower, v.Upper, v.Replicas = v.Estimate, v.Estimate, 1
 	part := func(e *entry) {
 		n := add(e.Counts)
 		age := t.now - e.at
@@ -247,12 +247,12 @@
 		} else if age > 0 {
 			pace = n // nothing is known of its pace: as much again in a second
 		}
-		v.N += n
-		v.Least += max(n-paceMost*pace*age.Seconds(), 0)
-		v.Most += n + paceMost*pace*age.Seconds()
+		v.Estimate += n
+		v.Lower += max(n-paceMost*pace*age.Seconds(), 0)
+		v.Upper += n + paceMost*pace*age.Seconds()
 		v.Age = max(v.Age, age)
 		v.Stale = v.Stale || age > staleAfter
-		v.Parts += max(e.Members, 1)
+		v.Replicas += max(e.Members, 1)
 	}
 	for _, e := range t.members {
 		part(e)
@@ -263,24 +263,24 @@
 	return v
 }
 
-// Line is what is known of one speaker, as people read it.
-type Line struct {
+// Source is what is known of one speaker, as people read it.
+type Source struct {
 	Name, Zone string
 	Members    int
 	Age        time.Duration
 	Counts     map[Key]Counts
 }
 
-// Lines are all speakers by zone and name.
-func (t *Tally) Lines(now time.Duration) []Line {
+// Sources are all speakers by zone and name.
+func (t *Set) Sources(now time.Duration) []Source {
 	t.now = max(t.now, now)
-	all := []Line{{t.name, "", 1, 0, t.own}}
+	all := []Source{{t.name, "", 1, 0, t.own}}
 	for _, e := range t.members {
-		all = append(all, Line{e.Name, "", 1, t.now - e.at, e.Counts})
+		all = append(all, Source{e.Name, "", 1, t.now - e.at, e.Counts})
 	}
 	for zone, e := range t.zones {
-		all = append(all, Line{e.Name, zone, e.Members, t.now - e.at, e.Counts})
+		all = append(all, Source{e.Name, zone, e.Members, t.now - e.at, e.Counts})
 	}
-	slices.SortFunc(all, func(a, b Line) int { return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name)) })
+	slices.SortFunc(all, func(a, b Source) int { return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name)) })
 	return all
 }
--- a/fleet/counter/tally_test.go
+++ b/fleet/counter/tally_test.go
@@ -14,13 +14,13 @@
 // What copies say is the same in whatever order it comes, however often, over three
 // ways; what is over never comes back.
 func TestOrderDoesNotMatter(t *testing.T) {
-	var items []Item
+	var items []Update
 	want := 0.0
 	for i := range 20 {
 		c := New(fmt.Sprint("c", i), "z", 1)
 		for n := range 5 {
-			c.Count(0, all, Counts{Arrivals: uint64(10*n + i)})
-			items = append(items, c.Own(0))
+			c.Record(0, all, Counts{Arrivals: uint64(10*n + i)})
+			items = append(items, c.LocalUpdate(0))
 		}
 		want += float64(40 + i)
 	}
@@ -33,17 +33,17 @@
 				r.Merge(0, it)
 			}
 		}
-		if v := r.Sum(0, nil, arrivals); v.N != want || v.Parts != 21 {
+		if v := r.Sum(0, nil, arrivals); v.Estimate != want || v.Replicas != 21 {
 			t.Fatalf("seed %d: %+v, want %v", seed, v, want)
 		}
-		r.Over("c3", 1)
+		r.Expire("c3", 1)
 		for _, it := range items {
 			r.Merge(0, it)
 		}
-		if v := r.Sum(0, nil, arrivals); v.N != want-43 {
+		if v := r.Sum(0, nil, arrivals); v.Estimate != want-43 {
 			t.Fatalf("seed %d: who left is back: %+v", seed, v)
 		}
-		if !r.Merge(0, Item{Name: "c3", Epoch: 2, Version: 1, Counts: map[Key]Counts{all: {Arrivals: 5}}}) {
+		if !r.Merge(0, Update{Name: "c3", Epoch: 2, Version: 1, Counts: map[Key]Counts{all: {Arrivals: 5}}}) {
 			t.Error("its next life does not count")
 		}
 	}
@@ -52,14 +52,14 @@
 // With a figure go its age and the bounds in which the truth lies.
 func TestAFigureHasAgeAndBounds(t *testing.T) {
 	a, r := New("a", "z", 1), New("r", "z", 1)
-	a.Count(0, all, Counts{Arrivals: 100})
-	r.Merge(0, a.Own(0))
-	a.Count(time.Second, all, Counts{Arrivals: 200})
-	r.Merge(time.Second, a.Own(time.Second))
+	a.Record(0, all, Counts{Arrivals: 100})
+	r.Merge(0, a.LocalUpdate(0))
+	a.Record(time.Second, all, Counts{Arrivals: 200})
+	r.Merge(time.Second, a.LocalUpdate(time.Second))
 	for _, after := range []time.Duration{time.Second, 3 * time.Second, 30 * time.Second} {
 		truth := 200 + 150*(after-time.Second).Seconds() // its pace grows by half
 		v := r.Sum(after, nil, arrivals)
-		if v.N != 200 || v.Age != after-time.Second || v.Most < truth || v.Least > truth || v.Stale != (after > 20*time.Second) {
+		if v.Estimate != 200 || v.Age != after-time.Second || v.Upper < truth || v.Lower > truth || v.Stale != (after > 20*time.Second) {
 			t.Errorf("after %v: %+v, the truth is %v", after, v, truth)
 		}
 	}
@@ -68,16 +68,16 @@
 // Nonsense counts for nothing, and there is a bound for keys.
 func TestNonsenseAndBounds(t *testing.T) {
 	r := New("r", "z", 1)
-	for _, it := range []Item{{Epoch: 1}, {Name: "a", Epoch: 1, Counts: map[Key]Counts{all: {InFlight: -4}}}, {Name: "a", Epoch: 1, Counts: map[Key]Counts{all: {Arrivals: 1 << 60}}},
+	for _, it := range []Update{{Epoch: 1}, {Name: "a", Epoch: 1, Counts: map[Key]Counts{all: {InFlight: -4}}}, {Name: "a", Epoch: 1, Counts: map[Key]Counts{all: {Arrivals: 1 << 60}}},
 		{Name: "a", Epoch: 1, AgeMS: -5}, {Name: "r", Epoch: 9, Version: 9}} {
 		if r.Merge(0, it) {
 			t.Errorf("taken: %+v", it)
 		}
 	}
-	for i := range 3 * MostKeys {
-		r.Count(0, Key{Tenant: fmt.Sprint(i)}, Counts{Arrivals: 1})
+	for i := range 3 * MaxKeys {
+		r.Record(0, Key{Tenant: fmt.Sprint(i)}, Counts{Arrivals: 1})
 	}
-	if it := r.Own(0); len(it.Counts) > MostKeys+1 || r.Sum(0, nil, arrivals).N != 3*MostKeys {
+	if it := r.LocalUpdate(0); len(it.Counts) > MaxKeys+1 || r.Sum(0, nil, arrivals).Estimate != 3*MaxKeys {
 		t.Errorf("%d keys, %v", len(it.Counts), r.Sum(0, nil, arrivals))
 	}
 }
@@ -85,19 +85,19 @@
 // Other zones are known by sums of theirs, from whoever has the younger figures.
 func TestZonesAreSums(t *testing.T) {
 	far, second := New("f1", "far", 1), New("f2", "far", 1)
-	far.Count(0, all, Counts{Arrivals: 10})
-	second.Count(0, all, Counts{Arrivals: 20})
-	far.Merge(0, second.Own(0))
+	far.Record(0, all, Counts{Arrivals: 10})
+	second.Record(0, all, Counts{Arrivals: 20})
+	far.Merge(0, second.LocalUpdate(0))
 	r := New("r", "near", 1)
-	if r.Merge(time.Second, far.OfZone(time.Second, []string{"f2"})); r.Sum(time.Second, nil, arrivals).N != 30 {
+	if r.Merge(time.Second, far.ZoneUpdate(time.Second, []string{"f2"})); r.Sum(time.Second, nil, arrivals).Estimate != 30 {
 		t.Error(r.Sum(time.Second, nil, arrivals))
 	}
-	old := second.OfZone(0, nil)
+	old := second.ZoneUpdate(0, nil)
 	old.AgeMS = 60_000
 	if r.Merge(time.Second, old) {
 		t.Error("older figures of the zone hold")
 	}
-	if v := r.Sum(3*time.Second, nil, arrivals); v.Age < 2*time.Second || v.Parts != 3 {
+	if v := r.Sum(3*time.Second, nil, arrivals); v.Age < 2*time.Second || v.Replicas != 3 {
 		t.Errorf("%+v", v)
 	}
 }
--- a/fleet/exchange.go
+++ b/fleet/exchange.go
@@ -45,27 +45,27 @@
 	defer func() { <-f.slots }()
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(exchangeTime))
-	heads, err := f.receive(conn, membership.Heads, membership.Fetch)
+	heads, err := f.receive(conn, membership.SyncRequest, membership.RolloutFetch)
 	if err != nil {
 		return
 	}
-	if heads.Kind == membership.Fetch {
+	if heads.Kind == membership.RolloutFetch {
 		f.answerFetch(conn)
 		return
 	}
 	f.mu.Lock()
 	f.figures.Exchanges++
-	replies := f.handle(membership.Event{Kind: membership.Asked, Message: heads})
+	replies := f.handle(membership.Event{Kind: membership.SyncRequested, Message: heads})
 	f.mu.Unlock()
 	if len(replies) == 0 || f.deliver(conn, replies[0]) != nil {
 		return
 	}
-	if len(replies[0].Want) == 0 {
+	if len(replies[0].Requested) == 0 {
 		return
 	}
-	if rest, err := f.receive(conn, membership.Rest); err == nil {
+	if rest, err := f.receive(conn, membership.SyncFinal); err == nil {
 		f.mu.Lock()
-		f.handle(membership.Event{Kind: membership.Finished, Message: rest})
+		f.handle(membership.Event{Kind: membership.SyncFinished, Message: rest})
 		f.mu.Unlock()
 	}
 }
@@ -76,7 +76,7 @@
 	broken := func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.handle(membership.Event{Kind: membership.Broken, Exchange: number})
+		f.handle(membership.Event{Kind: membership.SyncFailed, Exchange: number})
 	}
 	conn, err := net.DialTimeout("tcp", address, dialTime)
 	if err != nil {
@@ -89,15 +89,15 @@
 		broken()
 		return
 	}
-	delta, err := f.receive(conn, membership.Delta)
+	delta, err := f.receive(conn, membership.SyncResponse)
 	if err != nil {
 		broken()
 		return
 	}
 	f.mu.Lock()
-	replies := f.handle(membership.Event{Kind: membership.Answered, Message: delta, Exchange: number})
+	replies := f.handle(membership.Event{Kind: membership.SyncAnswered, Message: delta, Exchange: number})
 	f.mu.Unlock()
-	if len(replies) > 0 && len(delta.Want) > 0 {
+	if len(replies) > 0 && len(delta.Requested) > 0 {
 		f.deliver(conn, replies[0])
 	}
 }
@@ -111,7 +111,7 @@
 	if err != nil {
 		return err
 	}
-	if len(text) > codec.MaxPiece {
+	if len(text) > codec.MaxSyncMessage {
 		return codec.ErrLarge
 	}
 	_, err = w.Write(append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(text)), uint32(len(text))), text...))
@@ -126,12 +126,12 @@
 	}
 	n := int(binary.BigEndian.Uint32(size[:]))
 	f.mu.Lock()
-	f.figures.ExchangeBytes += uint64(min(n, codec.MaxPiece))
-	if n > codec.MaxPiece {
+	f.figures.ExchangeBytes += uint64(min(n, codec.MaxSyncMessage))
+	if n > codec.MaxSyncMessage {
 		f.bad(codec.ErrLarge, conn.RemoteAddr().String())
 	}
 	f.mu.Unlock()
-	if n > codec.MaxPiece {
+	if n > codec.MaxSyncMessage {
 		return nil, codec.ErrLarge
 	}
 	// No more memory than has come, whatever length was claimed.
@@ -141,9 +141,9 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m, err := f.codec.Decode(text, codec.MaxPiece)
+	m, err := f.codec.Decode(text, codec.MaxSyncMessage)
 	if err == nil && !slices.Contains(kinds, m.Kind) {
-		err = codec.ErrTorn
+		err = codec.ErrMalformed
 	}
 	if err != nil {
 		f.bad(err, conn.RemoteAddr().String())
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -41,29 +41,29 @@
 
 // Config is what a fleet's host is told.
 type Config struct {
-	Name      string            // of this copy; it stands once in the fleet
-	Fleet     string            // name of the fleet
-	Listen    string            // IP and port, for datagrams and exchanges
-	Advertise string            // where others reach it; empty is Listen
-	Seeds     []string          // addresses where somebody may be
-	Via       map[string]string // addresses by which this copy reaches others, by name, where they differ from what those say
-	Keys      [][]byte          // the first signs, all are taken
-	Remember  string            // file that keeps the members' addresses over a restart; empty is none
-	Copies    map[string]int    // by pool, that a person says there are: the floor of safety
-	Zone      string
-	Tier      int
-	Pools     []string
-	Program   string
-	Settings  string
-	Seed      uint64
-	Period    time.Duration // 0 is the default
-	Budget    int           // bytes a second; 0 is the default
-	Share     *Share        // what copies share; nil is nothing
+	Name             string            // of this copy; it stands once in the fleet
+	Fleet            string            // name of the fleet
+	Listen           string            // IP and port, for datagrams and exchanges
+	Advertise        string            // where others reach it; empty is Listen
+	Seeds            []string          // addresses where somebody may be
+	AddressOverrides map[string]string // addresses by which this copy reaches others, by name, where they differ from what those say
+	Keys             [][]byte          // the first signs, all are taken
+	StateFile        string            // file that keeps the members' addresses over a restart; empty is none
+	ReplicaCounts    map[string]int    // by pool, that a person says there are: the floor of safety
+	Zone             string
+	Tier             int
+	Pools            []string
+	ProgramVersion   string
+	SettingsHash     string
+	Seed             uint64
+	Period           time.Duration  // 0 is the default
+	BytesPerSecond   int            // bytes a second; 0 is the default
+	Sharing          *SharingConfig // what copies share; nil is nothing
 }
 
-// Places tells what follows for the proxy. It is called with every change and must
+// PositionsFunc tells what follows for the proxy. It is called with every change and must
 // not block.
-type Places func(places map[string]placement.Place)
+type PositionsFunc func(places map[string]placement.Position)
 
 // Fleet is a copy's host. Its methods are safe for concurrent use.
 type Fleet struct {
@@ -72,22 +72,22 @@
 	udp    *net.UDPConn
 	tcp    *net.TCPListener
 	start  time.Time
-	places Places
+	places PositionsFunc
 	slots  chan struct{} // of exchanges that others began
 	all    sync.WaitGroup
 
 	writing sync.Mutex // of the file
 
 	mu        sync.Mutex
-	feed      Feed
+	feed      Subject
 	roller    *roller
 	recalled  memory // of before the start
-	share     *statesync.Share
+	share     *statesync.Syncer
 	budgets   map[string]float64
 	zones     int
 	codec     *codec.Codec
-	member    *membership.Member
-	view      *placement.View
+	member    *membership.List
+	view      *placement.Tracker
 	tags      membership.Tags
 	actions   []membership.Action
 	timer     *time.Timer
@@ -95,7 +95,7 @@
 	ended     bool
 	phases    bool // departed
 	abandoned bool // to another process of this name
-	figures   Figures
+	figures   Stats
 	said      map[string]time.Time // when a kind of fault was logged last
 	credit    float64              // datagrams that may be read
 	creditAt  time.Time
@@ -109,8 +109,8 @@
 	keeping  bool
 }
 
-// Figures count what passed since the start.
-type Figures struct {
+// Stats count what passed since the start.
+type Stats struct {
 	FramesIn         uint64            `json:"FramesIn"`
 	FramesOut        uint64            `json:"FramesOut"`
 	BytesIn          uint64            `json:"BytesIn"`
@@ -118,12 +118,12 @@
 	Exchanges        uint64            `json:"Exchanges"` // that others began
 	ExchangesRefused uint64            `json:"ExchangesRefused"`
 	ExchangeBytes    uint64            `json:"ExchangeBytes"`
-	Bad              map[string]uint64 `json:"Bad"` // frames by what was wrong with them
+	Invalid          map[string]uint64 `json:"Bad"` // frames by what was wrong with them
 	Unsent           uint64            `json:"Unsent"`
 }
 
 // New opens the sockets of a fleet's host. Nobody is spoken to before Run.
-func New(cfg Config, log *slog.Logger, places Places) (*Fleet, error) {
+func New(cfg Config, log *slog.Logger, places PositionsFunc) (*Fleet, error) {
 	frames, err := codec.New(cfg.Fleet, cfg.Keys)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: key: %w", err)
@@ -142,17 +142,17 @@
 	}
 	now := time.Now()
 	f := &Fleet{cfg: cfg, log: log, udp: udp, tcp: tcp, start: now, places: places, codec: frames, slots: make(chan struct{}, mostExchanges),
-		said: map[string]time.Time{}, credit: mostBurst, creditAt: now, view: placement.New(cfg.Copies)}
-	f.figures.Bad = map[string]uint64{}
-	f.tags = membership.Tags{Address: cfg.Advertise, Zone: cfg.Zone, Tier: cfg.Tier, Pools: cfg.Pools, Program: cfg.Program, Settings: cfg.Settings, Phase: membership.Starting,
-		Least: codec.LeastLevel, Most: codec.Level, Later: codec.Later}
+		said: map[string]time.Time{}, credit: mostBurst, creditAt: now, view: placement.New(cfg.ReplicaCounts)}
+	f.figures.Invalid = map[string]uint64{}
+	f.tags = membership.Tags{Address: cfg.Advertise, Zone: cfg.Zone, Tier: cfg.Tier, Pools: cfg.Pools, ProgramVersion: cfg.ProgramVersion, SettingsHash: cfg.SettingsHash, Phase: membership.Starting,
+		MinLevel: codec.MinLevel, MaxLevel: codec.MaxLevel, Unknown: codec.UnknownTags}
 	known := f.remembered()
 	f.recalled = known
 	f.member = membership.New(membership.Config{Name: cfg.Name, Epoch: max(drawEpoch(now), known.Epoch+1), Seed: cfg.Seed ^ uint64(now.UnixNano()), Tags: f.tags,
-		Seeds: cfg.Seeds, Period: cfg.Period, Budget: cfg.Budget})
+		Seeds: cfg.Seeds, ProbeInterval: cfg.Period, GossipBytesPerSecond: cfg.BytesPerSecond})
 	f.knew = len(cfg.Seeds) == 0 || len(known.Members) > 0 && !known.Left
-	if f.member.Handle(0, membership.Event{Kind: membership.Recall, Records: known.Members}, nil); known.Sure {
-		f.view.Trust()
+	if f.member.Handle(0, membership.Event{Kind: membership.Restore, Records: known.Members}, nil); known.Sure {
+		f.view.RestoreConfirmed()
 	}
 	return f, f.startShare(known)
 }
@@ -198,10 +198,10 @@
 func (f *Fleet) Run(ctx context.Context) {
 	f.mu.Lock()
 	f.timer = time.AfterFunc(time.Hour, f.tick)
-	f.handle(membership.Event{Kind: membership.Retag, Tags: f.tags}) // what was said before there was anybody to hear it
-	f.handle(membership.Event{Kind: membership.Begin})
+	f.handle(membership.Event{Kind: membership.SetTags, Tags: f.tags}) // what was said before there was anybody to hear it
+	f.handle(membership.Event{Kind: membership.Start})
 	f.mu.Unlock()
-	f.log.Info("fleet", "fleet", f.cfg.Fleet, "copy", f.cfg.Name, "at", f.Address(), "known as", f.cfg.Advertise, "copies written", f.cfg.Copies)
+	f.log.Info("fleet", "fleet", f.cfg.Fleet, "copy", f.cfg.Name, "at", f.Address(), "known as", f.cfg.Advertise, "copies written", f.cfg.ReplicaCounts)
 	if f.share != nil {
 		f.all.Add(1)
 		go f.sharing(ctx)
@@ -228,7 +228,7 @@
 	abandoned := f.abandoned
 	f.phases = true
 	if !abandoned {
-		f.handle(membership.Event{Kind: membership.Depart})
+		f.handle(membership.Event{Kind: membership.Leave})
 	}
 	f.mu.Unlock()
 	if !abandoned {
@@ -242,18 +242,18 @@
 	f.all.Wait()
 }
 
-// Say changes what this copy says of itself: its phase, and the hash of its settings.
-func (f *Fleet) Say(phase membership.Phase, settings string) {
+// Announce changes what this copy says of itself: its phase, and the hash of its settings.
+func (f *Fleet) Announce(phase membership.Phase, settings string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if settings == "" {
-		settings = f.tags.Settings
+		settings = f.tags.SettingsHash
 	}
-	if f.tags.Phase == phase && f.tags.Settings == settings {
+	if f.tags.Phase == phase && f.tags.SettingsHash == settings {
 		return
 	}
-	if f.tags.Phase, f.tags.Settings = phase, settings; f.timer != nil && !f.phases {
-		f.handle(membership.Event{Kind: membership.Retag, Tags: f.tags})
+	if f.tags.Phase, f.tags.SettingsHash = phase, settings; f.timer != nil && !f.phases {
+		f.handle(membership.Event{Kind: membership.SetTags, Tags: f.tags})
 	}
 }
 
@@ -264,26 +264,26 @@
 	f.abandoned = true
 }
 
-// Follow changes pools, and how many copies a person says there are of each, after
+// SetPools changes pools, and how many copies a person says there are of each, after
 // a reload.
-func (f *Fleet) Follow(pools []string, copies map[string]int) {
+func (f *Fleet) SetPools(pools []string, copies map[string]int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.view.Floors(copies)
+	f.view.SetMinimums(copies)
 	if slices.Equal(f.tags.Pools, pools) {
 		return
 	}
 	f.tags.Pools = pools
 	if f.timer != nil && !f.phases {
-		f.handle(membership.Event{Kind: membership.Retag, Tags: f.tags})
+		f.handle(membership.Event{Kind: membership.SetTags, Tags: f.tags})
 	}
 }
 
-// Keys puts other keys in the place of those that hold, while the fleet runs.
-func (f *Fleet) Keys(keys [][]byte) error {
+// SetKeys puts other keys in the place of those that hold, while the fleet runs.
+func (f *Fleet) SetKeys(keys [][]byte) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.codec.Keys(keys)
+	return f.codec.SetKeys(keys)
 }
 
 // ErrNotDead says that a member can't be forgotten.
@@ -307,7 +307,7 @@
 	if laterKind != 0 && !f.ended {
 		for _, m := range f.member.Members() {
 			if !m.Self && m.Tags != nil {
-				f.send(m.Name, m.Tags.Address, &membership.Message{Kind: laterKind, From: f.member.Self().Head, Target: m.Name, Digest: f.member.Digest(), Share: []byte("later")})
+				f.send(m.Name, m.Tags.Address, &membership.Message{Kind: laterKind, From: f.member.Self().State, Target: m.Name, Digest: f.member.Digest(), Payload: []byte("later")})
 			}
 		}
 	}
@@ -324,7 +324,7 @@
 		switch a.Kind {
 		case membership.Send:
 			f.send(a.Name, a.Address, a.Message)
-		case membership.Dial:
+		case membership.StartSync:
 			f.all.Add(1)
 			go f.exchange(f.reach(a.Name, a.Address), a.Message, a.Exchange)
 		case membership.Reply:
@@ -334,7 +334,7 @@
 		}
 	}
 	f.look()
-	if due := f.member.Due(); due < 1<<62 {
+	if due := f.member.NextTick(); due < 1<<62 {
 		f.timer.Reset(max(due-f.now(), 0))
 	}
 	return replies
@@ -344,31 +344,31 @@
 func (f *Fleet) look() {
 	now := time.Now()
 	changed := len(f.actions) > 0 && f.anyChange()
-	if !changed && now.Sub(f.viewed) < f.view.Due() {
+	if !changed && now.Sub(f.viewed) < f.view.NextUpdate() {
 		return
 	}
 	f.viewed = now
 	moved := f.view.Update(f.now(), f.snapshot())
 	f.among()
 	// What is lent must come back before others may count on this copy's part being smaller.
-	if f.fits() && (f.view.Counted() != f.kept || f.view.Sure() != f.keptSure) {
+	if f.fits() && (f.view.ReplicaSetDigest() != f.kept || f.view.Confirmed() != f.keptSure) {
 		f.keep()
 	}
 	if !moved || f.places == nil {
 		return
 	}
-	places := map[string]placement.Place{}
+	places := map[string]placement.Position{}
 	for _, name := range f.view.Pools() {
-		places[name] = f.view.Pool(name)
+		places[name] = f.view.Position(name)
 		p := places[name]
-		f.log.Info("fleet: place", "pool", name, "number", p.Self, "of", p.Of, "budgets among", p.Among, "own part", p.Part(), "out of reach", p.Lost)
+		f.log.Info("fleet: place", "pool", name, "number", p.Index, "of", p.Of, "budgets among", p.QuotaReplicas, "own part", p.QuotaFraction(), "out of reach", p.Unreachable)
 	}
 	f.places(places)
 }
 
 func (f *Fleet) anyChange() bool {
 	for i := range f.actions {
-		if k := f.actions[i].Kind; k == membership.Changed || k == membership.Displaced {
+		if k := f.actions[i].Kind; k == membership.MemberChanged || k == membership.Displaced {
 			return true
 		}
 	}
@@ -376,12 +376,12 @@
 }
 
 func (f *Fleet) snapshot() placement.Snapshot {
-	return placement.Snapshot{Members: f.member.Members(), Joined: f.member.Joined() || f.knew, Displaced: f.member.Displaced(), Health: f.member.Health()}
+	return placement.Snapshot{Members: f.member.Members(), Joined: f.member.Joined() || f.knew, Displaced: f.member.Displaced(), Health: f.member.LocalHealth()}
 }
 
 // reach is the address by which this copy reaches another.
 func (f *Fleet) reach(name, address string) string {
-	if via := f.cfg.Via[name]; via != "" {
+	if via := f.cfg.AddressOverrides[name]; via != "" {
 		return via
 	}
 	return address
@@ -414,33 +414,33 @@
 func (f *Fleet) tell(a *membership.Action) {
 	r := &a.Record
 	switch a.Kind {
-	case membership.Changed:
+	case membership.MemberChanged:
 		address := ""
 		if r.Tags != nil {
 			address = r.Tags.Address
 		}
-		was := a.Was.String()
-		if a.Was == 0 {
+		was := a.PreviousStatus.String()
+		if a.PreviousStatus == 0 {
 			was = "unknown"
 		}
-		if f.share != nil && (r.Status == membership.Left || a.Was != 0 && a.Why == "started anew") {
+		if f.share != nil && (r.Status == membership.Left || a.PreviousStatus != 0 && a.Reason == "started anew") {
 			epoch := r.Epoch
 			if r.Status != membership.Left {
 				epoch--
 			}
-			f.share.Over(r.Name, epoch)
+			f.share.ExpireReplica(r.Name, epoch)
 		}
-		f.log.Info("fleet: member", "name", r.Name, "is", r.Status.String(), "was", was, "why", a.Why, "epoch", r.Epoch, "count", r.Inc, "at", address)
+		f.log.Info("fleet: member", "name", r.Name, "is", r.Status.String(), "was", was, "why", a.Reason, "epoch", r.Epoch, "count", r.Incarnation, "at", address)
 	case membership.Displaced:
 		f.log.Error("fleet: another process of this name started later: this copy is no part of the fleet any more. "+
 			"At an upgrade that is as it should be; if both are to serve, give one of them another name",
 			"name", r.Name, "its start", r.Epoch)
-	case membership.Twin:
+	case membership.NameConflict:
 		if now := time.Now(); now.Sub(f.twinAt) >= sayEvery {
 			f.twinAt = now
 			f.log.Error("fleet: two processes have one name, the earlier one still speaks: give one of them another name", "name", r.Name)
 		}
-	case membership.Full:
+	case membership.TableFull:
 		f.complain("no room for another member", "name", r.Name)
 	case membership.Stalled:
 		f.log.Warn("fleet: this copy stood still and accuses nobody for it", "for", a.Wait)
@@ -472,7 +472,7 @@
 	f.figures.FramesIn++
 	f.figures.BytesIn += uint64(len(text))
 	if f.credit < 1 {
-		f.figures.Bad["flood"]++
+		f.figures.Invalid["flood"]++
 		f.complain("more datagrams than are looked at", "a second", mostRate)
 		return
 	}
@@ -482,20 +482,20 @@
 		f.bad(err, from.String())
 		return
 	}
-	f.handle(membership.Event{Kind: membership.Heard, Message: m, From: from.String()})
+	f.handle(membership.Event{Kind: membership.MessageReceived, Message: m, From: from.String()})
 	switch m.Kind {
-	case membership.Shared:
+	case membership.StateSync:
 		f.hearShared(m)
-	case membership.Rolling:
+	case membership.Rollout:
 		f.hearRolling(m)
 	}
 }
 
 // bad counts a frame that is dropped. It is never answered.
 func (f *Fleet) bad(err error, from string) {
-	for _, fault := range codec.Faults {
+	for _, fault := range codec.Errors {
 		if errors.Is(err, fault) {
-			f.figures.Bad[fault.Error()]++
+			f.figures.Invalid[fault.Error()]++
 			f.complain("a frame "+fault.Error()+" is dropped", "from", from, "error", err)
 			return
 		}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -26,28 +26,28 @@
 // stub is a proxy as the fleet sees it.
 type stub struct {
 	mu      sync.Mutex
-	places  map[string]placement.Place
-	told    Told
+	places  map[string]placement.Position
+	told    Directives
 	wants   float64
 	changed []string
 	refuse  bool
 }
 
-func (s *stub) Feed() Fed {
+func (s *stub) Observe() Observations {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Fed{Budgets: map[string]float64{"main/acme": 90}, Wants: map[string]float64{"main/acme": s.wants / 5},
-		Counts: map[counter.Key]counter.Counts{{Pool: "main"}: {Arrivals: 10}}, Seen: []Seen{{Server: outlier.Server{ID: 7, Since: 1}, Outcome: outlier.Hung}, {Server: outlier.Server{ID: 8, Since: 1}}},
-		Servers: map[string][]outlier.Server{"main": {{ID: 7, Since: 1}, {ID: 8, Since: 1}, {ID: 9, Since: 1}, {ID: 10, Since: 1}}}}
+	return Observations{Quotas: map[string]float64{"main/acme": 90}, Demand: map[string]float64{"main/acme": s.wants / 5},
+		Counters: map[counter.Key]counter.Counts{{Pool: "main"}: {Arrivals: 10}}, Attempts: []AttemptResult{{Endpoint: outlier.Endpoint{ID: 7, StartedAt: 1}, Outcome: outlier.TimedOut}, {Endpoint: outlier.Endpoint{ID: 8, StartedAt: 1}}},
+		Endpoints: map[string][]outlier.Endpoint{"main": {{ID: 7, StartedAt: 1}, {ID: 8, StartedAt: 1}, {ID: 9, StartedAt: 1}, {ID: 10, StartedAt: 1}}}}
 }
 
-func (s *stub) Tell(t Told) {
+func (s *stub) Apply(t Directives) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.told = t
 }
 
-func (s *stub) see(p map[string]placement.Place) {
+func (s *stub) see(p map[string]placement.Position) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.places = p
@@ -60,9 +60,9 @@
 	dir := t.TempDir()
 	for i := range 3 {
 		s := &stub{}
-		c := Config{Name: fmt.Sprint("c", i), Fleet: "f", Listen: "127.0.0.1:0", Keys: [][]byte{[]byte("sixteen-characters-or-more")}, Copies: map[string]int{"main": 3},
-			Zone: fmt.Sprint("z", i), Pools: []string{"main"}, Settings: "old", Program: "v1", Share: &Share{Quotas: true, Counts: true, Verdicts: true},
-			Remember: filepath.Join(dir, fmt.Sprint("c", i))}
+		c := Config{Name: fmt.Sprint("c", i), Fleet: "f", Listen: "127.0.0.1:0", Keys: [][]byte{[]byte("sixteen-characters-or-more")}, ReplicaCounts: map[string]int{"main": 3},
+			Zone: fmt.Sprint("z", i), Pools: []string{"main"}, SettingsHash: "old", ProgramVersion: "v1", Sharing: &SharingConfig{Quotas: true, Counters: true, Evidence: true},
+			StateFile: filepath.Join(dir, fmt.Sprint("c", i))}
 		if seed != "" {
 			c.Seeds = []string{seed}
 		}
@@ -73,8 +73,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Feed(s)
-		f.Roll(func(_ rollout.Kind, target string, _ []byte, back bool) error {
+		f.SetSubject(s)
+		f.EnableRollouts(func(_ rollout.Kind, target string, _ []byte, back bool) error {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			if s.refuse {
@@ -84,12 +84,12 @@
 			if back {
 				target = "old"
 			}
-			go f.Say(membership.Serving, target)
+			go f.Announce(membership.Serving, target)
 			return nil
-		}, func() []Done {
-			return []Done{{Pool: "main", Asked: float64(time.Now().UnixMilli() % 1e9), Good: float64(time.Now().UnixMilli() % 1e9)}}
+		}, func() []PoolActivity {
+			return []PoolActivity{{Pool: "main", OfferedWeight: float64(time.Now().UnixMilli() % 1e9), ServedWeight: float64(time.Now().UnixMilli() % 1e9)}}
 		})
-		f.Say(membership.Serving, "old")
+		f.Announce(membership.Serving, "old")
 		ctx, stop := context.WithCancel(t.Context())
 		over := make(chan struct{})
 		go func() { defer close(over); f.Run(ctx) }()
@@ -119,7 +119,7 @@
 		hosts, stubs := trio(t, nil)
 		until(t, "all to know all", func() bool {
 			for _, f := range hosts {
-				if s := f.Status(); len(s.Members) != 3 || s.Pools["main"].Part < 0.33 || s.Pools["main"].Of != 3 {
+				if s := f.Status(); len(s.Members) != 3 || s.Pools["main"].QuotaFraction < 0.33 || s.Pools["main"].Of != 3 {
 					return false
 				}
 			}
@@ -131,13 +131,13 @@
 		until(t, "the first to borrow", func() bool {
 			stubs[0].mu.Lock()
 			defer stubs[0].mu.Unlock()
-			return stubs[0].told.Parts["main/acme"].Now > 0.8
+			return stubs[0].told.QuotaFractions["main/acme"].Current > 0.8
 		})
 		until(t, "a server that hangs everywhere to be condemned", func() bool {
-			s := hosts[1].Shared()
-			return s != nil && len(s.Evidence) > 0 && s.Sums["arrivals"].N == 30
+			s := hosts[1].SharedStatus()
+			return s != nil && len(s.Evidence) > 0 && s.Sums["arrivals"].Value == 30
 		})
-		p := rollout.Plan{ID: "p", Kind: rollout.Settings, Target: "new", Text: make([]byte, 100<<10), Back: true, Stages: []rollout.Stage{{Count: 1, Soak: time.Second}, {Part: 1, Soak: time.Second}}}
+		p := rollout.Plan{ID: "p", Kind: rollout.Settings, Target: "new", Settings: make([]byte, 100<<10), RollBack: true, Stages: []rollout.Stage{{Count: 1, Observation: time.Second}, {Fraction: 1, Observation: time.Second}}}
 		p.Complete()
 		if err := hosts[2].StartRollout(p); err != nil {
 			t.Fatal(err)
@@ -166,12 +166,12 @@
 		t.Fatal(err)
 	}
 	hosts, _ := trio(t, func(i int, c *Config) {
-		c.Share = nil
+		c.Sharing = nil
 		if i == 1 {
-			c.Remember = torn
+			c.StateFile = torn
 		}
 		if i == 2 {
-			c.Remember = filepath.Join(dir, "no", "such", "folder")
+			c.StateFile = filepath.Join(dir, "no", "such", "folder")
 		}
 	})
 	if _, err := New(Config{Name: "x", Fleet: "f", Listen: hosts[0].Address(), Keys: [][]byte{[]byte("sixteen-characters-or-more")}}, slog.New(slog.DiscardHandler), nil); err == nil {
@@ -188,7 +188,7 @@
 	if err := hosts[0].Forget("c2"); !errors.Is(err, ErrNotDead) {
 		t.Error(err)
 	}
-	if hosts[0].Shared() != nil {
+	if hosts[0].SharedStatus() != nil {
 		t.Error("shares without being told to")
 	}
 }
@@ -198,13 +198,13 @@
 func TestWhatIsRememberedIsTakenWithCare(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "members")
 	lent := func(f *Fleet) bool {
-		f.share.Allot.Set(f.now(), []quota.Budget{{Name: "b", Kind: quota.Rate, Whole: 90}})
-		f.share.Allot.Among(f.now(), 3, nil)
-		return f.share.Allot.Rate(f.now(), "b") < 2
+		f.share.Quotas.SetLimits(f.now(), []quota.Limit{{Name: "b", Kind: quota.Rate, Total: 90}})
+		f.share.Quotas.SetReplicaCount(f.now(), 3, nil)
+		return f.share.Quotas.Rate(f.now(), "b") < 2
 	}
 	host := func() *Fleet {
-		f, err := New(Config{Name: "a", Fleet: "f", Listen: "127.0.0.1:0", Keys: [][]byte{[]byte("sixteen-characters-or-more")}, Copies: map[string]int{"main": 3},
-			Pools: []string{"main"}, Share: &Share{Quotas: true}, Remember: file, Seeds: []string{"127.0.0.1:1"}}, slog.New(slog.DiscardHandler), nil)
+		f, err := New(Config{Name: "a", Fleet: "f", Listen: "127.0.0.1:0", Keys: [][]byte{[]byte("sixteen-characters-or-more")}, ReplicaCounts: map[string]int{"main": 3},
+			Pools: []string{"main"}, Sharing: &SharingConfig{Quotas: true}, StateFile: file, Seeds: []string{"127.0.0.1:1"}}, slog.New(slog.DiscardHandler), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -218,7 +218,7 @@
 		}
 		return pack(text)
 	}
-	other := membership.Record{Head: membership.Head{Name: "b", Epoch: 5, Status: membership.Alive}, Tags: &membership.Tags{Address: "127.0.0.1:2", Pools: []string{"main"}}}
+	other := membership.Record{State: membership.State{Name: "b", Epoch: 5, Status: membership.Alive}, Tags: &membership.Tags{Address: "127.0.0.1:2", Pools: []string{"main"}}}
 	good := memory{Written: time.Now(), Fleet: "f", Name: "a", Epoch: 1 << 62, Sure: true, Members: []membership.Record{other}}
 	with := func(change func(m *memory)) []byte { m := good; change(&m); return whole(m) }
 	torn := whole(good)
@@ -246,8 +246,8 @@
 		}
 		f := host()
 		_, knows := f.member.Find("b")
-		if keeping := lent(f); knows != tc.knows || f.view.Sure() != tc.sure || keeping != tc.keeping {
-			t.Errorf("%s: knows %v, sure %v, keeps back what it may have lent %v", name, knows, f.view.Sure(), keeping)
+		if keeping := lent(f); knows != tc.knows || f.view.Confirmed() != tc.sure || keeping != tc.keeping {
+			t.Errorf("%s: knows %v, sure %v, keeps back what it may have lent %v", name, knows, f.view.Confirmed(), keeping)
 		}
 	}
 }
--- a/fleet/membership/explore_test.go
+++ b/fleet/membership/explore_test.go
@@ -16,7 +16,7 @@
 // their way. Whatever order messages come in, whoever's time passes first, one
 // restart, one departure: all of it is a move.
 type trio struct {
-	members  []*Member
+	members  []*List
 	now      []time.Duration
 	way      []letter
 	restarts int
@@ -56,14 +56,14 @@
 		}
 		s.members[i].queue, s.members[i].joined = nil, true
 		s.members[i].out = nil
-		s.handle(i, Event{Kind: Begin})
+		s.handle(i, Event{Kind: Start})
 		s.members[i].queue = nil
 	}
 	s.way = nil
 	return s
 }
 
-func (s *trio) member(i int, epoch uint64) *Member {
+func (s *trio) member(i int, epoch uint64) *List {
 	c := Config{Name: name(i), Epoch: epoch, Seed: 7, Tags: Tags{Address: name(i), Phase: Serving}}
 	if i == 0 || epoch > 1 { // the others know each other, and must find each other again by that
 		c.Seeds = []string{name((i + 1) % 3)}
@@ -83,23 +83,23 @@
 		}
 	}
 	self := m.self
-	accused := ev.Kind == Heard && slices.ContainsFunc(ev.Message.News, func(r Record) bool {
-		return r.Name == m.self.Name && r.Epoch == m.self.Epoch && r.Status != Alive && r.Status != Left && r.Inc >= m.self.Inc
+	accused := ev.Kind == MessageReceived && slices.ContainsFunc(ev.Message.Updates, func(r Record) bool {
+		return r.Name == m.self.Name && r.Epoch == m.self.Epoch && r.Status != Alive && r.Status != Left && r.Incarnation >= m.self.Incarnation
 	})
 	for _, a := range m.Handle(s.now[i], ev, nil) {
-		to := slices.IndexFunc(s.members, func(o *Member) bool { return o.self.Tags.Address == a.Address })
+		to := slices.IndexFunc(s.members, func(o *List) bool { return o.self.Tags.Address == a.Address })
 		switch a.Kind {
 		case Send:
-			s.post(letter{from: i, to: to, what: Heard, msg: a.Message})
-		case Dial:
-			s.post(letter{from: i, to: to, what: Asked, msg: a.Message, exchange: a.Exchange})
+			s.post(letter{from: i, to: to, what: MessageReceived, msg: a.Message})
+		case StartSync:
+			s.post(letter{from: i, to: to, what: SyncRequested, msg: a.Message, exchange: a.Exchange})
 		case Reply:
-			if ev.Kind == Asked {
-				to = slices.IndexFunc(s.members, func(o *Member) bool { return o.self.Name == ev.Message.From.Name })
-				s.post(letter{from: i, to: to, what: Answered, msg: a.Message, exchange: ev.Exchange})
+			if ev.Kind == SyncRequested {
+				to = slices.IndexFunc(s.members, func(o *List) bool { return o.self.Name == ev.Message.From.Name })
+				s.post(letter{from: i, to: to, what: SyncAnswered, msg: a.Message, exchange: ev.Exchange})
 			} else {
-				to = slices.IndexFunc(s.members, func(o *Member) bool { return o.self.Name == ev.Message.From.Name })
-				s.post(letter{from: i, to: to, what: Finished, msg: a.Message})
+				to = slices.IndexFunc(s.members, func(o *List) bool { return o.self.Name == ev.Message.From.Name })
+				s.post(letter{from: i, to: to, what: SyncFinished, msg: a.Message})
 			}
 		}
 	}
@@ -108,20 +108,20 @@
 			s.broken = fmt.Errorf(format, args...)
 		}
 	}
-	if m.self.Epoch == self.Epoch && m.self.Inc < self.Inc || m.self.Epoch < self.Epoch {
+	if m.self.Epoch == self.Epoch && m.self.Incarnation < self.Incarnation || m.self.Epoch < self.Epoch {
 		fail("%s: its own count went back", m.self.Name)
 	}
-	if accused && m.self.Inc <= self.Inc && m.self.Epoch == self.Epoch && !m.displaced && self.Status != Left {
+	if accused && m.self.Incarnation <= self.Incarnation && m.self.Epoch == self.Epoch && !m.displaced && self.Status != Left {
 		fail("%s was accused and did not refute", m.self.Name)
 	}
 	for n, p := range m.others {
 		b, known := before[n]
-		if known && b.Newer(p.Head) {
-			fail("%s: what it holds of %s went back from %v to %v", m.self.Name, n, b.Head, p.Head)
+		if known && b.Newer(p.State) {
+			fail("%s: what it holds of %s went back from %v to %v", m.self.Name, n, b.State, p.State)
 		}
 		of := s.members[n[0]-'a'].self
-		if p.Epoch > of.Epoch || p.Epoch == of.Epoch && p.Inc > of.Inc {
-			fail("%s holds %s for %v, which it never said: it is %v", m.self.Name, n, p.Head, of.Head)
+		if p.Epoch > of.Epoch || p.Epoch == of.Epoch && p.Incarnation > of.Incarnation {
+			fail("%s holds %s for %v, which it never said: it is %v", m.self.Name, n, p.State, of.State)
 		}
 		if known && b.Status == Left && p.Status != Left && p.Epoch == b.Epoch {
 			fail("%s: %s is back in the life that it had left", m.self.Name, n)
@@ -129,7 +129,7 @@
 		if p.Status == Left && p.Epoch == of.Epoch && of.Status != Left && !s.forgot {
 			fail("%s holds %s for gone, which it never said", m.self.Name, n)
 		}
-		if known && p.Status == Dead && b.Status != Dead && p.By == m.self.Name && ev.Kind == Tick {
+		if known && p.Status == Dead && b.Status != Dead && p.ReportedBy == m.self.Name && ev.Kind == Tick {
 			d, doubted := doubts[n]
 			if !doubted || s.now[i]-d.began < d.least {
 				fail("%s buried %s without a doubt that lasted long enough", m.self.Name, n)
@@ -201,17 +201,17 @@
 	}
 	switch move -= 2 * len(s.way); {
 	case move < 3:
-		if due := s.members[move].Due(); due < never {
+		if due := s.members[move].NextTick(); due < never {
 			s.now[move] = max(s.now[move]+time.Millisecond, due)
 		}
 		s.handle(move, Event{Kind: Tick})
 	case s.restarts < mostEpochs && move == 3:
 		s.restarts++
 		s.members[2] = s.member(2, 2)
-		s.handle(2, Event{Kind: Begin})
+		s.handle(2, Event{Kind: Start})
 	default:
 		s.departs++
-		s.handle(1, Event{Kind: Depart})
+		s.handle(1, Event{Kind: Leave})
 	}
 	return s.broken
 }
@@ -221,27 +221,27 @@
 func (s *trio) Key() string {
 	var b strings.Builder
 	for i, m := range s.members {
-		fmt.Fprint(&b, m.self.Head, m.health, m.displaced, m.swapWith, len(m.disputes), m.cursor)
+		fmt.Fprint(&b, m.self.State, m.health, m.displaced, m.swapWith, len(m.disputes), m.cursor)
 		left := func(at time.Duration) time.Duration { return max(at-s.now[i], -1) / (10 * time.Millisecond) }
 		if m.probe != nil {
 			fmt.Fprint(&b, "p", m.probe.p.Name, left(m.probe.end), left(m.probe.second), m.probe.nacks)
 		}
 		for j := range 3 {
 			if p := m.others[name(j)]; p != nil {
-				fmt.Fprint(&b, p.Head, p.By, p.disputed, p.wrong)
+				fmt.Fprint(&b, p.State, p.ReportedBy, p.disputed, p.wrong)
 				if p.doubt != nil {
 					fmt.Fprint(&b, "d", p.doubt.by, left(p.doubt.end()))
 				}
 			}
 		}
 		for _, n := range m.queue {
-			fmt.Fprint(&b, n.Head, n.times)
+			fmt.Fprint(&b, n.State, n.times)
 		}
 	}
 	for _, l := range s.way {
 		fmt.Fprint(&b, l.from, l.to, l.what, l.msg.Kind, l.msg.Target)
-		for _, r := range l.msg.News {
-			fmt.Fprint(&b, r.Head)
+		for _, r := range l.msg.Updates {
+			fmt.Fprint(&b, r.State)
 		}
 	}
 	fmt.Fprint(&b, s.restarts, s.departs, s.forgot)
@@ -258,7 +258,7 @@
 	}
 	first, at := never, 0
 	for i, m := range s.members {
-		if ahead := m.Due() - s.now[i]; m.Due() < never && m.self.Status != Left && ahead < first {
+		if ahead := m.NextTick() - s.now[i]; m.NextTick() < never && m.self.Status != Left && ahead < first {
 			first, at = ahead, i
 		}
 	}
@@ -346,17 +346,17 @@
 
 func TestMutantsAreFound(t *testing.T) {
 	mutant.Find(t, "Trio", []mutant.Mutant{
-		{Name: "refutation left out", File: "member.go", From: "	case r.Status != Alive && r.Inc >= m.self.Inc:", To: "	case false:"},
-		{Name: "incarnation not raised", File: "member.go", From: "		m.restate(r.Inc+1, nil)\n	case r.Inc", To: "		m.restate(r.Inc, nil)\n	case r.Inc"},
-		{Name: "old news taken", File: "member.go", From: "	case !r.Newer(p.Head):\n", To: "	case !r.Newer(p.Head) && r.Inc == p.Inc:\n"},
-		{Name: "suspicion of an older count overrides", File: "record.go", From: "	case h.Inc != o.Inc:\n		return h.Inc > o.Inc\n", To: ""},
+		{Name: "refutation left out", File: "member.go", From: "	case r.Status != Alive && r.Incarnation >= m.self.Incarnation:", To: "	case false:"},
+		{Name: "incarnation not raised", File: "member.go", From: "		m.restate(r.Incarnation+1, nil)\n	case r.Incarnation", To: "		m.restate(r.Incarnation, nil)\n	case r.Incarnation"},
+		{Name: "old news taken", File: "member.go", From: "	case !r.Newer(p.State):\n", To: "	case !r.Newer(p.State) && r.Incarnation == p.Incarnation:\n"},
+		{Name: "suspicion of an older count overrides", File: "record.go", From: "	case h.Incarnation != o.Incarnation:\n		return h.Incarnation > o.Incarnation\n", To: ""},
 		{Name: "epochs not compared", File: "record.go", From: "	case h.Epoch != o.Epoch:\n		return h.Epoch > o.Epoch\n", To: ""},
 		{Name: "leaving is not final", File: "record.go", From: "	case (h.Status == Left) != (o.Status == Left):\n		return h.Status == Left\n", To: ""},
 		{Name: "buried at once", File: "member.go", From: "		if end > m.now {\n", To: "		if end > m.now+d.most {\n"},
 		{Name: "doubt kept after a refutation", File: "member.go", From: "	if p.doubt != nil {\n		m.undoubt(p)\n	}\n", To: ""},
-		{Name: "digest forgets the old record", File: "member.go", From: "	if was != 0 {\n		m.turn(before.Head)\n	}\n", To: ""},
+		{Name: "digest forgets the old record", File: "member.go", From: "	if was != 0 {\n		m.turn(before.State)\n	}\n", To: ""},
 		{Name: "the dead stay in the ring", File: "member.go", From: "	if from == to {\n		return\n	}", To: "	if from == to || p.Status == Dead {\n		return\n	}"},
-		{Name: "another's count is raised for it", File: "member.go", From: "	r.Status, r.Tags, r.By = Suspect, nil, m.self.Name\n", To: "	r.Status, r.Tags, r.By, r.Inc = Suspect, nil, m.self.Name, r.Inc+1\n"},
+		{Name: "another's count is raised for it", File: "member.go", From: "	r.Status, r.Tags, r.ReportedBy = Suspect, nil, m.self.Name\n", To: "	r.Status, r.Tags, r.ReportedBy, r.Incarnation = Suspect, nil, m.self.Name, r.Incarnation+1\n"},
 		{Name: "the lost are never sought", File: "member.go", From: "len(m.lost) > 0 && m.rng.Float64() <", To: "len(m.lost) > 0 && 2*m.rng.Float64() < 0*"},
 	})
 }
--- a/fleet/membership/member.go
+++ b/fleet/membership/member.go
@@ -52,17 +52,17 @@
 
 // The kinds of event.
 const (
-	Recall EventKind = iota + 1 // Records: who was there before this member's restart; it comes before Begin
-	Begin
-	Tick     // Due has come
-	Heard    // Message: a datagram
-	Asked    // Message, Exchange: somebody began an exchange
-	Answered // Message, Exchange: the answer in one that was begun here
-	Finished // Message: the end of one that somebody began
-	Broken   // Exchange: one that was begun here failed
-	Retag    // Tags: what this member says of itself has changed
-	Depart   // this member goes for good
-	Forget   // Name: a person says that it is gone for good
+	Restore EventKind = iota + 1 // Records: who was there before this member's restart; it comes before Begin
+	Start
+	Tick            // Due has come
+	MessageReceived // Message: a datagram
+	SyncRequested   // Message, Exchange: somebody began an exchange
+	SyncAnswered    // Message, Exchange: the answer in one that was begun here
+	SyncFinished    // Message: the end of one that somebody began
+	SyncFailed      // Exchange: one that was begun here failed
+	SetTags         // Tags: what this member says of itself has changed
+	Leave           // this member goes for good
+	Forget          // Name: a person says that it is gone for good
 )
 
 // Event is something that happened.
@@ -81,45 +81,45 @@
 
 // The kinds of action.
 const (
-	Send      ActionKind = iota + 1 // Name, Address, Message: a datagram
-	Dial                            // Name, Address, Message, Exchange: begin an exchange
-	Reply                           // Message, Exchange: go on with one
-	Changed                         // Record, Was, Why
-	Displaced                       // Record: another process of this name started later; this one is not in the fleet any more
-	Twin                            // Record: a process of this name that was replaced still speaks
-	Full                            // Record: no room for it
-	Stalled                         // Wait: this copy stood still for so long
+	Send          ActionKind = iota + 1 // Name, Address, Message: a datagram
+	StartSync                           // Name, Address, Message, Exchange: begin an exchange
+	Reply                               // Message, Exchange: go on with one
+	MemberChanged                       // Record, Was, Why
+	Displaced                           // Record: another process of this name started later; this one is not in the fleet any more
+	NameConflict                        // Record: a process of this name that was replaced still speaks
+	TableFull                           // Record: no room for it
+	Stalled                             // Wait: this copy stood still for so long
 )
 
 // Action is something that the host is to do.
 type Action struct {
-	Kind     ActionKind
-	Name     string // empty where only the address is known
-	Address  string
-	Message  *Message
-	Exchange uint64
-	Record   Record
-	Was      Status // 0 if it was not known
-	Why      string
-	Wait     time.Duration
+	Kind           ActionKind
+	Name           string // empty where only the address is known
+	Address        string
+	Message        *Message
+	Exchange       uint64
+	Record         Record
+	PreviousStatus Status // 0 if it was not known
+	Reason         string
+	Wait           time.Duration
 }
 
-// Figures count what happened since the start.
-type Figures struct {
-	Probes     uint64 `json:"Probes"`
-	Failed     uint64 `json:"Failed"`
-	Suspected  uint64 `json:"Suspected"`
-	Refuted    uint64 `json:"Refuted"`
-	Stalls     uint64 `json:"Stalls"`
-	Exchanges  uint64 `json:"Exchanges"`
-	BadRecords uint64 `json:"BadRecords"`
-	NoRoom     uint64 `json:"NoRoom"`
-	Stale      uint64 `json:"Stale"`
-	Twins      uint64 `json:"Twins"`
+// Stats count what happened since the start.
+type Stats struct {
+	Probes         uint64 `json:"Probes"`
+	Failed         uint64 `json:"Failed"`
+	Suspected      uint64 `json:"Suspected"`
+	Refuted        uint64 `json:"Refuted"`
+	Stalls         uint64 `json:"Stalls"`
+	Exchanges      uint64 `json:"Exchanges"`
+	InvalidRecords uint64 `json:"BadRecords"`
+	TableFull      uint64 `json:"NoRoom"`
+	Stale          uint64 `json:"Stale"`
+	NameConflicts  uint64 `json:"Twins"`
 }
 
-// Member is one copy's knowledge of the fleet. It is not safe for concurrent use.
-type Member struct {
+// List is one copy's knowledge of the fleet. It is not safe for concurrent use.
+type List struct {
 	cfg       Config
 	rng       seedrand.Source
 	now       time.Duration
@@ -163,7 +163,7 @@
 	swaps      uint64
 	forgetAt   time.Duration
 
-	Figures Figures
+	Stats Stats
 }
 
 type peer struct {
@@ -233,11 +233,11 @@
 }
 
 // New returns a member that has not begun.
-func New(cfg Config) *Member {
+func New(cfg Config) *List {
 	cfg.complete()
-	m := &Member{cfg: cfg, rng: seedrand.Source(cfg.Seed ^ seedrand.Name(cfg.Name)), others: map[string]*peer{}, asked: map[uint32]relay{}, doubtEnd: never}
+	m := &List{cfg: cfg, rng: seedrand.Source(cfg.Seed ^ seedrand.HashName(cfg.Name)), others: map[string]*peer{}, asked: map[uint32]relay{}, doubtEnd: never}
 	tags := cfg.Tags
-	m.self = Record{Head: Head{Name: cfg.Name, Epoch: max(cfg.Epoch, 1), Status: Alive}, Tags: &tags}
+	m.self = Record{State: State{Name: cfg.Name, Epoch: max(cfg.Epoch, 1), Status: Alive}, Tags: &tags}
 	m.digest = m.self.hash()
 	return m
 }
@@ -246,12 +246,12 @@
 
 // Handle takes one event and appends what is to be done to out. Times must not
 // go back; one that comes much later than Due says that this copy stood still.
-func (m *Member) Handle(now time.Duration, ev Event, out []Action) []Action {
+func (m *List) Handle(now time.Duration, ev Event, out []Action) []Action {
 	now = max(now, m.now)
 	m.out = out
 	if m.begun && !m.displaced {
-		switch late := now - m.Due(); {
-		case late > max(2*m.cfg.Period, stallLeast):
+		switch late := now - m.NextTick(); {
+		case late > max(2*m.cfg.ProbeInterval, stallLeast):
 			m.stalled(now, late)
 		case late > lateLeast:
 			m.wait(late)
@@ -259,32 +259,32 @@
 	}
 	m.now = now
 	switch ev.Kind {
-	case Recall:
+	case Restore:
 		m.recall(ev.Records)
-	case Begin:
+	case Start:
 		m.begin()
-	case Heard:
+	case MessageReceived:
 		m.heard(ev.Message, ev.From)
-	case Asked:
+	case SyncRequested:
 		m.takeHeads(ev.Message, ev.Exchange)
-	case Answered:
+	case SyncAnswered:
 		m.takeDelta(ev.Message, ev.Exchange)
-	case Finished:
+	case SyncFinished:
 		m.takeRest(ev.Message)
-	case Broken:
+	case SyncFailed:
 		if ev.Exchange == m.swap {
 			m.swap = 0
 		}
-	case Retag:
+	case SetTags:
 		tags := ev.Tags
 		tags.Bound()
-		m.restate(m.self.Inc+1, &tags)
-	case Depart:
+		m.restate(m.self.Incarnation+1, &tags)
+	case Leave:
 		m.depart()
 	case Forget:
 		if p := m.others[ev.Name]; p != nil && p.Status == Dead {
 			r := p.Record
-			r.Status, r.By = Left, m.self.Name
+			r.Status, r.ReportedBy = Left, m.self.Name
 			m.learn(&r, "told by a person")
 		}
 	}
@@ -295,8 +295,8 @@
 	return out
 }
 
-// Due is when Tick is due next.
-func (m *Member) Due() time.Duration {
+// NextTick is when Tick is due next.
+func (m *List) NextTick() time.Duration {
 	if !m.begun || m.displaced {
 		return never
 	}
@@ -325,17 +325,17 @@
 // swapDue is when an exchange with one whose view differs is due: once this view
 // is quiet, or has been restless for long, or at once where more has changed than
 // gossip carries, as after a cut.
-func (m *Member) swapDue() time.Duration {
+func (m *List) swapDue() time.Duration {
 	if len(m.queue) >= backlog {
 		return m.nextSwap
 	}
 	return max(m.nextSwap, min(m.turned+quiet, m.lastSwap+restless))
 }
 
-func (m *Member) begin() {
+func (m *List) begin() {
 	m.begun = true
 	m.creditAt, m.turned = m.now, m.now
-	m.nextProbe = m.now + m.spread(m.cfg.Period)
+	m.nextProbe = m.now + m.spread(m.cfg.ProbeInterval)
 	m.nextSeek = m.now
 	m.nextSwap = m.now + m.spread(exchangeGap)
 	m.forgetAt = m.now + leftFor
@@ -344,11 +344,11 @@
 
 // recall takes in who was there before a restart. They count until they are found
 // to be gone, and are probed like others; nobody is told what all may know.
-func (m *Member) recall(records []Record) {
+func (m *List) recall(records []Record) {
 	for i := range records {
 		r := records[i]
 		if r.Status != Left {
-			r.Status, r.By = Alive, ""
+			r.Status, r.ReportedBy = Alive, ""
 			m.learn(&r, "remembered")
 		}
 	}
@@ -356,8 +356,8 @@
 
 // stalled: this copy stood still. What it waited for meanwhile says nothing of the
 // others; they go on having the time that they had.
-func (m *Member) stalled(now, late time.Duration) {
-	m.Figures.Stalls++
+func (m *List) stalled(now, late time.Duration) {
+	m.Stats.Stalls++
 	m.probe, m.swap = nil, 0
 	m.health = maxHealth / 2
 	m.wait(late)
@@ -370,7 +370,7 @@
 
 // wait gives those who are suspected the time back in which this copy heard nobody: their
 // refutation may lie in what it reads next.
-func (m *Member) wait(late time.Duration) {
+func (m *List) wait(late time.Duration) {
 	for _, p := range m.suspects {
 		if p.doubt.began += late; p.doubt.word > 0 {
 			p.doubt.word += late
@@ -382,7 +382,7 @@
 }
 
 // work does all that is due.
-func (m *Member) work() {
+func (m *List) work() {
 	if m.probe != nil && !m.probe.again && m.now >= m.probe.second {
 		m.askOthers()
 	}
@@ -438,25 +438,25 @@
 // --- Probes
 
 // scale is how much longer than in good health this copy waits.
-func (m *Member) scale() time.Duration { return time.Duration(1 + m.health) }
+func (m *List) scale() time.Duration { return time.Duration(1 + m.health) }
 
 // answer is how long an answer is waited for before others are asked: what
 // answers took of late, with room.
-func (m *Member) answer() time.Duration {
-	return min(max(m.cfg.Answer, m.srtt+4*m.dev), mostAnswer) * m.scale()
+func (m *List) answer() time.Duration {
+	return min(max(m.cfg.ProbeTimeout, m.srtt+4*m.dev), mostAnswer) * m.scale()
 }
 
-func (m *Member) period() time.Duration {
-	return max(m.cfg.Period*m.scale(), time.Duration(perAnswer*float64(m.answer())))
+func (m *List) period() time.Duration {
+	return max(m.cfg.ProbeInterval*m.scale(), time.Duration(perAnswer*float64(m.answer())))
 }
 
-func (m *Member) startProbe() {
+func (m *List) startProbe() {
 	m.nextProbe = m.now + m.period()
 	p := m.next()
 	if p == nil {
 		return
 	}
-	m.Figures.Probes++
+	m.Stats.Probes++
 	m.probe = &probe{p: p, seq: m.number(), epoch: p.Epoch, sent: m.now, second: m.now + m.answer(), end: m.now + m.period()}
 	m.recent[m.probe.seq%uint32(len(m.recent))] = sent{m.probe.seq, m.now, p}
 	m.ping(p, m.probe.seq)
@@ -464,7 +464,7 @@
 
 // next is whom to probe: each member once in a round, in an order of its own, so
 // that each is probed within a round by everybody.
-func (m *Member) next() *peer {
+func (m *List) next() *peer {
 	for len(m.first) > 0 {
 		p := m.first[0]
 		m.first = m.first[1:]
@@ -485,43 +485,43 @@
 	return m.ring[m.cursor-1]
 }
 
-func (m *Member) exchangePlaces(i, j int) {
+func (m *List) exchangePlaces(i, j int) {
 	m.ring[i], m.ring[j] = m.ring[j], m.ring[i]
 	m.ring[i].place, m.ring[j].place = i, j
 }
 
 // ping sends a ping that tells its target what is said of it, so that it can refute.
-func (m *Member) ping(p *peer, seq uint32) {
+func (m *List) ping(p *peer, seq uint32) {
 	msg := &Message{Kind: Ping, Seq: seq, Target: p.Name}
 	if p.disputed || p.Status != Alive {
 		said := p.Record
 		if said.Tags = nil; p.disputed {
 			said.Status = Dead
 		}
-		msg.News = append(msg.News, said)
+		msg.Updates = append(msg.Updates, said)
 	}
 	if p.heard < 0 { // it may not know us yet, and answers those it knows
-		msg.News = append(msg.News, m.self)
+		msg.Updates = append(msg.Updates, m.self)
 	}
 	m.sendTo(p, msg)
 }
 
 // askOthers sends a second ping and asks some others for theirs.
-func (m *Member) askOthers() {
+func (m *List) askOthers() {
 	m.probe.again = true
 	p := m.probe.p
 	m.ping(p, m.probe.seq)
-	for _, other := range m.some(m.cfg.Lookers, p) {
+	for _, other := range m.some(m.cfg.IndirectProbes, p) {
 		m.probe.lookers++
 		m.sendTo(other, &Message{Kind: PingReq, Seq: m.probe.seq, Target: p.Name})
 	}
 }
 
 // failed books a probe that nobody could answer.
-func (m *Member) failed() {
+func (m *List) failed() {
 	pr := m.probe
 	m.probe = nil
-	m.Figures.Failed++
+	m.Stats.Failed++
 	p := pr.p
 	// Those who were asked say at least that they could not either. If none of them is heard, it is this
 	// copy that hears nothing.
@@ -535,18 +535,18 @@
 		return // it has just refuted us: others may accuse it
 	}
 	r := p.Record
-	r.Status, r.Tags, r.By = Suspect, nil, m.self.Name
+	r.Status, r.Tags, r.ReportedBy = Suspect, nil, m.self.Name
 	if p.Status == Alive {
 		p.mine = true
 	}
 	m.learn(&r, "")
 }
 
-func (m *Member) worse()  { m.health = min(m.health+1, maxHealth) }
-func (m *Member) better() { m.health = max(m.health-1, 0) }
+func (m *List) worse()  { m.health = min(m.health+1, maxHealth) }
+func (m *List) better() { m.health = max(m.health-1, 0) }
 
 // answered books an answer of p, perhaps to a probe that had ended.
-func (m *Member) answered(p *peer, seq uint32, direct bool) {
+func (m *List) answered(p *peer, seq uint32, direct bool) {
 	if s := m.recent[seq%uint32(len(m.recent))]; direct && s.seq == seq && s.p == p && p != nil {
 		took := m.now - s.at
 		if m.srtt == 0 {
@@ -563,21 +563,21 @@
 
 // --- Messages
 
-func (m *Member) heard(msg *Message, from string) {
+func (m *List) heard(msg *Message, from string) {
 	if m.displaced || msg == nil || msg.From.Name == "" || msg.From.Name == m.self.Name && msg.From.Epoch == m.self.Epoch {
 		return
 	}
-	for i := range msg.News {
-		m.learn(&msg.News[i], "")
+	for i := range msg.Updates {
+		m.learn(&msg.Updates[i], "")
 	}
 	p := m.speaker(&msg.From, from)
 	if p == nil || m.displaced {
 		return
 	}
-	if msg.Counted != 0 && msg.From.Epoch == p.Epoch {
-		p.counted = msg.Counted
+	if msg.ReplicaSetDigest != 0 && msg.From.Epoch == p.Epoch {
+		p.counted = msg.ReplicaSetDigest
 	}
-	if msg.Kind != Gossip && msg.Kind < Heads {
+	if msg.Kind != Gossip && msg.Kind < SyncRequest {
 		m.compare(p, msg.Digest)
 	}
 	switch msg.Kind {
@@ -586,18 +586,18 @@
 			return // somebody else had this address
 		}
 		ack := &Message{Kind: Ack, Seq: msg.Seq, Target: p.Name}
-		if slices.ContainsFunc(msg.News, func(r Record) bool { return r.Name == m.self.Name }) || msg.Target == "" {
-			ack.News = append(ack.News, m.self)
+		if slices.ContainsFunc(msg.Updates, func(r Record) bool { return r.Name == m.self.Name }) || msg.Target == "" {
+			ack.Updates = append(ack.Updates, m.self)
 		}
 		if p.Status != Alive { // it speaks, and may refute
-			ack.News = append(ack.News, Record{Head: p.Head, By: p.By})
+			ack.Updates = append(ack.Updates, Record{State: p.State, ReportedBy: p.ReportedBy})
 		}
 		m.sendTo(p, ack)
 	case Ack:
 		if r, ok := m.asked[msg.Seq]; ok {
 			delete(m.asked, msg.Seq)
 			if from := m.others[r.from]; from != nil {
-				m.sendTo(from, &Message{Kind: Ack, Seq: r.seq, Target: p.Name, News: []Record{{Head: p.Head}}})
+				m.sendTo(from, &Message{Kind: Ack, Seq: r.seq, Target: p.Name, Updates: []Record{{State: p.State}}})
 			}
 			return
 		}
@@ -624,7 +624,7 @@
 }
 
 // compare looks at whether another's view is the same as this one.
-func (m *Member) compare(p *peer, digest uint64) {
+func (m *List) compare(p *peer, digest uint64) {
 	if digest != m.digest {
 		if m.alike = 0; p.Status == Alive {
 			m.swapWith = p.Name
@@ -642,9 +642,9 @@
 
 // speaker books that somebody speaks, and returns who: nil if it is not known, or
 // is a process that another of its name has replaced.
-func (m *Member) speaker(h *Head, from string) *peer {
+func (m *List) speaker(h *State, from string) *peer {
 	if h.Name == m.self.Name {
-		m.ownName(&Record{Head: *h})
+		m.ownName(&Record{State: *h})
 		return nil
 	}
 	p := m.others[h.Name]
@@ -652,18 +652,18 @@
 		return nil
 	}
 	if h.Epoch < p.Epoch {
-		m.Figures.Twins++
+		m.Stats.NameConflicts++
 		if m.now-p.since > leastTwin && p.Status == Alive {
-			m.act(Action{Kind: Twin, Record: p.Record})
+			m.act(Action{Kind: NameConflict, Record: p.Record})
 		}
 		if from != "" && from != p.Tags.Address {
-			m.post("", from, &Message{Kind: Gossip, News: []Record{p.Record}})
+			m.post("", from, &Message{Kind: Gossip, Updates: []Record{p.Record}})
 		}
 		return nil
 	}
 	p.heard = m.now
-	if h.Newer(p.Head) && h.Status == Alive {
-		m.learn(&Record{Head: *h}, "")
+	if h.Newer(p.State) && h.Status == Alive {
+		m.learn(&Record{State: *h}, "")
 	}
 	if p.Epoch != h.Epoch {
 		return nil
@@ -675,24 +675,24 @@
 const leastTwin = 10 * time.Second
 
 // sendTo sends a message with as much news as fits.
-func (m *Member) sendTo(p *peer, msg *Message) {
+func (m *List) sendTo(p *peer, msg *Message) {
 	if p != nil && p.Tags != nil {
 		m.post(p.Name, p.Tags.Address, msg)
 	}
 }
 
-func (m *Member) post(name, address string, msg *Message) {
-	msg.From, msg.Digest, msg.Counted = m.self.Head, m.digest, m.counted
+func (m *List) post(name, address string, msg *Message) {
+	msg.From, msg.Digest, msg.ReplicaSetDigest = m.self.State, m.digest, m.counted
 	m.pack(msg)
 	m.act(Action{Kind: Send, Name: name, Address: address, Message: msg})
 }
 
-func (m *Member) act(a Action) { m.out = append(m.out, a) }
+func (m *List) act(a Action) { m.out = append(m.out, a) }
 
 // --- News
 
 // say puts a record into the queue of news, in the place of older ones of its member.
-func (m *Member) say(r Record) {
+func (m *List) say(r Record) {
 	if !m.begun { // remembered: nobody is told what all may know
 		return
 	}
@@ -708,9 +708,9 @@
 
 // Size is how many bytes a record takes in a datagram at most.
 func (r *Record) Size() int {
-	n := 40 + len(r.Name) + len(r.By)
+	n := 40 + len(r.Name) + len(r.ReportedBy)
 	if t := r.Tags; t != nil {
-		n += 40 + len(t.Address) + len(t.Zone) + len(t.Program) + len(t.Settings) + len(t.Later)
+		n += 40 + len(t.Address) + len(t.Zone) + len(t.ProgramVersion) + len(t.SettingsHash) + len(t.Unknown)
 		for _, p := range t.Pools {
 			n += 2 + len(p)
 		}
@@ -720,15 +720,15 @@
 
 // pack adds news to a datagram: what was sent least first, one record at least,
 // and as many as the budget of bytes has room for.
-func (m *Member) pack(msg *Message) {
-	m.credit = min(m.credit+float64(m.cfg.Budget)*(m.now-m.creditAt).Seconds(), max(burstLeast, burstPer*float64(len(m.ring))))
+func (m *List) pack(msg *Message) {
+	m.credit = min(m.credit+float64(m.cfg.GossipBytesPerSecond)*(m.now-m.creditAt).Seconds(), max(burstLeast, burstPer*float64(len(m.ring))))
 	m.creditAt = m.now
 	if len(m.queue) == 0 {
 		return
 	}
 	room, taken := newsBytes, 0
-	for i := range msg.News {
-		room -= msg.News[i].Size()
+	for i := range msg.Updates {
+		room -= msg.Updates[i].Size()
 	}
 	burst := max(burstLeast, burstPer*float64(len(m.ring)))
 	for i := range m.queue {
@@ -744,7 +744,7 @@
 		}
 		room -= size
 		m.credit -= float64(size)
-		msg.News = append(msg.News, n.Record)
+		msg.Updates = append(msg.Updates, n.Record)
 		n.times++
 		taken++
 	}
@@ -753,12 +753,12 @@
 	slices.SortStableFunc(m.queue, func(a, b news) int { return cmp.Compare(a.times, b.times) })
 }
 
-func (m *Member) gossip() {
+func (m *List) gossip() {
 	for i := 0; i < disputeStep && len(m.disputes) > 0; i++ {
 		d := m.disputes[0]
 		m.disputes = m.disputes[1:]
-		if d.p.disputed && d.p.Epoch == d.said.Epoch && d.p.Inc == d.said.Inc {
-			m.sendTo(d.p, &Message{Kind: Gossip, News: []Record{d.said}})
+		if d.p.disputed && d.p.Epoch == d.said.Epoch && d.p.Incarnation == d.said.Incarnation {
+			m.sendTo(d.p, &Message{Kind: Gossip, Updates: []Record{d.said}})
 		}
 	}
 	for _, p := range m.some(fanout, nil) {
@@ -771,9 +771,9 @@
 
 // learn takes in what is said of a member. why goes before the reason that follows
 // from the record.
-func (m *Member) learn(r *Record, why string) {
+func (m *List) learn(r *Record, why string) {
 	if !r.sound() {
-		m.Figures.BadRecords++
+		m.Stats.InvalidRecords++
 		return
 	}
 	if r.Name == m.self.Name {
@@ -786,26 +786,26 @@
 		if r.Tags == nil || r.Status == Left {
 			return // an exchange tells the rest
 		}
-		if len(m.others) >= m.cfg.Most {
-			m.Figures.NoRoom++
-			m.act(Action{Kind: Full, Record: *r})
+		if len(m.others) >= m.cfg.MaxMembers {
+			m.Stats.TableFull++
+			m.act(Action{Kind: TableFull, Record: *r})
 			return
 		}
 		p = &peer{heard: -1, place: -1}
 		m.others[r.Name] = p
 		m.take(p, r, 0, why)
-	case !r.Newer(p.Head):
-		m.Figures.Stale++
+	case !r.Newer(p.State):
+		m.Stats.Stale++
 		if r.Epoch != p.Epoch {
 			return
 		}
-		if r.Tags != nil && r.Tagged == p.Tagged && p.Tags == nil {
+		if r.Tags != nil && r.TagsIncarnation == p.TagsIncarnation && p.Tags == nil {
 			p.Tags = r.Tags
 		}
-		if r.Status == Suspect && p.Status == Suspect && r.Inc == p.Inc {
-			m.confirm(p, r.By)
+		if r.Status == Suspect && p.Status == Suspect && r.Incarnation == p.Incarnation {
+			m.confirm(p, r.ReportedBy)
 		}
-	case r.Tags == nil && (r.Epoch != p.Epoch || r.Tagged != p.Tagged):
+	case r.Tags == nil && (r.Epoch != p.Epoch || r.TagsIncarnation != p.TagsIncarnation):
 		return // its tags are not known: the digests differ, and an exchange tells them
 	default:
 		m.take(p, r, p.Status, why)
@@ -813,10 +813,10 @@
 }
 
 // take books a newer record of p.
-func (m *Member) take(p *peer, r *Record, was Status, why string) {
+func (m *List) take(p *peer, r *Record, was Status, why string) {
 	before := p.Record
 	if was != 0 {
-		m.turn(before.Head)
+		m.turn(before.State)
 	}
 	tags := r.Tags
 	if tags == nil {
@@ -825,14 +825,14 @@
 	if r.Epoch != p.Epoch {
 		p.counted, p.wrong, p.excused, p.heard = 0, 0, 0, -1
 	}
-	if r.Epoch == p.Epoch && r.Inc > p.Inc && was == Suspect && r.Status == Alive && p.mine { // our accusation was wrong
+	if r.Epoch == p.Epoch && r.Incarnation > p.Incarnation && was == Suspect && r.Status == Alive && p.mine { // our accusation was wrong
 		p.wrong = min(p.wrong+1, excuseMost)
 		p.excused = m.now + excuseFirst<<(p.wrong-1)
 		m.worse()
 	}
 	p.Record, p.disputed = *r, false
 	p.Tags = tags
-	m.turn(p.Head)
+	m.turn(p.State)
 	if was != r.Status {
 		p.since = m.now
 	}
@@ -844,20 +844,20 @@
 	}
 	m.file(p, was)
 	said := p.Record
-	if before.Epoch == r.Epoch && before.Tagged == r.Tagged && was != 0 {
+	if before.Epoch == r.Epoch && before.TagsIncarnation == r.TagsIncarnation && was != 0 {
 		said.Tags = nil // known already where the member is
 	}
 	m.say(said)
 	if r.Status == Suspect {
-		m.Figures.Suspected++
-		m.suspect(p, r.By)
+		m.Stats.Suspected++
+		m.suspect(p, r.ReportedBy)
 	}
 	if why == "" {
 		switch r.Status {
 		case Suspect:
-			why = "no answer to " + r.By
+			why = "no answer to " + r.ReportedBy
 		case Dead:
-			why = "did not refute, by " + r.By
+			why = "did not refute, by " + r.ReportedBy
 		case Left:
 			why = "said so"
 		case Alive:
@@ -869,11 +869,11 @@
 			}
 		}
 	}
-	m.act(Action{Kind: Changed, Record: p.Record, Was: was, Why: why})
+	m.act(Action{Kind: MemberChanged, Record: p.Record, PreviousStatus: was, Reason: why})
 }
 
 // turn takes a record's part out of the digest, or puts it in.
-func (m *Member) turn(h Head) {
+func (m *List) turn(h State) {
 	if part := h.hash(); part != 0 {
 		m.digest ^= part
 		m.turned, m.alike = m.now, 0
@@ -881,7 +881,7 @@
 }
 
 // file puts p on the list that its status asks for.
-func (m *Member) file(p *peer, was Status) {
+func (m *List) file(p *peer, was Status) {
 	list := func(s Status) *[]*peer {
 		switch s {
 		case Alive, Suspect:
@@ -913,8 +913,8 @@
 }
 
 // suspect begins a suspicion.
-func (m *Member) suspect(p *peer, by string) {
-	least := time.Duration(leastDoubt * float64(m.cfg.Period))
+func (m *List) suspect(p *peer, by string) {
+	least := time.Duration(leastDoubt * float64(m.cfg.ProbeInterval))
 	p.doubt = &doubt{began: m.now, least: least, most: mostDoubt * least, need: min(needed, len(m.ring)-1), by: []string{by}}
 	m.suspects = append(m.suspects, p)
 	m.doubtEnd = min(m.doubtEnd, p.doubt.end())
@@ -923,13 +923,13 @@
 	}
 }
 
-func (m *Member) undoubt(p *peer) {
+func (m *List) undoubt(p *peer) {
 	p.doubt = nil
 	m.suspects = slices.DeleteFunc(m.suspects, func(o *peer) bool { return o == p })
 }
 
 // confirm books that another found the same.
-func (m *Member) confirm(p *peer, by string) {
+func (m *List) confirm(p *peer, by string) {
 	d := p.doubt
 	if d == nil || len(d.by) > d.need || slices.Contains(d.by, by) {
 		return
@@ -937,14 +937,14 @@
 	d.by = append(d.by, by)
 	m.doubtEnd = min(m.doubtEnd, d.end())
 	r := p.Record
-	r.Tags, r.By = nil, by
+	r.Tags, r.ReportedBy = nil, by
 	m.say(r)
 }
 
 // judge ends the suspicions whose time is over. A suspect has a last word: it is pinged once
 // more with what is said of it, since its refutation may have missed this copy, and what has
 // come meanwhile to one that stood still is read before it decides.
-func (m *Member) judge() {
+func (m *List) judge() {
 	m.doubtEnd = never
 	for _, p := range slices.Clone(m.suspects) {
 		d := p.doubt
@@ -967,13 +967,13 @@
 			continue
 		}
 		r := p.Record
-		r.Status, r.Tags, r.By = Dead, nil, m.self.Name
+		r.Status, r.Tags, r.ReportedBy = Dead, nil, m.self.Name
 		m.learn(&r, "accused by "+strings.Join(d.by, ", ")+", did not refute")
 	}
 }
 
 // ownName takes in what others say of this member.
-func (m *Member) ownName(r *Record) {
+func (m *List) ownName(r *Record) {
 	switch {
 	case m.displaced || r.Epoch < m.self.Epoch || m.self.Status == Left:
 	case r.Epoch > m.self.Epoch && m.joined:
@@ -985,37 +985,37 @@
 		m.act(Action{Kind: Displaced, Record: *r})
 	case r.Epoch > m.self.Epoch || r.Status == Left: // this name's earlier process, by a clock that ran ahead; or a person's word
 		m.restart(r.Epoch + 1)
-	case r.Status != Alive && r.Inc >= m.self.Inc:
-		m.Figures.Refuted++
+	case r.Status != Alive && r.Incarnation >= m.self.Incarnation:
+		m.Stats.Refuted++
 		if m.now-m.healed > seekEvery {
 			m.healed = m.now
 			m.worse()
 		}
-		m.restate(r.Inc+1, nil)
-	case r.Inc > m.self.Inc: // alive, of a higher count: said by this process before something was lost
-		m.restate(r.Inc+1, nil)
+		m.restate(r.Incarnation+1, nil)
+	case r.Incarnation > m.self.Incarnation: // alive, of a higher count: said by this process before something was lost
+		m.restate(r.Incarnation+1, nil)
 	}
 }
 
 // restart begins another life of this member.
-func (m *Member) restart(epoch uint64) {
-	m.turn(m.self.Head)
-	m.self.Epoch, m.self.Inc, m.self.Tagged = epoch, 0, 0
-	m.turn(m.self.Head)
+func (m *List) restart(epoch uint64) {
+	m.turn(m.self.State)
+	m.self.Epoch, m.self.Incarnation, m.self.TagsIncarnation = epoch, 0, 0
+	m.turn(m.self.State)
 	m.say(m.self)
 }
 
 // restate raises the incarnation, with other tags if any are given.
-func (m *Member) restate(inc uint32, tags *Tags) {
+func (m *List) restate(inc uint32, tags *Tags) {
 	if inc >= maxInc { // a forged count: another life is beyond it
 		m.restart(m.self.Epoch + 1)
 		return
 	}
-	m.turn(m.self.Head)
-	if m.self.Inc = inc; tags != nil {
-		m.self.Tags, m.self.Tagged = tags, inc
+	m.turn(m.self.State)
+	if m.self.Incarnation = inc; tags != nil {
+		m.self.Tags, m.self.TagsIncarnation = tags, inc
 	}
-	m.turn(m.self.Head)
+	m.turn(m.self.State)
 	said := m.self
 	if tags == nil && m.joined {
 		said.Tags = nil
@@ -1024,12 +1024,12 @@
 }
 
 // depart tells the others that this member goes.
-func (m *Member) depart() {
-	m.turn(m.self.Head)
-	m.self.Status, m.self.Inc = Left, m.self.Inc+1
+func (m *List) depart() {
+	m.turn(m.self.State)
+	m.self.Status, m.self.Incarnation = Left, m.self.Incarnation+1
 	m.say(m.self)
 	for _, p := range m.some(2*fanout, nil) {
-		m.sendTo(p, &Message{Kind: Gossip, News: []Record{m.self}})
+		m.sendTo(p, &Message{Kind: Gossip, Updates: []Record{m.self}})
 	}
 }
 
@@ -1037,13 +1037,13 @@
 
 // seek looks for somebody who is lost, or for a seed: halves of a fleet find each
 // other again. Of all members so many look each time, whatever the fleet's size.
-func (m *Member) seek() {
+func (m *List) seek() {
 	n := float64(len(m.ring) + 1)
 	if len(m.lost) > 0 && m.rng.Float64() < seekers*float64(len(m.lost))/n {
 		p := m.lost[m.below(len(m.lost))]
 		said := p.Record
 		said.Tags = nil
-		m.post(p.Name, p.Tags.Address, &Message{Kind: Ping, Seq: m.number(), Target: p.Name, News: []Record{said, m.self}})
+		m.post(p.Name, p.Tags.Address, &Message{Kind: Ping, Seq: m.number(), Target: p.Name, Updates: []Record{said, m.self}})
 	}
 	if len(m.cfg.Seeds) == 0 {
 		return
@@ -1054,28 +1054,28 @@
 			m.exchange("", seed)
 		}
 	} else if m.rng.Float64() < seekers/n {
-		m.post("", seed, &Message{Kind: Ping, Seq: m.number(), News: []Record{m.self}})
+		m.post("", seed, &Message{Kind: Ping, Seq: m.number(), Updates: []Record{m.self}})
 	}
 }
 
 // exchange begins an exchange of views.
-func (m *Member) exchange(name, address string) {
-	m.Figures.Exchanges++
+func (m *List) exchange(name, address string) {
+	m.Stats.Exchanges++
 	m.swaps++
 	m.swap, m.swapEnd, m.lastSwap = m.swaps, m.now+exchangeFor, m.now
 	gap := time.Duration(max(1, float64(len(m.ring))/exchangePer) * float64(exchangeGap))
 	m.nextSwap = m.now + gap + m.spread(gap)
-	msg := &Message{Kind: Heads, Target: name, News: m.heads()}
-	msg.From, msg.Digest, msg.Counted = m.self.Head, m.digest, m.counted
-	m.act(Action{Kind: Dial, Name: name, Address: address, Message: msg, Exchange: m.swap})
+	msg := &Message{Kind: SyncRequest, Target: name, Updates: m.heads()}
+	msg.From, msg.Digest, msg.ReplicaSetDigest = m.self.State, m.digest, m.counted
+	m.act(Action{Kind: StartSync, Name: name, Address: address, Message: msg, Exchange: m.swap})
 }
 
 // heads are all that is known, without tags, save this member's own.
-func (m *Member) heads() []Record {
+func (m *List) heads() []Record {
 	all := make([]Record, 0, len(m.others)+1)
 	all = append(all, m.self)
 	for _, p := range m.others {
-		all = append(all, Record{Head: p.Head, By: p.By})
+		all = append(all, Record{State: p.State, ReportedBy: p.ReportedBy})
 	}
 	slices.SortFunc(all, func(a, b Record) int { return strings.Compare(a.Name, b.Name) })
 	return all
@@ -1083,92 +1083,92 @@
 
 // takeHeads answers an exchange: with what is newer here, and whose records are
 // wanted.
-func (m *Member) takeHeads(msg *Message, exchange uint64) {
+func (m *List) takeHeads(msg *Message, exchange uint64) {
 	if m.displaced || msg == nil {
 		return
 	}
-	reply := &Message{Kind: Delta, Target: msg.From.Name, From: m.self.Head, Digest: m.digest, Counted: m.counted}
-	named := make(map[string]bool, len(msg.News))
-	for i := range msg.News {
-		r := &msg.News[i]
+	reply := &Message{Kind: SyncResponse, Target: msg.From.Name, From: m.self.State, Digest: m.digest, ReplicaSetDigest: m.counted}
+	named := make(map[string]bool, len(msg.Updates))
+	for i := range msg.Updates {
+		r := &msg.Updates[i]
 		named[r.Name] = true
 		if r.Name == m.self.Name {
-			if r.Head != m.self.Head {
+			if r.State != m.self.State {
 				m.ownName(r)
-				reply.News = append(reply.News, m.self)
+				reply.Updates = append(reply.Updates, m.self)
 			}
 			continue
 		}
 		p := m.others[r.Name]
 		switch {
-		case p == nil || r.Newer(p.Head) && (r.Epoch != p.Epoch || r.Tagged != p.Tagged):
+		case p == nil || r.Newer(p.State) && (r.Epoch != p.Epoch || r.TagsIncarnation != p.TagsIncarnation):
 			if r.Tags != nil {
 				m.hear(r)
 			} else if r.Status != Left {
-				reply.Want = append(reply.Want, r.Name)
+				reply.Requested = append(reply.Requested, r.Name)
 			}
-		case r.Newer(p.Head):
+		case r.Newer(p.State):
 			m.hear(r)
-		case p.Newer(r.Head):
+		case p.Newer(r.State):
 			said := p.Record
-			if p.Epoch == r.Epoch && p.Tagged == r.Tagged {
+			if p.Epoch == r.Epoch && p.TagsIncarnation == r.TagsIncarnation {
 				said.Tags = nil
 			}
-			reply.News = append(reply.News, said)
+			reply.Updates = append(reply.Updates, said)
 		}
 	}
 	if !named[m.self.Name] {
-		reply.News = append(reply.News, m.self)
+		reply.Updates = append(reply.Updates, m.self)
 	}
 	for name, p := range m.others {
 		if !named[name] && p.Status != Left {
-			reply.News = append(reply.News, p.Record)
+			reply.Updates = append(reply.Updates, p.Record)
 		}
 	}
-	slices.SortFunc(reply.News, func(a, b Record) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(reply.Updates, func(a, b Record) int { return strings.Compare(a.Name, b.Name) })
 	m.joined = m.joined || msg.From.Name != m.self.Name // a seed may be this very member
 	m.act(Action{Kind: Reply, Message: reply, Exchange: exchange})
 }
 
 // takeDelta ends an exchange that was begun here.
-func (m *Member) takeDelta(msg *Message, exchange uint64) {
+func (m *List) takeDelta(msg *Message, exchange uint64) {
 	if m.displaced || msg == nil || exchange != m.swap {
 		return
 	}
 	m.swap = 0
-	for i := range msg.News {
-		m.hear(&msg.News[i])
+	for i := range msg.Updates {
+		m.hear(&msg.Updates[i])
 	}
 	m.joined = m.joined || msg.From.Name != m.self.Name
 	if m.displaced {
 		return
 	}
-	rest := &Message{Kind: Rest, Target: msg.From.Name, From: m.self.Head, Digest: m.digest, Counted: m.counted}
-	for _, name := range msg.Want {
+	rest := &Message{Kind: SyncFinal, Target: msg.From.Name, From: m.self.State, Digest: m.digest, ReplicaSetDigest: m.counted}
+	for _, name := range msg.Requested {
 		if p := m.others[name]; p != nil && p.Tags != nil {
-			rest.News = append(rest.News, p.Record)
+			rest.Updates = append(rest.Updates, p.Record)
 		} else if name == m.self.Name {
-			rest.News = append(rest.News, m.self)
+			rest.Updates = append(rest.Updates, m.self)
 		}
 	}
 	m.act(Action{Kind: Reply, Message: rest, Exchange: exchange})
 }
 
-func (m *Member) takeRest(msg *Message) {
+func (m *List) takeRest(msg *Message) {
 	if m.displaced || msg == nil {
 		return
 	}
-	for i := range msg.News {
-		m.hear(&msg.News[i])
+	for i := range msg.Updates {
+		m.hear(&msg.Updates[i])
 	}
 }
 
 // hear takes in a record of another's whole view. One whom that other holds for
 // dead and this member does not is told so and can refute: after a cut each half
 // holds the other for dead, and neither is believed.
-func (m *Member) hear(r *Record) {
+func (m *List) hear(r *Record) {
 	p := m.others[r.Name]
-	if p == nil || r.Status != Dead || p.Status == Dead || p.Status == Left || r.Epoch != p.Epoch || r.Inc < p.Inc || !r.sound() {
+	if p == nil || r.Status != Dead || p.Status == Dead || p.Status == Left || r.Epoch != p.Epoch || r.Incarnation < p.Incarnation || !r.sound() {
 		m.learn(r, "")
 		return
 	}
@@ -1183,18 +1183,18 @@
 
 // --- Chance
 
-func (m *Member) number() uint32 { m.seq++; return m.seq }
+func (m *List) number() uint32 { m.seq++; return m.seq }
 
 // below is a number from 0 to n-1.
-func (m *Member) below(n int) int { return int(m.rng.Uint64() % uint64(max(n, 1))) }
+func (m *List) below(n int) int { return int(m.rng.Uint64() % uint64(max(n, 1))) }
 
 // spread is a time below d.
-func (m *Member) spread(d time.Duration) time.Duration {
+func (m *List) spread(d time.Duration) time.Duration {
 	return time.Duration(m.rng.Float64() * float64(d))
 }
 
 // some are up to n members that are alive or suspect, but not the one named.
-func (m *Member) some(n int, but *peer) []*peer {
+func (m *List) some(n int, but *peer) []*peer {
 	var out []*peer
 	for tries := 0; len(out) < n && tries < 4*n && len(m.ring) > 0; tries++ {
 		if p := m.ring[m.below(len(m.ring))]; p != but && !slices.Contains(out, p) {
--- a/fleet/outlier/verdict.go
+++ b/fleet/outlier/verdict.go
@@ -15,48 +15,48 @@
 
 // How judgements are drawn.
 const (
-	HalfLife    = 4 * time.Second // of evidence: a server heals
-	leastCalls  = 0.9             // of a copy, before what it saw is told
-	newest      = 0.7             // weight of the latest call in what part of them failed
-	mostWeight  = 2.0             // calls that one copy counts for at most: none decides alone
-	leastWeight = 4.0             // calls that all together must count for
-	badFrom     = 0.5             // part of the calls that failed or hung from which a server is bad for a copy,
-	overPeers   = 3.0             // if it is so many times that of its peers there,
-	slowFrom    = 3.0             // or so many times slower than its peers
-	leastVoices = 2               // independent copies that must find the same, besides the zones' rule
-	Most        = 0.3             // of a pool that hearsay may condemn
-	sharedFrom  = 0.34            // of a pool that is bad for the same copy: then it is not the servers
-	tellGap     = time.Second     // between what a copy tells of one server
-	Enough      = 16              // voices on a server, beyond which a copy hands no more on
-	probeSpan   = 2 * time.Second // in each such span one copy in all may try a condemned server
-	mostServers = 16384
-	mostVoices  = 64 // on one server: of more, the youngest are kept
-	oldest      = 6 * HalfLife
+	HalfLife              = 4 * time.Second // of evidence: a server heals
+	leastCalls            = 0.9             // of a copy, before what it saw is told
+	newest                = 0.7             // weight of the latest call in what part of them failed
+	mostWeight            = 2.0             // calls that one copy counts for at most: none decides alone
+	leastWeight           = 4.0             // calls that all together must count for
+	badFrom               = 0.5             // part of the calls that failed or hung from which a server is bad for a copy,
+	overPeers             = 3.0             // if it is so many times that of its peers there,
+	slowFrom              = 3.0             // or so many times slower than its peers
+	leastVoices           = 2               // independent copies that must find the same, besides the zones' rule
+	MaxEjectedFraction    = 0.3             // of a pool that hearsay may condemn
+	sharedFrom            = 0.34            // of a pool that is bad for the same copy: then it is not the servers
+	tellGap               = time.Second     // between what a copy tells of one server
+	MaxForwardedReporters = 16              // voices on a server, beyond which a copy hands no more on
+	probeSpan             = 2 * time.Second // in each such span one copy in all may try a condemned server
+	mostServers           = 16384
+	mostVoices            = 64 // on one server: of more, the youngest are kept
+	oldest                = 6 * HalfLife
 )
 
 // Evidence is what one copy saw of one server, as counts that decay: a part of
 // the latest calls, and how many they were.
 type Evidence struct {
-	Reporter string  `json:"Reporter"`
-	Epoch    uint64  `json:"Epoch"`
-	Version  uint64  `json:"Version"`
-	Zone     string  `json:"Zone"` // of the reporter
-	Server   uint64  `json:"Server"`
-	Since    int64   `json:"Since"` // the server's start: evidence on another start is worth nothing
-	Calls    float64 `json:"Calls"`
-	Errors   float64 `json:"Errors"` // part failed or was turned away
-	Hangs    float64 `json:"Hangs"`  // part that did not answer in time, or could not be reached
-	Slow     float64 `json:"Slow"`   // latency against the reporter's other servers
-	Peers    float64 `json:"Peers"`  // part of the calls to its other servers that failed
+	Reporter        string  `json:"Reporter"`
+	Epoch           uint64  `json:"Epoch"`
+	Version         uint64  `json:"Version"`
+	Zone            string  `json:"Zone"` // of the reporter
+	Endpoint        uint64  `json:"Server"`
+	StartedAt       int64   `json:"Since"` // the server's start: evidence on another start is worth nothing
+	Attempts        float64 `json:"Calls"`
+	Errors          float64 `json:"Errors"` // part failed or was turned away
+	Timeouts        float64 `json:"Hangs"`  // part that did not answer in time, or could not be reached
+	RelativeLatency float64 `json:"Slow"`   // latency against the reporter's other servers
+	PeerErrorRate   float64 `json:"Peers"`  // part of the calls to its other servers that failed
 }
 
 func (e *Evidence) sound() bool {
-	for _, f := range []float64{e.Calls, e.Errors, e.Hangs, e.Slow, e.Peers} {
+	for _, f := range []float64{e.Attempts, e.Errors, e.Timeouts, e.RelativeLatency, e.PeerErrorRate} {
 		if !(f >= 0 && f < 1e9) {
 			return false
 		}
 	}
-	return e.Reporter != "" && e.Errors+e.Hangs <= e.Calls*1.0001 && e.Peers <= 1
+	return e.Reporter != "" && e.Errors+e.Timeouts <= e.Attempts*1.0001 && e.PeerErrorRate <= 1
 }
 
 // bad tells whether evidence is against its server.
@@ -64,8 +64,8 @@
 	if calls < leastCalls {
 		return false
 	}
-	part := (e.Errors + e.Hangs) / e.Calls
-	return part >= badFrom && part >= overPeers*e.Peers || e.Slow >= slowFrom
+	part := (e.Errors + e.Timeouts) / e.Attempts
+	return part >= badFrom && part >= overPeers*e.PeerErrorRate || e.RelativeLatency >= slowFrom
 }
 
 type voice struct {
@@ -85,24 +85,24 @@
 	last         time.Duration // its latest call
 }
 
-// Server is one of a pool's, as its own list has it.
-type Server struct {
-	ID    uint64
-	Since int64
+// Endpoint is one of a pool's, as its own list has it.
+type Endpoint struct {
+	ID        uint64
+	StartedAt int64
 }
 
-// Judgement is what a reader draws.
-type Judgement struct {
-	Server uint64
-	By     []string // copies whose evidence it rests on
-	Zones  []string
-	Bad    bool
-	Why    string
+// Verdict is what a reader draws.
+type Verdict struct {
+	Endpoint  uint64
+	Reporters []string // copies whose evidence it rests on
+	Zones     []string
+	Bad       bool
+	Reason    string
 }
 
-// Verdict is one copy's evidence and what it has heard. It is not safe for
+// Detector is one copy's evidence and what it has heard. It is not safe for
 // concurrent use.
-type Verdict struct {
+type Detector struct {
 	name, zone string
 	epoch      uint64
 	version    uint64
@@ -113,8 +113,8 @@
 }
 
 // New returns a copy's verdicts.
-func New(name, zone string, epoch uint64) *Verdict {
-	return &Verdict{name: name, zone: zone, epoch: epoch, own: map[uint64]*own{}, voices: map[uint64]map[string]*voice{}}
+func New(name, zone string, epoch uint64) *Detector {
+	return &Detector{name: name, zone: zone, epoch: epoch, own: map[uint64]*own{}, voices: map[uint64]map[string]*voice{}}
 }
 
 func fade(d time.Duration) float64 { return math.Exp2(-float64(max(d, 0)) / float64(HalfLife)) }
@@ -124,21 +124,21 @@
 
 // The outcomes that count.
 const (
-	Good Outcome = iota
+	Succeeded Outcome = iota
 	Failed
-	Hung
+	TimedOut
 )
 
-// Saw books a call of this copy. slow is how long it took against the usual, 0 if
+// RecordOutcome books a call of this copy. slow is how long it took against the usual, 0 if
 // that says nothing.
-func (v *Verdict) Saw(now time.Duration, s Server, o Outcome, slow float64) {
+func (v *Detector) RecordOutcome(now time.Duration, s Endpoint, o Outcome, slow float64) {
 	v.now = max(v.now, now)
 	e := v.own[s.ID]
-	if e == nil || e.since != s.Since {
+	if e == nil || e.since != s.StartedAt {
 		if e == nil && len(v.own) >= mostServers {
 			return
 		}
-		e = &own{since: s.Since, at: v.now, slow: 1}
+		e = &own{since: s.StartedAt, at: v.now, slow: 1}
 		v.own[s.ID] = e
 	}
 	v.age(e)
@@ -147,7 +147,7 @@
 	switch o {
 	case Failed:
 		failed = 1
-	case Hung:
+	case TimedOut:
 		hung = 1
 	}
 	if e.calls < 0.01 {
@@ -163,15 +163,15 @@
 	}
 }
 
-func (v *Verdict) age(e *own) {
+func (v *Detector) age(e *own) {
 	left := fade(v.now - e.at)
 	e.calls, e.slow, e.at = e.calls*left, 1+(e.slow-1)*left, v.now
 }
 
-// Evidence is what this copy tells others: on servers that look bad to it, or did
+// PendingEvidence is what this copy tells others: on servers that look bad to it, or did
 // when it told last, and on those that others say look bad, since what it saw of them
 // may be good.
-func (v *Verdict) Evidence(now time.Duration) (out []Evidence) {
+func (v *Detector) PendingEvidence(now time.Duration) (out []Evidence) {
 	v.now = max(v.now, now)
 	calls, bad := 0.0, 0.0
 	for id, e := range v.own {
@@ -188,9 +188,9 @@
 		if rest := calls - e.calls; rest > 0 {
 			peers = min((bad-e.calls*(e.failed+e.hung))/rest, 1)
 		}
-		one := Evidence{Reporter: v.name, Epoch: v.epoch, Version: v.version, Zone: v.zone, Server: id, Since: e.since, Calls: e.calls, Errors: e.calls * e.failed, Hangs: e.calls * e.hung,
-			Slow: e.slow, Peers: max(peers, 0)}
-		against := one.bad(one.Calls)
+		one := Evidence{Reporter: v.name, Epoch: v.epoch, Version: v.version, Zone: v.zone, Endpoint: id, StartedAt: e.since, Attempts: e.calls, Errors: e.calls * e.failed, Timeouts: e.calls * e.hung,
+			RelativeLatency: e.slow, PeerErrorRate: max(peers, 0)}
+		against := one.bad(one.Attempts)
 		// What has changed, and that seldom: others need a few voices, not all that each has to say.
 		switch {
 		case against != e.said && (against || e.calls >= 2):
@@ -204,9 +204,9 @@
 }
 
 // asked tells whether others have said lately that a server looks bad.
-func (v *Verdict) asked(id uint64) bool {
+func (v *Detector) asked(id uint64) bool {
 	for _, o := range v.voices[id] {
-		if v.now-o.at < HalfLife && o.bad(o.Calls) {
+		if v.now-o.at < HalfLife && o.bad(o.Attempts) {
 			return true
 		}
 	}
@@ -231,8 +231,8 @@
 	return ids
 }
 
-// Hear takes another's evidence in, and tells whether it was news.
-func (v *Verdict) Hear(now time.Duration, e Evidence, age time.Duration) bool {
+// Merge takes another's evidence in, and tells whether it was news.
+func (v *Detector) Merge(now time.Duration, e Evidence, age time.Duration) bool {
 	v.now = max(v.now, now)
 	if !e.sound() || age < 0 {
 		v.BadItems++
@@ -241,13 +241,13 @@
 	if e.Reporter == v.name || age > oldest {
 		return false
 	}
-	all := v.voices[e.Server]
+	all := v.voices[e.Endpoint]
 	if all == nil {
 		if len(v.voices) >= mostServers {
 			return false
 		}
 		all = map[string]*voice{}
-		v.voices[e.Server] = all
+		v.voices[e.Endpoint] = all
 	}
 	old := all[e.Reporter]
 	switch {
@@ -270,21 +270,21 @@
 	return true
 }
 
-// Forget drops what a copy that left has said.
-func (v *Verdict) Forget(reporter string) {
+// ForgetReporter drops what a copy that left has said.
+func (v *Detector) ForgetReporter(reporter string) {
 	for _, all := range v.voices {
 		delete(all, reporter)
 	}
 }
 
-// Judge draws judgements on the servers of a pool. zones is how many zones copies
+// Evaluate draws judgements on the servers of a pool. zones is how many zones copies
 // stand in. What only copies of one zone have seen holds for that zone alone: a cut
 // between zones looks like dead servers from one side.
-func (v *Verdict) Judge(now time.Duration, servers []Server, zones int) []Judgement {
+func (v *Detector) Evaluate(now time.Duration, servers []Endpoint, zones int) []Verdict {
 	v.now = max(v.now, now)
 	listed := make(map[uint64]int64, len(servers))
 	for _, s := range servers {
-		listed[s.ID] = s.Since
+		listed[s.ID] = s.StartedAt
 	}
 	// A copy for which much of the pool is bad says something of itself, or of what all share.
 	against := map[string]int{}
@@ -293,7 +293,7 @@
 		for name, o := range all {
 			if v.now-o.at > oldest {
 				delete(all, name)
-			} else if here && o.Since == since && o.bad(o.Calls*fade(v.now-o.at)) {
+			} else if here && o.StartedAt == since && o.bad(o.Attempts*fade(v.now-o.at)) {
 				against[name]++
 			}
 		}
@@ -309,97 +309,97 @@
 	}
 	many := max(sharedFrom*float64(len(servers)), 1)
 	type weighed struct {
-		Judgement
+		Verdict
 		weight float64
 	}
 	var found []weighed
 	for _, s := range servers {
-		j := Judgement{Server: s.ID}
+		j := Verdict{Endpoint: s.ID}
 		var sum struct{ weight, bad, peers, slow float64 }
 		weigh := func(who, zone string, e *Evidence, calls float64) {
-			if calls <= 0 || e.Calls <= 0 {
+			if calls <= 0 || e.Attempts <= 0 {
 				return
 			}
 			w := min(calls, mostWeight)
-			sum.weight, sum.bad = sum.weight+w, sum.bad+w*(e.Errors+e.Hangs)/e.Calls
-			sum.peers, sum.slow = sum.peers+w*e.Peers, sum.slow+w*e.Slow
+			sum.weight, sum.bad = sum.weight+w, sum.bad+w*(e.Errors+e.Timeouts)/e.Attempts
+			sum.peers, sum.slow = sum.peers+w*e.PeerErrorRate, sum.slow+w*e.RelativeLatency
 			if !e.bad(max(calls, leastCalls)) {
 				return
 			}
-			j.By = append(j.By, who)
+			j.Reporters = append(j.Reporters, who)
 			if !slices.Contains(j.Zones, zone) {
 				j.Zones = append(j.Zones, zone)
 			}
 		}
 		for _, name := range names(v.voices[s.ID]) {
-			if o := v.voices[s.ID][name]; o.Since == s.Since && float64(against[name]) <= many {
-				weigh(name, o.Zone, &o.Evidence, o.Calls*fade(v.now-o.at))
+			if o := v.voices[s.ID][name]; o.StartedAt == s.StartedAt && float64(against[name]) <= many {
+				weigh(name, o.Zone, &o.Evidence, o.Attempts*fade(v.now-o.at))
 			}
 		}
-		if e := v.own[s.ID]; e != nil && e.since == s.Since && float64(mine) <= many {
-			weigh(v.name, v.zone, &Evidence{Calls: e.calls, Errors: e.calls * e.failed, Hangs: e.calls * e.hung, Slow: e.slow}, e.calls*fade(v.now-e.at))
+		if e := v.own[s.ID]; e != nil && e.since == s.StartedAt && float64(mine) <= many {
+			weigh(v.name, v.zone, &Evidence{Attempts: e.calls, Errors: e.calls * e.failed, Timeouts: e.calls * e.hung, RelativeLatency: e.slow}, e.calls*fade(v.now-e.at))
 		}
-		slices.Sort(j.By)
+		slices.Sort(j.Reporters)
 		slices.Sort(j.Zones)
 		own := len(j.Zones) == 1 && j.Zones[0] == v.zone
 		part, peers, slow := sum.bad/max(sum.weight, 1e-9), sum.peers/max(sum.weight, 1e-9), sum.slow/max(sum.weight, 1e-9)
-		if sum.weight >= leastWeight && len(j.By) >= leastVoices && (zones < 2 || len(j.Zones) >= 2 || own) &&
+		if sum.weight >= leastWeight && len(j.Reporters) >= leastVoices && (zones < 2 || len(j.Zones) >= 2 || own) &&
 			(part >= badFrom && part >= overPeers*peers || slow >= slowFrom) {
 			found = append(found, weighed{j, sum.weight})
 		}
 	}
 	// At most a part of the pool, and never the last two: the worst first.
 	slices.SortStableFunc(found, func(a, b weighed) int { return cmp.Compare(b.weight, a.weight) })
-	most := int(Most * float64(len(servers)))
-	var out []Judgement
+	most := int(MaxEjectedFraction * float64(len(servers)))
+	var out []Verdict
 	for i := range found {
 		if i >= most {
 			break
 		}
-		j := found[i].Judgement
-		j.Bad, j.Why = true, "seen by several copies"
+		j := found[i].Verdict
+		j.Bad, j.Reason = true, "seen by several copies"
 		out = append(out, j)
 	}
 	return out
 }
 
 // mine tells whether a server is bad by this copy's own evidence.
-func (v *Verdict) mine(s Server) bool {
+func (v *Detector) mine(s Endpoint) bool {
 	e := v.own[s.ID]
-	if e == nil || e.since != s.Since {
+	if e == nil || e.since != s.StartedAt {
 		return false
 	}
-	one := Evidence{Calls: e.calls, Errors: e.calls * e.failed, Hangs: e.calls * e.hung, Slow: e.slow}
+	one := Evidence{Attempts: e.calls, Errors: e.calls * e.failed, Timeouts: e.calls * e.hung, RelativeLatency: e.slow}
 	return one.bad(e.calls * fade(v.now-e.at))
 }
 
-// Probes tells whether this copy may try a condemned server now: of all copies one
+// ShouldProbe tells whether this copy may try a condemned server now: of all copies one
 // at a time does, so that the probing share is divided and not multiplied. clock is
 // a time that all know about alike; being wrong about it costs a probe.
-func Probes(server uint64, clock time.Duration, self, of int) bool {
+func ShouldProbe(server uint64, clock time.Duration, self, of int) bool {
 	slot := uint64(clock / probeSpan)
 	return int(seedrand.Mix(server^seedrand.Mix(slot))%uint64(max(of, 1))) == self
 }
 
-// Heard are all voices on a server, as people read them.
-func (v *Verdict) Heard(server uint64) (out []Evidence) {
+// EvidenceAgainst are all voices on a server, as people read them.
+func (v *Detector) EvidenceAgainst(server uint64) (out []Evidence) {
 	for _, o := range v.voices[server] {
 		e := o.Evidence
 		left := fade(v.now - o.at)
-		e.Calls, e.Errors, e.Hangs = e.Calls*left, e.Errors*left, e.Hangs*left
+		e.Attempts, e.Errors, e.Timeouts = e.Attempts*left, e.Errors*left, e.Timeouts*left
 		out = append(out, e)
 	}
 	slices.SortFunc(out, func(a, b Evidence) int { return cmp.Compare(a.Reporter, b.Reporter) })
 	return out
 }
 
-// Voices is how many are heard on a server.
-func (v *Verdict) Voices(server uint64) int { return len(v.voices[server]) }
+// ReporterCount is how many are heard on a server.
+func (v *Detector) ReporterCount(server uint64) int { return len(v.voices[server]) }
 
-// All is every voice, by server and reporter.
-func (v *Verdict) All() (out []Evidence) {
+// AllEvidence is every voice, by server and reporter.
+func (v *Detector) AllEvidence() (out []Evidence) {
 	for _, id := range sorted(v.voices) {
-		out = append(out, v.Heard(id)...)
+		out = append(out, v.EvidenceAgainst(id)...)
 	}
 	return out
 }
--- a/fleet/placement/view.go
+++ b/fleet/placement/view.go
@@ -31,35 +31,35 @@
 
 // Snapshot is what a member knows.
 type Snapshot struct {
-	Members   []membership.Standing // in the order of their names, this copy among them
-	Joined    bool                  // a whole view was exchanged, or is remembered, or there is nobody to ask
+	Members   []membership.MemberInfo // in the order of their names, this copy among them
+	Joined    bool                    // a whole view was exchanged, or is remembered, or there is nobody to ask
 	Displaced bool
 	Health    int
 }
 
-// Place is a copy's place among those of one pool.
-type Place struct {
-	Self, Of int // in the ring: a number below Of
-	Among    int // copies that may be there: each has an equal part of a budget
+// Position is a copy's place among those of one pool.
+type Position struct {
+	Index, Of     int // in the ring: a number below Of
+	QuotaReplicas int // copies that may be there: each has an equal part of a budget
 	// Sure tells that all of them count this copy too, so that its part is one of
 	// theirs. Without it the part is nothing, unless Among is within the floor that
 	// a person has written.
-	Sure  bool
-	There int           // copies of the pool that are there for certain
-	Lost  int           // that may be there and can't be reached
-	Stale time.Duration // since when the fleet was not heard; 0 while it is
+	Confirmed   bool
+	Alive       int           // copies of the pool that are there for certain
+	Unreachable int           // that may be there and can't be reached
+	StaleFor    time.Duration // since when the fleet was not heard; 0 while it is
 }
 
-// Part is the part of a budget that a copy may spend by itself.
-func (p Place) Part() float64 {
-	if !p.Sure {
+// QuotaFraction is the part of a budget that a copy may spend by itself.
+func (p Position) QuotaFraction() float64 {
+	if !p.Confirmed {
 		return 0
 	}
-	return 1 / float64(max(p.Among, 1))
+	return 1 / float64(max(p.QuotaReplicas, 1))
 }
 
-// View follows a fleet. It is not safe for concurrent use.
-type View struct {
+// Tracker follows a fleet. It is not safe for concurrent use.
+type Tracker struct {
 	floors  map[string]int
 	now     time.Duration
 	counted uint64
@@ -74,7 +74,7 @@
 }
 
 type pool struct {
-	place    Place
+	place    Position
 	there    []string // by name, whom places follow
 	waiting  []string // whom they may follow next
 	since    time.Duration
@@ -84,43 +84,43 @@
 
 // New returns a view of a fleet of which a person has written how many copies send
 // to each pool: among fewer no budget of it is divided.
-func New(floors map[string]int) *View {
-	return &View{floors: floors, was: map[string]membership.Status{}, pools: map[string]*pool{}}
+func New(floors map[string]int) *Tracker {
+	return &Tracker{floors: floors, was: map[string]membership.Status{}, pools: map[string]*pool{}}
 }
 
-// Sure tells whether all that may be there count this copy. Once they do they go on
+// Confirmed tells whether all that may be there count this copy. Once they do they go on
 // doing so, over a restart too, until it says that it leaves.
-func (v *View) Sure() bool { return v.sure }
+func (v *Tracker) Confirmed() bool { return v.sure }
 
-// Trust says that this copy was sure before its restart.
-func (v *View) Trust() { v.sure = true }
+// RestoreConfirmed says that this copy was sure before its restart.
+func (v *Tracker) RestoreConfirmed() { v.sure = true }
 
-// Floors changes what a person has written.
-func (v *View) Floors(floors map[string]int) { v.floors = floors }
+// SetMinimums changes what a person has written.
+func (v *Tracker) SetMinimums(floors map[string]int) { v.floors = floors }
 
-// Counted is the digest of all copies that may be there, this one among them.
-func (v *View) Counted() uint64 { return v.counted }
+// ReplicaSetDigest is the digest of all copies that may be there, this one among them.
+func (v *Tracker) ReplicaSetDigest() uint64 { return v.counted }
 
-// CutOff tells whether this copy is likely the one that is cut off, and since when.
-func (v *View) CutOff() (bool, time.Duration) { return v.cut, v.cutAt }
+// Partitioned tells whether this copy is likely the one that is cut off, and since when.
+func (v *Tracker) Partitioned() (bool, time.Duration) { return v.cut, v.cutAt }
 
-// Pool tells the place among the copies of a pool.
-func (v *View) Pool(name string) Place {
+// Position tells the place among the copies of a pool.
+func (v *Tracker) Position(name string) Position {
 	if p := v.pools[name]; p != nil {
 		return p.place
 	}
-	return Place{Of: v.floor(name), Among: v.floor(name), Sure: true}
+	return Position{Of: v.floor(name), QuotaReplicas: v.floor(name), Confirmed: true}
 }
 
-func (v *View) floor(pool string) int { return max(v.floors[pool], 1) }
+func (v *Tracker) floor(pool string) int { return max(v.floors[pool], 1) }
 
 // Update takes in what is known. Times must not go back. It tells whether any
 // place has changed.
-func (v *View) Update(now time.Duration, s Snapshot) (changed bool) {
+func (v *Tracker) Update(now time.Duration, s Snapshot) (changed bool) {
 	v.now = max(now, v.now)
 	v.count(&s)
 	v.judge(&s)
-	var self *membership.Standing
+	var self *membership.MemberInfo
 	for i := range s.Members {
 		if s.Members[i].Self {
 			self = &s.Members[i]
@@ -139,7 +139,7 @@
 		before := p.place
 		v.place(p, name, self.Name, &s)
 		after := p.place
-		before.Stale, after.Stale = 0, 0
+		before.StaleFor, after.StaleFor = 0, 0
 		changed = changed || before != after
 	}
 	for name := range v.pools {
@@ -152,7 +152,7 @@
 }
 
 // count finds who may be there, and whether all of them count this copy.
-func (v *View) count(s *Snapshot) {
+func (v *Tracker) count(s *Snapshot) {
 	before := v.counted
 	v.counted = 0
 	for i := range s.Members {
@@ -174,14 +174,14 @@
 	all := s.Joined
 	for i := range s.Members {
 		m := &s.Members[i]
-		all = all && (m.Self || m.Status == membership.Left || m.Counted == v.counted)
+		all = all && (m.Self || m.Status == membership.Left || m.ReplicaSetDigest == v.counted)
 	}
 	v.sure = v.sure || all && before == v.counted
 }
 
 // judge finds whether this copy is likely the one that is cut off: it lost most of
 // the others at once, or its own health says that it hears badly.
-func (v *View) judge(s *Snapshot) {
+func (v *Tracker) judge(s *Snapshot) {
 	alive, heard := 0, time.Duration(-1)
 	for i := range s.Members {
 		m := &s.Members[i]
@@ -194,11 +194,11 @@
 		if v.was[m.Name] = m.Status; m.Status == membership.Alive || m.Status == membership.Suspect {
 			alive++
 		}
-		heard = max(heard, m.Heard)
+		heard = max(heard, m.LastHeard)
 	}
 	if len(v.was) > len(s.Members) {
 		for name := range v.was {
-			if !slices.ContainsFunc(s.Members, func(m membership.Standing) bool { return m.Name == name }) {
+			if !slices.ContainsFunc(s.Members, func(m membership.MemberInfo) bool { return m.Name == name }) {
 				delete(v.was, name)
 			}
 		}
@@ -218,7 +218,7 @@
 }
 
 // majority tells whether most of those that may be there are there.
-func (v *View) majority(s *Snapshot) bool {
+func (v *Tracker) majority(s *Snapshot) bool {
 	there, all := 0, 0
 	for i := range s.Members {
 		switch s.Members[i].Status {
@@ -233,7 +233,7 @@
 }
 
 // place finds the place in one pool.
-func (v *View) place(p *pool, name, self string, s *Snapshot) {
+func (v *Tracker) place(p *pool, name, self string, s *Snapshot) {
 	var there []string
 	among, lost, certain := 0, 0, 0
 	for i := range s.Members {
@@ -263,17 +263,17 @@
 	// While all that may be there fit the floor each may spend its part, whatever the others know. A copy
 	// that has met nobody yet does not know who may be there.
 	floor := v.floor(name)
-	p.place = Place{Self: at, Of: of, Among: max(among, floor), There: certain, Lost: lost, Sure: !s.Displaced && !v.left && (v.sure || s.Joined && among <= floor)}
-	if p.place.Of = max(p.place.Of, p.place.Self+1); v.last > 0 && len(s.Members) > 1 {
+	p.place = Position{Index: at, Of: of, QuotaReplicas: max(among, floor), Alive: certain, Unreachable: lost, Confirmed: !s.Displaced && !v.left && (v.sure || s.Joined && among <= floor)}
+	if p.place.Of = max(p.place.Of, p.place.Index+1); v.last > 0 && len(s.Members) > 1 {
 		if quiet := v.now - v.last; quiet > cutSpan {
-			p.place.Stale = quiet
+			p.place.StaleFor = quiet
 		}
 	}
 }
 
 // follow has places follow those that are there, once they have been so for long
 // enough. A copy that may be cut off goes on with the places that it knew.
-func (v *View) follow(p *pool, there []string) {
+func (v *Tracker) follow(p *pool, there []string) {
 	if !p.anything {
 		p.anything, p.there, p.waiting, p.since = true, there, there, v.now
 		return
@@ -295,8 +295,8 @@
 	}
 }
 
-// Due is how long after an update the next one is due for what waits, at most.
-func (v *View) Due() time.Duration {
+// NextUpdate is how long after an update the next one is due for what waits, at most.
+func (v *Tracker) NextUpdate() time.Duration {
 	for _, p := range v.pools {
 		if !slices.Equal(p.there, p.waiting) {
 			return Settle / 2
@@ -306,7 +306,7 @@
 }
 
 // Pools names the pools that are followed.
-func (v *View) Pools() []string {
+func (v *Tracker) Pools() []string {
 	names := make([]string, 0, len(v.pools))
 	for name := range v.pools {
 		names = append(names, name)
--- a/fleet/placement/view_test.go
+++ b/fleet/placement/view_test.go
@@ -10,12 +10,12 @@
 
 // of makes what a copy named a knows: others by name and status.
 func of(health int, others ...string) Snapshot {
-	s := Snapshot{Joined: true, Health: health, Members: []membership.Standing{{Record: membership.Record{Head: membership.Head{Name: "a", Status: membership.Alive},
+	s := Snapshot{Joined: true, Health: health, Members: []membership.MemberInfo{{Record: membership.Record{State: membership.State{Name: "a", Status: membership.Alive},
 		Tags: &membership.Tags{Pools: []string{"main"}, Phase: membership.Serving}}, Self: true}}}
 	for _, o := range others {
 		status := map[byte]membership.Status{'+': membership.Alive, '?': membership.Suspect, '-': membership.Dead, '.': membership.Left}[o[0]]
-		s.Members = append(s.Members, membership.Standing{Record: membership.Record{Head: membership.Head{Name: o[1:], Status: status},
-			Tags: &membership.Tags{Pools: []string{"main"}, Phase: membership.Serving}}, Heard: time.Hour})
+		s.Members = append(s.Members, membership.MemberInfo{Record: membership.Record{State: membership.State{Name: o[1:], Status: status},
+			Tags: &membership.Tags{Pools: []string{"main"}, Phase: membership.Serving}}, LastHeard: time.Hour})
 	}
 	return s
 }
@@ -37,8 +37,8 @@
 	} {
 		v, now := New(map[string]int{"main": tc.floor}), time.Duration(0)
 		tell := func() string {
-			p := v.Pool("main")
-			return fmt.Sprintf("%d/%d/%d/%.3g", p.Self, p.Of, p.Among, p.Part())
+			p := v.Position("main")
+			return fmt.Sprintf("%d/%d/%d/%.3g", p.Index, p.Of, p.QuotaReplicas, p.QuotaFraction())
 		}
 		for _, s := range tc.steps {
 			v.Update(now, s)
@@ -61,8 +61,8 @@
 	v.Update(now, of(0, "+b", "+c"))
 	for i := range 100 {
 		now += 2 * time.Second
-		if v.Update(now, of(0, "+b", []string{"+c", "-c"}[i%2])); v.Pool("main").Of != 3 {
-			t.Fatalf("step %d: %+v", i, v.Pool("main"))
+		if v.Update(now, of(0, "+b", []string{"+c", "-c"}[i%2])); v.Position("main").Of != 3 {
+			t.Fatalf("step %d: %+v", i, v.Position("main"))
 		}
 	}
 }
@@ -73,25 +73,25 @@
 	v := New(map[string]int{"main": 2})
 	s := of(0, "+b", "+c")
 	v.Update(0, s)
-	if p := v.Pool("main"); p.Part() != 0 {
+	if p := v.Position("main"); p.QuotaFraction() != 0 {
 		t.Errorf("uncounted: %+v", p)
 	}
-	s.Members[1].Counted = v.Counted()
+	s.Members[1].ReplicaSetDigest = v.ReplicaSetDigest()
 	v.Update(time.Second, s)
-	if p := v.Pool("main"); p.Part() != 0 {
+	if p := v.Position("main"); p.QuotaFraction() != 0 {
 		t.Errorf("counted by one of two: %+v", p)
 	}
-	s.Members[2].Counted = v.Counted()
+	s.Members[2].ReplicaSetDigest = v.ReplicaSetDigest()
 	v.Update(2*time.Second, s)
-	if p := v.Pool("main"); p.Part() < 0.33 {
+	if p := v.Position("main"); p.QuotaFraction() < 0.33 {
 		t.Errorf("counted by all: %+v", p)
 	}
 	v.Update(3*time.Second, of(0, "-b", "-c"))
-	if p := v.Pool("main"); p.Part() < 0.33 || p.Among != 3 {
+	if p := v.Position("main"); p.QuotaFraction() < 0.33 || p.QuotaReplicas != 3 {
 		t.Errorf("cut off: %+v", p)
 	}
 	s.Displaced = true
-	if v.Update(4*time.Second, s); v.Pool("main").Part() != 0 {
-		t.Errorf("replaced: %+v", v.Pool("main"))
+	if v.Update(4*time.Second, s); v.Position("main").QuotaFraction() != 0 {
+		t.Errorf("replaced: %+v", v.Position("main"))
 	}
 }
