--- a/lab/experiment/file.go
+++ b/lab/experiment/file.go
@@ -32,20 +32,20 @@
 
 // File is an experiment as it is written.
 type File struct {
-	Name   string         `yaml:"name" json:"name" jsonschema:"required"`
-	About  string         `yaml:"about" json:"about,omitempty"`
-	World  any            `yaml:"world" json:"world" jsonschema_description:"a file, relative to this one, or a whole world"`
-	Set    map[string]any `yaml:"set" json:"set,omitempty" jsonschema_description:"replaces keys of the world; mappings are merged"`
-	Host   string         `yaml:"host" json:"host,omitempty" jsonschema:"enum=sim,enum=sockets,enum=overhead" jsonschema_description:"default sim"`
-	Seeds  int            `yaml:"seeds" json:"seeds" jsonschema:"minimum=1,maximum=1000"`
-	Arms   []Arm          `yaml:"arms" json:"arms" jsonschema:"minItems=1"`
-	Short  Short          `yaml:"short" json:"short,omitempty" jsonschema_description:"what --short changes"`
-	Expect []string       `yaml:"expect" json:"expect,omitempty" jsonschema_description:"conditions, as in goodput(a) >= 1.1 * goodput(b)"`
-	Tables []string       `yaml:"tables" json:"tables,omitempty" jsonschema_description:"metrics that the table shows"`
+	Name     string         `yaml:"name" json:"name" jsonschema:"required"`
+	About    string         `yaml:"about" json:"about,omitempty"`
+	World    any            `yaml:"world" json:"world" jsonschema_description:"a file, relative to this one, or a whole world"`
+	Set      map[string]any `yaml:"set" json:"set,omitempty" jsonschema_description:"replaces keys of the world; mappings are merged"`
+	Host     string         `yaml:"host" json:"host,omitempty" jsonschema:"enum=sim,enum=sockets,enum=overhead" jsonschema_description:"default sim"`
+	Seeds    int            `yaml:"seeds" json:"seeds" jsonschema:"minimum=1,maximum=1000"`
+	Variants []Variant      `yaml:"arms" json:"arms" jsonschema:"minItems=1"`
+	Short    Short          `yaml:"short" json:"short,omitempty" jsonschema_description:"what --short changes"`
+	Expect   []string       `yaml:"expect" json:"expect,omitempty" jsonschema_description:"conditions, as in goodput(a) >= 1.1 * goodput(b)"`
+	Tables   []string       `yaml:"tables" json:"tables,omitempty" jsonschema_description:"metrics that the table shows"`
 }
 
-// Arm is one of the things compared.
-type Arm struct {
+// Variant is one of the things compared.
+type Variant struct {
 	Name        string         `yaml:"name" json:"name" jsonschema:"required"`
 	Decider     string         `yaml:"decider" json:"decider,omitempty" jsonschema_description:"ryerill (default); shared: its copies share quotas and evidence; oracle: and hear each other at once; or a picker and a limit: p2c, least/fixed:20, random/gradient"`
 	Host        string         `yaml:"host" json:"host,omitempty"`
@@ -64,7 +64,7 @@
 type Experiment struct {
 	File
 	Path   string
-	Worlds []*scenario.World // by arm
+	Worlds []*scenario.Scenario // by arm
 
 	checks []check
 }
@@ -96,7 +96,7 @@
 	if e.Seeds < 1 || e.Seeds > 1000 {
 		bad("seeds", e.Seeds, "a number from 1 to 1000")
 	}
-	if len(e.Arms) == 0 {
+	if len(e.Variants) == 0 {
 		bad("arms", 0, "one arm or more")
 	}
 	if short && e.Short.Seeds > 0 {
@@ -107,8 +107,8 @@
 		return nil, fmt.Errorf("%s%s: world: %w", path, tree.Position("world"), err)
 	}
 	names := map[string]bool{}
-	for i := range e.Arms {
-		a, at := &e.Arms[i], fmt.Sprintf("arms[%d]", i)
+	for i := range e.Variants {
+		a, at := &e.Variants[i], fmt.Sprintf("arms[%d]", i)
 		if !armName.MatchString(a.Name) || names[a.Name] {
 			bad(at+".name", a.Name, "a name that stands once: small letters, digits and underscores, a letter first")
 		}
@@ -125,7 +125,7 @@
 		if a.Connections == 0 {
 			a.Connections = 16
 		}
-		if _, err := baseline.New(a.Decider, balancer.Config{}, 0); err != nil && !slices.Contains(statesyncsim.Arms[1:], a.Decider) {
+		if _, err := baseline.New(a.Decider, balancer.Config{}, 0); err != nil && !slices.Contains(statesyncsim.Variants[1:], a.Decider) {
 			bad(at+".decider", a.Decider, "ryerill, shared, oracle, or a picker and a limit as in p2c/fixed:20 ("+err.Error()+")")
 		}
 		if a.Host != Sim && a.Decider != "" && a.Decider != "ryerill" {
@@ -156,7 +156,7 @@
 		e.Worlds = append(e.Worlds, w)
 	}
 	for i, text := range e.Expect {
-		c, err := compile(text, e.Arms)
+		c, err := compile(text, e.Variants)
 		if err != nil {
 			key := fmt.Sprintf("expect[%d]", i)
 			problems = append(problems, fmt.Errorf("%s%s: %s: %w", path, tree.Position(key), key, err))
@@ -204,7 +204,7 @@
 // Describe says in a line what is played.
 func (e *Experiment) Describe() string {
 	var arms []string
-	for _, a := range e.Arms {
+	for _, a := range e.Variants {
 		arms = append(arms, a.Name)
 	}
 	return fmt.Sprintf("%s: %s, %d seeds each", e.Name, strings.Join(arms, ", "), e.Seeds)
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -18,27 +18,27 @@
 )
 
 // Host plays an arm in a world once.
-type Host func(ctx context.Context, w *scenario.World, arm Arm, seed uint64) (*metrics.Result, error)
+type Host func(ctx context.Context, w *scenario.Scenario, arm Variant, seed uint64) (*metrics.Result, error)
 
 // Run is one run of one arm.
 type Run struct {
-	Arm    string          `json:"arm"`
-	Seed   uint64          `json:"seed"`
-	Result *metrics.Result `json:"result"`
+	Variant string          `json:"arm"`
+	Seed    uint64          `json:"seed"`
+	Result  *metrics.Result `json:"result"`
 }
 
 // Results are all runs of an experiment, by arm and seed.
 type Results struct {
-	Name    string    `json:"name"`
-	About   string    `json:"about,omitempty"`
-	Arms    []string  `json:"arms"`
-	Tables  []string  `json:"tables,omitempty"`
-	Runs    []Run     `json:"runs"`
-	Spans   []Span    `json:"spans,omitempty"` // troubles
-	CutOff  string    `json:"cut_off,omitempty"`
-	Expects []Outcome `json:"expectations,omitempty"`
-	Short   bool      `json:"short,omitempty"`
-	Seeds   int       `json:"seeds"`
+	Name     string    `json:"name"`
+	About    string    `json:"about,omitempty"`
+	Variants []string  `json:"arms"`
+	Tables   []string  `json:"tables,omitempty"`
+	Runs     []Run     `json:"runs"`
+	Spans    []Span    `json:"spans,omitempty"` // troubles
+	CutOff   string    `json:"cut_off,omitempty"`
+	Expects  []Outcome `json:"expectations,omitempty"`
+	Short    bool      `json:"short,omitempty"`
+	Seeds    int       `json:"seeds"`
 }
 
 // Span is a trouble's time, in seconds.
@@ -49,8 +49,8 @@
 }
 
 // Virtual plays in virtual time.
-func Virtual(ctx context.Context, w *scenario.World, arm Arm, seed uint64) (*metrics.Result, error) {
-	if slices.Contains(statesyncsim.Arms[1:], arm.Decider) {
+func Virtual(ctx context.Context, w *scenario.Scenario, arm Variant, seed uint64) (*metrics.Result, error) {
+	if slices.Contains(statesyncsim.Variants[1:], arm.Decider) {
 		return sim.Run(ctx, w, sim.Options{Seed: seed, New: statesyncsim.NewHubs(arm.Decider, seed, w).Decider})
 	}
 	return sim.Run(ctx, w, sim.Options{Decider: arm.Decider, Seed: seed})
@@ -64,18 +64,18 @@
 // Step is called after each run, one at a time.
 func (e *Experiment) Play(ctx context.Context, hosts map[string]Host, step func()) (*Results, error) {
 	res := &Results{Name: e.Name, About: e.About, Tables: e.Tables, Seeds: e.Seeds}
-	for _, a := range e.Arms {
-		res.Arms = append(res.Arms, a.Name)
+	for _, a := range e.Variants {
+		res.Variants = append(res.Variants, a.Name)
 	}
 	for i, w := range e.Worlds { // those of the first arm that has any
-		if len(res.Spans) == 0 && e.Arms[i].Host != Overhead {
+		if len(res.Spans) == 0 && e.Variants[i].Host != Overhead {
 			res.Spans = spans(w)
 		}
 	}
 	type slot struct{ arm, seed int }
 	var virtual, real []slot
 	for seed := range e.Seeds {
-		for arm, a := range e.Arms {
+		for arm, a := range e.Variants {
 			if a.Host == Sim {
 				virtual = append(virtual, slot{arm, seed})
 			} else {
@@ -83,7 +83,7 @@
 			}
 		}
 	}
-	runs := make([]*metrics.Result, len(e.Arms)*e.Seeds)
+	runs := make([]*metrics.Result, len(e.Variants)*e.Seeds)
 	done := make(chan struct{})
 	counted := make(chan struct{})
 	go func() {
@@ -93,7 +93,7 @@
 		}
 	}()
 	play := func(ctx context.Context, s slot) error {
-		a := e.Arms[s.arm]
+		a := e.Variants[s.arm]
 		host := hosts[a.Host]
 		if host == nil {
 			return fmt.Errorf("arm %s: there is no host %q here", a.Name, a.Host)
@@ -124,7 +124,7 @@
 	}
 	close(done)
 	<-counted
-	for arm, a := range e.Arms {
+	for arm, a := range e.Variants {
 		for seed := range e.Seeds {
 			if r := runs[arm*e.Seeds+seed]; r != nil {
 				res.Runs = append(res.Runs, Run{a.Name, uint64(seed + 1), r})
@@ -143,11 +143,11 @@
 	return res, err
 }
 
-func spans(w *scenario.World) (out []Span) {
-	for _, t := range w.Troubles {
+func spans(w *scenario.Scenario) (out []Span) {
+	for _, t := range w.Faults {
 		one := *w
-		one.Troubles = []scenario.Trouble{t}
-		from, to := metrics.Troubled(&one)
+		one.Faults = []scenario.Fault{t}
+		from, to := metrics.Faulted(&one)
 		out = append(out, Span{t.Kind, from.Seconds(), min(to, w.Length).Seconds()})
 	}
 	return out
@@ -156,7 +156,7 @@
 // Of returns the runs of an arm in order of seed.
 func (r *Results) Of(arm string) (runs []Run) {
 	for _, run := range r.Runs {
-		if run.Arm == arm {
+		if run.Variant == arm {
 			runs = append(runs, run)
 		}
 	}
@@ -203,8 +203,8 @@
 }
 
 // Single is one run as results, to be reported.
-func Single(w *scenario.World, arm string, r *metrics.Result) *Results {
-	return &Results{Name: w.Name, About: w.About, Arms: []string{arm}, Seeds: 1, Spans: spans(w), Runs: []Run{{arm, 1, r}}}
+func Single(w *scenario.Scenario, arm string, r *metrics.Result) *Results {
+	return &Results{Name: w.Name, About: w.About, Variants: []string{arm}, Seeds: 1, Spans: spans(w), Runs: []Run{{arm, 1, r}}}
 }
 
 // CostExperiment compares what proxies cost.
@@ -213,8 +213,8 @@
 		About: "CPU of one pinned, saturated proxy for each request of 512 bytes, the proxies taking turns in each round."}}
 	for _, n := range connections {
 		for _, build := range []string{"ryerill", "relay", "reverseproxy"} {
-			e.Arms = append(e.Arms, Arm{Name: fmt.Sprintf("%s_%d", build, n), Host: Overhead, Build: build, Connections: n})
-			e.Worlds = append(e.Worlds, &scenario.World{Length: length})
+			e.Variants = append(e.Variants, Variant{Name: fmt.Sprintf("%s_%d", build, n), Host: Overhead, Build: build, Connections: n})
+			e.Worlds = append(e.Worlds, &scenario.Scenario{Length: length})
 		}
 	}
 	return e
--- a/lab/faultnet/net.go
+++ b/lab/faultnet/net.go
@@ -52,8 +52,8 @@
 
 type way struct{ from, to string }
 
-// Net is the state of the network. It is not safe for concurrent use.
-type Net struct {
+// Network is the state of the network. It is not safe for concurrent use.
+type Network struct {
 	rng    seedrand.Source
 	usual  Link
 	links  map[way]Link
@@ -65,18 +65,18 @@
 }
 
 // New returns a network in which every way behaves as usual does.
-func New(usual Link, seed uint64) *Net {
-	return &Net{rng: seedrand.Source(seed), usual: usual, links: map[way]Link{}, groups: map[string]int{}, free: map[way]time.Duration{}, passed: map[way]*Passed{}}
+func New(usual Link, seed uint64) *Network {
+	return &Network{rng: seedrand.Source(seed), usual: usual, links: map[way]Link{}, groups: map[string]int{}, free: map[way]time.Duration{}, passed: map[way]*Passed{}}
 }
 
 // Usual changes how ways behave that have no link of their own.
-func (n *Net) Usual(l Link) { n.usual = l }
+func (n *Network) Usual(l Link) { n.usual = l }
 
 // Set changes the way from one copy to another. "*" stands for every copy.
-func (n *Net) Set(from, to string, l Link) { n.links[way{from, to}] = l }
+func (n *Network) Set(from, to string, l Link) { n.links[way{from, to}] = l }
 
 // CutOff cuts a copy off from all others, both ways or what goes out alone.
-func (n *Net) CutOff(name string, oneWay bool) {
+func (n *Network) CutOff(name string, oneWay bool) {
 	n.Set(name, "*", Link{Cut: true})
 	if !oneWay {
 		n.Set("*", name, Link{Cut: true})
@@ -85,7 +85,7 @@
 
 // Split lets copies speak within their group alone. Those in no group are one
 // group of their own.
-func (n *Net) Split(groups ...[]string) {
+func (n *Network) Split(groups ...[]string) {
 	n.split = true
 	clear(n.groups)
 	for i, g := range groups {
@@ -96,7 +96,7 @@
 }
 
 // Heal takes all cuts, splits and links of single ways back.
-func (n *Net) Heal() {
+func (n *Network) Heal() {
 	n.split = false
 	clear(n.links)
 	clear(n.groups)
@@ -104,7 +104,7 @@
 }
 
 // Link tells how the way from one copy to another behaves now.
-func (n *Net) Link(from, to string) Link {
+func (n *Network) Link(from, to string) Link {
 	l := n.usual
 	for _, w := range []way{{"*", to}, {from, "*"}, {from, to}} {
 		if own, ok := n.links[w]; ok {
@@ -120,7 +120,7 @@
 }
 
 // Send tells when a datagram of so many bytes arrives: never, once or twice.
-func (n *Net) Send(now time.Duration, from, to string, bytes int) []Copy {
+func (n *Network) Send(now time.Duration, from, to string, bytes int) []Copy {
 	l, p := n.Link(from, to), n.book(from, to)
 	p.Frames++
 	p.Bytes += uint64(bytes)
@@ -155,7 +155,7 @@
 
 // Stream tells when a piece of a stream arrives: streams lose and reorder nothing,
 // but stand still while their way is cut.
-func (n *Net) Stream(now time.Duration, from, to string, bytes int) (at time.Duration, cut bool) {
+func (n *Network) Stream(now time.Duration, from, to string, bytes int) (at time.Duration, cut bool) {
 	l := n.Link(from, to)
 	if l.Cut {
 		return 0, true
@@ -166,7 +166,7 @@
 	return n.arrival(now, way{from, to}, l, bytes), false
 }
 
-func (n *Net) arrival(now time.Duration, w way, l Link, bytes int) time.Duration {
+func (n *Network) arrival(now time.Duration, w way, l Link, bytes int) time.Duration {
 	if l.BytesPerS > 0 {
 		start := max(now, n.free[w])
 		n.free[w] = start + time.Duration(float64(bytes)/float64(l.BytesPerS)*float64(time.Second))
@@ -175,7 +175,7 @@
 	return now + l.Delay + n.part(l.Jitter)
 }
 
-func (n *Net) book(from, to string) *Passed {
+func (n *Network) book(from, to string) *Passed {
 	w := way{from, to}
 	p := n.passed[w]
 	if p == nil {
@@ -186,7 +186,7 @@
 }
 
 // Passed tells what the ways out of a copy have carried.
-func (n *Net) Passed(from string) (sum Passed) {
+func (n *Network) Passed(from string) (sum Passed) {
 	for w, p := range n.passed {
 		if w.from == from {
 			sum.Frames += p.Frames
@@ -201,9 +201,11 @@
 }
 
 // Forget throws away what was recorded by way: in large fleets it is large.
-func (n *Net) Forget() { clear(n.passed) }
+func (n *Network) Forget() { clear(n.passed) }
 
-func (n *Net) part(d time.Duration) time.Duration { return time.Duration(n.rng.Float64() * float64(d)) }
+func (n *Network) part(d time.Duration) time.Duration {
+	return time.Duration(n.rng.Float64() * float64(d))
+}
 
 // Step is one line of a script: what happens to the network or to a copy, and when.
 type Step struct {
@@ -240,7 +242,7 @@
 }
 
 // Do carries out a step that is for the network, and tells whether it was.
-func (n *Net) Do(s Step) bool {
+func (n *Network) Do(s Step) bool {
 	switch s.Kind {
 	case "link":
 		for _, from := range s.From {
--- a/lab/faultnet/relay/relay.go
+++ b/lab/faultnet/relay/relay.go
@@ -29,7 +29,7 @@
 	rng   uint64
 
 	mu    sync.Mutex
-	net   *badnet.Net
+	net   *badnet.Network
 	real  map[string]netip.AddrPort
 	ways  map[[2]string]*way
 	conns map[net.Conn]struct{}
@@ -47,7 +47,7 @@
 }
 
 // New returns relays that behave as n says. n must be changed by Do alone.
-func New(n *badnet.Net) *Relays {
+func New(n *badnet.Network) *Relays {
 	return &Relays{start: time.Now(), net: n, real: map[string]netip.AddrPort{}, ways: map[[2]string]*way{}, conns: map[net.Conn]struct{}{}}
 }
 
@@ -59,7 +59,7 @@
 }
 
 // Do changes or reads the network.
-func (r *Relays) Do(change func(*badnet.Net)) {
+func (r *Relays) Do(change func(*badnet.Network)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(r.net)
--- a/lab/invariant/rules.go
+++ b/lab/invariant/rules.go
@@ -37,20 +37,20 @@
 	Evidence string        `json:"evidence"`
 }
 
-// Verdict is what a final answer says.
-type Verdict uint8
+// Result is what a final answer says.
+type Result uint8
 
 // The verdicts.
 const (
-	Served Verdict = iota
-	Refused
+	Served Result = iota
+	Shed
 	Failed
 )
 
-func (v Verdict) String() string { return [...]string{"served", "refused", "failed"}[v] }
+func (v Result) String() string { return [...]string{"served", "refused", "failed"}[v] }
 
-// Provider is what the rules need to know of one.
-type Provider struct {
+// Endpoint is what the rules need to know of one.
+type Endpoint struct {
 	ID    uint64
 	Name  string
 	Zone  int
@@ -65,8 +65,8 @@
 	Name    func(proxy int) string
 }
 
-// Watch is the oracle of one run.
-type Watch struct {
+// Checker is the oracle of one run.
+type Checker struct {
 	cfg      Config
 	open     map[key]*request
 	told     map[key]time.Duration // by proxy and provider: since when it is known to drain or be gone
@@ -90,21 +90,21 @@
 }
 
 type attempt struct {
-	provider Provider
+	provider Endpoint
 	at       time.Duration
 	ended    bool
 	neverRan bool
 }
 
 // New returns an oracle.
-func New(cfg Config) *Watch {
+func New(cfg Config) *Checker {
 	if cfg.Name == nil {
 		cfg.Name = func(proxy int) string { return fmt.Sprintf("proxy %d", proxy) }
 	}
-	return &Watch{cfg: cfg, open: map[key]*request{}, told: map[key]time.Duration{}, counts: map[string]int{}}
+	return &Checker{cfg: cfg, open: map[key]*request{}, told: map[key]time.Duration{}, counts: map[string]int{}}
 }
 
-func (w *Watch) broken(rule string, at time.Duration, format string, args ...any) {
+func (w *Checker) broken(rule string, at time.Duration, format string, args ...any) {
 	w.counts[rule]++
 	if len(w.kept) < mostKept {
 		w.kept = append(w.kept, Violation{rule, at, fmt.Sprintf(format, args...)})
@@ -112,13 +112,13 @@
 }
 
 // Took notes that a proxy took a request whose consumer waits until a time.
-func (w *Watch) Took(at time.Duration, proxy int, id uint64, class int, until time.Duration) {
+func (w *Checker) Took(at time.Duration, proxy int, id uint64, class int, until time.Duration) {
 	w.open[key{proxy, id}] = &request{class: class, until: until}
 }
 
 // Sent notes a new attempt. Attempts of a request count from 0 in the order of
 // their Sent; the number is returned.
-func (w *Watch) Sent(at time.Duration, proxy int, id uint64, p Provider) int {
+func (w *Checker) Sent(at time.Duration, proxy int, id uint64, p Endpoint) int {
 	r := w.open[key{proxy, id}]
 	if r == nil {
 		w.broken(OneAnswer, at, "%s sent request %d to %s, which it had not taken or which was over", w.cfg.Name(proxy), id, p.Name)
@@ -136,7 +136,7 @@
 		if a.neverRan {
 			continue
 		}
-		within := at-a.at <= c.Memory && (c.Group == balancer.GroupAll ||
+		within := at-a.at <= c.IdempotencyWindow && (c.Group == balancer.GroupAll ||
 			c.Group == balancer.GroupZone && a.provider.Zone == p.Zone ||
 			c.Group == balancer.GroupCell && a.provider.Group == p.Group)
 		if c.Effect == balancer.Unsafe || c.Effect == balancer.Keyed && !within {
@@ -150,7 +150,7 @@
 }
 
 // Ended notes how an attempt ended, as far as its proxy can know.
-func (w *Watch) Ended(at time.Duration, proxy int, id uint64, number int, neverRan bool) {
+func (w *Checker) Ended(at time.Duration, proxy int, id uint64, number int, neverRan bool) {
 	if r := w.open[key{proxy, id}]; r != nil && number >= 0 && number < len(r.attempts) {
 		a := &r.attempts[number]
 		a.ended, a.neverRan = true, neverRan
@@ -159,7 +159,7 @@
 }
 
 // Answered notes a final answer; by is the provider whose answer was served, 0 is not known.
-func (w *Watch) Answered(at time.Duration, proxy int, id uint64, v Verdict, by uint64) {
+func (w *Checker) Answered(at time.Duration, proxy int, id uint64, v Result, by uint64) {
 	k := key{proxy, id}
 	r := w.open[k]
 	if r == nil || r.over && !r.left {
@@ -174,7 +174,7 @@
 	}
 	c := &w.cfg.Classes[r.class]
 	switch v {
-	case Refused:
+	case Shed:
 		for i, a := range r.attempts {
 			if !a.neverRan && (c.Effect == balancer.Unsafe || c.Effect == balancer.Keyed && c.Group != balancer.GroupAll) {
 				w.broken(NoRepeat, at, "%s called a retry of request %d of class %s harmless although attempt %d at %s may have run",
@@ -192,7 +192,7 @@
 }
 
 // Left notes that the consumer of a request has gone, so that no answer is owed.
-func (w *Watch) Left(at time.Duration, proxy int, id uint64) {
+func (w *Checker) Left(at time.Duration, proxy int, id uint64) {
 	if r := w.open[key{proxy, id}]; r != nil && !r.over {
 		if at > r.until+w.cfg.Slack {
 			w.broken(OneAnswer, at, "%s had not answered request %d when its consumer left, %v after its time", w.cfg.Name(proxy), id, at-r.until)
@@ -203,10 +203,10 @@
 }
 
 // Forget drops a request that no proxy took, or whose proxy ended: nothing is owed.
-func (w *Watch) Forget(proxy int, id uint64) { delete(w.open, key{proxy, id}) }
+func (w *Checker) Forget(proxy int, id uint64) { delete(w.open, key{proxy, id}) }
 
 // Broken is how many breaches there were until now.
-func (w *Watch) Broken() (n int) {
+func (w *Checker) Broken() (n int) {
 	for _, c := range w.counts {
 		n += c
 	}
@@ -214,12 +214,12 @@
 }
 
 // Spoilt notes that a consumer was served with what no provider made for its request.
-func (w *Watch) Spoilt(at time.Duration, proxy int, id uint64, what string) {
+func (w *Checker) Spoilt(at time.Duration, proxy int, id uint64, what string) {
 	w.broken(Foreign, at, "%s served request %d with %s", w.cfg.Name(proxy), id, what)
 }
 
 // Told notes what a proxy has learnt of a provider: that it is ready, or that it drains or is gone.
-func (w *Watch) Told(at time.Duration, proxy int, provider uint64, ready bool) {
+func (w *Checker) Told(at time.Duration, proxy int, provider uint64, ready bool) {
 	k := key{proxy, provider}
 	if ready {
 		delete(w.told, k)
@@ -229,17 +229,17 @@
 }
 
 // Tipped notes that a cold provider was pushed over.
-func (w *Watch) Tipped(at time.Duration, provider string, sent, budget float64) {
+func (w *Checker) Tipped(at time.Duration, provider string, sent, budget float64) {
 	w.broken(Pushed, at, "%s fell over: sent %.2f s of work within its span, its budget was %.2f s", provider, sent, budget)
 }
 
 // Died forgets what a proxy had open: it was killed, and owes nothing.
-func (w *Watch) Died(proxy int) {
+func (w *Checker) Died(proxy int) {
 	maps.DeleteFunc(w.open, func(k key, _ *request) bool { return k.proxy == proxy })
 	maps.DeleteFunc(w.told, func(k key, _ time.Duration) bool { return k.proxy == proxy })
 }
 
-func (w *Watch) release(k key, r *request) {
+func (w *Checker) release(k key, r *request) {
 	if !r.over || slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.ended }) {
 		return
 	}
@@ -255,7 +255,7 @@
 
 // Finish names the requests that were never answered and returns all breaches
 // that were kept and the count by rule.
-func (w *Watch) Finish(at time.Duration) ([]Violation, map[string]int) {
+func (w *Checker) Finish(at time.Duration) ([]Violation, map[string]int) {
 	keys := make([]key, 0)
 	for k, r := range w.open {
 		if !r.over && at > r.until+w.cfg.Slack {
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -24,7 +24,7 @@
 	Work   float64 // seconds of one core over the whole chain
 	Key    uint64
 	Over   bool // beyond its tenant's quota
-	Worth  float64
+	Weight float64
 }
 
 // Stream returns a random source of its own for each purpose of a run, so that
@@ -36,7 +36,7 @@
 // Draw returns all first tries of a world, in order of time. Each class is drawn
 // from streams of its own, and what bursts add from others: two worlds that
 // differ in a burst or in one class's load have all other requests in common.
-func Draw(w *scenario.World, seed uint64) []Request {
+func Draw(w *scenario.Scenario, seed uint64) []Request {
 	shape := rateOf(w, Stream(seed, 1))
 	sum := 0.0
 	for _, c := range w.Classes {
@@ -67,10 +67,10 @@
 	}
 	for n := range out {
 		r := &out[n]
-		r.ID, r.Worth = uint64(n+1), w.Classes[r.Class].Worth
+		r.ID, r.Weight = uint64(n+1), w.Classes[r.Class].PriorityWeight
 		t := &w.Tenants[r.Tenant]
-		for i := range w.Troubles { // after all draws: nobody else's requests change
-			if h := &w.Troubles[i]; h.Kind == scenario.Heavy && h.Tenant == t.Name && r.At >= h.At && r.At < h.At+h.For {
+		for i := range w.Faults { // after all draws: nobody else's requests change
+			if h := &w.Faults[i]; h.Kind == scenario.Heavy && h.Tenant == t.Name && r.At >= h.At && r.At < h.At+h.For {
 				r.Work *= h.Factor
 			}
 		}
@@ -81,7 +81,7 @@
 		*saved = math.Min(*saved+t.Quota*(r.At-last[r.Tenant]).Seconds(), 2*t.Quota)
 		last[r.Tenant] = r.At
 		if *saved < 1 {
-			r.Over, r.Worth = true, r.Worth*w.Consumers.OverWorth
+			r.Over, r.Weight = true, r.Weight*w.Clients.OverQuotaWeight
 		} else {
 			*saved--
 		}
@@ -110,7 +110,7 @@
 }
 
 // request draws what a first try of a class is.
-func request(w *scenario.World, class int, at time.Duration, rng *rand.Rand) Request {
+func request(w *scenario.Scenario, class int, at time.Duration, rng *rand.Rand) Request {
 	c := &w.Classes[class]
 	sigma2 := math.Log(1 + c.Spread*c.Spread)
 	work := distuv.LogNormal{Mu: math.Log(c.Work.Seconds()) - sigma2/2, Sigma: math.Sqrt(sigma2), Src: rng}
@@ -119,9 +119,9 @@
 }
 
 // burst tells whether a class has a burst at all.
-func burst(w *scenario.World, class int) bool {
-	for i := range w.Troubles {
-		if meets(w, &w.Troubles[i], class) {
+func burst(w *scenario.Scenario, class int) bool {
+	for i := range w.Faults {
+		if meets(w, &w.Faults[i], class) {
 			return true
 		}
 	}
@@ -130,15 +130,15 @@
 
 // meets tells whether a trouble is a burst of a class. Where tiers are parallel
 // a burst is of one tier's classes.
-func meets(w *scenario.World, t *scenario.Trouble, class int) bool {
+func meets(w *scenario.Scenario, t *scenario.Fault, class int) bool {
 	return t.Kind == scenario.Burst && t.Factor > 1 && (!w.Parallel || t.Tier == w.Classes[class].Tier)
 }
 
 // factor is what bursts multiply a class's rate by at a time.
-func factor(w *scenario.World, class int, at time.Duration) float64 {
+func factor(w *scenario.Scenario, class int, at time.Duration) float64 {
 	f := 1.0
-	for i := range w.Troubles {
-		if t := &w.Troubles[i]; meets(w, t, class) && at >= t.At && at < t.At+t.For {
+	for i := range w.Faults {
+		if t := &w.Faults[i]; meets(w, t, class) && at >= t.At && at < t.At+t.For {
 			f *= t.Factor
 		}
 	}
@@ -146,7 +146,7 @@
 }
 
 // rateOf returns the rate of first tries at a time.
-func rateOf(w *scenario.World, rng *rand.Rand) func(time.Duration) float64 {
+func rateOf(w *scenario.Scenario, rng *rand.Rand) func(time.Duration) float64 {
 	l := &w.Load
 	type span struct {
 		end    time.Duration
@@ -204,7 +204,7 @@
 }
 
 // Speed draws the speed of a machine, never below a tenth of what is stated.
-func Speed(rng *rand.Rand, n *scenario.Node) float64 {
+func Speed(rng *rand.Rand, n *scenario.Machine) float64 {
 	return max(0.1, 1+n.Spread*rng.NormFloat64()) * n.Speed
 }
 
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -8,10 +8,10 @@
 	"ryerill/lab/scenario"
 )
 
-func demand(l scenario.Load, troubles ...scenario.Trouble) *scenario.World {
-	w := &scenario.World{Name: "w", Length: 400 * time.Second, Load: l, Troubles: troubles,
-		Tiers:   []scenario.Tier{{Name: "one", Proxies: 1, Providers: 1}},
-		Classes: []scenario.Class{{Name: "a", Share: 3, Work: 100 * time.Millisecond, Aim: time.Second, Deadline: time.Second}, {Name: "b", Share: 1, Work: time.Second, Aim: time.Second, Deadline: time.Second}}}
+func demand(l scenario.Load, troubles ...scenario.Fault) *scenario.Scenario {
+	w := &scenario.Scenario{Name: "w", Length: 400 * time.Second, Load: l, Faults: troubles,
+		Tiers:   []scenario.Tier{{Name: "one", Proxies: 1, Endpoints: 1}},
+		Classes: []scenario.Class{{Name: "a", Share: 3, Work: 100 * time.Millisecond, LatencyObjective: time.Second, Deadline: time.Second}, {Name: "b", Share: 1, Work: time.Second, LatencyObjective: time.Second, Deadline: time.Second}}}
 	w.Complete()
 	return w
 }
@@ -19,13 +19,13 @@
 func TestWhatIsDrawnIsWhatIsAsked(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		w    *scenario.World
+		w    *scenario.Scenario
 		want float64 // first tries
 	}{
 		{"steady", demand(scenario.Load{Rate: 50}), 20000},
 		{"wave", demand(scenario.Load{Rate: 50, Shape: "wave", Swing: 0.5, Period: 20 * time.Second}), 20000},
 		{"steps", demand(scenario.Load{Rate: 50, Steps: []scenario.Step{{At: 100 * time.Second, Factor: 2}, {At: 200 * time.Second, Factor: 0}}}), 15000},
-		{"burst", demand(scenario.Load{Rate: 50}, scenario.Trouble{Kind: scenario.Burst, At: time.Second, For: 100 * time.Second, Factor: 3}), 30000},
+		{"burst", demand(scenario.Load{Rate: 50}, scenario.Fault{Kind: scenario.Burst, At: time.Second, For: 100 * time.Second, Factor: 3}), 30000},
 	} {
 		all := Draw(tc.w, 1)
 		if n := float64(len(all)); math.Abs(n-tc.want) > 5*math.Sqrt(tc.want) {
@@ -55,8 +55,8 @@
 	for _, r := range all {
 		if r.Over {
 			over++
-			if r.Worth != w.Consumers.OverWorth {
-				t.Fatalf("worth %v", r.Worth)
+			if r.Weight != w.Clients.OverQuotaWeight {
+				t.Fatalf("worth %v", r.Weight)
 			}
 		}
 	}
@@ -69,7 +69,7 @@
 // between them are the burst's.
 func TestABurstOnlyAdds(t *testing.T) {
 	calm := Draw(demand(scenario.Load{Rate: 50, Shape: "bursty", Swing: 0.4}), 3)
-	burst := Draw(demand(scenario.Load{Rate: 50, Shape: "bursty", Swing: 0.4}, scenario.Trouble{Kind: scenario.Burst, At: 50 * time.Second, For: 20 * time.Second, Factor: 2}), 3)
+	burst := Draw(demand(scenario.Load{Rate: 50, Shape: "bursty", Swing: 0.4}, scenario.Fault{Kind: scenario.Burst, At: 50 * time.Second, For: 20 * time.Second, Factor: 2}), 3)
 	there := map[uint64]Request{}
 	for _, r := range burst {
 		there[r.Key] = r
--- a/lab/membershipsim/measure.go
+++ b/lab/membershipsim/measure.go
@@ -18,10 +18,10 @@
 	s := New(n, badnet.New(link, seed), seed)
 	records := make([]membership.Record, n)
 	for i := range records {
-		tags := &membership.Tags{Address: Name(i), Zone: "z0", Pools: []string{"main"}, Program: "v1", Settings: "0123456789abcdef", Phase: membership.Serving}
-		records[i] = membership.Record{Head: membership.Head{Name: Name(i), Epoch: 1, Status: membership.Alive}, Tags: tags}
+		tags := &membership.Tags{Address: Name(i), Zone: "z0", Pools: []string{"main"}, ProgramVersion: "v1", SettingsHash: "0123456789abcdef", Phase: membership.Serving}
+		records[i] = membership.Record{State: membership.State{Name: Name(i), Epoch: 1, Status: membership.Alive}, Tags: tags}
 	}
-	for i, c := range s.Copies {
+	for i, c := range s.Replicas {
 		c.memory = append(slices.Clone(records[:i]), records[i+1:]...)
 		s.Start(i, Name((i+1)%n))
 		c.memory = nil
@@ -49,12 +49,12 @@
 	d.Bytes, d.Frames, d.Exchange = float64(b-bytes)/each, float64(f-frames)/each, float64(e-exchange)/each
 	for range min(kills, n-2) {
 		i := rng.IntN(n)
-		for !s.Copies[i].Up {
+		for !s.Replicas[i].Up {
 			i = rng.IntN(n)
 		}
 		knows, first := 0, time.Duration(0)
 		left := -1
-		for _, c := range s.Copies {
+		for _, c := range s.Replicas {
 			if c.Up {
 				left++
 			}
@@ -85,7 +85,7 @@
 }
 
 func (s *Sim) sums() (bytes, frames, exchange uint64) {
-	for _, c := range s.Copies {
+	for _, c := range s.Replicas {
 		bytes, frames, exchange = bytes+c.Bytes, frames+c.Frames, exchange+c.Exchange
 	}
 	return
@@ -105,17 +105,17 @@
 	link.Drop = drop
 	s.Net.Usual(link)
 	rng := rand.New(rand.NewPCG(seed, 8))
-	suspected, dead := map[membership.Head]bool{}, map[membership.Head]bool{}
+	suspected, dead := map[membership.State]bool{}, map[membership.State]bool{}
 	s.Seen = func(c Change) {
 		switch c.Record.Status {
 		case membership.Suspect:
-			suspected[c.Record.Head] = true
+			suspected[c.Record.State] = true
 		case membership.Dead:
-			dead[c.Record.Head] = true
+			dead[c.Record.State] = true
 		}
 	}
 	if stalls {
-		for i := range s.Copies {
+		for i := range s.Replicas {
 			if i%10 != 0 {
 				continue
 			}
@@ -155,7 +155,7 @@
 		s.Run(s.Now + 50*time.Millisecond)
 		whole := s.Equal()
 		for i := 0; whole && i < n; i++ {
-			alive, _, _ := s.Copies[i].Member.Count()
+			alive, _, _ := s.Replicas[i].List.Count()
 			whole = alive == n-1
 		}
 		if whole {
@@ -177,7 +177,7 @@
 	s.Run(time.Second)
 	for s.Now < 2*time.Minute {
 		s.Run(s.Now + 100*time.Millisecond)
-		if s.Equal() && len(s.Copies[0].Member.Members()) == n {
+		if s.Equal() && len(s.Replicas[0].List.Members()) == n {
 			break
 		}
 	}
--- a/lab/membershipsim/members.go
+++ b/lab/membershipsim/members.go
@@ -25,12 +25,12 @@
 	Why    string
 }
 
-// Copy is one process.
-type Copy struct {
+// Replica is one process.
+type Replica struct {
 	Name     string
 	Address  string
-	Member   *membership.Member
-	View     *placement.View     // made by Look
+	List     *membership.List
+	Tracker  *placement.Tracker  // made by Look
 	memory   []membership.Record // what it would remember after a restart, and whether it was sure
 	sure     bool
 	left     bool
@@ -48,14 +48,14 @@
 
 // Sim is a fleet in virtual time.
 type Sim struct {
-	Net    *badnet.Net
-	Copies []*Copy
-	Now    time.Duration
-	Config func(i int, c *membership.Config) // changes what a copy is told at its start
-	Seen   func(Change)                      // is told of each change that a copy sees
-	Acted  func(*Copy, membership.Action)    // is told of each other action
+	Net      *badnet.Network
+	Replicas []*Replica
+	Now      time.Duration
+	Config   func(i int, c *membership.Config) // changes what a copy is told at its start
+	Seen     func(Change)                      // is told of each change that a copy sees
+	Acted    func(*Replica, membership.Action) // is told of each other action
 
-	byName map[string]*Copy // by address
+	byName map[string]*Replica // by address
 	events queue
 	count  uint64
 	seed   uint64
@@ -67,11 +67,11 @@
 func Name(i int) string { return fmt.Sprintf("m%05d", i) }
 
 // New returns a fleet of n copies that are not started.
-func New(n int, net *badnet.Net, seed uint64) *Sim {
-	s := &Sim{Net: net, byName: map[string]*Copy{}, seed: seed}
+func New(n int, net *badnet.Network, seed uint64) *Sim {
+	s := &Sim{Net: net, byName: map[string]*Replica{}, seed: seed}
 	for i := range n {
-		c := &Copy{Name: Name(i), Address: Name(i), wakes: -1}
-		s.Copies = append(s.Copies, c)
+		c := &Replica{Name: Name(i), Address: Name(i), wakes: -1}
+		s.Replicas = append(s.Replicas, c)
 		s.byName[c.Name] = c
 	}
 	return s
@@ -79,35 +79,35 @@
 
 // Start starts a copy, or starts it anew under another epoch.
 func (s *Sim) Start(i int, seeds ...string) {
-	c := s.Copies[i]
+	c := s.Replicas[i]
 	c.life++
 	cfg := membership.Config{Name: c.Name, Epoch: uint64(s.Now/time.Millisecond) + 1, Seed: s.seed + uint64(i)<<20 + uint64(c.life), Seeds: seeds,
-		Tags: membership.Tags{Address: c.Name, Zone: fmt.Sprint("z", i%3), Pools: []string{"main"}, Program: "v1", Settings: "0123456789abcdef", Phase: membership.Serving}}
+		Tags: membership.Tags{Address: c.Name, Zone: fmt.Sprint("z", i%3), Pools: []string{"main"}, ProgramVersion: "v1", SettingsHash: "0123456789abcdef", Phase: membership.Serving}}
 	if s.Config != nil {
 		s.Config(i, &cfg)
 	}
 	c.Address = cfg.Tags.Address
 	s.byName[c.Address] = c
-	c.Member, c.View, c.Up, c.Stopped, c.backlog = membership.New(cfg), nil, true, false, nil
+	c.List, c.Tracker, c.Up, c.Stopped, c.backlog = membership.New(cfg), nil, true, false, nil
 	c.wakes = -1
 	if c.Broken {
 		c.memory, c.sure = nil, false
 	}
 	if c.knew = len(seeds) == 0 || len(c.memory) > 0 && !c.left; len(c.memory) > 0 {
-		s.tell(c, membership.Event{Kind: membership.Recall, Records: c.memory})
+		s.tell(c, membership.Event{Kind: membership.Restore, Records: c.memory})
 	}
-	s.tell(c, membership.Event{Kind: membership.Begin})
+	s.tell(c, membership.Event{Kind: membership.Start})
 }
 
 // Kill ends a copy.
-func (s *Sim) Kill(i int) { s.Copies[i].Up = false; s.Copies[i].life++ }
+func (s *Sim) Kill(i int) { s.Replicas[i].Up = false; s.Replicas[i].life++ }
 
 // Stop makes a copy stand still, as SIGSTOP does: what comes waits.
-func (s *Sim) Stop(i int) { s.Copies[i].Stopped = true }
+func (s *Sim) Stop(i int) { s.Replicas[i].Stopped = true }
 
 // Continue ends that.
 func (s *Sim) Continue(i int) {
-	c := s.Copies[i]
+	c := s.Replicas[i]
 	if !c.Stopped || !c.Up {
 		return
 	}
@@ -120,7 +120,7 @@
 }
 
 // Tell hands an event to a copy.
-func (s *Sim) Tell(i int, ev membership.Event) { s.tell(s.Copies[i], ev) }
+func (s *Sim) Tell(i int, ev membership.Event) { s.tell(s.Replicas[i], ev) }
 
 // At does something at a time.
 func (s *Sim) At(at time.Duration, do func()) {
@@ -153,7 +153,7 @@
 // mostBacklog is what a stopped copy's socket holds.
 const mostBacklog = 256
 
-func (s *Sim) tell(c *Copy, ev membership.Event) {
+func (s *Sim) tell(c *Replica, ev membership.Event) {
 	if !c.Up {
 		return
 	}
@@ -164,11 +164,11 @@
 		return
 	}
 	outer := s.out
-	actions := c.Member.Handle(s.Now, ev, outer[len(outer):])
+	actions := c.List.Handle(s.Now, ev, outer[len(outer):])
 	for i := range actions {
 		s.carryOut(c, &actions[i])
 	}
-	if due := c.Member.Due(); due < 1<<62 && (c.wakes < 0 || due < c.wakes) {
+	if due := c.List.NextTick(); due < 1<<62 && (c.wakes < 0 || due < c.wakes) {
 		c.wakes = max(due, s.Now+1)
 		s.push(event{at: c.wakes, c: c, life: c.life, ev: membership.Event{Kind: membership.Tick}})
 	}
@@ -187,16 +187,16 @@
 // Size is how many bytes a message takes.
 func Size(msg *membership.Message) int {
 	n := overhead + len(msg.Target)
-	for i := range msg.News {
-		n += msg.News[i].Size()
+	for i := range msg.Updates {
+		n += msg.Updates[i].Size()
 	}
-	for _, w := range msg.Want {
+	for _, w := range msg.Requested {
 		n += len(w) + 2
 	}
 	return n
 }
 
-func (s *Sim) carryOut(c *Copy, a *membership.Action) {
+func (s *Sim) carryOut(c *Replica, a *membership.Action) {
 	switch a.Kind {
 	case membership.Send:
 		size := Size(a.Message)
@@ -208,14 +208,14 @@
 		}
 		for _, copy := range s.Net.Send(s.Now, c.Name, to.Name, size) {
 			if !copy.Corrupt { // its authentication code does not fit
-				s.push(event{at: copy.At, c: to, life: to.life, ev: membership.Event{Kind: membership.Heard, Message: a.Message, From: c.Address}})
+				s.push(event{at: copy.At, c: to, life: to.life, ev: membership.Event{Kind: membership.MessageReceived, Message: a.Message, From: c.Address}})
 			}
 		}
-	case membership.Dial:
+	case membership.StartSync:
 		s.exchange(c, a)
-	case membership.Changed:
+	case membership.MemberChanged:
 		if s.Seen != nil {
-			s.Seen(Change{s.Now, c.Name, a.Record, a.Was, a.Why})
+			s.Seen(Change{s.Now, c.Name, a.Record, a.PreviousStatus, a.Reason})
 		}
 	default:
 		if s.Acted != nil {
@@ -226,16 +226,16 @@
 
 // exchange plays one connection: the view goes over, the difference comes back,
 // and what was wanted goes over again.
-func (s *Sim) exchange(c *Copy, a *membership.Action) {
+func (s *Sim) exchange(c *Replica, a *membership.Action) {
 	to, life, id := s.byName[a.Address], c.life, a.Exchange
 	broken := func(after time.Duration) {
-		s.push(event{at: s.Now + after, c: c, life: life, ev: membership.Event{Kind: membership.Broken, Exchange: id}})
+		s.push(event{at: s.Now + after, c: c, life: life, ev: membership.Event{Kind: membership.SyncFailed, Exchange: id}})
 	}
 	if to == nil || to == c || !to.Up {
 		broken(time.Millisecond)
 		return
 	}
-	over := func(from, to *Copy, msg *membership.Message, then func()) {
+	over := func(from, to *Replica, msg *membership.Message, then func()) {
 		size := Size(msg)
 		c.Exchange += uint64(size)
 		at, cut := s.Net.Stream(s.Now, from.Name, to.Name, size)
@@ -253,8 +253,8 @@
 		})
 	}
 	// The replies of the pure part are taken out of its actions here, as a host does.
-	ask := func(who *Copy, ev membership.Event) (reply *membership.Message) {
-		for _, act := range who.Member.Handle(s.Now, ev, nil) {
+	ask := func(who *Replica, ev membership.Event) (reply *membership.Message) {
+		for _, act := range who.List.Handle(s.Now, ev, nil) {
 			if act.Kind == membership.Reply {
 				reply = act.Message
 			} else {
@@ -265,14 +265,14 @@
 		return reply
 	}
 	over(c, to, a.Message, func() {
-		delta := ask(to, membership.Event{Kind: membership.Asked, Message: a.Message, Exchange: id})
+		delta := ask(to, membership.Event{Kind: membership.SyncRequested, Message: a.Message, Exchange: id})
 		if delta == nil {
 			broken(0)
 			return
 		}
 		over(to, c, delta, func() {
-			if rest := ask(c, membership.Event{Kind: membership.Answered, Message: delta, Exchange: id}); rest != nil && len(rest.News) > 0 {
-				over(c, to, rest, func() { ask(to, membership.Event{Kind: membership.Finished, Message: rest}) })
+			if rest := ask(c, membership.Event{Kind: membership.SyncAnswered, Message: delta, Exchange: id}); rest != nil && len(rest.Updates) > 0 {
+				over(c, to, rest, func() { ask(to, membership.Event{Kind: membership.SyncFinished, Message: rest}) })
 			}
 		})
 	})
@@ -281,44 +281,44 @@
 // Look has every copy that is up and not stopped make its view, as the host does, of
 // a fleet of which a person has written a number of copies.
 func (s *Sim) Look(floor int) {
-	for _, c := range s.Copies {
+	for _, c := range s.Replicas {
 		if !c.Up || c.Stopped {
 			continue
 		}
-		if c.View == nil {
-			if c.View = placement.New(map[string]int{"main": floor}); c.sure {
-				c.View.Trust()
+		if c.Tracker == nil {
+			if c.Tracker = placement.New(map[string]int{"main": floor}); c.sure {
+				c.Tracker.RestoreConfirmed()
 			}
 		}
-		m := c.Member
-		c.View.Update(s.Now, placement.Snapshot{Members: m.Members(), Joined: m.Joined() || c.knew, Displaced: m.Displaced(), Health: m.Health()})
+		m := c.List
+		c.Tracker.Update(s.Now, placement.Snapshot{Members: m.Members(), Joined: m.Joined() || c.knew, Displaced: m.Displaced(), Health: m.LocalHealth()})
 		c.left = m.Self().Status == membership.Left
 		if c.Broken {
 			continue
 		}
-		c.sure, c.memory = c.View.Sure() && !c.left, c.memory[:0]
+		c.sure, c.memory = c.Tracker.Confirmed() && !c.left, c.memory[:0]
 		for _, other := range m.Members() {
 			if !other.Self && other.Status != membership.Left {
 				c.memory = append(c.memory, other.Record)
 			}
 		}
-		m.Counted(c.View.Counted())
+		m.SetReplicaSetDigest(c.Tracker.ReplicaSetDigest())
 	}
 }
 
 // Views counts how many of the copies that are up hold a copy for each status.
 func (s *Sim) Views(of int) map[membership.Status]int {
 	out := map[membership.Status]int{}
-	for _, c := range s.Copies {
+	for _, c := range s.Replicas {
 		if c.Up && c.Name != Name(of) {
-			out[StatusOf(c.Member, Name(of))]++
+			out[StatusOf(c.List, Name(of))]++
 		}
 	}
 	return out
 }
 
 // StatusOf is what a member holds of another: 0 if nothing.
-func StatusOf(m *membership.Member, name string) membership.Status {
+func StatusOf(m *membership.List, name string) membership.Status {
 	r, _ := m.Find(name)
 	return r.Status
 }
@@ -326,14 +326,14 @@
 // Equal tells whether all that are up have the same view.
 func (s *Sim) Equal() bool {
 	first := uint64(0)
-	for _, c := range s.Copies {
+	for _, c := range s.Replicas {
 		if !c.Up {
 			continue
 		}
 		if first == 0 {
-			first = c.Member.Digest()
+			first = c.List.Digest()
 		}
-		if c.Member.Digest() != first {
+		if c.List.Digest() != first {
 			return false
 		}
 	}
@@ -343,7 +343,7 @@
 type event struct {
 	at    time.Duration
 	order uint64
-	c     *Copy
+	c     *Replica
 	life  int
 	ev    membership.Event
 	do    func()
@@ -371,4 +371,4 @@
 
 // Depart books that a copy says that it goes for good: it will not come back as one
 // that all count.
-func (c *Copy) Depart() { c.sure, c.left = false, true }
+func (c *Replica) Depart() { c.sure, c.left = false, true }
--- a/lab/membershipsim/members_test.go
+++ b/lab/membershipsim/members_test.go
@@ -19,7 +19,7 @@
 		s.Start(i, Name(0))
 	}
 	s.until(t, 30*time.Second, "all to know all", func() bool {
-		return s.Equal() && len(s.Copies[n-1].Member.Members()) == n
+		return s.Equal() && len(s.Replicas[n-1].List.Members()) == n
 	})
 	s.Run(s.Now + 2*time.Second)
 	return s
@@ -40,8 +40,8 @@
 
 func (s *Sim) allHold(of int, status membership.Status) func() bool {
 	return func() bool {
-		for _, c := range s.Copies {
-			if c.Up && !c.Stopped && c.Name != Name(of) && StatusOf(c.Member, Name(of)) != status {
+		for _, c := range s.Replicas {
+			if c.Up && !c.Stopped && c.Name != Name(of) && StatusOf(c.List, Name(of)) != status {
 				return false
 			}
 		}
@@ -70,8 +70,8 @@
 	}
 	whole := func(s *Sim) func() bool {
 		return func() bool {
-			for _, c := range s.Copies {
-				if alive, _, _ := c.Member.Count(); c.Up && alive != n-1 {
+			for _, c := range s.Replicas {
+				if alive, _, _ := c.List.Count(); c.Up && alive != n-1 {
 					return false
 				}
 			}
@@ -98,22 +98,22 @@
 				s.Kill(i)
 			}
 			s.until(t, 20*time.Second, "the rest to know", func() bool {
-				alive, _, dead := s.Copies[n-1].Member.Count()
+				alive, _, dead := s.Replicas[n-1].List.Count()
 				return s.Equal() && alive == n/2-1 && dead == n/2
 			})
 		}},
 		{"a restart is another life", func(t *testing.T, s *Sim) {
-			before, _ := s.Copies[1].Member.Find(Name(2))
+			before, _ := s.Replicas[1].List.Find(Name(2))
 			s.Kill(2)
 			s.Run(s.Now + 100*time.Millisecond)
 			s.Start(2, Name(0))
 			s.until(t, 5*time.Second, "the new epoch", func() bool {
-				r, _ := s.Copies[1].Member.Find(Name(2))
+				r, _ := s.Replicas[1].List.Find(Name(2))
 				return r.Epoch > before.Epoch && r.Status == membership.Alive && whole(s)()
 			})
 		}},
 		{"leaving for good is not dying", func(t *testing.T, s *Sim) {
-			s.Tell(4, membership.Event{Kind: membership.Depart})
+			s.Tell(4, membership.Event{Kind: membership.Leave})
 			s.Run(s.Now + 200*time.Millisecond)
 			s.Kill(4)
 			s.until(t, 5*time.Second, "all to know", s.allHold(4, membership.Left))
@@ -128,8 +128,8 @@
 			if delete(died, Name(7)); len(died) > 0 {
 				t.Errorf("held for dead after it woke: %v", died)
 			}
-			if s.Copies[7].Member.Figures.Stalls != 1 {
-				t.Errorf("it noticed %d stalls", s.Copies[7].Member.Figures.Stalls)
+			if s.Replicas[7].List.Stats.Stalls != 1 {
+				t.Errorf("it noticed %d stalls", s.Replicas[7].List.Stats.Stalls)
 			}
 		}},
 		{"short stalls kill nobody", func(t *testing.T, s *Sim) {
@@ -154,7 +154,7 @@
 		{"a zone is cut off for a minute", func(t *testing.T, s *Sim) {
 			s.Net.Split(half(0, 8), half(8, n))
 			s.Run(s.Now + time.Minute)
-			if _, _, dead := s.Copies[0].Member.Count(); dead != n-8 {
+			if _, _, dead := s.Replicas[0].List.Count(); dead != n-8 {
 				t.Errorf("the smaller part holds %d for dead", dead)
 			}
 			s.Net.Heal()
@@ -190,18 +190,18 @@
 			s.Run(s.Now + time.Second)
 			s.Start(10, Name(0))
 			s.until(t, 5*time.Second, "all to call it there", func() bool {
-				r, _ := s.Copies[20].Member.Find(Name(10))
+				r, _ := s.Replicas[20].List.Find(Name(10))
 				return r.Tags.Address == "elsewhere" && whole(s)()
 			})
 		}},
 		{"a copied configuration: who came first is told", func(t *testing.T, s *Sim) {
 			told := map[membership.ActionKind]int{}
-			s.Acted = func(_ *Copy, a membership.Action) { told[a.Kind]++ }
-			twin := &Copy{Name: Name(11), wakes: -1}
-			s.Copies = append(s.Copies, twin)
+			s.Acted = func(_ *Replica, a membership.Action) { told[a.Kind]++ }
+			twin := &Replica{Name: Name(11), wakes: -1}
+			s.Replicas = append(s.Replicas, twin)
 			s.Config = func(_ int, c *membership.Config) { c.Tags.Address = "twin" }
 			s.Start(n, Name(0))
-			s.until(t, 10*time.Second, "the first to be told", func() bool { return s.Copies[11].Member.Displaced() })
+			s.until(t, 10*time.Second, "the first to be told", func() bool { return s.Replicas[11].List.Displaced() })
 			if told[membership.Displaced] != 1 {
 				t.Errorf("told: %v", told)
 			}
@@ -214,8 +214,8 @@
 			s.Kill(12)
 			s.Config = func(_ int, c *membership.Config) { c.Epoch = 5 }
 			s.Start(12, Name(0))
-			s.until(t, 5*time.Second, "the next life", func() bool { r, _ := s.Copies[0].Member.Find(Name(12)); return r.Epoch > 1<<40 && whole(s)() })
-			if s.Copies[12].Member.Displaced() {
+			s.until(t, 5*time.Second, "the next life", func() bool { r, _ := s.Replicas[0].List.Find(Name(12)); return r.Epoch > 1<<40 && whole(s)() })
+			if s.Replicas[12].List.Displaced() {
 				t.Error("it holds itself for replaced")
 			}
 		}},
@@ -228,10 +228,10 @@
 			s.until(t, 5*time.Second, "it to be back", whole(s))
 		}},
 		{"tags that change are known to all", func(t *testing.T, s *Sim) {
-			s.Tell(14, membership.Event{Kind: membership.Retag, Tags: membership.Tags{Address: Name(14), Settings: "new", Phase: membership.Draining}})
+			s.Tell(14, membership.Event{Kind: membership.SetTags, Tags: membership.Tags{Address: Name(14), SettingsHash: "new", Phase: membership.Draining}})
 			s.until(t, 5*time.Second, "all to know", func() bool {
-				for _, c := range s.Copies {
-					if r, _ := c.Member.Find(Name(14)); r.Tags.Settings != "new" {
+				for _, c := range s.Replicas {
+					if r, _ := c.List.Find(Name(14)); r.Tags.SettingsHash != "new" {
 						return false
 					}
 				}
--- a/lab/membershipsim/property_test.go
+++ b/lab/membershipsim/property_test.go
@@ -21,13 +21,13 @@
 		n := floor + rapid.IntRange(0, 3).Draw(t, "beyond")
 		s := New(n, badnet.New(lan, 1), rapid.Uint64().Draw(t, "seed"))
 		type key struct{ who, of string }
-		newest := map[key]membership.Head{}
+		newest := map[key]membership.State{}
 		s.Seen = func(c Change) {
 			k := key{c.Who, c.Record.Name}
-			if newest[k].Newer(c.Record.Head) {
-				t.Fatalf("%s: %s went back from %v to %v", c.Who, c.Record.Name, newest[k], c.Record.Head)
+			if newest[k].Newer(c.Record.State) {
+				t.Fatalf("%s: %s went back from %v to %v", c.Who, c.Record.Name, newest[k], c.Record.State)
 			}
-			newest[k] = c.Record.Head
+			newest[k] = c.Record.State
 		}
 		cut := false
 		started := floor
@@ -40,15 +40,15 @@
 				s.Run(s.Now + 100*time.Millisecond)
 				s.Look(floor)
 				sum = 0
-				for _, c := range s.Copies {
-					if c.Up && c.View != nil { // one that stands still may wake and spend at once
-						sum += c.View.Pool("main").Part()
+				for _, c := range s.Replicas {
+					if c.Up && c.Tracker != nil { // one that stands still may wake and spend at once
+						sum += c.Tracker.Position("main").QuotaFraction()
 					}
 				}
 				if sum > 1.0001 {
-					for _, c := range s.Copies {
-						if c.Up && c.View != nil {
-							t.Logf("%s: %+v", c.Name, c.View.Pool("main"))
+					for _, c := range s.Replicas {
+						if c.Up && c.Tracker != nil {
+							t.Logf("%s: %+v", c.Name, c.Tracker.Position("main"))
 						}
 					}
 					t.Fatalf("at %v the parts come to %v", s.Now, sum)
@@ -86,7 +86,7 @@
 			case "kill":
 				s.Kill(i)
 			case "restart":
-				if i < started && !s.Copies[i].Up && s.Copies[i].Member != nil {
+				if i < started && !s.Replicas[i].Up && s.Replicas[i].List != nil {
 					for k := range newest {
 						if k.who == Name(i) {
 							delete(newest, k)
@@ -95,16 +95,16 @@
 					s.Start(i, Name(0), Name(1))
 				}
 			case "depart":
-				if s.Copies[i].Up && !s.Copies[i].Stopped && i > 1 {
-					s.Copies[i].sure, s.Copies[i].left = false, true
-					s.Tell(i, membership.Event{Kind: membership.Depart})
+				if s.Replicas[i].Up && !s.Replicas[i].Stopped && i > 1 {
+					s.Replicas[i].sure, s.Replicas[i].left = false, true
+					s.Tell(i, membership.Event{Kind: membership.Leave})
 					s.Run(s.Now + 700*time.Millisecond)
 					s.Kill(i)
 				}
 			case "another":
-				met := s.Copies[0].Up && !s.Copies[0].Stopped
-				for _, c := range s.Copies[:started] {
-					met = met && len(c.Member.Members()) == started
+				met := s.Replicas[0].Up && !s.Replicas[0].Stopped
+				for _, c := range s.Replicas[:started] {
+					met = met && len(c.List.Members()) == started
 				}
 				if !cut && started < n && met {
 					s.Start(started, Name(0), Name(1))
@@ -117,7 +117,7 @@
 		s.Net.Usual(lan)
 		for i := range started {
 			s.Continue(i)
-			if !s.Copies[i].Up {
+			if !s.Replicas[i].Up {
 				for k := range newest {
 					if k.who == Name(i) {
 						delete(newest, k)
@@ -128,7 +128,7 @@
 		}
 		sum := look(20 * time.Second)
 		for i := range started {
-			if alive, suspect, dead := s.Copies[i].Member.Count(); alive != started-1 || suspect+dead > 0 {
+			if alive, suspect, dead := s.Replicas[i].List.Count(); alive != started-1 || suspect+dead > 0 {
 				t.Fatalf("%s knows %d alive, %d suspect, %d dead of %d others", Name(i), alive, suspect, dead, started-1)
 			}
 		}
--- a/lab/metrics/measure.go
+++ b/lab/metrics/measure.go
@@ -22,23 +22,23 @@
 // Step is the width of a window of the series.
 const Step = 500 * time.Millisecond
 
-// Verdict is how a first try ended, with all its retries.
-type Verdict uint8
+// Outcome is how a first try ended, with all its retries.
+type Outcome uint8
 
 // The verdicts.
 const (
-	InAim Verdict = iota
+	OnTime Outcome = iota
 	Late
-	Refused
+	Shed
 	Failed
-	Overdue // given up by its consumer
+	TimedOut // given up by its consumer
 )
 
 var verdictNames = [...]string{"in_aim", "late", "refused", "failed", "overdue"}
 
 // Recorder books one run.
 type Recorder struct {
-	w       *scenario.World
+	w       *scenario.Scenario
 	windows []window
 	classes []group
 	tenants []group
@@ -69,7 +69,7 @@
 }
 
 // New returns a recorder for a world.
-func New(w *scenario.World) *Recorder {
+func New(w *scenario.Scenario) *Recorder {
 	r := &Recorder{w: w, counts: map[string]float64{}, from: w.Warmup, windows: make([]window, int((w.Length+Step-1)/Step))}
 	for _, c := range w.Classes {
 		r.classes = append(r.classes, group{name: c.Name, latency: histogram()})
@@ -88,16 +88,16 @@
 }
 
 // Final books how a first try ended. Latency counts from when it was meant to be sent.
-func (r *Recorder) Final(q *load.Request, v Verdict, latency time.Duration) {
+func (r *Recorder) Final(q *load.Request, v Outcome, latency time.Duration) {
 	earned := 0.0
 	switch v {
-	case InAim:
-		earned = q.Worth
+	case OnTime:
+		earned = q.Weight
 	case Late:
-		earned = q.Worth * r.w.Classes[q.Class].Late
+		earned = q.Weight * r.w.Classes[q.Class].LateWeight
 	}
 	win := r.window(q.At)
-	win.asked += q.Worth
+	win.asked += q.Weight
 	win.good += earned
 	win.firsts++
 	us := max(int64(latency/time.Microsecond), 1)
@@ -110,7 +110,7 @@
 	}
 	for _, g := range []*group{&r.classes[q.Class], &r.tenants[q.Tenant]} {
 		g.n++
-		g.asked += q.Worth
+		g.asked += q.Weight
 		g.good += earned
 		g.verdicts[v]++
 		if v <= Late {
@@ -258,7 +258,7 @@
 	}
 	m["worst10"] = worst
 	m["recover"], m["jammed"] = 0, 0
-	first, last := Troubled(r.w)
+	first, last := Faulted(r.w)
 	if last == 0 {
 		if level(len(r.windows)*3/4, len(r.windows)) < 0.5 {
 			m["jammed"] = 1
@@ -285,11 +285,11 @@
 	}
 }
 
-// Troubled returns when the first trouble of a world begins and the last one
+// Faulted returns when the first trouble of a world begins and the last one
 // ends; zeros if there is none. A release ends when its last provider is
 // replaced.
-func Troubled(w *scenario.World) (first, last time.Duration) {
-	for i, t := range w.Troubles {
+func Faulted(w *scenario.Scenario) (first, last time.Duration) {
+	for i, t := range w.Faults {
 		end := t.At + t.For
 		switch t.Kind {
 		case scenario.Release, scenario.Replace:
--- a/lab/metrics/measure_test.go
+++ b/lab/metrics/measure_test.go
@@ -10,23 +10,23 @@
 	"ryerill/lab/scenario"
 )
 
-func world20(troubles ...scenario.Trouble) *scenario.World {
-	return &scenario.World{Length: 20 * time.Second, Classes: []scenario.Class{{Name: "read", Late: 0.5, Worth: 1}},
-		Tenants: []scenario.Tenant{{Name: "all"}}, Tiers: []scenario.Tier{{Name: "one"}}, Troubles: troubles}
+func world20(troubles ...scenario.Fault) *scenario.Scenario {
+	return &scenario.Scenario{Length: 20 * time.Second, Classes: []scenario.Class{{Name: "read", LateWeight: 0.5, PriorityWeight: 1}},
+		Tenants: []scenario.Tenant{{Name: "all"}}, Tiers: []scenario.Tier{{Name: "one"}}, Faults: troubles}
 }
 
 // book books ten first tries a second, served as a time says.
-func book(w *scenario.World, verdict func(at time.Duration) Verdict) *Result {
+func book(w *scenario.Scenario, verdict func(at time.Duration) Outcome) *Result {
 	r := New(w)
 	for at := time.Duration(0); at < w.Length; at += 100 * time.Millisecond {
-		r.Final(&load.Request{At: at, Worth: 2}, verdict(at), 300*time.Millisecond)
+		r.Final(&load.Request{At: at, Weight: 2}, verdict(at), 300*time.Millisecond)
 	}
 	return r.Result(nil, nil)
 }
 
 func TestWorthIsCounted(t *testing.T) {
-	r := book(world20(), func(at time.Duration) Verdict {
-		return []Verdict{InAim, Late, Refused, InAim}[int(at/(100*time.Millisecond))%4]
+	r := book(world20(), func(at time.Duration) Outcome {
+		return []Outcome{OnTime, Late, Shed, OnTime}[int(at/(100*time.Millisecond))%4]
 	})
 	for name, want := range map[string]float64{"goodput": 0.625, "in_aim": 0.5, "late": 0.25, "refused": 0.25, "p50": 0.3, "class.read.goodput": 0.625} {
 		if got := r.Metrics[name]; math.Abs(got-want) > 0.01 {
@@ -36,7 +36,7 @@
 }
 
 func TestRecoveryIsTimedFromTheEndOfTheTrouble(t *testing.T) {
-	tr := scenario.Trouble{Kind: scenario.Slow, At: 4 * time.Second, For: 4 * time.Second}
+	tr := scenario.Fault{Kind: scenario.Slow, At: 4 * time.Second, For: 4 * time.Second}
 	for _, tc := range []struct {
 		name            string
 		until           time.Duration // it fails from the trouble's start until here
@@ -46,11 +46,11 @@
 		{"three seconds later", 11 * time.Second, 3, 0},
 		{"never", 20 * time.Second, 12, 1},
 	} {
-		r := book(world20(tr), func(at time.Duration) Verdict {
+		r := book(world20(tr), func(at time.Duration) Outcome {
 			if at >= tr.At && at < tc.until {
 				return Failed
 			}
-			return InAim
+			return OnTime
 		})
 		if got := r.Metrics["recover"]; math.Abs(got-tc.recover) > 0.51 || r.Metrics["jammed"] != tc.jammed {
 			t.Errorf("%s: recover %v, jammed %v", tc.name, got, r.Metrics["jammed"])
@@ -61,11 +61,11 @@
 func TestWarmupIsNotCounted(t *testing.T) {
 	w := world20()
 	w.Warmup = 10 * time.Second
-	r := book(w, func(at time.Duration) Verdict {
+	r := book(w, func(at time.Duration) Outcome {
 		if at < w.Warmup {
 			return Failed
 		}
-		return InAim
+		return OnTime
 	})
 	if r.Metrics["goodput"] != 1 || r.Metrics["firsts"] != 100 {
 		t.Errorf("goodput %v of %v", r.Metrics["goodput"], r.Metrics["firsts"])
--- a/lab/processes/copies.go
+++ b/lab/processes/copies.go
@@ -46,15 +46,15 @@
 	Command   []string             // starts the real program
 	Of        func(i int) []string // starts that of one copy, where there are several; nil is Command
 	Dir       string               // for configurations and keys
-	Copies    int
-	Providers int
+	Replicas  int
+	Endpoints int
 	Written   int // copies that the configuration states; 0 is as many as there are
 	Off       bool
 	Change    func(i int, f *config.File) // changes a configuration before it is written
 }
 
-// Copy is one process of the program.
-type Copy struct {
+// Replica is one process of the program.
+type Replica struct {
 	Name    string
 	Address string    // for consumers
 	Doors   [2]string // of its first process, and of one that follows it at an upgrade, in turn
@@ -75,7 +75,7 @@
 // Fleet is all of it.
 type Fleet struct {
 	Opt       Options
-	Copies    []*Copy
+	Replicas  []*Replica
 	Relays    *relay.Relays
 	Ledger    *Ledger
 	providers []*http.Server
@@ -86,7 +86,7 @@
 // Start starts a fleet and waits until all of it is ready.
 func Start(ctx context.Context, opt Options) (f *Fleet, err error) {
 	if opt.Written == 0 {
-		opt.Written = opt.Copies
+		opt.Written = opt.Replicas
 	}
 	f = &Fleet{Opt: opt, Relays: relay.New(badnet.New(badnet.Link{}, 1)), Ledger: newLedger(), keys: filepath.Join(opt.Dir, "keys")}
 	defer func() {
@@ -97,7 +97,7 @@
 	if err := os.WriteFile(f.keys, []byte(FirstKey+"\n"), 0o600); err != nil {
 		return nil, err
 	}
-	for i := range opt.Providers {
+	for i := range opt.Endpoints {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
@@ -107,24 +107,24 @@
 		f.addresses = append(f.addresses, l.Addr().String())
 		go s.Serve(l)
 	}
-	for i := range opt.Copies {
-		c := &Copy{Name: fmt.Sprintf("c%02d", i), File: filepath.Join(opt.Dir, fmt.Sprintf("c%02d.yaml", i))}
+	for i := range opt.Replicas {
+		c := &Replica{Name: fmt.Sprintf("c%02d", i), File: filepath.Join(opt.Dir, fmt.Sprintf("c%02d.yaml", i))}
 		ports, err := freePorts(4)
 		if err != nil {
 			return nil, err
 		}
 		c.Address, c.Doors, c.fleet = ports[0].String(), [2]string{ports[1].String(), ports[3].String()}, ports[2]
 		f.Relays.Add(c.Name, c.fleet)
-		f.Copies = append(f.Copies, c)
+		f.Replicas = append(f.Replicas, c)
 	}
-	for i := range f.Copies {
+	for i := range f.Replicas {
 		if err := f.Write(i, opt.Change); err != nil {
 			return nil, err
 		}
 	}
 	var all sync.WaitGroup
-	errs := make([]error, opt.Copies)
-	for i := range f.Copies {
+	errs := make([]error, opt.Replicas)
+	for i := range f.Replicas {
 		all.Add(1)
 		go func() { defer all.Done(); errs[i] = f.Launch(ctx, i) }()
 	}
@@ -169,24 +169,24 @@
 
 // Write writes a copy's configuration.
 func (f *Fleet) Write(i int, change func(i int, file *config.File)) error {
-	c := f.Copies[i]
-	file := config.File{Name: c.Name, Mgmt: c.Doors[0], Machine: config.MachineFile{Sockets: 1024, MemoryMB: 64},
+	c := f.Replicas[i]
+	file := config.File{Name: c.Name, Admin: c.Doors[0], Machine: config.MachineFile{Sockets: 1024, MemoryMB: 64},
 		Listeners: []config.ListenerFile{{Name: "main", Address: c.Address}},
 		Routes:    []config.RouteFile{{Name: "all", Pool: "main"}}}
-	pool := config.PoolFile{Name: "main", Zone: "a", Copy: i % f.Opt.Written, Copies: f.Opt.Written, Limits: config.LimitsFile{ConnectTimeout: time.Second},
-		Classes: []config.ClassFile{{Name: "read", Effect: "safe", Deadline: 4 * time.Second}, {Name: "pay", Effect: "keyed", Group: "all", Memory: 10 * time.Second, Deadline: 4 * time.Second},
+	pool := config.PoolFile{Name: "main", Zone: "a", ReplicaIndex: i % f.Opt.Written, ReplicaCount: f.Opt.Written, Limits: config.LimitsFile{ConnectTimeout: time.Second},
+		Classes: []config.ClassFile{{Name: "read", Effect: "safe", Deadline: 4 * time.Second}, {Name: "pay", Effect: "keyed", Group: "all", IdempotencyWindow: 10 * time.Second, Deadline: 4 * time.Second},
 			{Name: "burn", Effect: "unsafe", Deadline: 4 * time.Second}}}
 	for j, at := range f.addresses {
-		pool.Providers = append(pool.Providers, config.ProviderFile{Name: fmt.Sprintf("p%02d", j), Address: at, Zone: "a"})
+		pool.Endpoints = append(pool.Endpoints, config.EndpointFile{Name: fmt.Sprintf("p%02d", j), Address: at, Zone: "a"})
 	}
 	file.Pools = []config.PoolFile{pool}
 	if !f.Opt.Off {
-		b := &config.FleetFile{Name: "lab", Listen: c.fleet.String(), KeyFile: f.keys, Via: map[string]string{}, Zone: fmt.Sprint("z", i%3),
-			Remember: filepath.Join(f.disk(i), "members")}
+		b := &config.FleetFile{Name: "lab", Listen: c.fleet.String(), KeyFile: f.keys, AddressOverrides: map[string]string{}, Zone: fmt.Sprint("z", i%3),
+			StateFile: filepath.Join(f.disk(i), "members")}
 		if err := os.MkdirAll(f.disk(i), 0o700); err != nil {
 			return err
 		}
-		for j, other := range f.Copies {
+		for j, other := range f.Replicas {
 			if other == c {
 				continue
 			}
@@ -194,7 +194,7 @@
 			if err != nil {
 				return err
 			}
-			if b.Via[other.Name] = way; j < 2 {
+			if b.AddressOverrides[other.Name] = way; j < 2 {
 				b.Seeds = append(b.Seeds, way)
 			}
 		}
@@ -210,7 +210,7 @@
 	return os.WriteFile(c.File, text, 0o600)
 }
 
-func (f *Fleet) disk(i int) string { return filepath.Join(f.Opt.Dir, f.Copies[i].Name+".disk") }
+func (f *Fleet) disk(i int) string { return filepath.Join(f.Opt.Dir, f.Replicas[i].Name+".disk") }
 
 // Disk takes away what a copy keeps its memory on, or brings it back as it was.
 func (f *Fleet) Disk(i int, there bool) error {
@@ -228,7 +228,7 @@
 // Replace starts another program beside a copy's, waits until it serves, and then ends
 // the first: an upgrade as the operators' page says.
 func (f *Fleet) Replace(ctx context.Context, i int, command []string) error {
-	c := f.Copies[i]
+	c := f.Replicas[i]
 	c.mu.Lock()
 	first, ended := c.cmd, c.ended
 	c.door = 1 - c.door
@@ -251,7 +251,7 @@
 func (f *Fleet) Launch(ctx context.Context, i int) error { return f.launch(ctx, i, f.command(i)) }
 
 func (f *Fleet) launch(ctx context.Context, i int, command []string) error {
-	c := f.Copies[i]
+	c := f.Replicas[i]
 	cmd := exec.Command(command[0], command[1:]...)
 	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+c.File, "ROUTER_NAME=", "ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_MGMT="+c.Door(), "TMPDIR="+f.Opt.Dir)
 	log, err := cmd.StderrPipe()
@@ -309,14 +309,14 @@
 }
 
 // Log is the end of a copy's log.
-func (c *Copy) Log() string {
+func (c *Replica) Log() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return string(c.log)
 }
 
 // Signal sends a signal to a copy's process.
-func (c *Copy) Signal(s syscall.Signal) error {
+func (c *Replica) Signal(s syscall.Signal) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cmd == nil {
@@ -335,13 +335,13 @@
 }
 
 // Kill ends a copy's process at once and waits until it is gone.
-func (c *Copy) Kill() {
+func (c *Replica) Kill() {
 	c.Signal(syscall.SIGKILL)
 	c.Await()
 }
 
 // Await waits until a copy's process has ended.
-func (c *Copy) Await() error {
+func (c *Replica) Await() error {
 	c.mu.Lock()
 	ended := c.ended
 	c.mu.Unlock()
@@ -355,7 +355,7 @@
 }
 
 // Up tells whether a copy's process runs and is not stopped.
-func (c *Copy) Up() bool {
+func (c *Replica) Up() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ended == nil || c.stopped || c.ending {
@@ -371,28 +371,28 @@
 
 // Ends is how often a copy's process was told to end: what is open when that grows may
 // break.
-func (c *Copy) Ends() int {
+func (c *Replica) Ends() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.ends
 }
 
 // Pid is that of a copy's process.
-func (c *Copy) Pid() int {
+func (c *Replica) Pid() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.cmd.Process.Pid
 }
 
 // Door is where the newest process of a copy is asked.
-func (c *Copy) Door() string {
+func (c *Replica) Door() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.Doors[c.door]
 }
 
 // ask makes one call at a copy's door.
-func (c *Copy) ask(method, path, body string) ([]byte, error) {
+func (c *Replica) ask(method, path, body string) ([]byte, error) {
 	conn, err := net.DialTimeout("tcp", c.Door(), doorWithin)
 	if err != nil {
 		return nil, err
@@ -413,13 +413,13 @@
 }
 
 // Ask makes one call at a copy's door.
-func (c *Copy) Ask(method, path, body string) (string, error) {
+func (c *Replica) Ask(method, path, body string) (string, error) {
 	text, err := c.ask(method, path, body)
 	return string(text), err
 }
 
 // Status is how a copy sees the fleet.
-func (c *Copy) Status() (s fleet.Status, err error) {
+func (c *Replica) Status() (s fleet.Status, err error) {
 	text, err := c.ask("GET", "/ops/fleet", "")
 	if err == nil {
 		err = json.Unmarshal(text, &s)
@@ -428,7 +428,7 @@
 }
 
 // Shared is what a copy shares with others.
-func (c *Copy) Shared() (s fleet.SharedStatus, err error) {
+func (c *Replica) Shared() (s fleet.SharedStatus, err error) {
 	text, err := c.ask("GET", "/ops/fleet/shared", "")
 	if err == nil {
 		err = json.Unmarshal(text, &s)
@@ -438,10 +438,10 @@
 
 // Close ends all processes and what stands round them.
 func (f *Fleet) Close() {
-	for _, c := range f.Copies {
+	for _, c := range f.Replicas {
 		c.Signal(syscall.SIGKILL)
 	}
-	for _, c := range f.Copies {
+	for _, c := range f.Replicas {
 		c.Await()
 	}
 	f.Relays.Close()
--- a/lab/processes/cost.go
+++ b/lab/processes/cost.go
@@ -49,7 +49,7 @@
 	defer f.Close()
 	f.Ledger.Work(0)
 	time.Sleep(5 * time.Second) // until all know all
-	pid := f.Copies[0].Pid()
+	pid := f.Replicas[0].Pid()
 	a, err := cpu(pid)
 	if err != nil {
 		return c, err
--- a/lab/processes/ledger.go
+++ b/lab/processes/ledger.go
@@ -82,7 +82,7 @@
 // turn, over connections that it keeps. What a copy that is not up can't answer
 // is excused: a fleet that is switched off would lose it too.
 func (f *Fleet) Drive(ctx context.Context, i, perSecond int) {
-	c, l := f.Copies[i], f.Ledger
+	c, l := f.Replicas[i], f.Ledger
 	lanes := max(perSecond/20, 2)
 	var all sync.WaitGroup
 	for lane := range lanes {
@@ -184,9 +184,9 @@
 
 // Sum is what a ledger comes to.
 type Sum struct {
-	Faults                                                           []string // of some that were lost
-	Requests, Served, Refused, Failed, Lost, Late, Repeated, Excused int
-	Copies                                                           map[int]int // served, by copy
+	Faults                                                        []string // of some that were lost
+	Requests, Served, Shed, Failed, Lost, Late, Repeated, Excused int
+	Copies                                                        map[int]int // served, by copy
 }
 
 // Sum adds the ledger up. Lost got no answer from a copy that was up, or a wrong
@@ -213,7 +213,7 @@
 			s.Served++
 			s.Copies[e.Copy]++
 		case e.Status == 429 || e.Status == 503:
-			s.Refused++
+			s.Shed++
 		default:
 			s.Failed++
 		}
--- a/lab/processes/versions_test.go
+++ b/lab/processes/versions_test.go
@@ -38,9 +38,9 @@
 }
 
 // find is what a copy knows of another.
-func (c *Copy) find(name string) (m fleet.Member) {
+func (c *Replica) find(name string) (m fleet.MemberStatus) {
 	s, _ := c.Status()
-	if i := slices.IndexFunc(s.Members, func(m fleet.Member) bool { return m.Name == name }); i >= 0 {
+	if i := slices.IndexFunc(s.Members, func(m fleet.MemberStatus) bool { return m.Name == name }); i >= 0 {
 		return s.Members[i]
 	}
 	return m
@@ -51,41 +51,41 @@
 // a plan is carried through by either.
 func TestVersionsProcesses(t *testing.T) {
 	commands, _ := both(t)
-	f := rig(t, Options{Copies: 6, Of: func(i int) []string { return commands[i%2] }, Change: func(_ int, file *config.File) {
-		file.Fleet.Share = &config.ShareFile{Quotas: true, Counts: true, Verdicts: true}
+	f := rig(t, Options{Replicas: 6, Of: func(i int) []string { return commands[i%2] }, Change: func(_ int, file *config.File) {
+		file.Fleet.Sharing = &config.SharingFile{Quotas: true, Counters: true, Evidence: true}
 		file.Pools[0].Tenants = []config.TenantFile{{Name: "acme", Quota: 1000}}
 	}})
 	until(t, 20*time.Second, "all to know all", f.agree)
 	said := hex.EncodeToString([]byte("\xa1\x18\x64\x65later"))
 	// c01 speaks with those alone that don't know what it says.
-	f.Relays.Do(func(n *badnet.Net) {
+	f.Relays.Do(func(n *badnet.Network) {
 		for _, other := range []string{"c03", "c05"} {
 			n.Set("c01", other, badnet.Link{Cut: true})
 			n.Set(other, "c01", badnet.Link{Cut: true})
 		}
 	})
-	f.Copies[1].Kill()
+	f.Replicas[1].Kill()
 	if err := f.Launch(t.Context(), 1); err != nil {
 		t.Fatal(err)
 	}
-	epoch := f.Copies[1].find("c01").Epoch
+	epoch := f.Replicas[1].find("c01").Epoch
 	until(t, 20*time.Second, "what it says to be handed on", func() bool {
-		m := f.Copies[3].find("c01")
-		return m.Epoch == epoch && m.Later == said && m.Speaks == [2]uint8{1, 2}
+		m := f.Replicas[3].find("c01")
+		return m.Epoch == epoch && m.UnknownTags == said && m.Levels == [2]uint8{1, 2}
 	})
-	f.Relays.Do(func(n *badnet.Net) { n.Heal() })
+	f.Relays.Do(func(n *badnet.Network) { n.Heal() })
 	until(t, 20*time.Second, "all to know all", f.agree)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go f.Drive(ctx, 0, 300)
 	until(t, 20*time.Second, "a quota to be lent", func() bool {
-		s, err := f.Copies[0].Shared()
-		return err == nil && len(s.Budgets) == 1 && s.Budgets[0].Rate >= 280
+		s, err := f.Replicas[0].Shared()
+		return err == nil && len(s.Quotas) == 1 && s.Quotas[0].Rate >= 280
 	})
 	f.rates(t)
 	for i, id := range []string{"by-this", "by-later"} {
-		plan := f.plan(t, id, "stages: [{count: 2, soak: 2s}, {part: 1, soak: 2s}]\naway: 2\nwait: 15s\n", func(p *config.PoolFile) { p.Limits.Attempts = 4 + i })
-		if _, err := f.Copies[i].Ask("POST", "/ops/rollout", plan); err != nil {
+		plan := f.plan(t, id, "stages: [{count: 2, soak: 2s}, {part: 1, soak: 2s}]\naway: 2\nwait: 15s\n", func(p *config.PoolFile) { p.Limits.MaxAttempts = 4 + i })
+		if _, err := f.Replicas[i].Ask("POST", "/ops/rollout", plan); err != nil {
 			t.Fatal(err)
 		}
 		until(t, 90*time.Second, "the plan to end", func() bool { s := f.rollout(); return s.Plan == id && s.Ended })
@@ -93,10 +93,10 @@
 			t.Errorf("%s: %s", s.Phase, s.Reason)
 		}
 	}
-	for _, c := range f.Copies {
+	for _, c := range f.Replicas {
 		s, _ := c.Status()
-		if s.Frames.Bad["torn"]+s.Frames.Bad["of another version"] > 0 {
-			t.Errorf("%s dropped %v", c.Name, s.Frames.Bad)
+		if s.Frames.Invalid["torn"]+s.Frames.Invalid["of another version"] > 0 {
+			t.Errorf("%s dropped %v", c.Name, s.Frames.Invalid)
 		}
 	}
 }
@@ -107,12 +107,12 @@
 func TestProgramsProcesses(t *testing.T) {
 	commands, versions := both(t)
 	const n = 5
-	f := rig(t, Options{Copies: n})
+	f := rig(t, Options{Replicas: n})
 	until(t, 20*time.Second, "all to know all", f.agree)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	spoilt := "" // a copy whose command fails
-	for i, c := range f.Copies {
+	for i, c := range f.Replicas {
 		want, done := filepath.Join(f.Opt.Dir, c.Name+".want"), filepath.Join(f.Opt.Dir, c.Name+".done")
 		agent := exec.CommandContext(ctx, commands[0][0], "rollout", "agent", "--door", c.Doors[0]+","+c.Doors[1], "--", "sh", "-c",
 			fmt.Sprintf(`echo "$RYERILL_TARGET,$RYERILL_BACK" > %s.part; mv %s.part %s; while [ ! -e %s ]; do sleep 0.05; done; read ok < %s; rm %s; [ "$ok" = yes ]`, want, want, want, done, done, done))
@@ -148,7 +148,7 @@
 	}
 	holding := func(version string) func() bool {
 		return func() bool {
-			for _, c := range f.Copies {
+			for _, c := range f.Replicas {
 				if c.find(c.Name).Program != version {
 					return false
 				}
@@ -156,10 +156,10 @@
 			return true
 		}
 	}
-	if _, err := f.Copies[0].Ask("POST", "/ops/rollout", plan("deaf", "v9", "speaks: [7, 8]\n")); err == nil || !strings.Contains(err.Error(), "could not hear each other") {
+	if _, err := f.Replicas[0].Ask("POST", "/ops/rollout", plan("deaf", "v9", "speaks: [7, 8]\n")); err == nil || !strings.Contains(err.Error(), "could not hear each other") {
 		t.Errorf("a program that nobody could hear: %v", err)
 	}
-	if _, err := f.Copies[0].Ask("POST", "/ops/rollout", plan("later", versions[1], "speaks: [1, 2]\n")); err != nil {
+	if _, err := f.Replicas[0].Ask("POST", "/ops/rollout", plan("later", versions[1], "speaks: [1, 2]\n")); err != nil {
 		t.Fatal(err)
 	}
 	until(t, 120*time.Second, "the plan to end", func() bool { s := f.rollout(); return s.Plan == "later" && (s.Ended || s.Phase == "stopped") })
@@ -168,7 +168,7 @@
 	}
 	until(t, 20*time.Second, "all to know all", f.agree)
 	spoilt = "c03"
-	if _, err := f.Copies[2].Ask("POST", "/ops/rollout", plan("earlier", versions[0], "")); err != nil {
+	if _, err := f.Replicas[2].Ask("POST", "/ops/rollout", plan("earlier", versions[0], "")); err != nil {
 		t.Fatal(err)
 	}
 	until(t, 120*time.Second, "the plan to go back", func() bool { s := f.rollout(); return s.Plan == "earlier" && (s.Ended || s.Phase == "stopped") })
--- a/lab/realtime/consumer.go
+++ b/lab/realtime/consumer.go
@@ -37,7 +37,7 @@
 	r.mu.Unlock()
 	until := r.began.Add(q.At + c.Deadline)
 	harmless := c.Effect == "safe" || c.Effect == "keyed" && c.Group == "all"
-	last := metrics.Overdue
+	last := metrics.TimedOut
 	for try := 1; ; try++ {
 		v, again, wait, useful := r.try(ctx, q, until, try, harmless)
 		last = v
@@ -45,7 +45,7 @@
 			r.final(q, v, useful)
 			return
 		}
-		if !again || try > r.w.Consumers.Retries || time.Now().Add(wait).After(until) || ctx.Err() != nil {
+		if !again || try > r.w.Clients.Retries || time.Now().Add(wait).After(until) || ctx.Err() != nil {
 			break
 		}
 		time.Sleep(wait)
@@ -54,14 +54,14 @@
 }
 
 // try asks once. It tells whether trying again is harmless, and after what wait.
-func (r *run) try(ctx context.Context, q *load.Request, until time.Time, number int, harmless bool) (v metrics.Verdict, again bool, wait time.Duration, useful float64) {
+func (r *run) try(ctx context.Context, q *load.Request, until time.Time, number int, harmless bool) (v metrics.Outcome, again bool, wait time.Duration, useful float64) {
 	c := &r.w.Classes[q.Class]
-	wait = r.w.Consumers.Wait
+	wait = r.w.Clients.Wait
 	now := time.Now()
-	left := min(time.Duration(r.w.Consumers.Try*float64(c.Deadline)), until.Sub(now))
+	left := min(time.Duration(r.w.Clients.Try*float64(c.Deadline)), until.Sub(now))
 	r.count("tries", 1)
 	if left <= 0 {
-		return metrics.Overdue, false, wait, 0
+		return metrics.TimedOut, false, wait, 0
 	}
 	inst := r.choose(q.Zone)
 	if inst == nil {
@@ -80,43 +80,43 @@
 			return metrics.Failed, true, wait, 0
 		}
 		if isTimeout(err) {
-			return metrics.Overdue, harmless, wait, 0
+			return metrics.TimedOut, harmless, wait, 0
 		}
 		return metrics.Failed, harmless, wait, 0
 	}
 	time.Sleep(way())
 	if time.Since(now) > left { // the consumer's own clock: it has given this try up
-		return metrics.Overdue, harmless, wait, 0
+		return metrics.TimedOut, harmless, wait, 0
 	}
 	switch a.status {
 	case http.StatusOK:
-		if time.Since(r.began)-q.At <= c.Aim {
-			return metrics.InAim, false, 0, usefulWork(a.body)
+		if time.Since(r.began)-q.At <= c.LatencyObjective {
+			return metrics.OnTime, false, 0, usefulWork(a.body)
 		}
 		return metrics.Late, false, 0, usefulWork(a.body)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		r.mu.Lock()
 		r.rec.Count("refusals", 1)
-		if a.retryAfter > 0 && r.who.Float64() < r.w.Consumers.Honour {
+		if a.retryAfter > 0 && r.who.Float64() < r.w.Clients.Honour {
 			wait = min(a.retryAfter, r.w.Rules.MaxRetryAfter)
 		}
 		r.mu.Unlock()
-		return metrics.Refused, true, wait, 0
+		return metrics.Shed, true, wait, 0
 	}
 	return metrics.Failed, harmless, wait, 0
 }
 
-func (r *run) final(q *load.Request, v metrics.Verdict, useful float64) {
+func (r *run) final(q *load.Request, v metrics.Outcome, useful float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	took := time.Since(r.began) - q.At
 	r.rec.Final(q, v, took)
 	switch v {
-	case metrics.InAim, metrics.Late:
+	case metrics.OnTime, metrics.Late:
 		r.rec.Count("work_useful", useful)
 		r.moment.Served++
 		r.recent = append(r.recent, took)
-	case metrics.Refused:
+	case metrics.Shed:
 		r.moment.Refused++
 	default:
 		r.moment.Failed++
--- a/lab/realtime/directory.go
+++ b/lab/realtime/directory.go
@@ -73,8 +73,8 @@
 }
 
 // list is what has changed since a version, or the whole list, as a zone sees it.
-func (g *registry) list(zone int, since uint64, whole bool) discovery.List {
-	list := discovery.List{Index: g.version, Snapshot: whole, Endpoints: []discovery.Endpoint{}}
+func (g *registry) list(zone int, since uint64, whole bool) discovery.EndpointList {
+	list := discovery.EndpointList{Index: g.version, Snapshot: whole, Endpoints: []discovery.Endpoint{}}
 	for _, e := range g.entries {
 		if whole && e.status == discovery.Gone || !whole && e.version <= since {
 			continue
@@ -163,12 +163,12 @@
 		start = g.busy
 	}
 	wait := time.Until(start)
-	late := wait > g.run.w.Directory.Timeout
+	late := wait > g.run.w.Discovery.Timeout
 	if !late {
-		g.busy = start.Add(time.Duration(float64(time.Second) / g.run.w.Directory.Capacity))
+		g.busy = start.Add(time.Duration(float64(time.Second) / g.run.w.Discovery.Capacity))
 	}
 	g.mu.Unlock()
-	t := time.NewTimer(min(max(wait, 0), g.run.w.Directory.Timeout))
+	t := time.NewTimer(min(max(wait, 0), g.run.w.Discovery.Timeout))
 	defer t.Stop()
 	select {
 	case <-t.C:
--- a/lab/realtime/instance.go
+++ b/lab/realtime/instance.go
@@ -88,15 +88,15 @@
 }
 
 // settings is a world as the platform's settings state it to one proxy.
-func settings(w *scenario.World, tier, self, zone int) map[string]any {
+func settings(w *scenario.Scenario, tier, self, zone int) map[string]any {
 	us := func(d time.Duration) int64 { return int64(d / time.Microsecond) }
 	b := w.Balancer(tier, self, zone)
 	var classes, tenants []any
 	effects := map[balancer.Effect]string{balancer.Safe: "pure", balancer.Keyed: "token", balancer.Unsafe: "side_effect"}
 	groups := map[balancer.Group]string{balancer.GroupAll: "all", balancer.GroupZone: "zone", balancer.GroupCell: "cell"}
 	for _, c := range b.Classes {
-		classes = append(classes, map[string]any{"Name": c.Name, "Slo": us(c.Aim), "Deadline": us(c.Deadline), "Worth": c.Worth,
-			"LateWorth": c.LateWorth, "Effect": effects[c.Effect], "Group": groups[c.Group], "MemorySpan": us(c.Memory)})
+		classes = append(classes, map[string]any{"Name": c.Name, "Slo": us(c.LatencyObjective), "Deadline": us(c.Deadline), "Worth": c.PriorityWeight,
+			"LateWorth": c.LateWeight, "Effect": effects[c.Effect], "Group": groups[c.Group], "MemorySpan": us(c.IdempotencyWindow)})
 	}
 	for _, t := range b.Tenants {
 		tenants = append(tenants, map[string]any{"Name": t.Name, "Share": t.Share, "QuotaPerS": t.Quota})
@@ -106,14 +106,14 @@
 		tiers = append(tiers, t.Name)
 	}
 	return map[string]any{"Areas": w.Network.Zones, "Zone": zone, "Tiers": tiers, "Tier": tier, "Me": self,
-		"GroupSize": b.GroupSize, "Discovery": "subscribe", "Kinds": []string{"machine"}, "OverShareWorth": b.OverShareWorth,
+		"GroupSize": b.ReplicaCount, "Discovery": "subscribe", "Kinds": []string{"machine"}, "OverShareWorth": b.OverQuotaWeight,
 		"Classes": classes, "Customers": tenants,
-		"Limits": map[string]any{"TryLimit": b.Limits.Attempts, "MostHeld": b.Limits.Open, "MaxRetryAfter": us(b.Limits.MaxRetryAfter),
+		"Limits": map[string]any{"TryLimit": b.Limits.MaxAttempts, "MostHeld": b.Limits.MaxOpenRequests, "MaxRetryAfter": us(b.Limits.MaxRetryAfter),
 			"ConnectTimeout": us(b.Limits.ConnectTimeout), "RetryAfter": true, "SecondCopies": true, "MayCancel": true,
 			"IdleClose": us(w.Tiers[tier].Node.Connect.Idle)},
 		"Contract": map[string]any{"AnswerSlack": us(b.Contract.AnswerSlack), "StopSendingWithin": us(b.Contract.DrainGrace),
-			"AskWithin": us(b.Contract.AskWithin), "ColdFrom": b.Contract.ColdFrom, "WarmUp": us(b.Contract.WarmUp),
-			"FallMultiple": b.Contract.FallMultiple, "OverloadFor": us(b.Contract.OverloadFor)}}
+			"AskWithin": us(b.Contract.MaxPollInterval), "ColdFrom": b.Contract.InitialCapacity, "WarmUp": us(b.Contract.WarmUpPeriod),
+			"FallMultiple": b.Contract.OverloadMultiple, "OverloadFor": us(b.Contract.OverloadPeriod)}}
 }
 
 // start starts the proxy and waits until it is ready.
@@ -151,21 +151,21 @@
 	for t := range w.Tiers {
 		tier := &w.Tiers[t]
 		n := &tier.Node
-		p := config.PoolFile{Name: tier.Name, Zone: w.Network.Zones[i.zone], Zones: w.Network.Zones, Copy: i.self, Copies: w.Tiers[0].Proxies,
-			Directory: i.asks[t], Limits: config.LimitsFile{Attempts: w.Rules.Attempts, MaxRetryAfter: w.Rules.MaxRetryAfter,
-				ConnectTimeout: n.Connect.Timeout, IdleClose: n.Connect.Idle, Open: 20_000 - variant%3},
-			Rules: config.RulesFile{AnswerSlack: w.Rules.Slack, DrainGrace: w.Rules.Drain, ColdFrom: n.Cold.From, WarmUp: n.Cold.For,
-				FallMultiple: n.Cold.Tips, OverloadFor: n.Cold.Within}}
+		p := config.PoolFile{Name: tier.Name, Zone: w.Network.Zones[i.zone], Zones: w.Network.Zones, ReplicaIndex: i.self, ReplicaCount: w.Tiers[0].Proxies,
+			Discovery: i.asks[t], Limits: config.LimitsFile{MaxAttempts: w.Rules.Attempts, MaxRetryAfter: w.Rules.MaxRetryAfter,
+				ConnectTimeout: n.Connect.Timeout, IdleClose: n.Connect.Idle, MaxOpenRequests: 20_000 - variant%3},
+			Rules: config.RulesFile{AnswerSlack: w.Rules.Slack, DrainGrace: w.Rules.Drain, InitialCapacity: n.Cold.From, WarmUpPeriod: n.Cold.For,
+				OverloadMultiple: n.Cold.Tips, OverloadPeriod: n.Cold.Within}}
 		for _, c := range w.Classes {
 			if c.Tier != tier.Name {
 				continue
 			}
-			p.Classes = append(p.Classes, config.ClassFile{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.Late,
-				Effect: c.Effect, Group: strings.Replace(c.Group, "group", "cell", 1), Memory: c.Memory})
+			p.Classes = append(p.Classes, config.ClassFile{Name: c.Name, LatencyObjective: c.LatencyObjective, Deadline: c.Deadline, PriorityWeight: c.PriorityWeight, LateWeight: c.LateWeight,
+				Effect: c.Effect, Group: strings.Replace(c.Group, "group", "cell", 1), IdempotencyWindow: c.IdempotencyWindow})
 			f.Routes = append(f.Routes, config.RouteFile{Name: c.Name, Path: "/" + c.Name + "/*", Pool: tier.Name})
 		}
 		for _, e := range i.run.known(t, i.zone).Endpoints {
-			p.Providers = append(p.Providers, config.ProviderFile{Name: e.Name, Address: e.Address, Zone: e.Zone, Group: e.Group})
+			p.Endpoints = append(p.Endpoints, config.EndpointFile{Name: e.Name, Address: e.Address, Zone: e.Zone, Group: e.Group})
 		}
 		f.Pools = append(f.Pools, p)
 	}
@@ -286,7 +286,7 @@
 	}
 	argv := i.run.opt.command()
 	cmd := exec.Command(argv[0], argv[1:]...)
-	cmd.Env = append(os.Environ(), config.EnvFile+"="+i.file, config.EnvName+"=", config.EnvListen+"=", config.EnvDirectory+"=")
+	cmd.Env = append(os.Environ(), config.EnvFile+"="+i.file, config.EnvName+"=", config.EnvListen+"=", config.EnvDiscovery+"=")
 	cmd.Stdout, cmd.Stderr = i.log, i.log
 	ended := make(chan struct{})
 	if err := i.run.launcher.start(cmd); err != nil {
--- a/lab/realtime/live.go
+++ b/lab/realtime/live.go
@@ -64,7 +64,7 @@
 
 // run is one run.
 type run struct {
-	w        *scenario.World
+	w        *scenario.Scenario
 	opt      Options
 	seed     uint64
 	dir      string
@@ -76,7 +76,7 @@
 
 	mu      sync.Mutex // guards what follows; never held while anything blocks
 	rec     *metrics.Recorder
-	oracle  *invariant.Watch
+	oracle  *invariant.Checker
 	work    *rand.Rand
 	jitter  *rand.Rand
 	who     *rand.Rand
@@ -106,7 +106,7 @@
 }
 
 // Run plays a world once on sockets.
-func Run(ctx context.Context, w *scenario.World, opt Options) (*metrics.Result, error) {
+func Run(ctx context.Context, w *scenario.Scenario, opt Options) (*metrics.Result, error) {
 	dir, err := os.MkdirTemp("", "ryerill-lab-")
 	if err != nil {
 		return nil, fmt.Errorf("sockets: %w", err)
@@ -132,7 +132,7 @@
 		spec := &r.w.Tiers[t]
 		r.registries = append(r.registries, newRegistry(r, t))
 		r.tiers = append(r.tiers, nil)
-		for j := range spec.Providers {
+		for j := range spec.Endpoints {
 			p := &provider{run: r, tier: t, name: fmt.Sprintf("%s-%d", spec.Name, j), zone: j % len(r.w.Network.Zones), group: j / spec.Group,
 				speed: load.Speed(speeds, &spec.Node)}
 			if err := p.start(true); err != nil {
@@ -150,7 +150,7 @@
 		}
 		r.slots, r.slotOf = append(r.slots, inst), append(r.slotOf, zone)
 	}
-	for t := 0; r.w.Next(t) >= 0; t++ {
+	for t := 0; r.w.NextTier(t) >= 0; t++ {
 		for j, p := range r.tiers[t] {
 			inst, err := r.newProxy(ctx, t+1, j, p.zone, p.name+"-proxy")
 			if err != nil {
@@ -257,7 +257,7 @@
 	done, cpu, memory, sockets := 0.0, 0.0, 0.0, 0.0
 	for _, p := range r.providers() {
 		if proc := p.current(); proc != nil {
-			proc.machine.do(func(n *servermodel.Node, now time.Duration) { n.Advance(now); done += n.Done() })
+			proc.machine.do(func(n *servermodel.Server, now time.Duration) { n.Advance(now); done += n.Done() })
 		}
 		p.mu.Lock()
 		done += p.workDone
@@ -344,7 +344,7 @@
 func (r *run) way(from, to int) func() time.Duration {
 	d := r.w.Network.Same
 	if from < 0 {
-		d = r.w.Network.Consumer
+		d = r.w.Network.Client
 	} else if from != to {
 		d = r.w.Network.Cross
 	}
@@ -364,7 +364,7 @@
 func (r *run) patience() time.Duration { return r.w.Rules.Slack + onSockets + 20*time.Millisecond }
 
 // known is the list of a tier's providers as its directory has it.
-func (r *run) known(tier, zone int) discovery.List {
+func (r *run) known(tier, zone int) discovery.EndpointList {
 	g := r.registries[tier]
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -427,7 +427,7 @@
 func (r *run) told(proxy int, name string, ready bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.oracle.Told(time.Since(r.began), proxy, uint64(scenario.ServerID(name)), ready)
+	r.oracle.Told(time.Since(r.began), proxy, uint64(scenario.EndpointID(name)), ready)
 }
 
 func (r *run) tipped(name string, sent, budget float64) {
@@ -460,7 +460,7 @@
 		}
 		r.oracle.Answered(now, proxy, id, invariant.Served, 0)
 	case 429, 503:
-		r.oracle.Answered(now, proxy, id, invariant.Refused, 0)
+		r.oracle.Answered(now, proxy, id, invariant.Shed, 0)
 	default:
 		r.oracle.Answered(now, proxy, id, invariant.Failed, 0)
 	}
--- a/lab/realtime/live_test.go
+++ b/lab/realtime/live_test.go
@@ -21,7 +21,7 @@
 
 // tiny is a world of two tiers that a busy machine plays too: nothing here
 // judges how fast it is.
-func tiny(t *testing.T, troubles ...scenario.Trouble) *scenario.World {
+func tiny(t *testing.T, troubles ...scenario.Fault) *scenario.Scenario {
 	t.Helper()
 	w, err := scenario.Parse("tiny", []byte(`name: tiny
 length: 2s
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Troubles = troubles
+	w.Faults = troubles
 	w.Complete()
 	if p := w.Check(); len(p) > 0 {
 		t.Fatal(p)
@@ -47,7 +47,7 @@
 	return w
 }
 
-func play(t *testing.T, w *scenario.World) *metrics.Result {
+func play(t *testing.T, w *scenario.Scenario) *metrics.Result {
 	t.Helper()
 	r, err := Run(context.Background(), w, Options{Seed: 1, Build: Embedded})
 	if err != nil {
@@ -58,15 +58,15 @@
 
 // The rules hold on sockets through each trouble, and nothing is left over.
 func TestRulesHoldThroughTroubles(t *testing.T) {
-	for _, tr := range []scenario.Trouble{
-		{Kind: scenario.Spoil, At: 200 * time.Millisecond, For: time.Second, Part: 1, Factor: 0.3},
-		{Kind: scenario.Release, At: 200 * time.Millisecond, For: 800 * time.Millisecond, Part: 1, Drain: 300 * time.Millisecond, Pause: 50 * time.Millisecond},
-		{Kind: scenario.Replace, At: 300 * time.Millisecond, Part: 0.5, Pause: 100 * time.Millisecond},
-		{Kind: scenario.Err, At: 200 * time.Millisecond, For: time.Second, Part: 0.5, Factor: 0.4},
-		{Kind: scenario.Hang, At: 300 * time.Millisecond, For: 500 * time.Millisecond, Part: 0.25},
-		{Kind: scenario.Silent, At: 300 * time.Millisecond, For: 800 * time.Millisecond, Part: 0.25},
-		{Kind: scenario.Restart, At: 300 * time.Millisecond, Part: 0.5, Pause: 200 * time.Millisecond},
-		{Kind: scenario.DirSilent, At: 300 * time.Millisecond, For: 800 * time.Millisecond},
+	for _, tr := range []scenario.Fault{
+		{Kind: scenario.Spoil, At: 200 * time.Millisecond, For: time.Second, Fraction: 1, Factor: 0.3},
+		{Kind: scenario.Release, At: 200 * time.Millisecond, For: 800 * time.Millisecond, Fraction: 1, Drain: 300 * time.Millisecond, Pause: 50 * time.Millisecond},
+		{Kind: scenario.Replace, At: 300 * time.Millisecond, Fraction: 0.5, Pause: 100 * time.Millisecond},
+		{Kind: scenario.Err, At: 200 * time.Millisecond, For: time.Second, Fraction: 0.5, Factor: 0.4},
+		{Kind: scenario.Hang, At: 300 * time.Millisecond, For: 500 * time.Millisecond, Fraction: 0.25},
+		{Kind: scenario.Silent, At: 300 * time.Millisecond, For: 800 * time.Millisecond, Fraction: 0.25},
+		{Kind: scenario.Restart, At: 300 * time.Millisecond, Fraction: 0.5, Pause: 200 * time.Millisecond},
+		{Kind: scenario.DiscoverySilent, At: 300 * time.Millisecond, For: 800 * time.Millisecond},
 	} {
 		t.Run(tr.Kind, func(t *testing.T) {
 			defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
--- a/lab/realtime/machine.go
+++ b/lab/realtime/machine.go
@@ -13,7 +13,7 @@
 	began time.Time // of the run: the model's time 0
 
 	mu    sync.Mutex
-	node  *servermodel.Node
+	node  *servermodel.Server
 	timer *time.Timer
 	gen   int
 	over  bool
@@ -25,7 +25,7 @@
 	done chan struct{} // a phase is done
 }
 
-func newMachine(began time.Time, spec *scenario.Node, speed float64, warm bool) *machine {
+func newMachine(began time.Time, spec *scenario.Machine, speed float64, warm bool) *machine {
 	m := &machine{began: began}
 	m.node = servermodel.New(spec, speed, m.now(), warm)
 	return m
@@ -34,7 +34,7 @@
 func (m *machine) now() time.Duration { return time.Since(m.began) }
 
 // do changes the model and sees to it that what becomes due is noticed.
-func (m *machine) do(change func(n *servermodel.Node, now time.Duration)) {
+func (m *machine) do(change func(n *servermodel.Server, now time.Duration)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.over {
@@ -76,20 +76,20 @@
 // offer gives a task to the machine.
 func (m *machine) offer(t *task) (v servermodel.Verdict) {
 	t.Tag, t.done = t, make(chan struct{}, 1)
-	v = servermodel.Full
-	m.do(func(n *servermodel.Node, now time.Duration) { v = n.Offer(now, &t.Job) })
+	v = servermodel.Rejected
+	m.do(func(n *servermodel.Server, now time.Duration) { v = n.Offer(now, &t.Job) })
 	return v
 }
 
 func (m *machine) resume(t *task, work float64) {
-	m.do(func(n *servermodel.Node, now time.Duration) {
+	m.do(func(n *servermodel.Server, now time.Duration) {
 		t.Left = work
 		n.Resume(now, &t.Job)
 	})
 }
 
 func (m *machine) end(t *task) {
-	m.do(func(n *servermodel.Node, now time.Duration) { n.End(now, &t.Job) })
+	m.do(func(n *servermodel.Server, now time.Duration) { n.End(now, &t.Job) })
 }
 
 // stop ends the machine and returns the work that it did.
--- a/lab/realtime/overhead.go
+++ b/lab/realtime/overhead.go
@@ -92,7 +92,7 @@
 			return nil, fmt.Errorf("overhead: %w", err)
 		}
 		argv = append(argv, "proxy")
-		env = append(env, config.EnvFile+"="+file, config.EnvName+"=", config.EnvListen+"=", config.EnvDirectory+"=")
+		env = append(env, config.EnvFile+"="+file, config.EnvName+"=", config.EnvListen+"=", config.EnvDiscovery+"=")
 	} else {
 		argv = append(argv, c.Proxy, address, back.Addr().String())
 	}
@@ -274,12 +274,12 @@
 
 type static struct {
 	address string
-	list    discovery.List
+	list    discovery.EndpointList
 }
 
 // staticDirectory lists one address under several names, for ever.
 func staticDirectory(back string) (static, func(), error) {
-	s := static{list: discovery.List{Index: 1, Snapshot: true}}
+	s := static{list: discovery.EndpointList{Index: 1, Snapshot: true}}
 	for i := range costProviders {
 		s.list.Endpoints = append(s.list.Endpoints, discovery.Endpoint{Name: fmt.Sprintf("p-%d", i), Address: back, Zone: "z", Status: discovery.Ready, Weight: 1})
 	}
--- a/lab/realtime/provider.go
+++ b/lab/realtime/provider.go
@@ -146,7 +146,7 @@
 			continue
 		}
 		proc.p.run.count("opened", 1)
-		proc.machine.do(func(n *servermodel.Node, now time.Duration) { n.Extra(now, spec.Work.Seconds()) })
+		proc.machine.do(func(n *servermodel.Server, now time.Duration) { n.Extra(now, spec.Work.Seconds()) })
 		proc.tasks.Add(1)
 		go func() {
 			defer proc.tasks.Done()
@@ -268,7 +268,7 @@
 		return proc.finish(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", way, gone)
 	}
 	pieces := 0
-	if p.run.w.Next(p.tier) >= 0 {
+	if p.run.w.NextTier(p.tier) >= 0 {
 		pieces = p.run.calls(p.spec().Calls)
 	}
 	total := work * p.spec().Work
@@ -277,7 +277,7 @@
 	t.Left = piece
 	verdict := proc.machine.offer(t)
 	proc.check()
-	if verdict == servermodel.Full {
+	if verdict == servermodel.Rejected {
 		return proc.decline(c, front, id, attempt, way, gone)
 	}
 	ended := false
@@ -302,7 +302,7 @@
 			spent += piece
 		case <-wait:
 			var queued bool
-			proc.machine.do(func(*servermodel.Node, time.Duration) { queued = t.Queued() })
+			proc.machine.do(func(*servermodel.Server, time.Duration) { queued = t.Queued() })
 			if queued || p.spec().Node.Cancel == "all" {
 				return false
 			}
@@ -347,7 +347,7 @@
 func (proc *process) check() {
 	var tipped bool
 	var received, budget float64
-	proc.machine.do(func(n *servermodel.Node, now time.Duration) {
+	proc.machine.do(func(n *servermodel.Server, now time.Duration) {
 		tipped, received = n.Tipped(), n.Received
 		cold := &proc.p.spec().Node.Cold
 		budget = cold.Tips * n.Capacity(now) * n.Rate() * cold.Within.Seconds()
@@ -450,5 +450,5 @@
 	if zone, ok := r.zones[front]; ok && zone != p.zone {
 		r.rec.Count("crossed", 1)
 	}
-	return r.oracle.Sent(when, front, id, invariant.Provider{ID: uint64(scenario.ServerID(p.name)), Name: p.name, Zone: p.zone, Group: p.group})
+	return r.oracle.Sent(when, front, id, invariant.Endpoint{ID: uint64(scenario.EndpointID(p.name)), Name: p.name, Zone: p.zone, Group: p.group})
 }
--- a/lab/realtime/trouble.go
+++ b/lab/realtime/trouble.go
@@ -27,8 +27,8 @@
 			}
 		}()
 	}
-	for i := range r.w.Troubles {
-		t := &r.w.Troubles[i]
+	for i := range r.w.Faults {
+		t := &r.w.Faults[i]
 		var chosen []*provider
 		switch t.Kind {
 		case scenario.ZoneLoss:
@@ -44,7 +44,7 @@
 				if t.Tier != "all" && t.Tier != r.w.Tiers[k].Name {
 					continue
 				}
-				n := max(1, int(math.Round(t.Part*float64(len(tier)))))
+				n := max(1, int(math.Round(t.Fraction*float64(len(tier)))))
 				for _, j := range rng.Perm(len(tier))[:n] {
 					chosen = append(chosen, tier[j])
 				}
@@ -58,7 +58,7 @@
 			}
 			continue
 		case scenario.Restart:
-			n := max(1, int(math.Round(t.Part*float64(len(r.slots)))))
+			n := max(1, int(math.Round(t.Fraction*float64(len(r.slots)))))
 			for _, k := range rng.Perm(len(r.slots))[:n] {
 				begin(t.At, func() { r.restart(ctx, k, t) })
 			}
@@ -68,7 +68,7 @@
 				begin(t.At+time.Duration(float64(t.For)*float64(k)/float64(t.Count)), func() { r.reload(k) })
 			}
 			continue
-		case scenario.DirSilent:
+		case scenario.DiscoverySilent:
 			g := r.registries[max(r.w.TierIndex(t.Tier), 0)]
 			begin(t.At, func() { g.silent(true) })
 			begin(t.At+t.For, func() { g.silent(false); r.say("the directory answers again") })
@@ -88,7 +88,7 @@
 	}
 }
 
-func describe(t *scenario.Trouble, n int) string {
+func describe(t *scenario.Fault, n int) string {
 	switch t.Kind {
 	case scenario.Burst:
 		return fmt.Sprintf("a burst to %g times the load", t.Factor)
@@ -98,7 +98,7 @@
 		return fmt.Sprintf("a release: %d providers drain and restart in turn", n)
 	case scenario.Restart:
 		return "proxies restart"
-	case scenario.DirSilent:
+	case scenario.DiscoverySilent:
 		return "the directory falls silent"
 	case scenario.Reload:
 		return fmt.Sprintf("%d new configurations", t.Count)
@@ -120,21 +120,21 @@
 	}
 }
 
-func (r *run) during(ctx context.Context, p *provider, t *scenario.Trouble) {
+func (r *run) during(ctx context.Context, p *provider, t *scenario.Fault) {
 	proc := p.current()
 	if proc == nil {
 		return
 	}
 	switch t.Kind {
 	case scenario.Slow:
-		proc.machine.do(func(n *servermodel.Node, now time.Duration) { n.Slow(now, t.Factor) })
+		proc.machine.do(func(n *servermodel.Server, now time.Duration) { n.Slow(now, t.Factor) })
 		if r.until(ctx, t.At+t.For) {
-			proc.machine.do(func(n *servermodel.Node, now time.Duration) { n.Slow(now, 1) })
+			proc.machine.do(func(n *servermodel.Server, now time.Duration) { n.Slow(now, 1) })
 		}
 	case scenario.Hang:
-		proc.machine.do(func(n *servermodel.Node, now time.Duration) { n.Hang(now, true) })
+		proc.machine.do(func(n *servermodel.Server, now time.Duration) { n.Hang(now, true) })
 		if r.until(ctx, t.At+t.For) {
-			proc.machine.do(func(n *servermodel.Node, now time.Duration) { n.Hang(now, false) })
+			proc.machine.do(func(n *servermodel.Server, now time.Duration) { n.Hang(now, false) })
 		}
 	case scenario.Err:
 		proc.errs.Store(uint64(t.Factor * 1e6))
@@ -148,10 +148,10 @@
 		}
 	case scenario.Silent, scenario.ZoneLoss:
 		proc.silent.Store(true)
-		proc.machine.do(func(n *servermodel.Node, now time.Duration) { n.Hang(now, true) })
+		proc.machine.do(func(n *servermodel.Server, now time.Duration) { n.Hang(now, true) })
 		p.dropProxy()
 		g := r.registries[p.tier]
-		if noticed := t.At + r.w.Directory.Silent; noticed < t.At+t.For {
+		if noticed := t.At + r.w.Discovery.Silent; noticed < t.At+t.For {
 			if !r.until(ctx, noticed) {
 				return
 			}
@@ -170,7 +170,7 @@
 		r.crash(err)
 		return
 	}
-	if r.w.Next(p.tier) >= 0 {
+	if r.w.NextTier(p.tier) >= 0 {
 		index := 0
 		for j, q := range r.tiers[p.tier] {
 			if q == p {
@@ -188,7 +188,7 @@
 		p.proxy = inst
 		p.mu.Unlock()
 	}
-	if r.until(ctx, time.Since(r.began)+r.w.Directory.Add) {
+	if r.until(ctx, time.Since(r.began)+r.w.Discovery.Add) {
 		r.registries[p.tier].know(p, discovery.Ready)
 	}
 }
@@ -215,14 +215,14 @@
 	}
 }
 
-func (r *run) release(ctx context.Context, p *provider, t *scenario.Trouble) {
+func (r *run) release(ctx context.Context, p *provider, t *scenario.Fault) {
 	proc := p.current()
 	if proc == nil {
 		return
 	}
 	start := time.Since(r.began)
 	proc.draining.Store(true)
-	if lag := r.w.Directory.Lag; lag < t.Drain {
+	if lag := r.w.Discovery.Lag; lag < t.Drain {
 		if !r.until(ctx, start+lag) {
 			return
 		}
@@ -239,12 +239,12 @@
 }
 
 // replace ends a process and starts one of another name at its address.
-func (r *run) replace(ctx context.Context, p *provider, t *scenario.Trouble) {
+func (r *run) replace(ctx context.Context, p *provider, t *scenario.Fault) {
 	start := time.Since(r.began)
 	p.dropProxy()
 	p.stop()
 	go func() {
-		if r.until(ctx, start+r.w.Directory.Lag) {
+		if r.until(ctx, start+r.w.Discovery.Lag) {
 			r.registries[p.tier].know(p, discovery.Gone)
 		}
 	}()
@@ -259,7 +259,7 @@
 }
 
 // restart ends a front proxy by SIGTERM and starts the next one in its place.
-func (r *run) restart(ctx context.Context, k int, t *scenario.Trouble) {
+func (r *run) restart(ctx context.Context, k int, t *scenario.Fault) {
 	r.mu.Lock()
 	old := r.slots[k]
 	r.slots[k] = nil
--- a/lab/report/charts.go
+++ b/lab/report/charts.go
@@ -123,7 +123,7 @@
 	p.Add(shade{res.Spans})
 	p.Y.Min = 0
 	drawn := false
-	for n, arm := range res.Arms {
+	for n, arm := range res.Variants {
 		runs := res.Of(arm)
 		longest := 0
 		for _, r := range runs {
@@ -154,7 +154,7 @@
 		if len(xs) < 2 {
 			continue
 		}
-		if err := band(p, n, len(res.Arms) <= mostBands, arm, xs, mid, low, high); err != nil {
+		if err := band(p, n, len(res.Variants) <= mostBands, arm, xs, mid, low, high); err != nil {
 			return nil, err
 		}
 	}
@@ -170,7 +170,7 @@
 	p := newPlot("Latency of "+class+": answers served within a time", "latency (s, logarithmic)", "part of the answers served")
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	drawn := false
-	for n, arm := range res.Arms {
+	for n, arm := range res.Variants {
 		var pts plotter.XYs
 		for i, q := range metrics.Quantiles {
 			var vs []float64
@@ -206,7 +206,7 @@
 	p := newPlot(title, "", y)
 	p.Y.Min = 0
 	drawn := false
-	for n, arm := range res.Arms {
+	for n, arm := range res.Variants {
 		vs := res.Values(arm, metric)
 		if len(vs) == 0 {
 			continue
@@ -240,8 +240,8 @@
 	if !drawn {
 		return nil, nil
 	}
-	p.NominalX(res.Arms...)
-	if len(res.Arms) > 5 {
+	p.NominalX(res.Variants...)
+	if len(res.Variants) > 5 {
 		p.X.Tick.Label.Rotation, p.X.Tick.Label.XAlign = 0.4, text.XRight
 	}
 	return p, nil
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -96,7 +96,7 @@
 	w := csv.NewWriter(f)
 	w.Write(append([]string{"arm", "seed", "void"}, columns...))
 	for _, r := range res.Runs {
-		row := []string{r.Arm, strconv.FormatUint(r.Seed, 10), r.Result.Void}
+		row := []string{r.Variant, strconv.FormatUint(r.Seed, 10), r.Result.Void}
 		for _, n := range columns {
 			v, ok := r.Result.Metrics[n]
 			if !ok {
@@ -118,7 +118,7 @@
 		metrics = defaultTable
 	}
 	head = append([]string{"arm", "runs"}, metrics...)
-	for _, arm := range res.Arms {
+	for _, arm := range res.Variants {
 		usable := 0
 		for _, r := range res.Of(arm) {
 			if r.Result.Void == "" {
@@ -159,12 +159,12 @@
 
 // differences compares each arm with the first, paired by seed.
 func differences(res *experiment.Results, metric string) (rows [][]string) {
-	for _, arm := range res.Arms[min(1, len(res.Arms)):] {
-		d := res.Paired(metric, res.Arms[0], arm)
+	for _, arm := range res.Variants[min(1, len(res.Variants)):] {
+		d := res.Paired(metric, res.Variants[0], arm)
 		if d.N < 2 {
 			continue
 		}
-		rows = append(rows, []string{res.Arms[0] + " - " + arm, number(d.Mean), number(d.Low) + " to " + number(d.High), strconv.Itoa(d.N)})
+		rows = append(rows, []string{res.Variants[0] + " - " + arm, number(d.Mean), number(d.Low) + " to " + number(d.High), strconv.Itoa(d.N)})
 	}
 	return rows
 }
@@ -227,13 +227,13 @@
 	seen := map[string]bool{}
 	for _, r := range res.Runs {
 		for _, v := range r.Result.Violations {
-			if k := r.Arm + " " + v.Rule; !seen[k] {
+			if k := r.Variant + " " + v.Rule; !seen[k] {
 				seen[k] = true
-				lines = append(lines, fmt.Sprintf("%s, seed %d, %s at %.3f s: %s", r.Arm, r.Seed, v.Rule, v.At.Seconds(), v.Evidence))
+				lines = append(lines, fmt.Sprintf("%s, seed %d, %s at %.3f s: %s", r.Variant, r.Seed, v.Rule, v.At.Seconds(), v.Evidence))
 			}
 		}
 		if r.Result.Void != "" {
-			lines = append(lines, fmt.Sprintf("%s, seed %d is void: %s", r.Arm, r.Seed, r.Result.Void))
+			lines = append(lines, fmt.Sprintf("%s, seed %d is void: %s", r.Variant, r.Seed, r.Result.Void))
 		}
 	}
 	return lines
@@ -301,12 +301,12 @@
 		metrics = defaultTable
 	}
 	var rows [][]string
-	for _, arm := range a.Arms {
+	for _, arm := range a.Variants {
 		for _, m := range metrics {
-			both := &experiment.Results{Arms: []string{"a", "b"}}
+			both := &experiment.Results{Variants: []string{"a", "b"}}
 			for i, from := range []*experiment.Results{a, b} {
 				for _, r := range from.Of(arm) {
-					r.Arm = both.Arms[i]
+					r.Variant = both.Variants[i]
 					both.Runs = append(both.Runs, r)
 				}
 			}
--- a/lab/rolloutsim/rollouts.go
+++ b/lab/rolloutsim/rollouts.go
@@ -87,12 +87,12 @@
 // Play plays one rollout of a change that costs so much goodput.
 func Play(n int, day Day, cost float64, seed uint64) (r Result) {
 	w := newWorld(n, day, seed)
-	p := rollout.Plan{ID: "x", Kind: rollout.Settings, Target: "t", Away: max(n/20, 1)}
+	p := rollout.Plan{ID: "x", Kind: rollout.Settings, Target: "t", MaxUnavailable: max(n/20, 1)}
 	p.Complete()
 	at, changed := 0.0, 0
 	span := uint64(0)
-	before := rollout.NewBefore()
-	second := func(j *rollout.Judge) {
+	before := rollout.NewBaseline()
+	second := func(j *rollout.Evaluator) {
 		span++
 		at++
 		for i := range n {
@@ -102,38 +102,38 @@
 			}
 			asked, good := w.counts(i, at, own)
 			r.Lost += own * asked / (w.rate * float64(n))
-			rep := rollout.Report{Name: name(i), Zone: fmt.Sprint("z", i%zones), Pool: "main", Span: span, Asked: asked, Good: good, Answers: good, Took: 0.02 * good}
+			rep := rollout.Report{Name: name(i), Zone: fmt.Sprint("z", i%zones), Pool: "main", Interval: span, OfferedWeight: asked, ServedWeight: good, Responses: good, ResponseSeconds: 0.02 * good}
 			if j != nil {
-				j.Hear(0, rep)
+				j.AddReport(0, rep)
 			}
 			if i >= changed {
-				before.Hear(rep)
+				before.AddReport(rep)
 			}
 		}
 	}
-	for watched := time.Duration(0); watched < p.Watch || watched < p.Watch+p.Unknown && !before.Enough(p.Guards, name(0)); watched += time.Second {
+	for watched := time.Duration(0); watched < p.Baseline || watched < p.Baseline+p.ExtraObservation && !before.Sufficient(p.Guardrails, name(0)); watched += time.Second {
 		second(nil)
 	}
 	for stage := range p.Stages {
 		for want := p.Size(stage, n, zones); changed < want; { // each takes a second to be ready
-			changed = min(changed+p.Away, want)
+			changed = min(changed+p.MaxUnavailable, want)
 			second(nil)
 		}
 		var names []string
 		for i := range changed {
 			names = append(names, name(i))
 		}
-		j := rollout.NewJudge(p.Guards, names, before)
+		j := rollout.NewEvaluator(p.Guardrails, names, before)
 		for soaked := time.Duration(0); ; soaked += time.Second {
 			second(j)
-			v, _ := j.Verdict(0)
-			if v == rollout.Bad {
+			v, _ := j.Assess(0)
+			if v == rollout.Regressed {
 				return r.end(true, changed, n, at)
 			}
-			if soaked >= p.Stages[stage].Soak && (v == rollout.Good || changed == n) {
+			if soaked >= p.Stages[stage].Observation && (v == rollout.Passed || changed == n) {
 				break
 			}
-			if soaked > p.Stages[stage].Soak+p.Unknown {
+			if soaked > p.Stages[stage].Observation+p.ExtraObservation {
 				r.Unknown = true
 				return r.end(true, changed, n, at)
 			}
@@ -146,7 +146,7 @@
 // below a fixed threshold or 3 points below what it was before.
 func Naive(n int, day Day, cost float64, seed uint64) (r Result) {
 	w := newWorld(n, day, seed)
-	p := rollout.Plan{ID: "x", Kind: rollout.Settings, Target: "t", Away: max(n/20, 1)}
+	p := rollout.Plan{ID: "x", Kind: rollout.Settings, Target: "t", MaxUnavailable: max(n/20, 1)}
 	p.Complete()
 	at, changed := 0.0, 0
 	second := func() float64 {
@@ -171,11 +171,11 @@
 	}
 	for stage := range p.Stages {
 		for want := p.Size(stage, n, zones); changed < want; {
-			changed = min(changed+p.Away, want)
+			changed = min(changed+p.MaxUnavailable, want)
 			second()
 		}
 		mean := 0.0
-		soak := int(p.Stages[stage].Soak / time.Second)
+		soak := int(p.Stages[stage].Observation / time.Second)
 		for range soak {
 			mean += second() / float64(soak)
 		}
--- a/lab/scenario/check.go
+++ b/lab/scenario/check.go
@@ -25,7 +25,7 @@
 
 // Read reads, completes and checks the world in a file. Its errors name file,
 // line, column, key, value and what would be right.
-func Read(file string) (*World, error) {
+func Read(file string) (*Scenario, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, fmt.Errorf("world: %w", err)
@@ -34,8 +34,8 @@
 }
 
 // Parse is Read for a text; file is only named in errors.
-func Parse(file string, text []byte) (*World, error) {
-	var w World
+func Parse(file string, text []byte) (*Scenario, error) {
+	var w Scenario
 	tree, err := yamlfile.Decode(file, text, &w)
 	if err != nil {
 		return nil, err
@@ -81,22 +81,22 @@
 }
 
 // Complete fills in what a world leaves out.
-func (w *World) Complete() {
+func (w *Scenario) Complete() {
 	if len(w.Network.Zones) == 0 {
 		w.Network.Zones = []string{"zone"}
 	}
 	orElse(&w.Network.Same, 200*time.Microsecond)
 	orElse(&w.Network.Cross, 7*time.Millisecond)
-	orElse(&w.Network.Consumer, time.Millisecond)
+	orElse(&w.Network.Client, time.Millisecond)
 	for i := range w.Tiers {
 		t := &w.Tiers[i]
 		n := &t.Node
 		inherit(reflect.ValueOf(n).Elem(), reflect.ValueOf(&w.Node).Elem())
 		orElse(&t.Work, 1)
-		orElse(&t.Group, t.Providers)
+		orElse(&t.Group, t.Endpoints)
 		orElse(&n.Cores, 2)
 		orElse(&n.Slots, 40)
-		orElse(&n.Room, 40)
+		orElse(&n.QueueLimit, 40)
 		orElse(&n.Speed, 1)
 		orElse(&n.Cancel, "queued")
 		orElse(&n.Cold.From, 0.4)
@@ -117,33 +117,33 @@
 	for i := range w.Classes {
 		c := &w.Classes[i]
 		orElse(&c.Spread, 1)
-		orElse(&c.Worth, 1)
+		orElse(&c.PriorityWeight, 1)
 		orElse(&c.Effect, "safe")
 		orElse(&c.Group, "group")
-		orElse(&c.Memory, 10*time.Second)
+		orElse(&c.IdempotencyWindow, 10*time.Second)
 	}
 	if len(w.Tenants) == 0 {
 		w.Tenants = []Tenant{{Name: "everyone", Share: 1}}
 	}
 	orElse(&w.Load.Shape, "steady")
 	orElse(&w.Load.Period, 20*time.Second)
-	orElse(&w.Consumers.Try, 0.5)
-	orElse(&w.Consumers.OverWorth, 0.2)
-	orElse(&w.Directory.Lag, 2*time.Second)
-	orElse(&w.Directory.Add, time.Second)
-	orElse(&w.Directory.Silent, 10*time.Second)
-	orElse(&w.Directory.Capacity, 50)
-	orElse(&w.Directory.Timeout, time.Second)
+	orElse(&w.Clients.Try, 0.5)
+	orElse(&w.Clients.OverQuotaWeight, 0.2)
+	orElse(&w.Discovery.Lag, 2*time.Second)
+	orElse(&w.Discovery.Add, time.Second)
+	orElse(&w.Discovery.Silent, 10*time.Second)
+	orElse(&w.Discovery.Capacity, 50)
+	orElse(&w.Discovery.Timeout, time.Second)
 	orElse(&w.Rules.Slack, 20*time.Millisecond)
 	orElse(&w.Rules.Drain, time.Second)
 	orElse(&w.Rules.Attempts, 6)
 	orElse(&w.Rules.MaxRetryAfter, 2*time.Second)
-	for i := range w.Troubles {
-		t := &w.Troubles[i]
+	for i := range w.Faults {
+		t := &w.Faults[i]
 		if len(w.Tiers) > 0 {
 			orElse(&t.Tier, w.Tiers[0].Name)
 		}
-		orElse(&t.Part, 0.1)
+		orElse(&t.Fraction, 0.1)
 		orElse(&t.Drain, 4*time.Second)
 		orElse(&t.Pause, 500*time.Millisecond)
 		switch t.Kind {
@@ -160,7 +160,7 @@
 }
 
 // Check returns all that is wrong with a completed world.
-func (w *World) Check() (problems []Problem) {
+func (w *Scenario) Check() (problems []Problem) {
 	bad := func(key string, value any, want string) {
 		problems = append(problems, Problem{key, value, want})
 	}
@@ -199,7 +199,7 @@
 	}
 	span("network.same", w.Network.Same, 0, time.Second)
 	span("network.cross", w.Network.Cross, 0, time.Second)
-	span("network.consumer", w.Network.Consumer, 0, time.Second)
+	span("network.consumer", w.Network.Client, 0, time.Second)
 	number("network.jitter", w.Network.Jitter, 0, 2)
 	if most := map[bool]int{false: 4, true: 64}[w.Parallel]; len(w.Tiers) == 0 || len(w.Tiers) > most {
 		bad("tiers", len(w.Tiers), fmt.Sprintf("1 to %d tiers", most))
@@ -208,16 +208,16 @@
 	for i := range w.Tiers {
 		t, at := &w.Tiers[i], fmt.Sprintf("tiers[%d].", i)
 		name(at+"name", t.Name, tiers)
-		number(at+"providers", float64(t.Providers), 1, MaxProviders)
+		number(at+"providers", float64(t.Endpoints), 1, MaxProviders)
 		if i == 0 {
 			number(at+"proxies", float64(t.Proxies), 1, MaxProxies)
 		} else if t.Proxies != 0 {
 			bad(at+"proxies", t.Proxies, "no value: each provider of the tier before holds one")
 		}
-		if w.Next(i) >= 0 {
+		if w.NextTier(i) >= 0 {
 			number(at+"calls", t.Calls, 0, 20)
-			if t.Providers > MaxProxies {
-				bad(at+"providers", t.Providers, fmt.Sprintf("at most %d, as each holds a proxy for the next tier", MaxProxies))
+			if t.Endpoints > MaxProxies {
+				bad(at+"providers", t.Endpoints, fmt.Sprintf("at most %d, as each holds a proxy for the next tier", MaxProxies))
 			}
 		} else if t.Calls != 0 {
 			bad(at+"calls", t.Calls, "no value: there is no next tier")
@@ -236,10 +236,10 @@
 		number(at+"share", c.Share, 0, 1e6)
 		span(at+"work", c.Work, time.Microsecond, time.Minute)
 		number(at+"spread", c.Spread, 0, 10)
-		span(at+"aim", c.Aim, time.Millisecond, time.Hour)
-		span(at+"deadline", c.Deadline, c.Aim, time.Hour)
-		number(at+"worth", c.Worth, 0, math.MaxFloat32)
-		number(at+"late", c.Late, 0, 1)
+		span(at+"aim", c.LatencyObjective, time.Millisecond, time.Hour)
+		span(at+"deadline", c.Deadline, c.LatencyObjective, time.Hour)
+		number(at+"worth", c.PriorityWeight, 0, math.MaxFloat32)
+		number(at+"late", c.LateWeight, 0, 1)
 		oneOf(at+"effect", c.Effect, "safe", "keyed", "unsafe")
 		oneOf(at+"group", c.Group, "all", "zone", "group")
 		if w.Parallel && w.TierIndex(c.Tier) < 0 {
@@ -266,13 +266,13 @@
 	for i, s := range w.Load.Steps {
 		number(fmt.Sprintf("load.steps[%d].factor", i), s.Factor, 0, 100)
 	}
-	number("consumers.retries", float64(w.Consumers.Retries), 0, 20)
-	number("consumers.try", w.Consumers.Try, 0.01, 1)
-	number("consumers.honour", w.Consumers.Honour, 0, 1)
-	number("directory.capacity", w.Directory.Capacity, 0.1, 1e9)
+	number("consumers.retries", float64(w.Clients.Retries), 0, 20)
+	number("consumers.try", w.Clients.Try, 0.01, 1)
+	number("consumers.honour", w.Clients.Honour, 0, 1)
+	number("directory.capacity", w.Discovery.Capacity, 0.1, 1e9)
 	number("rules.attempts", float64(w.Rules.Attempts), 1, 20)
-	for i := range w.Troubles {
-		t, at := &w.Troubles[i], fmt.Sprintf("troubles[%d].", i)
+	for i := range w.Faults {
+		t, at := &w.Faults[i], fmt.Sprintf("troubles[%d].", i)
 		oneOf(at+"kind", t.Kind, Kinds...)
 		span(at+"at", t.At, 0, w.Length)
 		if t.Kind != Release && t.Kind != Restart && t.Kind != Replace {
@@ -281,7 +281,7 @@
 		if !tiers[t.Tier] {
 			bad(at+"tier", t.Tier, "the name of a tier")
 		}
-		number(at+"part", t.Part, 0, 1)
+		number(at+"part", t.Fraction, 0, 1)
 		number(at+"factor", t.Factor, 0, 100)
 		if err := t.Link.Check(); err != nil {
 			bad(at+"link", t.Link, err.Error())
@@ -305,11 +305,11 @@
 	return problems
 }
 
-func (w *World) checkNode(at string, n *Node, number func(string, float64, float64, float64),
+func (w *Scenario) checkNode(at string, n *Machine, number func(string, float64, float64, float64),
 	span func(string, time.Duration, time.Duration, time.Duration), oneOf func(string, string, ...string)) {
 	number(at+"cores", n.Cores, 0.01, 1024)
 	number(at+"slots", float64(n.Slots), 1, 1e6)
-	number(at+"room", float64(n.Room), 0, 1e6)
+	number(at+"room", float64(n.QueueLimit), 0, 1e6)
 	number(at+"speed", n.Speed, 0.001, 1000)
 	number(at+"spread", n.Spread, 0, 2)
 	number(at+"errors", n.Errors, 0, 1)
--- a/lab/scenario/world.go
+++ b/lab/scenario/world.go
@@ -16,32 +16,32 @@
 	badnet "ryerill/lab/faultnet"
 )
 
-// World is a whole deployment and what happens to it.
-type World struct {
+// Scenario is a whole deployment and what happens to it.
+type Scenario struct {
 	Name      string        `yaml:"name" json:"name" jsonschema:"required"`
 	About     string        `yaml:"about" json:"about,omitempty" jsonschema_description:"what the world is for, for people"`
 	Length    time.Duration `yaml:"length" json:"length" jsonschema_description:"how long consumers ask; 1s to 1h"`
 	Warmup    time.Duration `yaml:"warmup" json:"warmup,omitempty" jsonschema_description:"what is asked before this is not counted"`
 	Network   Network       `yaml:"network" json:"network,omitempty"`
-	Node      Node          `yaml:"node" json:"node,omitempty" jsonschema_description:"what the tiers' nodes leave out"`
+	Node      Machine       `yaml:"node" json:"node,omitempty" jsonschema_description:"what the tiers' nodes leave out"`
 	Parallel  bool          `yaml:"parallel" json:"parallel,omitempty" jsonschema_description:"the tiers stand side by side, each a pool of the same front proxies, and no chain; sockets only"`
 	Tiers     []Tier        `yaml:"tiers" json:"tiers" jsonschema:"minItems=1,maxItems=4"`
 	Classes   []Class       `yaml:"classes" json:"classes" jsonschema:"minItems=1"`
 	Tenants   []Tenant      `yaml:"tenants" json:"tenants,omitempty"`
 	Load      Load          `yaml:"load" json:"load"`
-	Consumers Consumers     `yaml:"consumers" json:"consumers,omitempty"`
-	Directory Directory     `yaml:"directory" json:"directory,omitempty"`
+	Clients   Clients       `yaml:"consumers" json:"consumers,omitempty"`
+	Discovery Discovery     `yaml:"directory" json:"directory,omitempty"`
 	Rules     Rules         `yaml:"rules" json:"rules,omitempty"`
-	Troubles  []Trouble     `yaml:"troubles" json:"troubles,omitempty"`
+	Faults    []Fault       `yaml:"troubles" json:"troubles,omitempty"`
 }
 
 // Network is what lies between the parties. All delays are one way.
 type Network struct {
-	Zones    []string      `yaml:"zones" json:"zones,omitempty" jsonschema_description:"default: one zone"`
-	Same     time.Duration `yaml:"same" json:"same,omitempty" jsonschema_description:"delay within a zone; default 200us"`
-	Cross    time.Duration `yaml:"cross" json:"cross,omitempty" jsonschema_description:"delay between zones; default 7ms"`
-	Consumer time.Duration `yaml:"consumer" json:"consumer,omitempty" jsonschema_description:"delay between consumers and the front; default 1ms"`
-	Jitter   float64       `yaml:"jitter" json:"jitter,omitempty" jsonschema_description:"a delay grows by up to this part of it; 0 to 2"`
+	Zones  []string      `yaml:"zones" json:"zones,omitempty" jsonschema_description:"default: one zone"`
+	Same   time.Duration `yaml:"same" json:"same,omitempty" jsonschema_description:"delay within a zone; default 200us"`
+	Cross  time.Duration `yaml:"cross" json:"cross,omitempty" jsonschema_description:"delay between zones; default 7ms"`
+	Client time.Duration `yaml:"consumer" json:"consumer,omitempty" jsonschema_description:"delay between consumers and the front; default 1ms"`
+	Jitter float64       `yaml:"jitter" json:"jitter,omitempty" jsonschema_description:"a delay grows by up to this part of it; 0 to 2"`
 }
 
 // Tier is one kind of provider and, for the first tier, the proxies before it.
@@ -49,25 +49,25 @@
 type Tier struct {
 	Name      string  `yaml:"name" json:"name"`
 	Proxies   int     `yaml:"proxies" json:"proxies,omitempty" jsonschema_description:"first tier only"`
-	Providers int     `yaml:"providers" json:"providers"`
+	Endpoints int     `yaml:"providers" json:"providers"`
 	Work      float64 `yaml:"work" json:"work" jsonschema_description:"part of a class's work done for each call, above 0"`
 	Calls     float64 `yaml:"calls" json:"calls,omitempty" jsonschema_description:"calls to the next tier for each request, on average, one after another"`
 	Group     int     `yaml:"group" json:"group,omitempty" jsonschema_description:"providers that drop each other's repeats of a key; default all"`
-	Node      Node    `yaml:"node" json:"node,omitempty"`
+	Node      Machine `yaml:"node" json:"node,omitempty"`
 }
 
-// Node is the machine of one provider.
-type Node struct {
-	Cores   float64 `yaml:"cores" json:"cores,omitempty" jsonschema_description:"default 2"`
-	Slots   int     `yaml:"slots" json:"slots,omitempty" jsonschema_description:"requests in work at once; default 40"`
-	Room    int     `yaml:"room" json:"room,omitempty" jsonschema_description:"requests that may wait; beyond it they are turned away unseen; default 40"`
-	Speed   float64 `yaml:"speed" json:"speed,omitempty" jsonschema_description:"work done in a second by one core; default 1"`
-	Spread  float64 `yaml:"spread" json:"spread,omitempty" jsonschema_description:"how far speeds differ between machines, as a coefficient of variation"`
-	Errors  float64 `yaml:"errors" json:"errors,omitempty" jsonschema_description:"part of requests answered with an error"`
-	Cancel  string  `yaml:"cancel" json:"cancel,omitempty" jsonschema:"enum=queued,enum=all" jsonschema_description:"what a cancel stops: what waits, or running work too; default queued"`
-	Cold    Cold    `yaml:"cold" json:"cold,omitempty"`
-	Crowd   Crowd   `yaml:"crowd" json:"crowd,omitempty"`
-	Connect Connect `yaml:"connect" json:"connect,omitempty"`
+// Machine is the machine of one provider.
+type Machine struct {
+	Cores      float64 `yaml:"cores" json:"cores,omitempty" jsonschema_description:"default 2"`
+	Slots      int     `yaml:"slots" json:"slots,omitempty" jsonschema_description:"requests in work at once; default 40"`
+	QueueLimit int     `yaml:"room" json:"room,omitempty" jsonschema_description:"requests that may wait; beyond it they are turned away unseen; default 40"`
+	Speed      float64 `yaml:"speed" json:"speed,omitempty" jsonschema_description:"work done in a second by one core; default 1"`
+	Spread     float64 `yaml:"spread" json:"spread,omitempty" jsonschema_description:"how far speeds differ between machines, as a coefficient of variation"`
+	Errors     float64 `yaml:"errors" json:"errors,omitempty" jsonschema_description:"part of requests answered with an error"`
+	Cancel     string  `yaml:"cancel" json:"cancel,omitempty" jsonschema:"enum=queued,enum=all" jsonschema_description:"what a cancel stops: what waits, or running work too; default queued"`
+	Cold       Cold    `yaml:"cold" json:"cold,omitempty"`
+	Crowd      Crowd   `yaml:"crowd" json:"crowd,omitempty"`
+	Connect    Connect `yaml:"connect" json:"connect,omitempty"`
 }
 
 // Cold is how a provider behaves after its start.
@@ -99,18 +99,18 @@
 
 // Class is one kind of request.
 type Class struct {
-	Name     string        `yaml:"name" json:"name"`
-	Tier     string        `yaml:"tier" json:"tier,omitempty" jsonschema_description:"where tiers are parallel: the one that serves it"`
-	Share    float64       `yaml:"share" json:"share" jsonschema_description:"part of the requests"`
-	Work     time.Duration `yaml:"work" json:"work" jsonschema_description:"mean work over all tiers, before the tier's part"`
-	Spread   float64       `yaml:"spread" json:"spread,omitempty" jsonschema_description:"coefficient of variation of the work; log-normal; default 1"`
-	Aim      time.Duration `yaml:"aim" json:"aim"`
-	Deadline time.Duration `yaml:"deadline" json:"deadline"`
-	Worth    float64       `yaml:"worth" json:"worth,omitempty" jsonschema_description:"default 1"`
-	Late     float64       `yaml:"late" json:"late,omitempty" jsonschema_description:"part of the worth left after the aim"`
-	Effect   string        `yaml:"effect" json:"effect,omitempty" jsonschema:"enum=safe,enum=keyed,enum=unsafe" jsonschema_description:"default safe"`
-	Group    string        `yaml:"group" json:"group,omitempty" jsonschema:"enum=all,enum=zone,enum=group" jsonschema_description:"for keyed: who drops repeats; default group"`
-	Memory   time.Duration `yaml:"memory" json:"memory,omitempty" jsonschema_description:"for keyed: how long; default 10s"`
+	Name              string        `yaml:"name" json:"name"`
+	Tier              string        `yaml:"tier" json:"tier,omitempty" jsonschema_description:"where tiers are parallel: the one that serves it"`
+	Share             float64       `yaml:"share" json:"share" jsonschema_description:"part of the requests"`
+	Work              time.Duration `yaml:"work" json:"work" jsonschema_description:"mean work over all tiers, before the tier's part"`
+	Spread            float64       `yaml:"spread" json:"spread,omitempty" jsonschema_description:"coefficient of variation of the work; log-normal; default 1"`
+	LatencyObjective  time.Duration `yaml:"aim" json:"aim"`
+	Deadline          time.Duration `yaml:"deadline" json:"deadline"`
+	PriorityWeight    float64       `yaml:"worth" json:"worth,omitempty" jsonschema_description:"default 1"`
+	LateWeight        float64       `yaml:"late" json:"late,omitempty" jsonschema_description:"part of the worth left after the aim"`
+	Effect            string        `yaml:"effect" json:"effect,omitempty" jsonschema:"enum=safe,enum=keyed,enum=unsafe" jsonschema_description:"default safe"`
+	Group             string        `yaml:"group" json:"group,omitempty" jsonschema:"enum=all,enum=zone,enum=group" jsonschema_description:"for keyed: who drops repeats; default group"`
+	IdempotencyWindow time.Duration `yaml:"memory" json:"memory,omitempty" jsonschema_description:"for keyed: how long; default 10s"`
 }
 
 // Tenant is one customer.
@@ -138,17 +138,17 @@
 	Factor float64       `yaml:"factor" json:"factor"`
 }
 
-// Consumers is how those who ask behave.
-type Consumers struct {
-	Retries   int           `yaml:"retries" json:"retries,omitempty" jsonschema_description:"further tries at most"`
-	Try       float64       `yaml:"try" json:"try,omitempty" jsonschema_description:"a try is given up after this part of the deadline; default 0.5"`
-	Wait      time.Duration `yaml:"wait" json:"wait,omitempty" jsonschema_description:"between tries; 0 is at once"`
-	Honour    float64       `yaml:"honour" json:"honour,omitempty" jsonschema_description:"part of consumers that wait as Retry-After says"`
-	OverWorth float64       `yaml:"over_worth" json:"over_worth,omitempty" jsonschema_description:"part of the worth of what goes beyond a quota; default 0.2"`
+// Clients is how those who ask behave.
+type Clients struct {
+	Retries         int           `yaml:"retries" json:"retries,omitempty" jsonschema_description:"further tries at most"`
+	Try             float64       `yaml:"try" json:"try,omitempty" jsonschema_description:"a try is given up after this part of the deadline; default 0.5"`
+	Wait            time.Duration `yaml:"wait" json:"wait,omitempty" jsonschema_description:"between tries; 0 is at once"`
+	Honour          float64       `yaml:"honour" json:"honour,omitempty" jsonschema_description:"part of consumers that wait as Retry-After says"`
+	OverQuotaWeight float64       `yaml:"over_worth" json:"over_worth,omitempty" jsonschema_description:"part of the worth of what goes beyond a quota; default 0.2"`
 }
 
-// Directory is the service that lists providers.
-type Directory struct {
+// Discovery is the service that lists providers.
+type Discovery struct {
 	Lag      time.Duration `yaml:"lag" json:"lag,omitempty" jsonschema_description:"until it knows of a drain or an end; default 2s"`
 	Add      time.Duration `yaml:"add" json:"add,omitempty" jsonschema_description:"until it knows of a start; default 1s"`
 	Silent   time.Duration `yaml:"silent" json:"silent,omitempty" jsonschema_description:"until it knows that a machine went silent; default 10s"`
@@ -167,19 +167,19 @@
 
 // The kinds of trouble.
 const (
-	Slow      = "slow"      // providers run Factor times slower
-	Silent    = "silent"    // machines go silent and come back cold
-	Hang      = "hang"      // providers take work and answer nothing
-	Burst     = "burst"     // the rate is multiplied by Factor
-	Release   = "release"   // providers are replaced one after another, with drains
-	Replace   = "replace"   // providers end and others start at their addresses under new names
-	Restart   = "restart"   // proxies of the first tier restart
-	Spoil     = "spoil"     // Factor is the part of a provider's answers that are spoilt
-	DirSilent = "directory" // the directory answers nothing
-	ZoneLoss  = "zone-loss" // a zone's machines go silent
-	Reload    = "reload"    // proxies are given Count new configurations; sockets only
-	Err       = "err"       // Factor is the part of requests that providers answer with an error at once
-	Heavy     = "heavy"     // requests of Tenant are Factor times as much work
+	Slow            = "slow"      // providers run Factor times slower
+	Silent          = "silent"    // machines go silent and come back cold
+	Hang            = "hang"      // providers take work and answer nothing
+	Burst           = "burst"     // the rate is multiplied by Factor
+	Release         = "release"   // providers are replaced one after another, with drains
+	Replace         = "replace"   // providers end and others start at their addresses under new names
+	Restart         = "restart"   // proxies of the first tier restart
+	Spoil           = "spoil"     // Factor is the part of a provider's answers that are spoilt
+	DiscoverySilent = "directory" // the directory answers nothing
+	ZoneLoss        = "zone-loss" // a zone's machines go silent
+	Reload          = "reload"    // proxies are given Count new configurations; sockets only
+	Err             = "err"       // Factor is the part of requests that providers answer with an error at once
+	Heavy           = "heavy"     // requests of Tenant are Factor times as much work
 
 	// Between proxies that share: virtual time only. Part is of the proxies, those of the lowest numbers.
 	Cut    = "cut"     // they hear no other and are heard by none
@@ -189,37 +189,37 @@
 )
 
 // Kinds lists the kinds of trouble.
-var Kinds = []string{Slow, Silent, Hang, Burst, Release, Replace, Restart, Spoil, DirSilent, ZoneLoss, Reload, Err, Heavy, Cut, OneWay, Split, Lossy}
+var Kinds = []string{Slow, Silent, Hang, Burst, Release, Replace, Restart, Spoil, DiscoverySilent, ZoneLoss, Reload, Err, Heavy, Cut, OneWay, Split, Lossy}
 
-// Trouble is something that goes wrong for a time.
-type Trouble struct {
-	Kind   string        `yaml:"kind" json:"kind" jsonschema:"enum=slow,enum=silent,enum=hang,enum=burst,enum=release,enum=replace,enum=restart,enum=spoil,enum=directory,enum=zone-loss,enum=reload,enum=err,enum=heavy,enum=cut,enum=one-way,enum=split,enum=lossy"`
-	At     time.Duration `yaml:"at" json:"at"`
-	For    time.Duration `yaml:"for" json:"for,omitempty"`
-	Tier   string        `yaml:"tier" json:"tier,omitempty" jsonschema_description:"default: the first; for slow with part 1 'all' is every tier"`
-	Part   float64       `yaml:"part" json:"part,omitempty" jsonschema_description:"part of the tier's machines, one at least; default 0.1"`
-	Factor float64       `yaml:"factor" json:"factor,omitempty"`
-	Zone   string        `yaml:"zone" json:"zone,omitempty"`
-	Tenant string        `yaml:"tenant" json:"tenant,omitempty" jsonschema_description:"heavy: whose requests"`
-	Count  int           `yaml:"count" json:"count,omitempty" jsonschema_description:"reload: how many, evenly over the time"`
-	Drain  time.Duration `yaml:"drain" json:"drain,omitempty" jsonschema_description:"release: how long each drains; default 4s"`
-	Link   badnet.Link   `yaml:"link" json:"link,omitempty" jsonschema_description:"lossy: drop, duplicate, corrupt, reorder, delay, jitter, bytes_per_s"`
-	Pause  time.Duration `yaml:"pause" json:"pause,omitempty" jsonschema_description:"release, restart: until the next process runs; default 500ms"`
+// Fault is something that goes wrong for a time.
+type Fault struct {
+	Kind     string        `yaml:"kind" json:"kind" jsonschema:"enum=slow,enum=silent,enum=hang,enum=burst,enum=release,enum=replace,enum=restart,enum=spoil,enum=directory,enum=zone-loss,enum=reload,enum=err,enum=heavy,enum=cut,enum=one-way,enum=split,enum=lossy"`
+	At       time.Duration `yaml:"at" json:"at"`
+	For      time.Duration `yaml:"for" json:"for,omitempty"`
+	Tier     string        `yaml:"tier" json:"tier,omitempty" jsonschema_description:"default: the first; for slow with part 1 'all' is every tier"`
+	Fraction float64       `yaml:"part" json:"part,omitempty" jsonschema_description:"part of the tier's machines, one at least; default 0.1"`
+	Factor   float64       `yaml:"factor" json:"factor,omitempty"`
+	Zone     string        `yaml:"zone" json:"zone,omitempty"`
+	Tenant   string        `yaml:"tenant" json:"tenant,omitempty" jsonschema_description:"heavy: whose requests"`
+	Count    int           `yaml:"count" json:"count,omitempty" jsonschema_description:"reload: how many, evenly over the time"`
+	Drain    time.Duration `yaml:"drain" json:"drain,omitempty" jsonschema_description:"release: how long each drains; default 4s"`
+	Link     badnet.Link   `yaml:"link" json:"link,omitempty" jsonschema_description:"lossy: drop, duplicate, corrupt, reorder, delay, jitter, bytes_per_s"`
+	Pause    time.Duration `yaml:"pause" json:"pause,omitempty" jsonschema_description:"release, restart: until the next process runs; default 500ms"`
 }
 
 // BetweenProxies tells whether a trouble is one of the network between proxies.
-func (t *Trouble) BetweenProxies() bool {
+func (t *Fault) BetweenProxies() bool {
 	return t.Kind == Cut || t.Kind == OneWay || t.Kind == Split || t.Kind == Lossy
 }
 
 // VirtualOnly tells whether the world has something that sockets can't play.
-func (w *World) VirtualOnly() bool {
+func (w *Scenario) VirtualOnly() bool {
 	return w.Load.Uneven > 1 || slices.ContainsFunc(w.Tenants, func(t Tenant) bool { return t.Roams > 0 }) ||
-		slices.ContainsFunc(w.Troubles, func(t Trouble) bool { return t.BetweenProxies() })
+		slices.ContainsFunc(w.Faults, func(t Fault) bool { return t.BetweenProxies() })
 }
 
 // TierIndex returns the index of the tier of a name, or -1.
-func (w *World) TierIndex(name string) int {
+func (w *Scenario) TierIndex(name string) int {
 	for i := range w.Tiers {
 		if w.Tiers[i].Name == name {
 			return i
@@ -228,8 +228,8 @@
 	return -1
 }
 
-// Next is the tier that providers of a tier call, or -1.
-func (w *World) Next(tier int) int {
+// NextTier is the tier that providers of a tier call, or -1.
+func (w *Scenario) NextTier(tier int) int {
 	if w.Parallel || tier+1 >= len(w.Tiers) {
 		return -1
 	}
@@ -237,25 +237,25 @@
 }
 
 // ProxyCount is how many proxies send to a tier.
-func (w *World) ProxyCount(tier int) int {
+func (w *Scenario) ProxyCount(tier int) int {
 	if tier == 0 || w.Parallel {
 		return w.Tiers[0].Proxies
 	}
-	return w.Tiers[tier-1].Providers
+	return w.Tiers[tier-1].Endpoints
 }
 
 // Balancer returns what a proxy that sends to a tier is told.
-func (w *World) Balancer(tier, self, zone int) balancer.Config {
-	cfg := balancer.Config{Tier: tier, Tiers: len(w.Tiers), Zone: zone, Self: self, GroupSize: w.ProxyCount(tier),
-		Subscribe: true, OverShareWorth: w.Consumers.OverWorth,
-		Limits: balancer.Limits{Attempts: w.Rules.Attempts, Open: 20000, MaxRetryAfter: w.Rules.MaxRetryAfter,
-			ConnectTimeout: w.Tiers[tier].Node.Connect.Timeout, RetryAfter: true, SecondCopies: true, Cancel: true},
-		Contract: balancer.Contract{AnswerSlack: w.Rules.Slack, DrainGrace: w.Rules.Drain, AskWithin: 10 * time.Second,
-			ColdFrom: w.Tiers[tier].Node.Cold.From, WarmUp: w.Tiers[tier].Node.Cold.For,
-			FallMultiple: w.Tiers[tier].Node.Cold.Tips, OverloadFor: w.Tiers[tier].Node.Cold.Within}}
+func (w *Scenario) Balancer(tier, self, zone int) balancer.Config {
+	cfg := balancer.Config{Tier: tier, Tiers: len(w.Tiers), Zone: zone, ReplicaIndex: self, ReplicaCount: w.ProxyCount(tier),
+		Subscribe: true, OverQuotaWeight: w.Clients.OverQuotaWeight,
+		Limits: balancer.Limits{MaxAttempts: w.Rules.Attempts, MaxOpenRequests: 20000, MaxRetryAfter: w.Rules.MaxRetryAfter,
+			ConnectTimeout: w.Tiers[tier].Node.Connect.Timeout, SendRetryAfter: true, AllowHedging: true, AllowCancel: true},
+		Contract: balancer.Contract{AnswerSlack: w.Rules.Slack, DrainGrace: w.Rules.Drain, MaxPollInterval: 10 * time.Second,
+			InitialCapacity: w.Tiers[tier].Node.Cold.From, WarmUpPeriod: w.Tiers[tier].Node.Cold.For,
+			OverloadMultiple: w.Tiers[tier].Node.Cold.Tips, OverloadPeriod: w.Tiers[tier].Node.Cold.Within}}
 	for _, c := range w.Classes {
-		cfg.Classes = append(cfg.Classes, balancer.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth,
-			LateWorth: c.Late, Effect: c.EffectKind(), Group: c.GroupKind(), Memory: c.Memory})
+		cfg.Classes = append(cfg.Classes, balancer.Class{Name: c.Name, LatencyObjective: c.LatencyObjective, Deadline: c.Deadline, PriorityWeight: c.PriorityWeight,
+			LateWeight: c.LateWeight, Effect: c.EffectKind(), Group: c.GroupKind(), IdempotencyWindow: c.IdempotencyWindow})
 	}
 	for _, t := range w.Tenants {
 		cfg.Tenants = append(cfg.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota, Share: t.Share})
@@ -285,5 +285,7 @@
 	return balancer.GroupCell
 }
 
-// ServerID is a stable id of a provider's name, equal at all proxies.
-func ServerID(name string) balancer.ServerID { return balancer.ServerID(xxhash.Sum64String(name)) }
+// EndpointID is a stable id of a provider's name, equal at all proxies.
+func EndpointID(name string) balancer.EndpointID {
+	return balancer.EndpointID(xxhash.Sum64String(name))
+}
--- a/lab/scenario/world_test.go
+++ b/lab/scenario/world_test.go
@@ -66,7 +66,7 @@
 }
 
 func TestWorldsOfTheLaboratoryAreGood(t *testing.T) {
-	files, _ := filepath.Glob("../worlds/*.yaml")
+	files, _ := filepath.Glob("../scenarios/*.yaml")
 	if len(files) == 0 {
 		t.Fatal("none found")
 	}
@@ -79,7 +79,7 @@
 
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(good))
-	text, _ := os.ReadFile("../worlds/roster.yaml")
+	text, _ := os.ReadFile("../scenarios/roster.yaml")
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if w, err := Parse("w.yaml", text); err == nil && len(w.Check()) > 0 {
@@ -89,7 +89,7 @@
 }
 
 func TestSchemaSpeaksOfTimesAsText(t *testing.T) {
-	text, err := json.Marshal(Schema(&World{}))
+	text, err := json.Marshal(Schema(&Scenario{}))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/servermodel/node.go
+++ b/lab/servermodel/node.go
@@ -18,9 +18,9 @@
 
 // The verdicts.
 const (
-	Working Verdict = iota // it has a slot
-	Waiting                // it waits for a slot
-	Full                   // turned away unseen
+	Working  Verdict = iota // it has a slot
+	Waiting                 // it waits for a slot
+	Rejected                // turned away unseen
 )
 
 // Job is one piece of work. The owner sets Left and Tag before it is offered.
@@ -47,9 +47,9 @@
 // tick is how often the rate is reckoned anew while it moves by itself.
 const tick = 100 * time.Millisecond
 
-// Node is one machine. It is not safe for concurrent use.
-type Node struct {
-	spec    *scenario.Node
+// Server is one machine. It is not safe for concurrent use.
+type Server struct {
+	spec    *scenario.Machine
 	speed   float64 // of a core, this machine's draw
 	started time.Duration
 	warm    bool // since before the beginning
@@ -99,12 +99,12 @@
 }
 
 // New returns a warm machine, or a cold one that starts now.
-func New(spec *scenario.Node, speed float64, now time.Duration, warm bool) *Node {
-	return &Node{spec: spec, speed: speed, started: now, now: now, warm: warm, factor: 1, crowded: -1, rested: -1, slowed: -1}
+func New(spec *scenario.Machine, speed float64, now time.Duration, warm bool) *Server {
+	return &Server{spec: spec, speed: speed, started: now, now: now, warm: warm, factor: 1, crowded: -1, rested: -1, slowed: -1}
 }
 
 // Capacity is the part of a warm machine's capacity that it has now, by its age.
-func (n *Node) Capacity(now time.Duration) float64 {
+func (n *Server) Capacity(now time.Duration) float64 {
 	age := now - n.started
 	if n.warm || age >= n.spec.Cold.For {
 		return 1
@@ -113,13 +113,13 @@
 }
 
 // Cold tells whether it has not warmed up.
-func (n *Node) Cold() bool { return !n.warm && n.now-n.started < n.spec.Cold.For }
+func (n *Server) Cold() bool { return !n.warm && n.now-n.started < n.spec.Cold.For }
 
 // Rate is the work that the warm machine does in a second.
-func (n *Node) Rate() float64 { return n.spec.Cores * n.speed }
+func (n *Server) Rate() float64 { return n.spec.Cores * n.speed }
 
 // pace is the service that each running job gets in a second.
-func (n *Node) pace() float64 {
+func (n *Server) pace() float64 {
 	if len(n.jobs) == 0 || n.hung || n.tipped {
 		return 0
 	}
@@ -132,7 +132,7 @@
 
 // Advance moves the machine's time to now. Phases end at their very time on the
 // way, however late that is noticed, and wait in Pop.
-func (n *Node) Advance(now time.Duration) {
+func (n *Server) Advance(now time.Duration) {
 	for n.now < now {
 		step := now
 		if n.moving() && step-n.now > tick {
@@ -159,16 +159,16 @@
 const rounding = 1e-9
 
 // wait is the time until the next phase ends at a pace, at least a nanosecond.
-func (n *Node) wait(pace float64) time.Duration {
+func (n *Server) wait(pace float64) time.Duration {
 	left := math.Max(0, n.jobs[0].due-n.virtual) / pace * float64(time.Second)
 	return time.Duration(math.Min(left, float64(time.Hour))) + 1
 }
 
 // moving tells whether the pace changes with time alone.
-func (n *Node) moving() bool { return n.Cold() || n.slowed >= 0 || n.crowded >= 0 }
+func (n *Server) moving() bool { return n.Cold() || n.slowed >= 0 || n.crowded >= 0 }
 
 // crowd watches how much waits for the cores.
-func (n *Node) crowd() {
+func (n *Server) crowd() {
 	c := &n.spec.Crowd
 	if c.At == 0 {
 		return
@@ -197,22 +197,22 @@
 }
 
 // Slowed tells whether the machine is slowed down by crowding.
-func (n *Node) Slowed() bool { return n.slowed >= 0 }
+func (n *Server) Slowed() bool { return n.slowed >= 0 }
 
 // Tipped tells whether it fell over, pushed while cold.
-func (n *Node) Tipped() bool { return n.tipped }
+func (n *Server) Tipped() bool { return n.tipped }
 
 // Done is the work done since the start, in seconds of one warm core.
-func (n *Node) Done() float64 { return n.did }
+func (n *Server) Done() float64 { return n.did }
 
 // Waiting is how many jobs wait for a slot; Running how many share the cores.
-func (n *Node) Waiting() int { return len(n.queue) }
+func (n *Server) Waiting() int { return len(n.queue) }
 
 // Running is how many jobs share the cores.
-func (n *Node) Running() int { return len(n.jobs) }
+func (n *Server) Running() int { return len(n.jobs) }
 
 // Offer gives a job to the machine.
-func (n *Node) Offer(now time.Duration, j *Job) Verdict {
+func (n *Server) Offer(now time.Duration, j *Job) Verdict {
 	n.Advance(now)
 	n.push(j.Left)
 	switch {
@@ -221,24 +221,24 @@
 		j.slot = true
 		n.run(j)
 		return Working
-	case len(n.queue) < n.spec.Room:
+	case len(n.queue) < n.spec.QueueLimit:
 		j.state = queued
 		n.queue = append(n.queue, j)
 		n.crowd()
 		return Waiting
 	}
-	return Full
+	return Rejected
 }
 
 // Extra is work that needs no slot, as a handshake does.
-func (n *Node) Extra(now time.Duration, work float64) {
+func (n *Server) Extra(now time.Duration, work float64) {
 	n.Advance(now)
 	n.push(work)
 	n.run(&Job{Left: work})
 }
 
 // push books what is sent to a cold machine, and tips it over if that is too much for too long.
-func (n *Node) push(work float64) {
+func (n *Server) push(work float64) {
 	if !n.Cold() || n.tipped {
 		return
 	}
@@ -255,20 +255,20 @@
 	}
 }
 
-func (n *Node) run(j *Job) {
+func (n *Server) run(j *Job) {
 	j.state, j.due = running, n.virtual+j.Left
 	heap.Push(&n.jobs, j)
 	n.crowd()
 }
 
 // Resume puts a job that rested back on the cores.
-func (n *Node) Resume(now time.Duration, j *Job) {
+func (n *Server) Resume(now time.Duration, j *Job) {
 	n.Advance(now)
 	n.run(j)
 }
 
 // Next is when Pop is to be called next; ok is false if nothing is due by itself.
-func (n *Node) Next() (at time.Duration, ok bool) {
+func (n *Server) Next() (at time.Duration, ok bool) {
 	if len(n.finished) > 0 {
 		return n.now, true
 	}
@@ -285,7 +285,7 @@
 
 // Pop returns the next job whose phase is done by now; it rests in its slot
 // until Resume or End. Nil is none.
-func (n *Node) Pop(now time.Duration) *Job {
+func (n *Server) Pop(now time.Duration) *Job {
 	n.Advance(now)
 	if len(n.finished) == 0 {
 		return nil
@@ -297,7 +297,7 @@
 }
 
 // End frees the slot of a job, whatever it was doing, and lets the next one in.
-func (n *Node) End(now time.Duration, j *Job) {
+func (n *Server) End(now time.Duration, j *Job) {
 	n.Advance(now)
 	switch j.state {
 	case running:
@@ -329,13 +329,13 @@
 func (j *Job) Busy() bool { return j.state == running }
 
 // Slow makes the machine so many times slower; 1 ends that.
-func (n *Node) Slow(now time.Duration, factor float64) {
+func (n *Server) Slow(now time.Duration, factor float64) {
 	n.Advance(now)
 	n.factor = factor
 }
 
 // Hang stops all work, or lets it go on.
-func (n *Node) Hang(now time.Duration, on bool) {
+func (n *Server) Hang(now time.Duration, on bool) {
 	n.Advance(now)
 	n.hung = on
 }
--- a/lab/servermodel/node_test.go
+++ b/lab/servermodel/node_test.go
@@ -10,16 +10,16 @@
 	"ryerill/lab/scenario"
 )
 
-func spec() scenario.Node {
-	return scenario.Node{Cores: 2, Slots: 3, Room: 2, Speed: 1, Cancel: "queued",
+func spec() scenario.Machine {
+	return scenario.Machine{Cores: 2, Slots: 3, QueueLimit: 2, Speed: 1, Cancel: "queued",
 		Cold:  scenario.Cold{From: 0.5, For: 10 * time.Second, Tips: 2, Within: time.Second},
 		Crowd: scenario.Crowd{At: 2, After: time.Second, Factor: 4, Below: 0.5, Rest: 2 * time.Second, Most: time.Minute}}
 }
 
-func warm() *Node { s := spec(); return New(&s, 1, 0, true) }
+func warm() *Server { s := spec(); return New(&s, 1, 0, true) }
 
 // run moves on until the next phase ends and returns its time.
-func run(t *testing.T, n *Node) (time.Duration, *Job) {
+func run(t *testing.T, n *Server) (time.Duration, *Job) {
 	t.Helper()
 	for range 10_000 {
 		at, ok := n.Next()
@@ -59,7 +59,7 @@
 	var jobs []*Job
 	for i := range 6 {
 		jobs = append(jobs, &Job{Left: 1})
-		want := []Verdict{Working, Working, Working, Waiting, Waiting, Full}[i]
+		want := []Verdict{Working, Working, Working, Waiting, Waiting, Rejected}[i]
 		if v := n.Offer(0, jobs[i]); v != want {
 			t.Errorf("job %d: %v, want %v", i, v, want)
 		}
@@ -90,7 +90,7 @@
 
 func TestColdMachineIsSlowAndFallsOverWhenPushed(t *testing.T) {
 	s := spec()
-	s.Slots, s.Room = 100, 100
+	s.Slots, s.QueueLimit = 100, 100
 	n := New(&s, 1, 0, false)
 	n.Offer(0, &Job{Left: 0.25})
 	if at, _ := run(t, n); at < 400*time.Millisecond || at > 500*time.Millisecond {
@@ -148,7 +148,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
 				j := &Job{Left: float64(rapid.IntRange(1, 500).Draw(t, "work")) / 1000}
-				if n.Offer(now, j) != Full {
+				if n.Offer(now, j) != Rejected {
 					given += j.Left
 					in = append(in, j)
 				}
@@ -160,7 +160,7 @@
 			case 3:
 				n.Slow(now, float64(rapid.IntRange(1, 5).Draw(t, "factor")))
 			}
-			if n.held > n.spec.Slots || len(n.queue) > n.spec.Room {
+			if n.held > n.spec.Slots || len(n.queue) > n.spec.QueueLimit {
 				t.Fatalf("%d slots and %d places are taken", n.held, len(n.queue))
 			}
 		}
--- a/lab/sim/consumer.go
+++ b/lab/sim/consumer.go
@@ -20,7 +20,7 @@
 	q     *load.Request
 	until time.Duration // the consumer gives up
 	tries int
-	last  metrics.Verdict
+	last  metrics.Outcome
 }
 
 // ask sends the first try of a number and schedules the next.
@@ -30,7 +30,7 @@
 		s.at(s.schedule[n+1].At, func() { s.ask(n + 1) })
 	}
 	s.rec.Count("first_tries", 1)
-	f := &first{s: s, q: q, until: q.At + s.w.Classes[q.Class].Deadline, last: metrics.Overdue}
+	f := &first{s: s, q: q, until: q.At + s.w.Classes[q.Class].Deadline, last: metrics.TimedOut}
 	f.try()
 }
 
@@ -66,7 +66,7 @@
 	c := &s.w.Classes[f.q.Class]
 	f.tries++
 	s.rec.Count("tries", 1)
-	patience := min(time.Duration(s.w.Consumers.Try*float64(c.Deadline)), f.until-s.now)
+	patience := min(time.Duration(s.w.Clients.Try*float64(c.Deadline)), f.until-s.now)
 	way := s.delay(-1, 0)
 	p := s.choose(f.q.Zone, f.q.Tenant)
 	if p == nil {
@@ -82,7 +82,7 @@
 		}
 		r = p.take(&request{class: f.q.Class, tenant: f.q.Tenant, key: f.q.Key, work: f.q.Work, repeat: f.tries > 1,
 			until: giveUp + way,
-			reply: func(r *request, v invariant.Verdict, wait time.Duration) {
+			reply: func(r *request, v invariant.Result, wait time.Duration) {
 				s.after(way, func() {
 					if over {
 						return
@@ -97,7 +97,7 @@
 			return
 		}
 		over = true
-		f.last = metrics.Overdue
+		f.last = metrics.TimedOut
 		// Word of it comes after the answer that the proxy still owes at this time.
 		s.after(way+s.w.Rules.Slack+2*time.Millisecond, func() {
 			if r != nil {
@@ -108,20 +108,20 @@
 	})
 }
 
-func (f *first) answered(r *request, v invariant.Verdict, wait time.Duration) {
+func (f *first) answered(r *request, v invariant.Result, wait time.Duration) {
 	s := f.s
 	c := &s.w.Classes[f.q.Class]
 	switch v {
 	case invariant.Served:
 		took := s.now - f.q.At
-		verdict := metrics.InAim
-		if took > c.Aim {
+		verdict := metrics.OnTime
+		if took > c.LatencyObjective {
 			verdict = metrics.Late
 		}
 		s.rec.Count("work_useful", r.useful)
 		s.rec.Final(f.q, verdict, took)
-	case invariant.Refused:
-		f.last = metrics.Refused
+	case invariant.Shed:
+		f.last = metrics.Shed
 		s.rec.Count("refusals", 1)
 		f.again(true, wait)
 	case invariant.Failed:
@@ -133,11 +133,11 @@
 // again tries once more, if that is harmless and there is time, or books the end.
 func (f *first) again(harmless bool, retryAfter time.Duration) {
 	s := f.s
-	wait := s.w.Consumers.Wait
-	if retryAfter > 0 && s.who.Float64() < s.w.Consumers.Honour {
+	wait := s.w.Clients.Wait
+	if retryAfter > 0 && s.who.Float64() < s.w.Clients.Honour {
 		wait = min(retryAfter, s.w.Rules.MaxRetryAfter)
 	}
-	if !harmless || f.tries > s.w.Consumers.Retries || s.now+wait >= f.until {
+	if !harmless || f.tries > s.w.Clients.Retries || s.now+wait >= f.until {
 		s.rec.Final(f.q, f.last, s.now-f.q.At)
 		return
 	}
--- a/lab/sim/directory.go
+++ b/lab/sim/directory.go
@@ -12,8 +12,8 @@
 type directory struct {
 	s       *Sim
 	tier    *tier
-	entries []balancer.Server
-	index   map[balancer.ServerID]int
+	entries []balancer.Endpoint
+	index   map[balancer.EndpointID]int
 	changed []uint64 // by entry: the version of its latest change
 	version uint64
 	busy    time.Duration // until when calls are waiting
@@ -28,14 +28,14 @@
 const silence = 3200 * time.Millisecond
 
 func newDirectory(s *Sim, t *tier) *directory {
-	return &directory{s: s, tier: t, index: map[balancer.ServerID]int{}}
+	return &directory{s: s, tier: t, index: map[balancer.EndpointID]int{}}
 }
 
 // know takes in what has become of a provider and tells the watchers.
-func (d *directory) know(p *provider, state balancer.ServerState) {
-	e := balancer.Server{ID: p.id, State: state, Zone: p.zone, Cell: p.group, Weight: 1}
+func (d *directory) know(p *provider, state balancer.EndpointState) {
+	e := balancer.Endpoint{ID: p.id, State: state, Zone: p.zone, Cell: p.group, Weight: 1}
 	if p.started > 0 {
-		e.Started = epoch + p.started
+		e.StartedAt = epoch + p.started
 	}
 	d.version++
 	i, ok := d.index[p.id]
@@ -59,7 +59,7 @@
 		if !w.alive || d.down || !slices.Contains(d.watches, w) || w.version == d.version {
 			return
 		}
-		var list []balancer.Server
+		var list []balancer.Endpoint
 		for i, v := range d.changed {
 			if v > w.version {
 				list = append(list, d.entries[i])
@@ -71,7 +71,7 @@
 }
 
 // all returns the whole list, with what is gone.
-func (d *directory) all() []balancer.Server { return slices.Clone(d.entries) }
+func (d *directory) all() []balancer.Endpoint { return slices.Clone(d.entries) }
 
 // subscribe asks for the whole list and its changes from then on.
 func (d *directory) subscribe(p *proxy, on bool) {
@@ -88,11 +88,11 @@
 	s := d.s
 	s.rec.Count("directory_calls", 1)
 	start := max(s.now, d.busy)
-	if limit := s.w.Directory.Timeout; d.down || start-s.now > limit {
+	if limit := s.w.Discovery.Timeout; d.down || start-s.now > limit {
 		s.after(limit, func() { d.failed(p) })
 		return
 	}
-	d.busy = start + time.Duration(float64(time.Second)/s.w.Directory.Capacity)
+	d.busy = start + time.Duration(float64(time.Second)/s.w.Discovery.Capacity)
 	s.at(d.busy+s.delay(-1, 0), func() {
 		if !p.alive {
 			return
@@ -112,7 +112,7 @@
 func (d *directory) failed(p *proxy) {
 	s := d.s
 	s.rec.Count("directory_failed", 1)
-	p.happen(balancer.Event{Kind: balancer.ServerList, List: balancer.ListFailed})
+	p.happen(balancer.Event{Kind: balancer.EndpointListUpdated, ListKind: balancer.ListFailed})
 }
 
 // silent makes the directory answer nothing, or lets it answer again.
--- a/lab/sim/provider.go
+++ b/lab/sim/provider.go
@@ -14,12 +14,12 @@
 type provider struct {
 	s           *Sim
 	tier        *tier
-	id          balancer.ServerID
+	id          balancer.EndpointID
 	name        string
 	zone, group int
 	speed       float64
 
-	node     *servermodel.Node
+	node     *servermodel.Server
 	before   float64 // work done by earlier processes
 	up       bool    // the process runs
 	silent   bool    // the machine can't be reached
@@ -70,7 +70,7 @@
 // startProxy starts the process's proxy for the next tier.
 func (p *provider) startProxy() {
 	if next := p.tier.index + 1; next < len(p.s.tiers) {
-		index := slices.Index(p.tier.providers, p) % p.tier.spec.Providers
+		index := slices.Index(p.tier.providers, p) % p.tier.spec.Endpoints
 		p.proxy = p.s.newProxy(p.s.tiers[next], index, p.zone, p.name+"-proxy")
 	}
 }
@@ -115,7 +115,7 @@
 		a.later(balancer.Reset)
 		return
 	case p.draining:
-		a.later(balancer.Full)
+		a.later(balancer.Rejected)
 		return
 	case p.errs > 0 && p.s.work.Float64() < p.errs:
 		a.later(balancer.Error)
@@ -129,8 +129,8 @@
 	j.Left, j.Tag = j.piece, j
 	verdict := p.node.Offer(p.s.now, &j.Job)
 	p.check()
-	if verdict == servermodel.Full {
-		a.later(balancer.Full)
+	if verdict == servermodel.Rejected {
+		a.later(balancer.Rejected)
 	} else {
 		a.job, j.place = j, len(p.jobs)
 		p.jobs = append(p.jobs, j)
@@ -203,7 +203,7 @@
 	}
 	process := p.process
 	j.child = p.proxy.take(&request{class: r.class, tenant: r.tenant, key: p.s.childKey(r), work: r.work, until: p.s.now + left,
-		reply: func(c *request, v invariant.Verdict, _ time.Duration) {
+		reply: func(c *request, v invariant.Result, _ time.Duration) {
 			if process != p.process || j.child != c {
 				return
 			}
--- a/lab/sim/proxy.go
+++ b/lab/sim/proxy.go
@@ -11,7 +11,7 @@
 	"ryerill/lab/scenario"
 )
 
-func serverID(name string) balancer.ServerID { return scenario.ServerID(name) }
+func serverID(name string) balancer.EndpointID { return scenario.EndpointID(name) }
 
 // proxy hosts one decider, as the real one does: it turns what happens into
 // events and carries out the actions in order.
@@ -24,7 +24,7 @@
 	alive    bool
 	requests map[balancer.RequestID]*request
 	newest   balancer.RequestID
-	conns    map[balancer.ServerID]*conns
+	conns    map[balancer.EndpointID]*conns
 	queue    []balancer.Event
 	busy     bool
 	watching bool
@@ -51,7 +51,7 @@
 	out      int
 	done     bool
 	useful   float64 // work that went into the answer
-	reply    func(r *request, v invariant.Verdict, retryAfter time.Duration)
+	reply    func(r *request, v invariant.Result, retryAfter time.Duration)
 }
 
 // attempt is one invoker call.
@@ -59,7 +59,7 @@
 	r       *request
 	number  int
 	to      *provider
-	server  balancer.ServerID
+	server  balancer.EndpointID
 	process int // of the provider, that the connection is to
 	sent    time.Duration
 	way     time.Duration // delay one way
@@ -71,7 +71,7 @@
 
 func (s *Sim) newProxy(t *tier, self, zone int, name string) *proxy {
 	p := &proxy{s: s, number: len(s.proxies), tier: t, zone: zone, alive: true,
-		requests: map[balancer.RequestID]*request{}, conns: map[balancer.ServerID]*conns{}}
+		requests: map[balancer.RequestID]*request{}, conns: map[balancer.EndpointID]*conns{}}
 	s.proxies = append(s.proxies, name)
 	cfg, seed := s.w.Balancer(t.index, self, zone), s.seeds.Uint64()
 	if s.opt.New != nil {
@@ -113,8 +113,8 @@
 	switch a.Kind {
 	case balancer.Send:
 		p.send(a)
-	case balancer.Refuse:
-		p.answer(a.Request, invariant.Refused, a.Wait)
+	case balancer.Shed:
+		p.answer(a.Request, invariant.Shed, a.Wait)
 	case balancer.Fail:
 		p.answer(a.Request, invariant.Failed, 0)
 	case balancer.Cancel:
@@ -126,12 +126,12 @@
 		}
 	case balancer.SetTimer:
 		token := a.Token
-		p.s.after(a.Wait, func() { p.happen(balancer.Event{Kind: balancer.Timer, Token: token}) })
+		p.s.after(a.Wait, func() { p.happen(balancer.Event{Kind: balancer.TimerFired, Token: token}) })
 	case balancer.CloseIdle:
-		p.forget(a.Server)
+		p.forget(a.Endpoint)
 	case balancer.Subscribe:
-		p.tier.directory.subscribe(p, a.On)
-	case balancer.FetchList:
+		p.tier.directory.subscribe(p, a.Enabled)
+	case balancer.FetchEndpoints:
 		p.tier.directory.fetch(p)
 	}
 }
@@ -142,8 +142,8 @@
 	r.p, r.id = p, p.newest
 	p.requests[r.id] = r
 	p.s.oracle.Took(p.s.now, p.number, uint64(r.id), r.class, r.until)
-	p.happen(balancer.Event{Kind: balancer.Arrival, Request: r.id, Class: r.class, Tenant: r.tenant, Key: r.key,
-		Remaining: max(r.until-p.s.now, 0), Repeat: r.repeat})
+	p.happen(balancer.Event{Kind: balancer.RequestArrived, Request: r.id, Class: r.class, Tenant: r.tenant, Key: r.key,
+		Remaining: max(r.until-p.s.now, 0), ClientRetry: r.repeat})
 	if !r.done && p.tier.index > 0 {
 		// A caller waits no longer than the slack; a decider that holds a request is the oracle's to name.
 		p.s.at(r.until+p.s.w.Rules.Slack+time.Millisecond, func() {
@@ -156,7 +156,7 @@
 	return r
 }
 
-func (p *proxy) answer(id balancer.RequestID, v invariant.Verdict, wait time.Duration) {
+func (p *proxy) answer(id balancer.RequestID, v invariant.Result, wait time.Duration) {
 	p.s.oracle.Answered(p.s.now, p.number, uint64(id), v, 0)
 	if r := p.requests[id]; r != nil && !r.done {
 		r.done = true
@@ -173,7 +173,7 @@
 	}
 	r.done = true
 	r.p.s.oracle.Left(r.p.s.now, r.p.number, uint64(r.id))
-	r.p.happen(balancer.Event{Kind: balancer.Departed, Request: r.id})
+	r.p.happen(balancer.Event{Kind: balancer.ClientLeft, Request: r.id})
 	r.release()
 }
 
@@ -185,18 +185,18 @@
 
 // send starts an attempt.
 func (p *proxy) send(act *balancer.Action) {
-	s, r, to := p.s, p.requests[act.Request], p.tier.byID[act.Server]
+	s, r, to := p.s, p.requests[act.Request], p.tier.byID[act.Endpoint]
 	if to != nil {
-		s.oracle.Sent(s.now, p.number, uint64(act.Request), invariant.Provider{ID: uint64(to.id), Name: to.name, Zone: to.zone, Group: to.group})
+		s.oracle.Sent(s.now, p.number, uint64(act.Request), invariant.Endpoint{ID: uint64(to.id), Name: to.name, Zone: to.zone, Group: to.group})
 	}
 	if r == nil {
 		return
 	}
-	a := &attempt{r: r, number: len(r.attempts), to: to, server: act.Server, sent: s.now}
+	a := &attempt{r: r, number: len(r.attempts), to: to, server: act.Endpoint, sent: s.now}
 	r.attempts = append(r.attempts, a)
 	r.out++
 	if r.done || to == nil {
-		s.after(0, func() { a.end(balancer.Moot) })
+		s.after(0, func() { a.end(balancer.NotSent) })
 		return
 	}
 	s.rec.Count("attempts", 1)
@@ -273,7 +273,7 @@
 	return c
 }
 
-func (p *proxy) forget(id balancer.ServerID) {
+func (p *proxy) forget(id balancer.EndpointID) {
 	if c, to := p.conns[id], p.tier.byID[id]; c != nil && to != nil && c.process == to.process {
 		to.node.Conns -= len(c.idle)
 	}
@@ -298,7 +298,7 @@
 	a.ended = true
 	r.out--
 	if a.held {
-		a.settle(o == balancer.OK || o == balancer.Error || o == balancer.Full)
+		a.settle(o == balancer.OK || o == balancer.Error || o == balancer.Rejected)
 	}
 	p.s.oracle.Ended(p.s.now, p.number, uint64(r.id), a.number, o.NeverRan())
 	if o == balancer.OK && !r.done {
@@ -307,8 +307,8 @@
 		reply := r.reply
 		p.s.after(0, func() { reply(r, invariant.Served, 0) })
 	}
-	p.happen(balancer.Event{Kind: balancer.AttemptEnded, Request: r.id, Attempt: a.number, Server: a.server, Outcome: o,
-		Closed: r.done, Elapsed: p.s.now - a.sent})
+	p.happen(balancer.Event{Kind: balancer.AttemptEnded, Request: r.id, Attempt: a.number, Endpoint: a.server, Outcome: o,
+		RequestClosed: r.done, Elapsed: p.s.now - a.sent})
 	r.release()
 }
 
@@ -359,12 +359,12 @@
 }
 
 // listed takes a list in.
-func (p *proxy) listed(kind balancer.ListKind, list []balancer.Server) {
+func (p *proxy) listed(kind balancer.ListKind, list []balancer.Endpoint) {
 	for i := range list {
 		p.s.oracle.Told(p.s.now, p.number, uint64(list[i].ID), list[i].State == balancer.Ready)
 	}
 	if kind != balancer.ListChanges { // what a whole list leaves out is gone
-		list = slices.DeleteFunc(list, func(e balancer.Server) bool { return e.State == balancer.Gone })
+		list = slices.DeleteFunc(list, func(e balancer.Endpoint) bool { return e.State == balancer.Gone })
 	}
-	p.happen(balancer.Event{Kind: balancer.ServerList, List: kind, Version: p.version, Servers: list})
+	p.happen(balancer.Event{Kind: balancer.EndpointListUpdated, ListKind: kind, Version: p.version, Endpoints: list})
 }
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -85,7 +85,7 @@
 
 // Sim is one run.
 type Sim struct {
-	w    *scenario.World
+	w    *scenario.Scenario
 	opt  Options
 	now  time.Duration
 	seq  uint64
@@ -99,7 +99,7 @@
 	proxies  []string
 	schedule []load.Request
 	rec      *metrics.Recorder
-	oracle   *invariant.Watch
+	oracle   *invariant.Checker
 	ids      uint64
 	actions  [][]balancer.Action // spare action lists, one for each depth of Handle
 }
@@ -109,13 +109,13 @@
 	index     int
 	spec      *scenario.Tier
 	providers []*provider
-	byID      map[balancer.ServerID]*provider
+	byID      map[balancer.EndpointID]*provider
 	directory *directory
 	proxies   []*proxy // that send to it and live
 }
 
 // Run plays a world once. It ends early, with ctx's error, if ctx ends.
-func Run(ctx context.Context, w *scenario.World, opt Options) (*metrics.Result, error) {
+func Run(ctx context.Context, w *scenario.Scenario, opt Options) (*metrics.Result, error) {
 	s, err := newSim(w, opt)
 	if err != nil {
 		return nil, err
@@ -146,13 +146,13 @@
 	return s.rec.Result(broken, counts), nil
 }
 
-func newSim(w *scenario.World, opt Options) (*Sim, error) {
+func newSim(w *scenario.Scenario, opt Options) (*Sim, error) {
 	if w.Parallel {
 		return nil, fmt.Errorf("world %s: parallel tiers are played on sockets only", w.Name)
 	}
 	s := &Sim{w: w, opt: opt, net: load.Stream(opt.Seed, 2), work: load.Stream(opt.Seed, 3), who: load.Stream(opt.Seed, 4),
 		seeds: load.Stream(opt.Seed, 5), part: load.Stream(opt.Seed, 6), rec: metrics.New(w), turns: make([]int, len(w.Network.Zones))}
-	for _, t := range w.Troubles {
+	for _, t := range w.Faults {
 		if t.Kind == scenario.Reload {
 			return nil, fmt.Errorf("world %s: reloads are played on sockets only", w.Name)
 		}
@@ -167,10 +167,10 @@
 	speeds := load.Stream(opt.Seed, 7)
 	for i := range w.Tiers {
 		spec := &w.Tiers[i]
-		t := &tier{index: i, spec: spec, byID: map[balancer.ServerID]*provider{}}
+		t := &tier{index: i, spec: spec, byID: map[balancer.EndpointID]*provider{}}
 		t.directory = newDirectory(s, t)
 		s.tiers = append(s.tiers, t)
-		for j := range spec.Providers {
+		for j := range spec.Endpoints {
 			p := s.newProvider(t, fmt.Sprintf("%s-%d", spec.Name, j), j%len(w.Network.Zones), j/spec.Group, load.Speed(speeds, &spec.Node))
 			p.start(true)
 			t.directory.know(p, balancer.Ready)
@@ -206,7 +206,7 @@
 func (s *Sim) delay(from, to int) time.Duration {
 	d := s.w.Network.Same
 	if from < 0 {
-		d = s.w.Network.Consumer
+		d = s.w.Network.Client
 	} else if from != to {
 		d = s.w.Network.Cross
 	}
@@ -217,8 +217,8 @@
 func (s *Sim) sample() {
 	limit, flight := 0.0, 0.0
 	for _, p := range s.tiers[0].proxies {
-		if st, ok := p.decider.(baseline.Standing); ok {
-			l, f := st.Standing()
+		if st, ok := p.decider.(baseline.ConcurrencyReporter); ok {
+			l, f := st.Concurrency()
 			limit, flight = limit+l, flight+float64(f)
 		}
 	}
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -15,16 +15,16 @@
 	"ryerill/lab/scenario"
 )
 
-func read(t testing.TB, file string) *scenario.World {
+func read(t testing.TB, file string) *scenario.Scenario {
 	t.Helper()
-	w, err := scenario.Read("../worlds/" + file)
+	w, err := scenario.Read("../scenarios/" + file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return w
 }
 
-func play(t testing.TB, w *scenario.World, opt Options) *metrics.Result {
+func play(t testing.TB, w *scenario.Scenario, opt Options) *metrics.Result {
 	t.Helper()
 	r, err := Run(context.Background(), w, opt)
 	if err != nil {
@@ -75,13 +75,13 @@
 	t.Parallel()
 	for _, tc := range []struct {
 		rule     string
-		troubles []scenario.Trouble
+		troubles []scenario.Fault
 		spoil    func(cfg balancer.Config) func(ev *balancer.Event, out []balancer.Action) []balancer.Action
 	}{
 		{invariant.OneAnswer, nil, func(balancer.Config) func(*balancer.Event, []balancer.Action) []balancer.Action {
 			n := 0
 			return func(ev *balancer.Event, out []balancer.Action) []balancer.Action {
-				if ev.Kind == balancer.Arrival {
+				if ev.Kind == balancer.RequestArrived {
 					if n++; n%50 == 0 { // holds a request for ever
 						return out[:0]
 					}
@@ -89,49 +89,49 @@
 				return out
 			}
 		}},
-		{invariant.NoRepeat, []scenario.Trouble{{Kind: scenario.Spoil, At: 2 * time.Second, For: 4 * time.Second, Part: 0.3, Factor: 0.5}},
+		{invariant.NoRepeat, []scenario.Fault{{Kind: scenario.Spoil, At: 2 * time.Second, For: 4 * time.Second, Fraction: 0.3, Factor: 0.5}},
 			func(balancer.Config) func(*balancer.Event, []balancer.Action) []balancer.Action {
-				var servers []balancer.ServerID
+				var servers []balancer.EndpointID
 				return func(ev *balancer.Event, out []balancer.Action) []balancer.Action {
-					for _, s := range ev.Servers {
+					for _, s := range ev.Endpoints {
 						servers = append(servers, s.ID)
 					}
 					// Sends what failed to whoever comes next, whatever its class.
-					if ev.Kind == balancer.AttemptEnded && ev.Outcome == balancer.Reset && !ev.Closed {
-						return []balancer.Action{{Kind: balancer.Send, Request: ev.Request, Server: servers[int(ev.Request)%len(servers)]}}
+					if ev.Kind == balancer.AttemptEnded && ev.Outcome == balancer.Reset && !ev.RequestClosed {
+						return []balancer.Action{{Kind: balancer.Send, Request: ev.Request, Endpoint: servers[int(ev.Request)%len(servers)]}}
 					}
 					return out
 				}
 			}},
-		{invariant.Drained, []scenario.Trouble{{Kind: scenario.Release, At: time.Second, For: time.Second, Part: 0.5, Drain: 6 * time.Second, Pause: time.Second}},
+		{invariant.Drained, []scenario.Fault{{Kind: scenario.Release, At: time.Second, For: time.Second, Fraction: 0.5, Drain: 6 * time.Second, Pause: time.Second}},
 			func(balancer.Config) func(*balancer.Event, []balancer.Action) []balancer.Action {
-				var drains []balancer.ServerID
+				var drains []balancer.EndpointID
 				return func(ev *balancer.Event, out []balancer.Action) []balancer.Action {
-					for _, s := range ev.Servers {
+					for _, s := range ev.Endpoints {
 						if s.State == balancer.Draining {
 							drains = append(drains, s.ID)
 						}
 					}
 					for i := range out {
 						if out[i].Kind == balancer.Send && len(drains) > 0 {
-							out[i].Server = drains[int(out[i].Request)%len(drains)]
+							out[i].Endpoint = drains[int(out[i].Request)%len(drains)]
 						}
 					}
 					return out
 				}
 			}},
-		{invariant.Pushed, []scenario.Trouble{{Kind: scenario.Release, At: time.Second, For: time.Second, Part: 0.2, Drain: time.Second, Pause: 200 * time.Millisecond}},
+		{invariant.Pushed, []scenario.Fault{{Kind: scenario.Release, At: time.Second, For: time.Second, Fraction: 0.2, Drain: time.Second, Pause: 200 * time.Millisecond}},
 			func(balancer.Config) func(*balancer.Event, []balancer.Action) []balancer.Action {
-				var cold []balancer.ServerID
+				var cold []balancer.EndpointID
 				return func(ev *balancer.Event, out []balancer.Action) []balancer.Action {
-					for _, s := range ev.Servers {
-						if s.State == balancer.Ready && s.Started > 0 {
+					for _, s := range ev.Endpoints {
+						if s.State == balancer.Ready && s.StartedAt > 0 {
 							cold = append(cold, s.ID)
 						}
 					}
 					for i := range out { // the newest gets everything
 						if out[i].Kind == balancer.Send && len(cold) > 0 {
-							out[i].Server = cold[0]
+							out[i].Endpoint = cold[0]
 						}
 					}
 					return out
@@ -141,9 +141,9 @@
 		t.Run(tc.rule, func(t *testing.T) {
 			t.Parallel()
 			w := read(t, "pair.yaml")
-			w.Length, w.Troubles = 10*time.Second, tc.troubles
-			for i := range w.Troubles {
-				w.Troubles[i].Tier = w.Tiers[0].Name
+			w.Length, w.Faults = 10*time.Second, tc.troubles
+			for i := range w.Faults {
+				w.Faults[i].Tier = w.Tiers[0].Name
 			}
 			honest := play(t, w, Options{Seed: 3})
 			if n := honest.Metrics["violations"]; n != 0 {
@@ -171,11 +171,11 @@
 			t.Parallel()
 			w := read(t, "pair.yaml")
 			w.Length = 9 * time.Second
-			tr := scenario.Trouble{Kind: kind, At: 3 * time.Second, For: 3 * time.Second, Part: 0.4, Factor: 2, Zone: "west", Count: 1, Tenant: "everyone"}
+			tr := scenario.Fault{Kind: kind, At: 3 * time.Second, For: 3 * time.Second, Fraction: 0.4, Factor: 2, Zone: "west", Count: 1, Tenant: "everyone"}
 			if kind == scenario.Spoil || kind == scenario.Err {
 				tr.Factor = 0.5
 			}
-			w.Troubles = []scenario.Trouble{tr}
+			w.Faults = []scenario.Fault{tr}
 			w.Complete()
 			if p := w.Check(); len(p) > 0 {
 				t.Fatal(p)
--- a/lab/sim/trouble.go
+++ b/lab/sim/trouble.go
@@ -11,8 +11,8 @@
 
 // troubles puts what goes wrong on the agenda. Bursts are in the load already.
 func (s *Sim) troubles() {
-	for i := range s.w.Troubles {
-		t := &s.w.Troubles[i]
+	for i := range s.w.Faults {
+		t := &s.w.Faults[i]
 		switch t.Kind {
 		case scenario.Slow:
 			s.during(t, func(p *provider, on bool) {
@@ -60,11 +60,11 @@
 				s.at(t.At, func() { s.replace(p, t) })
 			}
 		case scenario.Restart:
-			n := max(1, int(math.Round(t.Part*float64(len(s.slots)))))
+			n := max(1, int(math.Round(t.Fraction*float64(len(s.slots)))))
 			for _, k := range s.part.Perm(len(s.slots))[:n] {
 				s.at(t.At, func() { s.restart(k, t) })
 			}
-		case scenario.DirSilent:
+		case scenario.DiscoverySilent:
 			d := s.tiers[max(s.w.TierIndex(t.Tier), 0)].directory
 			s.at(t.At, func() { d.silent(true) })
 			s.at(t.At+t.For, func() { d.silent(false) })
@@ -73,7 +73,7 @@
 }
 
 // choice draws the machines that a trouble meets.
-func (s *Sim) choice(t *scenario.Trouble) (chosen []*provider) {
+func (s *Sim) choice(t *scenario.Fault) (chosen []*provider) {
 	if t.Kind == scenario.ZoneLoss {
 		for _, tier := range s.tiers {
 			for _, p := range tier.providers {
@@ -88,7 +88,7 @@
 		if t.Tier != "all" && t.Tier != tier.spec.Name {
 			continue
 		}
-		n := max(1, int(math.Round(t.Part*float64(len(tier.providers)))))
+		n := max(1, int(math.Round(t.Fraction*float64(len(tier.providers)))))
 		for _, k := range s.part.Perm(len(tier.providers))[:n] {
 			chosen = append(chosen, tier.providers[k])
 		}
@@ -98,7 +98,7 @@
 
 // during turns something on and off at the machines of a trouble. What a
 // process starts anew meanwhile is free of it.
-func (s *Sim) during(t *scenario.Trouble, turn func(p *provider, on bool)) {
+func (s *Sim) during(t *scenario.Fault, turn func(p *provider, on bool)) {
 	for _, p := range s.choice(t) {
 		s.at(t.At, func() {
 			if !p.up {
@@ -119,7 +119,7 @@
 func (s *Sim) silence(p *provider, length time.Duration) {
 	p.stop(true)
 	process, d := p.process, p.tier.directory
-	s.after(s.w.Directory.Silent, func() {
+	s.after(s.w.Discovery.Silent, func() {
 		if process == p.process {
 			d.know(p, balancer.Gone)
 		}
@@ -127,20 +127,20 @@
 	s.after(length, func() {
 		if process == p.process {
 			p.back()
-			s.after(s.w.Directory.Add, func() { d.know(p, balancer.Ready) })
+			s.after(s.w.Discovery.Add, func() { d.know(p, balancer.Ready) })
 		}
 	})
 }
 
 // release drains a process, ends it and starts the next one under the same name.
-func (s *Sim) release(p *provider, t *scenario.Trouble) {
+func (s *Sim) release(p *provider, t *scenario.Fault) {
 	if !p.up {
 		return
 	}
 	d := p.tier.directory
 	p.draining = true
 	process := p.process
-	s.after(s.w.Directory.Lag, func() {
+	s.after(s.w.Discovery.Lag, func() {
 		if process == p.process {
 			d.know(p, balancer.Draining)
 		}
@@ -152,30 +152,30 @@
 		p.stop(false)
 		s.after(t.Pause, func() {
 			p.back()
-			s.after(s.w.Directory.Add, func() { d.know(p, balancer.Ready) })
+			s.after(s.w.Discovery.Add, func() { d.know(p, balancer.Ready) })
 		})
 	})
 }
 
 // replace ends a process without warning and starts one of another name in its place.
-func (s *Sim) replace(p *provider, t *scenario.Trouble) {
+func (s *Sim) replace(p *provider, t *scenario.Fault) {
 	if !p.up {
 		return
 	}
 	d := p.tier.directory
 	p.stop(false)
-	s.after(s.w.Directory.Lag, func() { d.know(p, balancer.Gone) })
+	s.after(s.w.Discovery.Lag, func() { d.know(p, balancer.Gone) })
 	s.after(t.Pause, func() {
 		n := s.newProvider(p.tier, fmt.Sprintf("%s-next", p.name), p.zone, p.group, p.speed)
 		n.start(false)
 		n.startProxy()
-		s.after(s.w.Directory.Add, func() { d.know(n, balancer.Ready) })
+		s.after(s.w.Discovery.Add, func() { d.know(n, balancer.Ready) })
 	})
 }
 
 // restart takes a proxy before the first tier out of use; what it has taken it
 // still answers, and a new process takes its place.
-func (s *Sim) restart(k int, t *scenario.Trouble) {
+func (s *Sim) restart(k int, t *scenario.Fault) {
 	sl := s.slots[k]
 	old := sl.proxy
 	if old == nil {
--- a/lab/statesyncsim/sharing.go
+++ b/lab/statesyncsim/sharing.go
@@ -20,19 +20,19 @@
 	"ryerill/lab/sim"
 )
 
-// Arms are what is compared. Oracle's copies hear each other at once and for nothing.
-var Arms = []string{"off", "shared", "oracle"}
+// Variants are what is compared. Oracle's copies hear each other at once and for nothing.
+var Variants = []string{"off", "shared", "oracle"}
 
 // Hub leads what the copies of one run say to each other.
 type Hub struct {
 	arm    string
-	net    *badnet.Net
+	net    *badnet.Network
 	copies []*Copy
 	zones  int
 	now    time.Duration
 	Bytes  uint64
 	// Lost counts calls of all copies that ended badly at each server, from From on.
-	Lost  map[balancer.ServerID]int
+	Lost  map[balancer.EndpointID]int
 	From  time.Duration
 	Over  time.Duration
 	cuts  []cut
@@ -43,7 +43,7 @@
 // cut is something that happens to the network between copies.
 type cut struct {
 	at   time.Duration
-	do   func(*badnet.Net)
+	do   func(*badnet.Network)
 	done bool
 }
 
@@ -55,7 +55,7 @@
 type Hubs struct{ tiers []*Hub }
 
 // NewHubs returns the hubs of a run of a world.
-func NewHubs(arm string, seed uint64, w *scenario.World) *Hubs {
+func NewHubs(arm string, seed uint64, w *scenario.Scenario) *Hubs {
 	h := &Hubs{}
 	for tier := range w.Tiers {
 		one := New(arm, seed+uint64(tier)<<32, max(len(w.Network.Zones), 1))
@@ -71,25 +71,25 @@
 }
 
 // trouble puts a world's troubles between proxies on the hub's network.
-func (h *Hub) trouble(w *scenario.World, copies int) {
-	for _, t := range w.Troubles {
+func (h *Hub) trouble(w *scenario.Scenario, copies int) {
+	for _, t := range w.Faults {
 		if !t.BetweenProxies() {
 			continue
 		}
 		var whom []string
-		for i := range max(int(t.Part*float64(copies)), 1) {
+		for i := range max(int(t.Fraction*float64(copies)), 1) {
 			whom = append(whom, name(i))
 		}
-		begin, end := func(n *badnet.Net) {
+		begin, end := func(n *badnet.Network) {
 			for _, c := range whom {
 				n.CutOff(c, t.Kind == scenario.OneWay)
 			}
-		}, (*badnet.Net).Heal
+		}, (*badnet.Network).Heal
 		switch t.Kind {
 		case scenario.Split:
-			begin = func(n *badnet.Net) { n.Split(whom) }
+			begin = func(n *badnet.Network) { n.Split(whom) }
 		case scenario.Lossy:
-			begin, end = func(n *badnet.Net) { n.Usual(t.Link) }, func(n *badnet.Net) { n.Usual(lan) }
+			begin, end = func(n *badnet.Network) { n.Usual(t.Link) }, func(n *badnet.Network) { n.Usual(lan) }
 		}
 		h.cuts = append(h.cuts, cut{at: epoch + t.At, do: begin}, cut{at: epoch + t.At + t.For, do: end})
 	}
@@ -108,9 +108,9 @@
 	cfg     balancer.Config
 	name    string
 	zone    string
-	share   *statesync.Share
+	share   *statesync.Syncer
 	wants   []float64
-	servers map[balancer.ServerID]balancer.Server
+	servers map[balancer.EndpointID]balancer.Endpoint
 	next    time.Duration
 	post    []letter
 }
@@ -123,13 +123,13 @@
 
 // New returns the hub of a run.
 func New(arm string, seed uint64, zones int) *Hub {
-	return &Hub{arm: arm, net: badnet.New(lan, seed), zones: zones, Lost: map[balancer.ServerID]int{}}
+	return &Hub{arm: arm, net: badnet.New(lan, seed), zones: zones, Lost: map[balancer.EndpointID]int{}}
 }
 
 // Decider makes one copy; it goes into sim.Options.New.
 func (h *Hub) Decider(cfg balancer.Config, seed uint64) baseline.Decider {
-	c := &Copy{Balancer: balancer.New(cfg, seed), hub: h, cfg: cfg, name: name(cfg.Self), zone: fmt.Sprint("z", cfg.Zone),
-		wants: make([]float64, len(cfg.Tenants)), servers: map[balancer.ServerID]balancer.Server{}, next: -1}
+	c := &Copy{Balancer: balancer.New(cfg, seed), hub: h, cfg: cfg, name: name(cfg.ReplicaIndex), zone: fmt.Sprint("z", cfg.Zone),
+		wants: make([]float64, len(cfg.Tenants)), servers: map[balancer.EndpointID]balancer.Endpoint{}, next: -1}
 	budget := 0
 	if h.arm == "oracle" {
 		budget = 1 << 30
@@ -137,7 +137,7 @@
 	// One that restarts is another life of its name: what it had lent is not known.
 	h.lives++
 	again := slices.IndexFunc(h.copies, func(o *Copy) bool { return o.name == c.name })
-	c.share, _ = statesync.New(statesync.Config{Name: c.name, Zone: c.zone, Epoch: h.lives, Seed: seed, Quotas: true, Verdicts: true, Budget: budget, Fresh: again >= 0}, h.now)
+	c.share, _ = statesync.New(statesync.Config{Name: c.name, Zone: c.zone, Epoch: h.lives, Seed: seed, Quotas: true, Evidence: true, BytesPerSecond: budget, LostState: again >= 0}, h.now)
 	if h.due = 0; again < 0 {
 		h.copies = append(h.copies, c)
 		return c
@@ -145,7 +145,7 @@
 	h.copies[again] = c
 	for _, o := range h.copies {
 		if o != c {
-			o.share.Over(c.name, h.lives-1)
+			o.share.ExpireReplica(c.name, h.lives-1)
 		}
 	}
 	return c
@@ -158,30 +158,30 @@
 		h.work()
 	}
 	switch ev.Kind {
-	case balancer.ServerList:
-		for _, s := range ev.Servers {
+	case balancer.EndpointListUpdated:
+		for _, s := range ev.Endpoints {
 			c.servers[s.ID] = s
 		}
-	case balancer.Arrival:
+	case balancer.RequestArrived:
 		if ev.Tenant >= 0 && ev.Tenant < len(c.wants) {
 			c.wants[ev.Tenant]++
 		}
 	case balancer.AttemptEnded:
-		o, says := outlier.Good, true
+		o, says := outlier.Succeeded, true
 		switch ev.Outcome {
 		case balancer.OK:
 		case balancer.Timeout, balancer.ConnectFailed, balancer.Reset:
-			o = outlier.Hung
-		case balancer.Error, balancer.Full:
+			o = outlier.TimedOut
+		case balancer.Error, balancer.Rejected:
 			o = outlier.Failed
 		default:
 			says = false
 		}
-		if o != outlier.Good && now >= h.From && now < h.Over {
-			h.Lost[ev.Server]++
+		if o != outlier.Succeeded && now >= h.From && now < h.Over {
+			h.Lost[ev.Endpoint]++
 		}
 		if says && h.arm != "off" {
-			c.share.Verdict.Saw(now, outlier.Server{ID: uint64(ev.Server), Since: int64(c.servers[ev.Server].Started)}, o, c.Balancer.Slowness(ev.Server))
+			c.share.Outliers.RecordOutcome(now, outlier.Endpoint{ID: uint64(ev.Endpoint), StartedAt: int64(c.servers[ev.Endpoint].StartedAt)}, o, c.Balancer.RelativeLatency(ev.Endpoint))
 		}
 	}
 	return c.Balancer.Handle(now, ev, out)
@@ -198,13 +198,13 @@
 	if h.now < h.due {
 		return
 	}
-	h.due = h.now + statesync.Every
+	h.due = h.now + statesync.Interval
 	for i, c := range h.copies {
 		if c.next < 0 { // spread over the time between looks
-			c.next = h.now + statesync.Every*time.Duration(i%16)/16
+			c.next = h.now + statesync.Interval*time.Duration(i%16)/16
 		}
 		if h.now >= c.next {
-			c.next = h.now + statesync.Every
+			c.next = h.now + statesync.Interval
 			c.look()
 		}
 		h.due = min(h.due, c.next)
@@ -217,18 +217,18 @@
 	c.post = slices.DeleteFunc(c.post, func(l letter) bool { return l.at <= h.now })
 	for _, l := range due {
 		if l.at <= h.now {
-			c.send(c.share.Hear(h.now, l.from, l.text))
+			c.send(c.share.Receive(h.now, l.from, l.text))
 		}
 	}
-	var budgets []quota.Budget
+	var budgets []quota.Limit
 	for i, t := range c.cfg.Tenants {
 		if t.Quota > 0 {
-			budgets = append(budgets, quota.Budget{Name: t.Name, Kind: quota.Rate, Whole: t.Quota})
-			c.share.Allot.Want(h.now, t.Name, c.wants[i])
+			budgets = append(budgets, quota.Limit{Name: t.Name, Kind: quota.Rate, Total: t.Quota})
+			c.share.Quotas.AddDemand(h.now, t.Name, c.wants[i])
 		}
 		c.wants[i] = 0
 	}
-	c.share.Allot.Set(h.now, budgets)
+	c.share.Quotas.SetLimits(h.now, budgets)
 	var others []string
 	var peers []statesync.Peer
 	for _, o := range h.copies {
@@ -236,45 +236,45 @@
 			others, peers = append(others, o.name), append(peers, statesync.Peer{Name: o.name, Zone: o.zone})
 		}
 	}
-	c.share.Allot.Among(h.now, len(h.copies), others)
+	c.share.Quotas.SetReplicaCount(h.now, len(h.copies), others)
 	c.send(c.share.Tick(h.now, peers))
 	for i, t := range c.cfg.Tenants {
-		for _, st := range c.share.Allot.Standings(h.now) {
+		for _, st := range c.share.Quotas.Status(h.now) {
 			if st.Name == t.Name {
-				c.Balancer.Quota(i, st.Rate/st.Whole, max(st.Guaranteed-st.Lent, 0)/st.Whole, time.Second)
+				c.Balancer.SetQuota(i, st.Rate/st.Total, max(st.Guaranteed-st.Lent, 0)/st.Total, time.Second)
 			}
 		}
 	}
-	var servers []outlier.Server
+	var servers []outlier.Endpoint
 	for id, s := range c.servers {
 		if s.State == balancer.Ready {
-			servers = append(servers, outlier.Server{ID: uint64(id), Since: int64(s.Started)})
+			servers = append(servers, outlier.Endpoint{ID: uint64(id), StartedAt: int64(s.StartedAt)})
 		}
 	}
-	slices.SortFunc(servers, func(a, b outlier.Server) int {
+	slices.SortFunc(servers, func(a, b outlier.Endpoint) int {
 		if a.ID < b.ID {
 			return -1
 		}
 		return 1
 	})
-	for _, j := range c.share.Verdict.Judge(h.now, servers, h.zones) {
-		if !outlier.Probes(j.Server, h.now, c.cfg.Self, len(h.copies)) {
-			c.Balancer.Hearsay(balancer.ServerID(j.Server))
+	for _, j := range c.share.Outliers.Evaluate(h.now, servers, h.zones) {
+		if !outlier.ShouldProbe(j.Endpoint, h.now, c.cfg.ReplicaIndex, len(h.copies)) {
+			c.Balancer.Penalize(balancer.EndpointID(j.Endpoint))
 		}
 	}
 }
 
-func (c *Copy) send(out []statesync.Out) {
+func (c *Copy) send(out []statesync.Outgoing) {
 	h := c.hub
 	for _, o := range out {
-		h.Bytes += uint64(len(o.Text)) + 120
+		h.Bytes += uint64(len(o.Payload)) + 120
 		to := slices.IndexFunc(h.copies, func(k *Copy) bool { return k.name == o.To })
 		if h.arm == "oracle" {
-			h.copies[to].post = append(h.copies[to].post, letter{h.now, c.name, o.Text})
+			h.copies[to].post = append(h.copies[to].post, letter{h.now, c.name, o.Payload})
 			continue
 		}
-		for _, k := range h.net.Send(h.now, c.name, o.To, len(o.Text)) {
-			h.copies[to].post = append(h.copies[to].post, letter{k.At, c.name, o.Text})
+		for _, k := range h.net.Send(h.now, c.name, o.To, len(o.Payload)) {
+			h.copies[to].post = append(h.copies[to].post, letter{k.At, c.name, o.Payload})
 		}
 	}
 }
@@ -290,16 +290,16 @@
 
 // Case is one thing that is played.
 type Case struct {
-	Copies  int
-	Trouble string // err, hang, slow, or uneven: one tenant that asks at one copy most
-	Cut     bool   // a third of the copies is cut off from the rest in the middle
+	Replicas int
+	Fault    string // err, hang, slow, or uneven: one tenant that asks at one copy most
+	Cut      bool   // a third of the copies is cut off from the rest in the middle
 }
 
 // Play plays a case once.
 func Play(ctx context.Context, k Case, arm string, seed uint64) (r Result, err error) {
 	const length = 40 * time.Second
 	rate, providers := 400.0, 8
-	if k.Copies >= 300 {
+	if k.Replicas >= 300 {
 		rate = 900
 	}
 	cut := ""
@@ -318,13 +318,13 @@
 load: {rate: %g}
 consumers: {retries: 1, try: 0.6, wait: 100ms, honour: 0.3}
 troubles:
-%s%s`, length, k.Copies, providers, int(rate/200)+2, rate, map[string]string{
+%s%s`, length, k.Replicas, providers, int(rate/200)+2, rate, map[string]string{
 		"err":  "  - {kind: err, at: 12s, for: 18s, part: 0.125, factor: 0.9}",
 		"hang": "  - {kind: hang, at: 12s, for: 18s, part: 0.125}",
 		"slow": "  - {kind: slow, at: 12s, for: 18s, part: 0.125, factor: 12}",
 		"none": "  []",
-	}[k.Trouble], cut)
-	if k.Trouble == "none" {
+	}[k.Fault], cut)
+	if k.Fault == "none" {
 		text = text[:len(text)-len("troubles:\n  []")]
 	}
 	w, err := scenario.Parse("sharing", []byte(text))
@@ -332,7 +332,7 @@
 		return r, err
 	}
 	h := New(arm, seed, 3)
-	h.trouble(w, k.Copies)
+	h.trouble(w, k.Replicas)
 	h.From, h.Over = epoch+12*time.Second, epoch+30*time.Second
 	res, err := sim.Run(ctx, w, sim.Options{Seed: seed, New: h.Decider})
 	if err != nil {
@@ -342,6 +342,6 @@
 		r.Lost += n
 	}
 	r.Goodput, r.Violated = res.Metrics["goodput"], len(res.Violations)
-	r.Bytes = float64(h.Bytes) / float64(k.Copies) / length.Seconds()
+	r.Bytes = float64(h.Bytes) / float64(k.Replicas) / length.Seconds()
 	return r, nil
 }
--- a/lab/statesyncsim/sharing_test.go
+++ b/lab/statesyncsim/sharing_test.go
@@ -35,7 +35,7 @@
 		t.Error("sockets would play it")
 	}
 	good := map[string]float64{}
-	for _, arm := range append(Arms[1:], Arms[1]) {
+	for _, arm := range append(Variants[1:], Variants[1]) {
 		h := NewHubs(arm, 1, w)
 		res, err := sim.Run(context.Background(), w, sim.Options{Seed: 1, New: h.Decider})
 		if err != nil {
--- a/override/compatibility_test.go
+++ b/override/compatibility_test.go
@@ -12,8 +12,8 @@
 
 // The file of the recorded program is read as it meant it, and written to the letter.
 func TestRecordedOrdersAreReadAndWrittenAlike(t *testing.T) {
-	want := Word{Version: 9, Out: map[string]time.Duration{"s1": 1_700_000_000_000_001 * time.Microsecond, "a/b": time.Second},
-		Back: map[string]time.Duration{"s2": 1_700_000_000_000_002 * time.Microsecond}, Drain: 1_700_000_000_000_003 * time.Microsecond}
+	want := Set{Version: 9, Down: map[string]time.Duration{"s1": 1_700_000_000_000_001 * time.Microsecond, "a/b": time.Second},
+		Restored: map[string]time.Duration{"s2": 1_700_000_000_000_002 * time.Microsecond}, DrainSince: 1_700_000_000_000_003 * time.Microsecond}
 	file := filepath.Join("testdata", "compatibility", "orders.json")
 	text, err := os.ReadFile(file)
 	if errors.Is(err, os.ErrNotExist) && os.Getenv("RYERILL_RECORD") != "" {
--- a/override/word.go
+++ b/override/word.go
@@ -20,97 +20,97 @@
 	maxID  = 256       // bytes of a provider's name
 )
 
-// ErrFull says that as many providers are out as the word can hold.
-var ErrFull = errors.New("too many providers are out already: call some back first")
+// ErrTooMany says that as many providers are out as the word can hold.
+var ErrTooMany = errors.New("too many providers are out already: call some back first")
 
-// Word is what has been ordered. It is a value: changes return another one, and
+// Set is what has been ordered. It is a value: changes return another one, and
 // one that changes nothing returns the same. Times are Unix time.
-type Word struct {
-	Version uint64                   // grows with each change
-	Out     map[string]time.Duration // by name: since when it is out
-	Back    map[string]time.Duration // by name: when it was called back
-	Drain   time.Duration            // since when the proxy drains; 0 is not
+type Set struct {
+	Version    uint64                   // grows with each change
+	Down       map[string]time.Duration // by name: since when it is out
+	Restored   map[string]time.Duration // by name: when it was called back
+	DrainSince time.Duration            // since when the proxy drains; 0 is not
 }
 
-func (w Word) next() Word {
+func (w Set) next() Set {
 	w.Version++
-	w.Out, w.Back = maps.Clone(w.Out), maps.Clone(w.Back)
-	if w.Out == nil {
-		w.Out = map[string]time.Duration{}
+	w.Down, w.Restored = maps.Clone(w.Down), maps.Clone(w.Restored)
+	if w.Down == nil {
+		w.Down = map[string]time.Duration{}
 	}
-	if w.Back == nil {
-		w.Back = map[string]time.Duration{}
+	if w.Restored == nil {
+		w.Restored = map[string]time.Duration{}
 	}
 	return w
 }
 
-// TakeOut takes a provider out. Out twice is out once.
-func (w Word) TakeOut(name string, now time.Duration) (Word, error) {
-	if _, out := w.Out[name]; out {
+// TakeDown takes a provider out. Out twice is out once.
+func (w Set) TakeDown(name string, now time.Duration) (Set, error) {
+	if _, out := w.Down[name]; out {
 		return w, nil
 	}
-	if len(w.Out) >= most {
-		return w, ErrFull
+	if len(w.Down) >= most {
+		return w, ErrTooMany
 	}
 	w = w.next()
-	delete(w.Back, name)
-	w.Out[name] = now
+	delete(w.Restored, name)
+	w.Down[name] = now
 	return w, nil
 }
 
-// CallBack ends that a provider is out. What was called back longest ago is
+// Restore ends that a provider is out. What was called back longest ago is
 // forgotten at the bound.
-func (w Word) CallBack(name string, now time.Duration) Word {
-	if _, out := w.Out[name]; !out {
+func (w Set) Restore(name string, now time.Duration) Set {
+	if _, out := w.Down[name]; !out {
 		return w
 	}
 	w = w.next()
-	delete(w.Out, name)
-	w.Back[name] = now
-	maps.DeleteFunc(w.Back, func(_ string, at time.Duration) bool { return now-at > forget })
-	for len(w.Back) > most {
+	delete(w.Down, name)
+	w.Restored[name] = now
+	maps.DeleteFunc(w.Restored, func(_ string, at time.Duration) bool { return now-at > forget })
+	for len(w.Restored) > most {
 		oldest := name
-		for other, at := range w.Back {
-			if at < w.Back[oldest] || at == w.Back[oldest] && other < oldest {
+		for other, at := range w.Restored {
+			if at < w.Restored[oldest] || at == w.Restored[oldest] && other < oldest {
 				oldest = other
 			}
 		}
-		delete(w.Back, oldest)
+		delete(w.Restored, oldest)
 	}
 	return w
 }
 
-// Start orders a drain; one that is on goes on as it began.
-func (w Word) Start(now time.Duration) Word {
-	if w.Drain == 0 {
+// StartDrain orders a drain; one that is on goes on as it began.
+func (w Set) StartDrain(now time.Duration) Set {
+	if w.DrainSince == 0 {
 		w = w.next()
-		w.Drain = max(now, 1)
+		w.DrainSince = max(now, 1)
 	}
 	return w
 }
 
-// Stop ends a drain.
-func (w Word) Stop() Word {
-	if w.Drain != 0 {
+// StopDrain ends a drain.
+func (w Set) StopDrain() Set {
+	if w.DrainSince != 0 {
 		w = w.next()
-		w.Drain = 0
+		w.DrainSince = 0
 	}
 	return w
 }
 
-// IsOut tells whether a provider is out by hand.
-func (w Word) IsOut(name string) bool {
-	_, out := w.Out[name]
+// IsDown tells whether a provider is out by hand.
+func (w Set) IsDown(name string) bool {
+	_, out := w.Down[name]
 	return out
 }
 
-// Over lays the word over what the directory says of a provider: out is draining,
+// Apply lays the word over what the directory says of a provider: out is draining,
 // and one that was called back has started then at the earliest.
-func (w Word) Over(name string, s balancer.Server) balancer.Server {
-	if w.IsOut(name) && s.State == balancer.Ready {
+func (w Set) Apply(name string, s balancer.Endpoint) balancer.Endpoint {
+	if w.IsDown(name) && s.State == balancer.Ready {
 		s.State = balancer.Draining
 	}
-	s.Started = max(s.Started, w.Back[name])
+	s.StartedAt = max(s.StartedAt, w.Restored[name])
 	return s
 }
 
@@ -146,27 +146,27 @@
 }
 
 // Encode writes a word in the form in which it is kept.
-func Encode(w Word) []byte {
-	text, _ := json.Marshal(file{format, w.Version, to(w.Out), to(w.Back), w.Drain.Microseconds()}) // of strings and numbers alone: it can't fail
+func Encode(w Set) []byte {
+	text, _ := json.Marshal(file{format, w.Version, to(w.Down), to(w.Restored), w.DrainSince.Microseconds()}) // of strings and numbers alone: it can't fail
 	return append(text, '\n')
 }
 
 // Decode reads a word. Anything but a whole one in the form of [Encode] is an error.
-func Decode(text []byte) (Word, error) {
+func Decode(text []byte) (Set, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
-		return Word{}, fmt.Errorf("operators' word: %w", err)
+		return Set{}, fmt.Errorf("operators' word: %w", err)
 	}
 	if f.Format != format {
-		return Word{}, fmt.Errorf("operators' word: form %q, not %q", f.Format, format)
+		return Set{}, fmt.Errorf("operators' word: form %q, not %q", f.Format, format)
 	}
-	w := Word{Version: f.Version, Drain: time.Duration(f.Drain) * time.Microsecond}
+	w := Set{Version: f.Version, DrainSince: time.Duration(f.Drain) * time.Microsecond}
 	var err error
-	if w.Out, err = from(f.Out); err == nil {
-		w.Back, err = from(f.Back)
+	if w.Down, err = from(f.Out); err == nil {
+		w.Restored, err = from(f.Back)
 	}
 	if err != nil || f.Drain < 0 || f.Drain > int64(1<<63-1)/int64(time.Microsecond) {
-		return Word{}, fmt.Errorf("operators' word: impossible values: %v", err)
+		return Set{}, fmt.Errorf("operators' word: impossible values: %v", err)
 	}
 	return w, nil
 }
--- a/override/word_test.go
+++ b/override/word_test.go
@@ -11,61 +11,61 @@
 
 // The word is a set: out twice needs one call back; back is started then.
 func TestWordIsASet(t *testing.T) {
-	w, _ := Word{}.TakeOut("a", 5*time.Second)
-	same, _ := w.TakeOut("a", 7*time.Second)
-	if same.Version != w.Version || same.Out["a"] != 5*time.Second {
+	w, _ := Set{}.TakeDown("a", 5*time.Second)
+	same, _ := w.TakeDown("a", 7*time.Second)
+	if same.Version != w.Version || same.Down["a"] != 5*time.Second {
 		t.Errorf("twice: %+v", same)
 	}
 	for _, tc := range []struct {
-		word Word
-		in   balancer.Server
-		want balancer.Server
+		word Set
+		in   balancer.Endpoint
+		want balancer.Endpoint
 	}{
-		{w, balancer.Server{State: balancer.Ready}, balancer.Server{State: balancer.Draining}},
-		{w, balancer.Server{State: balancer.Gone}, balancer.Server{State: balancer.Gone}},
-		{w.CallBack("a", 9*time.Second), balancer.Server{State: balancer.Ready, Started: 1}, balancer.Server{State: balancer.Ready, Started: 9 * time.Second}},
-		{w.CallBack("a", 9*time.Second), balancer.Server{State: balancer.Ready, Started: time.Minute}, balancer.Server{State: balancer.Ready, Started: time.Minute}},
-		{w.CallBack("a", 9*time.Second), balancer.Server{State: balancer.Draining}, balancer.Server{State: balancer.Draining, Started: 9 * time.Second}},
+		{w, balancer.Endpoint{State: balancer.Ready}, balancer.Endpoint{State: balancer.Draining}},
+		{w, balancer.Endpoint{State: balancer.Gone}, balancer.Endpoint{State: balancer.Gone}},
+		{w.Restore("a", 9*time.Second), balancer.Endpoint{State: balancer.Ready, StartedAt: 1}, balancer.Endpoint{State: balancer.Ready, StartedAt: 9 * time.Second}},
+		{w.Restore("a", 9*time.Second), balancer.Endpoint{State: balancer.Ready, StartedAt: time.Minute}, balancer.Endpoint{State: balancer.Ready, StartedAt: time.Minute}},
+		{w.Restore("a", 9*time.Second), balancer.Endpoint{State: balancer.Draining}, balancer.Endpoint{State: balancer.Draining, StartedAt: 9 * time.Second}},
 	} {
-		if got := tc.word.Over("a", tc.in); got != tc.want {
+		if got := tc.word.Apply("a", tc.in); got != tc.want {
 			t.Errorf("%+v over %+v: %+v", tc.word, tc.in, got)
 		}
 	}
-	if got := w.CallBack("b", 1); got.Version != w.Version {
+	if got := w.Restore("b", 1); got.Version != w.Version {
 		t.Error("called back without being out")
 	}
-	if s := (Word{}).Stop(); s.Version != 0 || (Word{}).Start(3).Start(9).Drain != 3 {
+	if s := (Set{}).StopDrain(); s.Version != 0 || (Set{}).StartDrain(3).StartDrain(9).DrainSince != 3 {
 		t.Error("a drain is ordered once")
 	}
 }
 
 // Both bounds hold: one more out is an error, one more back forgets the oldest.
 func TestWordIsBounded(t *testing.T) {
-	w := Word{}
+	w := Set{}
 	var err error
 	for i := range most {
-		if w, err = w.TakeOut(fmt.Sprint("s", i), 1); err != nil {
+		if w, err = w.TakeDown(fmt.Sprint("s", i), 1); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := w.TakeOut("one more", 1); err != ErrFull {
+	if _, err := w.TakeDown("one more", 1); err != ErrTooMany {
 		t.Errorf("beyond the bound: %v", err)
 	}
 	for i := range most + 1 {
-		w, _ = w.TakeOut(fmt.Sprint("s", i), 1)
-		w = w.CallBack(fmt.Sprint("s", i), time.Duration(i+1))
+		w, _ = w.TakeDown(fmt.Sprint("s", i), 1)
+		w = w.Restore(fmt.Sprint("s", i), time.Duration(i+1))
 	}
-	if _, kept := w.Back["s0"]; kept || len(w.Back) != most || len(w.Out) != 0 {
-		t.Errorf("%d back, %d out", len(w.Back), len(w.Out))
+	if _, kept := w.Restored["s0"]; kept || len(w.Restored) != most || len(w.Down) != 0 {
+		t.Errorf("%d back, %d out", len(w.Restored), len(w.Down))
 	}
 }
 
 // What is kept is read as it was; anything else is an error, never half a word.
 func FuzzDecode(f *testing.F) {
-	w, _ := Word{}.TakeOut("a", 5*time.Second)
-	w = w.CallBack("a", time.Minute)
-	w, _ = w.TakeOut("b", time.Hour)
-	text := Encode(w.Start(time.Second))
+	w, _ := Set{}.TakeDown("a", 5*time.Second)
+	w = w.Restore("a", time.Minute)
+	w, _ = w.TakeDown("b", time.Hour)
+	text := Encode(w.StartDrain(time.Second))
 	for i := range text[:len(text)-2] {
 		if _, err := Decode(text[:i]); err == nil {
 			f.Errorf("torn after %d bytes: no error", i)
