--- a/proxy/book.go
+++ b/proxy/book.go
@@ -16,12 +16,12 @@
 	if response != nil { // what an answer cost is known only now
 		c.rooms.work.used.Add(int64(config.Cost(response.Body.Len())))
 	}
-	if outcome != balancer.OK || !c.relay(e, message.Answer{Verdict: message.Served, Response: response}) {
+	if outcome != balancer.OK || !c.relay(e, message.Result{Kind: message.Served, Response: response}) {
 		response.Free()
 	}
 	c.booked.ended(k.server, outcome)
-	c.happen(balancer.Event{Kind: balancer.AttemptEnded, Request: e.id, Attempt: k.attempt, Server: k.server,
-		Outcome: outcome, Closed: e.done, Spent: e.inv.Request.Rest != nil && e.inv.Request.Rest.Spent(), Elapsed: c.clock.now() - k.began})
+	c.happen(balancer.Event{Kind: balancer.AttemptEnded, Request: e.id, Attempt: k.attempt, Endpoint: k.server,
+		Outcome: outcome, RequestClosed: e.done, BodyConsumed: e.inv.Outgoing.Stream != nil && e.inv.Outgoing.Stream.Consumed(), Elapsed: c.clock.now() - k.began})
 	c.release(e)
 }
 
@@ -34,13 +34,13 @@
 }
 
 // counted books the one end of an invocation in the figures.
-func (c *core) counted(e *entry, v message.Verdict) {
+func (c *core) counted(e *entry, v message.ResultKind) {
 	if e.taken {
 		c.figures.inflight.Add(-1)
 	}
 	c.tallies[e.inv.Class].ended(v)
 	if c.booked != nil {
-		c.booked.answered(&c.settings.Balancer.Classes[e.inv.Class], v == message.Served, time.Since(e.inv.Taken))
+		c.booked.answered(&c.settings.Balancer.Classes[e.inv.Class], v == message.Served, time.Since(e.inv.ReceivedAt))
 	}
 }
 
@@ -52,7 +52,7 @@
 	e.guard.Stop()
 	if e.out == 0 && c.open[e.id] != nil {
 		delete(c.open, e.id)
-		e.inv.Request.Free()
+		e.inv.Outgoing.Free()
 		c.rooms.open.Give(1)
 		c.emptied()
 	}
--- a/proxy/core.go
+++ b/proxy/core.go
@@ -32,7 +32,7 @@
 type core struct {
 	log       *slog.Logger
 	clock     clock
-	names     downstream.Names
+	names     downstream.PoolClasses
 	rooms     *rooms
 	pool      *upstream.Pool
 	directory *discovery.Client // nil where the configuration lists the providers
@@ -50,10 +50,10 @@
 	actions   []balancer.Action
 	newest    balancer.RequestID
 	open      map[balancer.RequestID]*entry
-	providers map[balancer.ServerID]*target
+	providers map[balancer.EndpointID]*target
 	version   uint64                   // of the latest list
 	seen      map[string]struct{}      // names that are listed or were
-	word      override.Word            // what staff have ordered
+	word      override.Set             // what staff have ordered
 	heard     chan struct{}            // closed once the directory has told its list, or there is none
 	timers    map[*time.Timer]struct{} // that the Balancer has set
 	leaving   bool                     // nothing new comes
@@ -65,7 +65,7 @@
 // entry is an invocation that has not been answered or has invoker calls out.
 type entry struct {
 	id    balancer.RequestID
-	inv   *message.Invocation
+	inv   *message.Request
 	until time.Time // the consumer gives up
 	calls []*call
 	out   int  // calls out
@@ -100,7 +100,7 @@
 		if p := recover(); p != nil {
 			c.log.Error("the decision code broke down", "panic", fmt.Sprint(p), "event", ev.Kind)
 			c.actions = c.actions[:0]
-			if ev.Kind == balancer.Arrival {
+			if ev.Kind == balancer.RequestArrived {
 				c.actions = append(c.actions, balancer.Action{Kind: balancer.Fail, Request: ev.Request})
 			}
 		}
@@ -113,10 +113,10 @@
 	switch a.Kind {
 	case balancer.Send:
 		c.route(a)
-	case balancer.Refuse:
-		c.relay(c.open[a.Request], message.Answer{Verdict: message.Refused, RetryAfter: a.Wait})
+	case balancer.Shed:
+		c.relay(c.open[a.Request], message.Result{Kind: message.Shed, RetryAfter: a.Wait})
 	case balancer.Fail:
-		c.relay(c.open[a.Request], message.Answer{Verdict: message.Failed})
+		c.relay(c.open[a.Request], message.Result{Kind: message.Failed})
 	case balancer.Cancel:
 		if e := c.open[a.Request]; e != nil && a.Attempt < len(e.calls) {
 			e.calls[a.Attempt].Cancel()
@@ -124,12 +124,12 @@
 	case balancer.SetTimer:
 		c.remind(a.Wait, a.Token)
 	case balancer.CloseIdle:
-		go c.pool.CloseIdle(uint64(a.Server))
+		go c.pool.CloseIdle(uint64(a.Endpoint))
 	case balancer.Subscribe:
 		if c.directory != nil {
-			c.directory.Subscribe(a.On)
+			c.directory.Subscribe(a.Enabled)
 		}
-	case balancer.FetchList:
+	case balancer.FetchEndpoints:
 		if c.directory != nil {
 			c.directory.Fetch()
 		}
@@ -152,7 +152,7 @@
 		defer c.mu.Unlock()
 		if _, set := c.timers[t]; set {
 			delete(c.timers, t)
-			c.happen(balancer.Event{Kind: balancer.Timer, Token: token})
+			c.happen(balancer.Event{Kind: balancer.TimerFired, Token: token})
 		}
 	})
 	c.timers[t] = struct{}{} // the mutex is held: the timer's own call waits for it
--- a/proxy/crossings_test.go
+++ b/proxy/crossings_test.go
@@ -70,7 +70,7 @@
 func leaveWaiting(t *testing.T, class string, leave func(net.Conn), cancel bool, more int) {
 	s := newScene(t, class, func(cfg *config.Config) {
 		l := &cfg.Pools[0].Settings.Balancer.Limits
-		l.Cancel, l.ConnectTimeout = cancel, patience
+		l.AllowCancel, l.ConnectTimeout = cancel, patience
 	})
 	s.deafen()
 	s.write(s.text("serve", "") + strings.Repeat("x", more))
@@ -104,7 +104,7 @@
 		for _, leavesFirst := range []bool{true, false} {
 			t.Run(fmt.Sprint(class, ", leaves first ", leavesFirst), func(t *testing.T) {
 				var s *scene
-				s = newScene(t, class, func(cfg *config.Config) { cfg.Pools[0].Settings.Balancer.Limits.Cancel = false })
+				s = newScene(t, class, func(cfg *config.Config) { cfg.Pools[0].Settings.Balancer.Limits.AllowCancel = false })
 				defer s.end()
 				s.write(s.text("hang", ""))
 				s.await()
@@ -155,14 +155,14 @@
 			c := s.core()
 			for _, e := range list { // as a list would have told it
 				e.Address = s.deaf.Addr().String()
-				c.Listed(discovery.List{Index: 1, Endpoints: []discovery.Endpoint{e}})
+				c.EndpointsListed(discovery.EndpointList{Index: 1, Endpoints: []discovery.Endpoint{e}})
 			}
 			s.write(s.text("serve", ""))
 			until(t, "a call out", func() bool { return s.inFlight() == 1 })
 			if gone {
-				c.Listed(discovery.List{Index: 2, Snapshot: true})
+				c.EndpointsListed(discovery.EndpointList{Index: 2, Snapshot: true})
 			}
-			c.Listed(discovery.List{Index: 3, Snapshot: true, Endpoints: list})
+			c.EndpointsListed(discovery.EndpointList{Index: 3, Snapshot: true, Endpoints: list})
 			heard := s.hearOut() // whoever has the address now
 			if got := s.answer(); got != http.StatusOK {
 				t.Errorf("answered %d", got)
--- a/proxy/figures.go
+++ b/proxy/figures.go
@@ -47,27 +47,27 @@
 }
 
 // ended books the one end of an invocation.
-func (t *tally) ended(v message.Verdict) {
+func (t *tally) ended(v message.ResultKind) {
 	switch v {
 	case message.Served:
 		t.success.Add(1)
-	case message.Refused:
+	case message.Shed:
 		t.busy.Add(1)
 	default:
 		t.failure.Add(1)
 	}
 }
 
-// Turned books a request that did not become an invocation, if its class is one
+// CountRejected books a request that did not become an invocation, if its class is one
 // that there is: anybody can state any.
-func (p *Proxy) Turned(class string, refused bool) {
+func (p *Proxy) CountRejected(class string, refused bool) {
 	p.figures.mu.Lock()
 	t := p.figures.classes[class]
 	p.figures.mu.Unlock()
 	switch {
 	case t == nil:
 	case refused:
-		t.ended(message.Refused)
+		t.ended(message.Shed)
 	default:
 		t.ended(message.Failed)
 	}
@@ -76,25 +76,25 @@
 // Stats are the figures as they stand.
 func (p *Proxy) Stats() admin.Stats {
 	f := &p.figures
-	s := admin.Stats{Calls: map[string]admin.Calls{}, BackendCalls: f.calls.Load(), Inflight: f.inflight.Load(),
-		ReconfigOK: f.reloaded.Load(), ReconfigFail: f.notReloaded.Load()}
+	s := admin.Stats{Requests: map[string]admin.RequestCounts{}, Attempts: f.calls.Load(), InFlight: f.inflight.Load(),
+		ReloadsOK: f.reloaded.Load(), ReloadsFailed: f.notReloaded.Load()}
 	f.mu.Lock()
 	for name, t := range f.classes {
-		s.Calls[name] = admin.Calls{Success: t.success.Load(), Busy: t.busy.Load(), Failure: t.failure.Load()}
+		s.Requests[name] = admin.RequestCounts{Served: t.success.Load(), Shed: t.busy.Load(), Failed: t.failure.Load()}
 	}
 	f.mu.Unlock()
 	listed := map[string]bool{} // by name, and whether one pool at least avoids it
 	for _, c := range p.cores() {
 		c.standing(listed)
 	}
-	s.HostsListed = len(listed)
+	s.EndpointsListed = len(listed)
 	for _, down := range listed {
 		if down {
-			s.HostsDown++
+			s.EndpointsDown++
 		}
 	}
 	return s
 }
 
-// NotReloaded books a reload whose configuration could not even be read.
-func (p *Proxy) NotReloaded() { p.figures.notReloaded.Add(1) }
+// CountFailedReload books a reload whose configuration could not even be read.
+func (p *Proxy) CountFailedReload() { p.figures.notReloaded.Add(1) }
--- a/proxy/fleet.go
+++ b/proxy/fleet.go
@@ -26,7 +26,7 @@
 type side struct {
 	mu     sync.Mutex
 	host   *fleet.Fleet // nil until its address is free
-	places map[string]placement.Place
+	places map[string]placement.Position
 	stop   context.CancelFunc
 	gone   chan struct{}
 }
@@ -51,14 +51,14 @@
 	c, text := p.cfg.Fleet, p.cfg.Text
 	p.mu.Unlock()
 	own := c.Config
-	own.Program, own.Settings = p.program, config.CommonHash(text)
+	own.ProgramVersion, own.SettingsHash = p.program, config.CommonHash(text)
 	host, err := fleet.New(own, p.log, p.placed)
 	if err != nil {
 		return nil, &config.AddressError{Key: "fleet.listen", Value: c.Listen, Err: err}
 	}
-	host.Feed(p)
+	host.SetSubject(p)
 	if p.changer != nil {
-		host.Roll(p.changer, p.done)
+		host.EnableRollouts(p.changer, p.done)
 	}
 	return host, nil
 }
@@ -117,7 +117,7 @@
 
 // succeeded tells whether another process of this proxy serves.
 func (p *Proxy) succeeded() bool {
-	return slices.ContainsFunc(p.siblings.Others(), func(s overridestore.Sibling) bool { return s.State == overridestore.Serving })
+	return slices.ContainsFunc(p.siblings.Others(), func(s overridestore.Process) bool { return s.State == overridestore.Serving })
 }
 
 // sayPhase tells the fleet what this process is at.
@@ -131,18 +131,18 @@
 	switch {
 	case p.ending || p.state == overridestore.Leaving:
 		phase = membership.Leaving
-	case p.word.Drain != 0:
+	case p.word.DrainSince != 0:
 		phase = membership.Draining
 	case p.ready:
 		phase = membership.Serving
 	}
 	hash := config.CommonHash(p.cfg.Text)
 	p.mu.Unlock()
-	host.Say(phase, hash)
+	host.Announce(phase, hash)
 }
 
 // placed takes in this copy's places and tells the pools.
-func (p *Proxy) placed(places map[string]placement.Place) {
+func (p *Proxy) placed(places map[string]placement.Position) {
 	p.side.mu.Lock()
 	p.side.places = places
 	p.side.mu.Unlock()
@@ -167,14 +167,14 @@
 }
 
 // place tells the Balancer its place among the copies.
-func (c *core) place(at placement.Place) {
+func (c *core) place(at placement.Position) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	among := at.Among
-	if !at.Sure {
+	among := at.QuotaReplicas
+	if !at.Confirmed {
 		among = 0
 	}
-	c.balancer.Copies(at.Self, at.Of, among)
+	c.balancer.SetReplicas(at.Index, at.Of, among)
 }
 
 // refleet takes over what a reload changes of the fleet: keys, pools, the hash of
@@ -184,10 +184,10 @@
 	if host == nil || cfg.Fleet == nil || old.Fleet == nil {
 		return (p.side != nil) != (cfg.Fleet != nil)
 	}
-	if err := host.Keys(cfg.Fleet.Keys); err != nil {
+	if err := host.SetKeys(cfg.Fleet.Keys); err != nil {
 		p.log.Error("fleet: the old keys hold", "error", err)
 	}
-	host.Follow(cfg.Fleet.Pools, cfg.Fleet.Copies)
+	host.SetPools(cfg.Fleet.Pools, cfg.Fleet.ReplicaCounts)
 	a, b := old.Fleet, cfg.Fleet
 	return a.Listen != b.Listen || a.Fleet != b.Fleet || a.Advertise != b.Advertise
 }
@@ -200,10 +200,10 @@
 	return nil, p.side != nil
 }
 
-// Shared tells what copies share; in is false where nothing is.
-func (p *Proxy) Shared() (s any, in bool) {
+// SharedState tells what copies share; in is false where nothing is.
+func (p *Proxy) SharedState() (s any, in bool) {
 	if host := p.fleetHost(); host != nil {
-		if shared := host.Shared(); shared != nil {
+		if shared := host.SharedStatus(); shared != nil {
 			return shared, true
 		}
 	}
@@ -231,23 +231,23 @@
 	return host.StartRollout(plan)
 }
 
-// RolloutWord passes staff's word on: pause, resume, abort, back; or refused, with the
+// RolloutCommand passes staff's word on: pause, resume, abort, back; or refused, with the
 // plan and why the operator's own means could not.
-func (p *Proxy) RolloutWord(word, body string) error {
+func (p *Proxy) RolloutCommand(word, body string) error {
 	host := p.fleetHost()
 	switch {
 	case host == nil:
 		return errNoFleet
 	case word == "refused":
 		plan, why, _ := strings.Cut(body, " ")
-		host.NotTaken(plan, why)
+		host.RolloutRefused(plan, why)
 		return nil
 	}
-	return host.RolloutWord(word)
+	return host.RolloutCommand(word)
 }
 
-// Settled waits until the proxy is ready and every pool has heard its directory.
-func (p *Proxy) Settled(within time.Duration) error {
+// AwaitReady waits until the proxy is ready and every pool has heard its directory.
+func (p *Proxy) AwaitReady(within time.Duration) error {
 	limit := time.NewTimer(within)
 	defer limit.Stop()
 	for _, c := range p.cores() {
@@ -260,8 +260,8 @@
 	return p.Readiness()
 }
 
-// Forget takes staff's word that a dead copy is gone for good.
-func (p *Proxy) Forget(name string) error {
+// ForgetReplica takes staff's word that a dead copy is gone for good.
+func (p *Proxy) ForgetReplica(name string) error {
 	if host := p.fleetHost(); host != nil {
 		return host.Forget(name)
 	}
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -17,7 +17,7 @@
 
 // newCore starts a pool: its Balancer, its connections, its directory. In a second
 // process of a proxy the whole list is asked for, whatever is known.
-func newCore(cfg config.Pool, seed uint64, r *rooms, buffers *buffer.Pool, log *slog.Logger, clock clock, figures *figures, w override.Word, second, shares bool) *core {
+func newCore(cfg config.Pool, seed uint64, r *rooms, buffers *buffer.Pool, log *slog.Logger, clock clock, figures *figures, w override.Set, second, shares bool) *core {
 	settings := cfg.Settings
 	b := &settings.Balancer
 	life, end := context.WithCancel(context.Background()) // the list is watched until the last answer
@@ -31,7 +31,7 @@
 		end:       end,
 		balancer:  balancer.New(settings.Balancer, seed),
 		open:      make(map[balancer.RequestID]*entry),
-		providers: make(map[balancer.ServerID]*target),
+		providers: make(map[balancer.EndpointID]*target),
 		timers:    make(map[*time.Timer]struct{}),
 		empty:     make(chan struct{}),
 		seen:      make(map[string]struct{}),
@@ -39,7 +39,7 @@
 		figures:   figures,
 		word:      w,
 	}
-	c.pool.HoldIn(&r.bodies)
+	c.pool.SetBodyBudget(&r.bodies)
 	if shares {
 		c.booked = &booked{wants: make([]float64, len(b.Tenants)), came: make([]uint64, len(b.Classes))}
 	}
@@ -53,36 +53,36 @@
 		c.names.Tenants = append(c.names.Tenants, t.Name)
 	}
 	c.names.AnyPath = settings.AnyPath
-	shed := c.pool.Shed
+	shed := c.pool.TrimIdle
 	r.shed.Store(&shed)
-	kind, known := balancer.ListFull, cfg.Known // the file's own list is all there is
-	if cfg.Directory == "" {
+	kind, known := balancer.ListFull, cfg.KnownEndpoints // the file's own list is all there is
+	if cfg.Discovery == "" {
 		close(c.heard)
 	} else {
 		known.Snapshot = known.Snapshot && !second // else the first call waits until there is something newer
 		kind = balancer.ListCached
 	}
-	if cfg.PaysDirectory {
+	if cfg.CountsDiscoverySocket {
 		r.sockets.used.Add(1) // of its guarantee: no other pool can have it
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case cfg.Directory == "":
-	case settings.Pushed:
-		c.directory = discovery.NewAgentClient(life, cfg.Directory, known, buffers, c)
+	case cfg.Discovery == "":
+	case settings.PushedDiscovery:
+		c.directory = discovery.NewAgentClient(life, cfg.Discovery, known, buffers, c)
 	default:
-		c.directory = discovery.NewClient(life, cfg.Directory, known, buffers, c)
+		c.directory = discovery.NewClient(life, cfg.Discovery, known, buffers, c)
 	}
-	c.list(kind, cfg.Known)
+	c.list(kind, cfg.KnownEndpoints)
 	return c
 }
 
-// Names are the words of the pool's settings.
-func (c *core) Names() *downstream.Names { return &c.names }
+// Classes are the words of the pool's settings.
+func (c *core) Classes() *downstream.PoolClasses { return &c.names }
 
-// Hold takes room for a body.
-func (c *core) Hold(bytes int) (give func(), ok bool) {
+// ReserveBody takes room for a body.
+func (c *core) ReserveBody(bytes int) (give func(), ok bool) {
 	if !c.rooms.bodies.Take(bytes) {
 		return nil, false
 	}
@@ -95,24 +95,24 @@
 	old, next := c.settings, cfg.Settings
 	old.Balancer.Limits, next.Balancer.Limits = balancer.Limits{}, balancer.Limits{}
 	old.IdleClose, next.IdleClose = 0, 0
-	return reflect.DeepEqual(old, next) && (c.cfg.Directory == "") == (cfg.Directory == "") && c.cfg.PaysDirectory == cfg.PaysDirectory
+	return reflect.DeepEqual(old, next) && (c.cfg.Discovery == "") == (cfg.Discovery == "") && c.cfg.CountsDiscoverySocket == cfg.CountsDiscoverySocket
 }
 
 // adjust takes a configuration over that the pool follows. Nothing that is open
 // is disturbed.
 func (c *core) adjust(cfg config.Pool) {
 	limits := cfg.Settings.Balancer.Limits
-	c.pool.Set(cfg.Settings.IdleClose, limits.ConnectTimeout)
+	c.pool.SetTimeouts(cfg.Settings.IdleClose, limits.ConnectTimeout)
 	if c.directory != nil {
-		c.directory.Move(cfg.Directory)
+		c.directory.SetAddress(cfg.Discovery)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if limits != c.settings.Balancer.Limits {
-		c.balancer.Adjust(limits)
+		c.balancer.SetLimits(limits)
 	}
-	if c.directory == nil && !reflect.DeepEqual(c.cfg.Known.Endpoints, cfg.Known.Endpoints) {
-		c.list(balancer.ListFull, cfg.Known)
+	if c.directory == nil && !reflect.DeepEqual(c.cfg.KnownEndpoints.Endpoints, cfg.KnownEndpoints.Endpoints) {
+		c.list(balancer.ListFull, cfg.KnownEndpoints)
 	}
 	c.settings.Balancer.Limits, c.settings.IdleClose, c.cfg = limits, cfg.Settings.IdleClose, cfg
 }
@@ -147,7 +147,7 @@
 func (c *core) close() {
 	c.end()
 	c.pool.Close()
-	if c.cfg.PaysDirectory {
+	if c.cfg.CountsDiscoverySocket {
 		c.rooms.sockets.Give(1)
 	}
 	c.mu.Lock()
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -32,7 +32,7 @@
 // their answers out.
 type front interface {
 	// Serve hands invocations over until ctx ends and all of them have been answered.
-	Serve(ctx context.Context, services downstream.Services) error
+	Serve(ctx context.Context, services downstream.Router) error
 	Address() string
 	SetMaxConnections(connections int)
 	// Drain empties the front, counted from since, or ends that if it is zero.
@@ -58,14 +58,14 @@
 	life    context.Context  // of Run; nil before
 	ending  bool             // Run waits for the last answers: nothing new begins
 	ready   bool             // it has lists and listens
-	word    override.Word    // what staff have ordered
+	word    override.Set     // what staff have ordered
 	parting map[*core]struct{}
 	failed  chan error
 
 	figures  figures
-	door     *admin.Door // nil is none
+	door     *admin.Server // nil is none
 	kept     *overridestore.Store
-	siblings *overridestore.Siblings
+	siblings *overridestore.Registry
 	second   bool // another process of this proxy was there first
 	lives    int  // processes of this proxy, and this one
 	state    overridestore.State
@@ -74,7 +74,7 @@
 	onShare  func(part float64)
 	side     *side  // in the fleet; nil is none
 	program  string // its version
-	changer  fleet.Changer
+	changer  fleet.ChangeFunc
 	plan     func(text []byte) (rollout.Plan, error)
 }
 
@@ -92,16 +92,16 @@
 // slog's default.
 func WithLogger(log *slog.Logger) Option { return func(p *Proxy) { p.log = log } }
 
-// WithShare makes the proxy tell what part of the machine's memory is its own:
+// WithProcessShare makes the proxy tell what part of the machine's memory is its own:
 // less than 1 while another process of the same proxy lives. share must not block.
-func WithShare(share func(part float64)) Option { return func(p *Proxy) { p.onShare = share } }
+func WithProcessShare(share func(part float64)) Option { return func(p *Proxy) { p.onShare = share } }
 
 // WithProgram tells the version of the program, which the fleet is told.
 func WithProgram(version string) Option { return func(p *Proxy) { p.program = version } }
 
 // WithRollouts has the proxy take part in its fleet's rollouts: change brings settings
 // about here, plan reads one that a person hands over.
-func WithRollouts(change fleet.Changer, plan func(text []byte) (rollout.Plan, error)) Option {
+func WithRollouts(change fleet.ChangeFunc, plan func(text []byte) (rollout.Plan, error)) Option {
 	return func(p *Proxy) { p.changer, p.plan = change, plan }
 }
 
@@ -117,22 +117,22 @@
 		return nil, fmt.Errorf("proxy %s: a listener or a pool is missing", cfg.Name)
 	}
 	path := ""
-	if cfg.Mgmt != "" {
-		if path = overridestore.Path(cfg.Scratch, cfg.Name, cfg.Listeners[0].Address); path == "" {
-			p.log.Warn("what staff order lasts only as long as this process", "reason", config.EnvScratch+" is not set")
+	if cfg.Admin != "" {
+		if path = overridestore.Path(cfg.SharedDir, cfg.Name, cfg.Listeners[0].Address); path == "" {
+			p.log.Warn("what staff order lasts only as long as this process", "reason", config.EnvTempDir+" is not set")
 		}
 	}
 	p.kept = overridestore.Open(path, p.log, p.obey)
-	p.word = p.kept.Word()
+	p.word = p.kept.Current()
 	var err error
-	if p.siblings, err = overridestore.Enlist(path, p.log); err != nil { // serving goes before being known
+	if p.siblings, err = overridestore.Register(path, p.log); err != nil { // serving goes before being known
 		p.log.Warn("an upgrade will not find this process", "error", err)
 	}
-	if cfg.Mgmt != "" {
-		if p.door, err = admin.Listen(cfg.Mgmt); err != nil {
+	if cfg.Admin != "" {
+		if p.door, err = admin.Listen(cfg.Admin); err != nil {
 			p.door = nil
 			p.Close()
-			return nil, fmt.Errorf("proxy %s: %w", cfg.Name, &config.AddressError{Key: "mgmt", Value: cfg.Mgmt, Err: err})
+			return nil, fmt.Errorf("proxy %s: %w", cfg.Name, &config.AddressError{Key: "mgmt", Value: cfg.Admin, Err: err})
 		}
 	}
 	others := p.siblings.Others()
@@ -169,7 +169,7 @@
 
 func (p *Proxy) listen(l config.Listener, listeners int) (*listener, error) {
 	// With a door comes a second process beside this one at an upgrade.
-	s, err := downstream.Listen(l.Address, p.connections(listeners), p.cfg.Mgmt != "", p.buffers)
+	s, err := downstream.Listen(l.Address, p.connections(listeners), p.cfg.Admin != "", p.buffers)
 	if err != nil {
 		return nil, fmt.Errorf("listener %s: %w", l.Name, err)
 	}
@@ -178,7 +178,7 @@
 
 // Close ends a proxy that never ran.
 func (p *Proxy) Close() {
-	p.siblings.Leave()
+	p.siblings.Deregister()
 	if host := p.fleetHost(); host != nil {
 		host.Close()
 	}
@@ -222,12 +222,12 @@
 }
 
 // Find returns the way of a request by the present routes.
-func (p *Proxy) Find(req *http.Request, class string) (downstream.Way, error) {
+func (p *Proxy) Find(req *http.Request, class string) (downstream.Route, error) {
 	return p.present.Load().Find(req, class)
 }
 
-// Longest is the longest deadline of the present pools.
-func (p *Proxy) Longest() time.Duration { return p.present.Load().Longest() }
+// MaxDeadline is the longest deadline of the present pools.
+func (p *Proxy) MaxDeadline() time.Duration { return p.present.Load().MaxDeadline() }
 
 // Run serves until ctx ends and all that was taken in has been answered.
 func (p *Proxy) Run(ctx context.Context) error {
@@ -257,9 +257,9 @@
 	if p.door != nil {
 		p.log.Info("operators' door", "at", p.door.Address(), "beside another", p.second)
 		go p.door.Serve(side, p)
-		go p.kept.Follow(side)
-		go p.siblings.Follow(side, p.divide)
-		defer p.siblings.Leave()
+		go p.kept.Watch(side)
+		go p.siblings.Watch(side, p.divide)
+		defer p.siblings.Deregister()
 	}
 	p.runFleet()
 	defer p.leaveFleet()
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -150,7 +150,7 @@
 
 func encode(t *testing.T, index uint64, snapshot bool, list ...discovery.Endpoint) string {
 	t.Helper()
-	text, err := json.Marshal(discovery.List{Index: index, Snapshot: snapshot, Endpoints: append([]discovery.Endpoint{}, list...)})
+	text, err := json.Marshal(discovery.EndpointList{Index: index, Snapshot: snapshot, Endpoints: append([]discovery.Endpoint{}, list...)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -177,20 +177,20 @@
 func runUntil(t *testing.T, change func(*config.Config), known ...discovery.Endpoint) (p *Proxy, stop func()) {
 	t.Helper()
 	class := func(name string, e balancer.Effect) balancer.Class {
-		return balancer.Class{Name: name, Aim: 2 * time.Second, Deadline: 20 * time.Second, Worth: 1, LateWorth: 0.5,
-			Effect: e, Group: balancer.GroupCell, Memory: time.Minute}
+		return balancer.Class{Name: name, LatencyObjective: 2 * time.Second, Deadline: 20 * time.Second, PriorityWeight: 1, LateWeight: 0.5,
+			Effect: e, Group: balancer.GroupCell, IdempotencyWindow: time.Minute}
 	}
 	cfg := config.Config{Name: "n1", Limits: config.Limits{Cores: 1, Memory: 64 << 20, Sockets: 256},
 		Listeners: []config.Listener{{Name: "main", Address: "127.0.0.1:0"}},
 		Routes:    []config.Route{{Rule: route.Rule{Name: "main", Pool: "main"}}},
-		Pools: []config.Pool{{Name: "main", Directory: "127.0.0.1:1", Known: discovery.List{Index: 1, Snapshot: true, Endpoints: known},
+		Pools: []config.Pool{{Name: "main", Discovery: "127.0.0.1:1", KnownEndpoints: discovery.EndpointList{Index: 1, Snapshot: true, Endpoints: known},
 			Settings: config.Settings{Zones: []string{"a"}, IdleClose: time.Minute, Balancer: balancer.Config{
 				Classes: []balancer.Class{class("read", balancer.Safe), class("pay", balancer.Keyed), class("burn", balancer.Unsafe)},
-				Tiers:   1, GroupSize: 1, Subscribe: true,
-				Limits: balancer.Limits{Attempts: 3, ConnectTimeout: 5 * time.Second, Cancel: true, RetryAfter: true,
+				Tiers:   1, ReplicaCount: 1, Subscribe: true,
+				Limits: balancer.Limits{MaxAttempts: 3, ConnectTimeout: 5 * time.Second, AllowCancel: true, SendRetryAfter: true,
 					MaxRetryAfter: time.Second},
-				Contract: balancer.Contract{AnswerSlack: 20 * time.Millisecond, AskWithin: 50 * time.Millisecond,
-					ColdFrom: 0.01, WarmUp: time.Hour, FallMultiple: 2, OverloadFor: time.Second}}}}}}
+				Contract: balancer.Contract{AnswerSlack: 20 * time.Millisecond, MaxPollInterval: 50 * time.Millisecond,
+					InitialCapacity: 0.01, WarmUpPeriod: time.Hour, OverloadMultiple: 2, OverloadPeriod: time.Second}}}}}}
 	if change != nil {
 		change(&cfg)
 	}
@@ -348,13 +348,13 @@
 		figures: &figures{}, tallies: []*tally{{}}}
 	c.rooms.open.allowed.Store(2)
 	c.rooms.work.allowed.Store(2)
-	answers := make(chan message.Answer, 2)
+	answers := make(chan message.Result, 2)
 	for range 2 {
-		c.Take(&message.Invocation{Taken: time.Now(), Left: time.Hour, Reply: func(a message.Answer) { answers <- a },
-			Request: &message.Request{Method: "GET", Target: "/", Host: "x"}})
+		c.Accept(&message.Request{ReceivedAt: time.Now(), Remaining: time.Hour, Reply: func(a message.Result) { answers <- a },
+			Outgoing: &message.OutgoingRequest{Method: "GET", Target: "/", Host: "x"}})
 	}
 	for range 2 {
-		if a := <-answers; a.Verdict != message.Failed {
+		if a := <-answers; a.Kind != message.Failed {
 			t.Errorf("answered %+v", a)
 		}
 	}
@@ -420,7 +420,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			b, g := newBackend(t, says(okay)), newRegistry(t)
-			c := dial(t, start(t, func(cfg *config.Config) { cfg.Pools[0].Directory = g.Listener.Addr().String() }, b.endpoint("s1", 1)))
+			c := dial(t, start(t, func(cfg *config.Config) { cfg.Pools[0].Discovery = g.Listener.Addr().String() }, b.endpoint("s1", 1)))
 			if status, _ := c.ask(request("read", 10_000)); status != 200 {
 				t.Fatalf("while ready: %d", status)
 			}
@@ -463,7 +463,7 @@
 			pushed := func(at *registry) func(*config.Config) {
 				return func(cfg *config.Config) {
 					p := &cfg.Pools[0]
-					p.Directory, p.Settings.Pushed, p.Settings.Balancer.Subscribe = at.Listener.Addr().String(), true, false
+					p.Discovery, p.Settings.PushedDiscovery, p.Settings.Balancer.Subscribe = at.Listener.Addr().String(), true, false
 				}
 			}
 			p := run(t, pushed(g), tc.known...)
@@ -504,13 +504,13 @@
 	t.Parallel()
 	c := &core{log: slog.New(slog.DiscardHandler), clock: clock{time.Now()}, balancer: balancer.New(balancer.Config{}, 1),
 		pool:      upstream.NewPool(&(&rooms{}).sockets, time.Second, time.Second, nil),
-		providers: make(map[balancer.ServerID]*target), seen: map[string]struct{}{}}
+		providers: make(map[balancer.EndpointID]*target), seen: map[string]struct{}{}}
 	e := discovery.Endpoint{Name: "first", Address: "127.0.0.1:1", Status: discovery.Ready}
-	c.list(balancer.ListFull, discovery.List{Snapshot: true, Endpoints: []discovery.Endpoint{e}})
+	c.list(balancer.ListFull, discovery.EndpointList{Snapshot: true, Endpoints: []discovery.Endpoint{e}})
 	for i := range 100 {
 		gone := discovery.Endpoint{Name: e.Name, Status: discovery.Gone}
 		e.Name = fmt.Sprint("s", i)
-		c.list(balancer.ListChanges, discovery.List{Index: uint64(i), Endpoints: []discovery.Endpoint{gone, e}})
+		c.list(balancer.ListChanges, discovery.EndpointList{Index: uint64(i), Endpoints: []discovery.Endpoint{gone, e}})
 	}
 	if len(c.providers) != 1 || c.providers[serverID(e.Name)] == nil {
 		t.Errorf("%d providers are known", len(c.providers))
@@ -559,7 +559,7 @@
 		address := start(t, func(cfg *config.Config) {
 			if answer != "" {
 				g = newRegistry(t)
-				cfg.Pools[0].Directory = g.Listener.Addr().String()
+				cfg.Pools[0].Discovery = g.Listener.Addr().String()
 			}
 		}, b.endpoint("s1", 1))
 		if g != nil {
--- a/proxy/relay.go
+++ b/proxy/relay.go
@@ -11,18 +11,18 @@
 
 // relay gives an invocation its final answer, unless it has had one or nobody
 // waits for it. It reports whether it did.
-func (c *core) relay(e *entry, a message.Answer) bool {
+func (c *core) relay(e *entry, a message.Result) bool {
 	if e == nil || e.done {
 		return false
 	}
 	e.done = true
-	if a.Verdict == message.Failed && !time.Now().Before(e.until) {
-		a.Verdict = message.Overdue
+	if a.Kind == message.Failed && !time.Now().Before(e.until) {
+		a.Kind = message.TimedOut
 	}
-	if a.Response != nil && a.Response.Rest != nil {
+	if a.Response != nil && a.Response.Stream != nil {
 		c.follow(e, a.Response)
 	} else {
-		c.counted(e, a.Verdict)
+		c.counted(e, a.Kind)
 	}
 	e.inv.Reply(a)
 	c.release(e)
@@ -44,9 +44,9 @@
 
 // follow books an invocation whose answer has begun to go on at the answer's end.
 func (c *core) follow(e *entry, r *message.Response) {
-	f, before := &followed{ReadCloser: r.Rest}, r.Done
-	r.Rest = f
-	r.Done = func() {
+	f, before := &followed{ReadCloser: r.Stream}, r.OnFree
+	r.Stream = f
+	r.OnFree = func() {
 		if before != nil {
 			before()
 		}
--- a/proxy/reload.go
+++ b/proxy/reload.go
@@ -38,8 +38,8 @@
 	}
 	cfg.Name, cfg.Seed = old.Name, old.Seed
 	later := cfg.Limits != old.Limits
-	later = later || cfg.Mgmt != old.Mgmt
-	cfg.Limits, cfg.Mgmt, cfg.Scratch = old.Limits, old.Mgmt, old.Scratch
+	later = later || cfg.Admin != old.Admin
+	cfg.Limits, cfg.Admin, cfg.SharedDir = old.Limits, old.Admin, old.SharedDir
 
 	// What may fail: addresses and guarantees.
 	var fronts, opened []*listener
--- a/proxy/services.go
+++ b/proxy/services.go
@@ -34,7 +34,7 @@
 		s.ways = append(s.ways, way{c, r.Class})
 	}
 	var problems []route.Problem
-	if s.table, problems = route.New(rules, route.Known{}); s.table == nil {
+	if s.table, problems = route.New(rules, route.Vocabulary{}); s.table == nil {
 		return nil, problems
 	}
 	for _, c := range pools {
@@ -52,9 +52,9 @@
 }
 
 // Find returns the way of a request.
-func (s *services) Find(req *http.Request, class string) (downstream.Way, error) {
+func (s *services) Find(req *http.Request, class string) (downstream.Route, error) {
 	if s.all != nil {
-		return downstream.Way{Service: s.all, Class: s.ways[0].class, Target: req.RequestURI}, nil
+		return downstream.Route{Service: s.all, Class: s.ways[0].class, Target: req.RequestURI}, nil
 	}
 	path, _, _ := strings.Cut(req.RequestURI, "?")
 	q := route.Request{Host: req.Host, Path: path, Method: req.Method, Class: class, Header: func(name string) (string, bool) {
@@ -66,10 +66,10 @@
 	}}
 	i, err := s.table.Find(&q)
 	if err != nil {
-		return downstream.Way{}, err
+		return downstream.Route{}, err
 	}
-	return downstream.Way{Service: s.ways[i].core, Class: s.ways[i].class, Target: s.table.Target(i, req.RequestURI)}, nil
+	return downstream.Route{Service: s.ways[i].core, Class: s.ways[i].class, Target: s.table.Target(i, req.RequestURI)}, nil
 }
 
-// Longest is the longest deadline of all classes.
-func (s *services) Longest() time.Duration { return s.longest }
+// MaxDeadline is the longest deadline of all classes.
+func (s *services) MaxDeadline() time.Duration { return s.longest }
--- a/proxy/sharing.go
+++ b/proxy/sharing.go
@@ -18,11 +18,11 @@
 	wants []float64 // by tenant, since the last look
 	came  []uint64  // by class, since the start
 	ends  []end
-	done  fleet.Done // for rollouts, since the start
+	done  fleet.PoolActivity // for rollouts, since the start
 }
 
 type end struct {
-	server  balancer.ServerID
+	server  balancer.EndpointID
 	outcome balancer.Outcome
 }
 
@@ -40,7 +40,7 @@
 }
 
 // ended books a call's end for the fleet. The mutex is held.
-func (b *booked) ended(server balancer.ServerID, o balancer.Outcome) {
+func (b *booked) ended(server balancer.EndpointID, o balancer.Outcome) {
 	if b == nil {
 		return
 	}
@@ -51,22 +51,22 @@
 
 // answered books an invocation's end for the fleet. The mutex is held.
 func (b *booked) answered(k *balancer.Class, served bool, took time.Duration) {
-	b.done.Asked += k.Worth
+	b.done.OfferedWeight += k.PriorityWeight
 	b.done.Requests++
 	if !served {
 		return
 	}
-	b.done.Answers++
-	b.done.Took += took.Seconds()
-	if took <= k.Aim {
-		b.done.Good += k.Worth
+	b.done.Responses++
+	b.done.ResponseSeconds += took.Seconds()
+	if took <= k.LatencyObjective {
+		b.done.ServedWeight += k.PriorityWeight
 	} else {
-		b.done.Good += k.Worth * k.LateWorth
+		b.done.ServedWeight += k.PriorityWeight * k.LateWeight
 	}
 }
 
 // done is what each pool did since its start.
-func (p *Proxy) done() (all []fleet.Done) {
+func (p *Proxy) done() (all []fleet.PoolActivity) {
 	for _, c := range p.cores() {
 		c.mu.Lock()
 		if c.booked != nil {
@@ -83,7 +83,7 @@
 func (p *Proxy) shares() bool { return p.cfg.Fleet != nil }
 
 // feed is what a pool tells the fleet.
-func (c *core) feed(fed *fleet.Fed) {
+func (c *core) feed(fed *fleet.Observations) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.booked == nil {
@@ -92,74 +92,74 @@
 	pool := c.cfg.Name
 	for i, t := range c.settings.Balancer.Tenants {
 		if name := pool + "/" + t.Name; t.Quota > 0 {
-			fed.Budgets[name] = t.Quota
-			fed.Wants[name] += c.booked.wants[i]
+			fed.Quotas[name] = t.Quota
+			fed.Demand[name] += c.booked.wants[i]
 		}
 		c.booked.wants[i] = 0
 	}
 	for i, t := range c.tallies {
 		k := counts.Key{Pool: pool, Class: c.names.Classes[i]}
-		n := fed.Counts[k]
+		n := fed.Counters[k]
 		n.Arrivals, n.Served, n.Refused, n.Failed = c.booked.came[i], uint64(t.success.Load()), uint64(t.busy.Load()), uint64(t.failure.Load())
-		fed.Counts[k] = n
+		fed.Counters[k] = n
 	}
-	open := fed.Counts[counts.Key{Pool: pool}]
-	_, inFlight := c.balancer.Standing()
+	open := fed.Counters[counts.Key{Pool: pool}]
+	_, inFlight := c.balancer.Concurrency()
 	open.InFlight = int64(inFlight)
-	fed.Counts[counts.Key{Pool: pool}] = open
+	fed.Counters[counts.Key{Pool: pool}] = open
 	for _, e := range c.booked.ends {
 		t := c.providers[e.server]
 		if t == nil {
 			continue
 		}
-		one := fleet.Seen{Server: outlier.Server{ID: uint64(e.server), Since: int64(t.told.Started)}, Slow: c.balancer.Slowness(e.server)}
+		one := fleet.AttemptResult{Endpoint: outlier.Endpoint{ID: uint64(e.server), StartedAt: int64(t.told.StartedAt)}, RelativeLatency: c.balancer.RelativeLatency(e.server)}
 		switch e.outcome {
 		case balancer.OK:
 		case balancer.Timeout, balancer.ConnectFailed, balancer.Reset:
-			one.Outcome = outlier.Hung
-		case balancer.Error, balancer.Full:
+			one.Outcome = outlier.TimedOut
+		case balancer.Error, balancer.Rejected:
 			one.Outcome = outlier.Failed
 		default:
 			continue // called off, or never sent: it says nothing
 		}
-		fed.Seen = append(fed.Seen, one)
+		fed.Attempts = append(fed.Attempts, one)
 	}
 	c.booked.ends = c.booked.ends[:0]
 	for id, t := range c.providers {
 		if t.ready.Load() {
-			fed.Servers[pool] = append(fed.Servers[pool], outlier.Server{ID: uint64(id), Since: int64(t.told.Started)})
+			fed.Endpoints[pool] = append(fed.Endpoints[pool], outlier.Endpoint{ID: uint64(id), StartedAt: int64(t.told.StartedAt)})
 		}
 	}
 }
 
 // tell has a pool go by what follows from what copies share.
-func (c *core) tell(told *fleet.Told) {
+func (c *core) tell(told *fleet.Directives) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	pool := c.cfg.Name
 	for i, t := range c.settings.Balancer.Tenants {
-		if part, there := told.Parts[pool+"/"+t.Name]; there {
-			c.balancer.Quota(i, part.Now, part.After, part.Lasts)
+		if part, there := told.QuotaFractions[pool+"/"+t.Name]; there {
+			c.balancer.SetQuota(i, part.Current, part.Fallback, part.ValidFor)
 		}
 	}
-	for _, id := range told.Condemned[pool] {
-		if t := c.providers[balancer.ServerID(id)]; t != nil && t.ready.Load() { // never one that the own list does not name
-			c.balancer.Hearsay(t.id)
+	for _, id := range told.Ejected[pool] {
+		if t := c.providers[balancer.EndpointID(id)]; t != nil && t.ready.Load() { // never one that the own list does not name
+			c.balancer.Penalize(t.id)
 		}
 	}
 }
 
-// Feed tells the fleet what this proxy saw since the last look.
-func (p *Proxy) Feed() fleet.Fed {
-	fed := fleet.Fed{Budgets: map[string]float64{}, Wants: map[string]float64{}, Counts: map[counts.Key]counts.Counts{}, Servers: map[string][]outlier.Server{}}
+// Observe tells the fleet what this proxy saw since the last look.
+func (p *Proxy) Observe() fleet.Observations {
+	fed := fleet.Observations{Quotas: map[string]float64{}, Demand: map[string]float64{}, Counters: map[counts.Key]counts.Counts{}, Endpoints: map[string][]outlier.Endpoint{}}
 	for _, c := range p.cores() {
 		c.feed(&fed)
 	}
 	return fed
 }
 
-// Tell has the pools go by what copies share.
-func (p *Proxy) Tell(told fleet.Told) {
+// Apply has the pools go by what copies share.
+func (p *Proxy) Apply(told fleet.Directives) {
 	for _, c := range p.cores() {
 		c.tell(&told)
 	}
--- a/proxy/staff.go
+++ b/proxy/staff.go
@@ -36,7 +36,7 @@
 // over what that one has, the drain among it.
 func (p *Proxy) Readiness() error {
 	p.mu.Lock()
-	ready, life, drains := p.ready, p.life, p.word.Drain != 0 && !(p.second && p.lives > 1)
+	ready, life, drains := p.ready, p.life, p.word.DrainSince != 0 && !(p.second && p.lives > 1)
 	p.mu.Unlock()
 	switch {
 	case !ready:
@@ -49,32 +49,32 @@
 	return nil
 }
 
-// Down takes a provider out until Up.
-func (p *Proxy) Down(id string) error {
+// TakeDown takes a provider out until Up.
+func (p *Proxy) TakeDown(id string) error {
 	if !p.knows(id) {
-		return fmt.Errorf("%q: %w", id, admin.ErrUnknown)
+		return fmt.Errorf("%q: %w", id, admin.ErrUnknownEndpoint)
 	}
-	return p.kept.Change(func(w override.Word, now time.Duration) (override.Word, error) { return w.TakeOut(id, now) })
+	return p.kept.Update(func(w override.Set, now time.Duration) (override.Set, error) { return w.TakeDown(id, now) })
 }
 
-// Up uses a provider again. One that is not out is no error.
-func (p *Proxy) Up(id string) error {
-	return p.kept.Change(func(w override.Word, now time.Duration) (override.Word, error) {
-		if !w.IsOut(id) && !p.knows(id) {
-			return w, fmt.Errorf("%q: %w", id, admin.ErrUnknown)
+// Restore uses a provider again. One that is not out is no error.
+func (p *Proxy) Restore(id string) error {
+	return p.kept.Update(func(w override.Set, now time.Duration) (override.Set, error) {
+		if !w.IsDown(id) && !p.knows(id) {
+			return w, fmt.Errorf("%q: %w", id, admin.ErrUnknownEndpoint)
 		}
-		return w.CallBack(id, now), nil
+		return w.Restore(id, now), nil
 	})
 }
 
 // StartDrain empties the proxy until StopDrain.
 func (p *Proxy) StartDrain() error {
-	return p.kept.Change(func(w override.Word, now time.Duration) (override.Word, error) { return w.Start(now), nil })
+	return p.kept.Update(func(w override.Set, now time.Duration) (override.Set, error) { return w.StartDrain(now), nil })
 }
 
 // StopDrain ends a drain.
 func (p *Proxy) StopDrain() error {
-	return p.kept.Change(func(w override.Word, _ time.Duration) (override.Word, error) { return w.Stop(), nil })
+	return p.kept.Update(func(w override.Set, _ time.Duration) (override.Set, error) { return w.StopDrain(), nil })
 }
 
 func (p *Proxy) knows(name string) bool {
@@ -82,7 +82,7 @@
 }
 
 // obey brings a new word into force: everywhere, before it returns.
-func (p *Proxy) obey(w override.Word) {
+func (p *Proxy) obey(w override.Set) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	before := p.word
@@ -93,8 +93,8 @@
 	for c := range p.parting {
 		c.obey(w)
 	}
-	if w.Drain != before.Drain {
-		p.log.Info("operators' word", "drains", w.Drain != 0)
+	if w.DrainSince != before.DrainSince {
+		p.log.Info("operators' word", "drains", w.DrainSince != 0)
 		if p.side != nil {
 			go p.sayPhase()
 		}
@@ -102,19 +102,19 @@
 			l.front.Drain(p.drainsSince())
 		}
 	}
-	if !maps.Equal(w.Out, before.Out) {
-		p.log.Info("operators' word", "out", slices.Sorted(maps.Keys(w.Out)))
+	if !maps.Equal(w.Down, before.Down) {
+		p.log.Info("operators' word", "out", slices.Sorted(maps.Keys(w.Down)))
 	}
 }
 
 // drainsSince is when the drain began that staff have ordered; zero is none. It
 // may have been ordered at another process of this proxy. The mutex is held.
 func (p *Proxy) drainsSince() time.Time {
-	if p.word.Drain == 0 {
+	if p.word.DrainSince == 0 {
 		return time.Time{}
 	}
 	now := time.Now()
-	return now.Add(-max(time.Duration(now.UnixNano())-p.word.Drain, 0))
+	return now.Add(-max(time.Duration(now.UnixNano())-p.word.DrainSince, 0))
 }
 
 // knows tells whether the pool's list has a name, or had it since its start.
@@ -139,11 +139,11 @@
 
 // obey lays a new word over the list as it was told last. Nothing is sent to who
 // is out from here on.
-func (c *core) obey(w override.Word) {
+func (c *core) obey(w override.Set) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.word = w
-	var servers []balancer.Server
+	var servers []balancer.Endpoint
 	for _, t := range c.providers {
 		before := t.told
 		if c.overlay(t); t.told != before {
@@ -154,14 +154,14 @@
 		}
 	}
 	if len(servers) > 0 {
-		slices.SortFunc(servers, func(a, b balancer.Server) int { return cmp.Compare(a.ID, b.ID) })
-		c.happen(balancer.Event{Kind: balancer.ServerList, List: balancer.ListChanges, Version: c.version, Servers: servers})
+		slices.SortFunc(servers, func(a, b balancer.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
+		c.happen(balancer.Event{Kind: balancer.EndpointListUpdated, ListKind: balancer.ListChanges, Version: c.version, Endpoints: servers})
 	}
 }
 
 // overlay makes out what a provider counts as, by the list and the word.
 func (c *core) overlay(t *target) {
-	t.told = c.word.Over(t.listed.name, t.listed.server)
+	t.told = c.word.Apply(t.listed.name, t.listed.server)
 	t.ready.Store(t.told.State == balancer.Ready)
 }
 
--- a/proxy/staff_test.go
+++ b/proxy/staff_test.go
@@ -19,7 +19,7 @@
 
 // door opens the operators' door, with the word kept in a directory.
 func door(dir string) func(*config.Config) {
-	return func(c *config.Config) { c.Mgmt, c.Scratch = "127.0.0.1:0", dir }
+	return func(c *config.Config) { c.Admin, c.SharedDir = "127.0.0.1:0", dir }
 }
 
 // order makes one call at a door and returns the status and what it says.
@@ -77,16 +77,16 @@
 	with := func(class, mode string) string {
 		return strings.Replace(request(class, 15000), "Req-Owner: nobody", "X-Mode: "+mode, 1)
 	}
-	want := map[string]admin.Calls{"read": {}, "pay": {}, "burn": {}}
+	want := map[string]admin.RequestCounts{"read": {}, "pay": {}, "burn": {}}
 	for _, step := range []struct {
 		class, mode string
-		add         admin.Calls
-	}{{"read", "", admin.Calls{Success: 1}}, {"read", "again", admin.Calls{Success: 1}}, {"pay", "", admin.Calls{Success: 1}},
-		{"burn", "full", admin.Calls{Busy: 1}}, {"burn", "error", admin.Calls{Failure: 1}}, {"pay", "error", admin.Calls{Failure: 1}}} {
+		add         admin.RequestCounts
+	}{{"read", "", admin.RequestCounts{Served: 1}}, {"read", "again", admin.RequestCounts{Served: 1}}, {"pay", "", admin.RequestCounts{Served: 1}},
+		{"burn", "full", admin.RequestCounts{Shed: 1}}, {"burn", "error", admin.RequestCounts{Failed: 1}}, {"pay", "error", admin.RequestCounts{Failed: 1}}} {
 		for range 3 {
 			dial(t, p.Address()).ask(with(step.class, step.mode))
 			w := want[step.class]
-			want[step.class] = admin.Calls{Success: w.Success + step.add.Success, Busy: w.Busy + step.add.Busy, Failure: w.Failure + step.add.Failure}
+			want[step.class] = admin.RequestCounts{Served: w.Served + step.add.Served, Shed: w.Shed + step.add.Shed, Failed: w.Failed + step.add.Failed}
 		}
 	}
 	// What is no invocation counts by its class, and what breaks off or names no class of ours not at all.
@@ -94,14 +94,14 @@
 		t.Error(status)
 	}
 	w := want["read"]
-	w.Failure++
+	w.Failed++
 	want["read"] = w
 	dial(t, p.Address()).ask("GET /none HTTP/1.1\r\nHost: x\r\nReq-Id: 2\r\n\r\n")
 	torn := dial(t, p.Address())
 	io.WriteString(torn, request("pay", 15000)[:60])
 	torn.Close()
-	if s := figuresOf(t, p); s.Inflight != 0 {
-		t.Errorf("%d in flight", s.Inflight)
+	if s := figuresOf(t, p); s.InFlight != 0 {
+		t.Errorf("%d in flight", s.InFlight)
 	}
 	waiting := dial(t, p.Address())
 	io.WriteString(waiting, with("burn", "hold"))
@@ -113,16 +113,16 @@
 	}
 	mu.Unlock()
 	// A provider may have an attempt a moment before it is counted.
-	until(t, "all attempts are counted", func() bool { return figuresOf(t, p).BackendCalls == attempts })
+	until(t, "all attempts are counted", func() bool { return figuresOf(t, p).Attempts == attempts })
 	s := figuresOf(t, p)
-	if got := fmt.Sprint(s.Calls); got != fmt.Sprint(want) {
+	if got := fmt.Sprint(s.Requests); got != fmt.Sprint(want) {
 		t.Errorf("calls %s, want %v", got, want)
 	}
-	if s.BackendCalls != attempts || s.Inflight != 1 || s.HostsListed != 2 {
+	if s.Attempts != attempts || s.InFlight != 1 || s.EndpointsListed != 2 {
 		t.Errorf("%+v, and providers saw %d attempts", s, attempts)
 	}
 	waiting.Close()
-	until(t, "a request whose consumer left has ended", func() bool { return figuresOf(t, p).Inflight == 0 })
+	until(t, "a request whose consumer left has ended", func() bool { return figuresOf(t, p).InFlight == 0 })
 	close(hold)
 }
 
@@ -134,7 +134,7 @@
 	g, dir := newRegistry(t), t.TempDir()
 	directed := func(c *config.Config) {
 		door(dir)(c)
-		c.Pools[0].Directory = g.Listener.Addr().String()
+		c.Pools[0].Discovery = g.Listener.Addr().String()
 	}
 	p := run(t, directed, a.endpoint("a", 1), b.endpoint("b", 1))
 	for range 2 {
@@ -164,7 +164,7 @@
 			}
 		}
 	}
-	if s := figuresOf(t, p); s.HostsListed != 2 || s.HostsDown != 1 {
+	if s := figuresOf(t, p); s.EndpointsListed != 2 || s.EndpointsDown != 1 {
 		t.Errorf("%+v", s)
 	}
 	second := run(t, door(dir), a.endpoint("a", 1), b.endpoint("b", 1))
@@ -186,7 +186,7 @@
 	c := p.cores()[0]
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t2 := c.providers[serverID("a")]; t2.told.Started <= t2.listed.server.Started || t2.told.State != 1 {
+	if t2 := c.providers[serverID("a")]; t2.told.StartedAt <= t2.listed.server.StartedAt || t2.told.State != 1 {
 		t.Errorf("back as %+v", t2.told)
 	}
 }
@@ -255,7 +255,7 @@
 	if status, _ := order(t, p, "GET", "readiness", ""); status != 200 {
 		t.Error(status)
 	}
-	if s := figuresOf(t, p); s.HostsDown != 0 {
+	if s := figuresOf(t, p); s.EndpointsDown != 0 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -325,8 +325,8 @@
 		t.Error("a listener at the door's address was taken over")
 	}
 	s := figuresOf(t, p)
-	if c := s.Calls["read"]; c.Success != 3 || c.Busy != refused || c.Failure != 0 || s.BackendCalls != 3 || s.HostsListed != 2 ||
-		s.ReconfigOK != 1 || s.ReconfigFail != 1 {
+	if c := s.Requests["read"]; c.Served != 3 || c.Shed != refused || c.Failed != 0 || s.Attempts != 3 || s.EndpointsListed != 2 ||
+		s.ReloadsOK != 1 || s.ReloadsFailed != 1 {
 		t.Errorf("%d refused, %+v", refused, s)
 	}
 }
@@ -335,13 +335,13 @@
 // listed, so it must be rare however many these are: each entry of a list of 7,000
 // once cost it.
 func TestManyNamesAreSeldomForgotten(t *testing.T) {
-	c := &core{seen: map[string]struct{}{}, providers: map[balancer.ServerID]*target{}}
+	c := &core{seen: map[string]struct{}{}, providers: map[balancer.EndpointID]*target{}}
 	forgotten := 0
 	const listed = 7000
 	for i := range 3 * listed {
 		name := fmt.Sprint("s", i)
-		c.providers[balancer.ServerID(i)] = &target{listed: listing{name: name}}
-		delete(c.providers, balancer.ServerID(i-listed))
+		c.providers[balancer.EndpointID(i)] = &target{listed: listing{name: name}}
+		delete(c.providers, balancer.EndpointID(i-listed))
 		c.seen["mark"] = struct{}{}
 		c.see(name)
 		if _, there := c.seen["mark"]; !there {
--- a/proxy/stages_test.go
+++ b/proxy/stages_test.go
@@ -90,7 +90,7 @@
 		b := &cfg.Pools[0].Settings.Balancer
 		b.Limits.ConnectTimeout = 400 * time.Millisecond
 		b.Classes = append(b.Classes, b.Classes[0])
-		b.Classes[3].Name, b.Classes[3].KeepOrder = "turn", true
+		b.Classes[3].Name, b.Classes[3].OrderedByKey = "turn", true
 		if change != nil {
 			change(cfg)
 		}
@@ -122,7 +122,7 @@
 	c := s.core()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, n := c.balancer.Standing()
+	_, n := c.balancer.Concurrency()
 	return n
 }
 
@@ -188,7 +188,7 @@
 			s.ms = ms
 			s.write(s.text("serve", "&k=1"))
 			until(s.t, "two taken", func() bool { // or the second refused, as its turn would come too late
-				return s.p.figures.inflight.Load() == 2 || s.p.Stats().Calls["turn"].Busy > 0
+				return s.p.figures.inflight.Load() == 2 || s.p.Stats().Requests["turn"].Shed > 0
 			})
 		}},
 	{name: "connecting", classes: []string{"read", "burn"}, taken: true, lost: true,
@@ -206,7 +206,7 @@
 				c.mu.Lock()
 				defer c.mu.Unlock()
 				for _, e := range c.open {
-					return e.inv.Request.Rest != nil && e.inv.Request.Rest.Spent()
+					return e.inv.Outgoing.Stream != nil && e.inv.Outgoing.Stream.Consumed()
 				}
 				return false
 			})
@@ -313,7 +313,7 @@
 	{"provider taken out",
 		func(s *scene, _ *stage) {
 			for _, name := range []string{"s1", "s2", "t1", "cold"} {
-				if err := s.p.Down(name); err != nil {
+				if err := s.p.TakeDown(name); err != nil {
 					s.t.Error(err)
 				}
 				s.out[name] = time.Now()
@@ -339,7 +339,7 @@
 			cfg.Pools = slices.Clone(cfg.Pools)
 			b := &cfg.Pools[0].Settings.Balancer
 			b.Classes = slices.Clone(b.Classes)
-			b.Classes[0].Worth++
+			b.Classes[0].PriorityWeight++
 			before := s.core()
 			if err := s.p.Reload(cfg); err != nil || s.core() == before {
 				s.t.Error("the pool was not replaced", err)
@@ -400,12 +400,12 @@
 	s.t.Helper()
 	now := s.core()
 	held := func() string {
-		now.pool.Shed(1 << 20) // its idle connections and those of a pool that was replaced
+		now.pool.TrimIdle(1 << 20) // its idle connections and those of a pool that was replaced
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		_, inFlight := c.balancer.Standing()
+		_, inFlight := c.balancer.Concurrency()
 		r := c.rooms
-		c.pool.Shed(1 << 20)
+		c.pool.TrimIdle(1 << 20)
 		return fmt.Sprint("open ", len(c.open), ", in flight ", inFlight, ", inflight figure ", s.p.figures.inflight.Load(),
 			", bodies ", r.bodies.used.Load(), ", room ", r.open.used.Load(), ", sockets ", r.sockets.used.Load(), ", queue ", len(c.queue))
 	}
@@ -418,8 +418,8 @@
 		s.t.Errorf("left over: %s", left)
 	}
 	total := int64(0)
-	for _, calls := range s.p.Stats().Calls {
-		total += calls.Success + calls.Busy + calls.Failure
+	for _, calls := range s.p.Stats().Requests {
+		total += calls.Served + calls.Shed + calls.Failed
 	}
 	if total != ended {
 		s.t.Errorf("%d invocations are booked as ended, %d did", total, ended)
@@ -516,7 +516,7 @@
 		{"time-out against answer", 100, "hang", nil},
 		{"cancel against time-out", 100, "hang", func(s *scene) { s.c.Close() }},
 		{"time-out against connect", 1, "serve", func(*scene) {}},
-		{"provider out against answer", 15_000, "hang", func(s *scene) { s.p.Down("s1"); s.p.Up("s1") }},
+		{"provider out against answer", 15_000, "hang", func(s *scene) { s.p.TakeDown("s1"); s.p.Restore("s1") }},
 	} {
 		s := newScene(t, "read", nil)
 		pool := s.core()
--- a/proxy/stream_test.go
+++ b/proxy/stream_test.go
@@ -108,7 +108,7 @@
 		if tc.version == "1.0" && !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("%s: ended with %v", tc.name, err)
 		}
-		until(t, "it counts as failed", func() bool { s := figuresOf(t, p); return s.Calls["burn"].Failure == 1 && s.Inflight == 0 })
+		until(t, "it counts as failed", func() bool { s := figuresOf(t, p); return s.Requests["burn"].Failed == 1 && s.InFlight == 0 })
 	}
 }
 
@@ -182,7 +182,7 @@
 		w := frame(c)
 		w.Write(body[:100_000])
 		await(t, begun, "the provider has the beginning")
-		if s := figuresOf(t, p); s.BackendCalls != 0 || s.Inflight != 0 {
+		if s := figuresOf(t, p); s.Attempts != 0 || s.InFlight != 0 {
 			t.Errorf("before its last byte: %+v", s)
 		}
 		w.Write(body[100_000:])
@@ -196,7 +196,7 @@
 		if status, _ := c.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
 			t.Errorf("afterwards: %d", status)
 		}
-		if s := figuresOf(t, p); s.BackendCalls != 1 || s.Inflight != 0 || s.Calls["pay"].Success != 1 {
+		if s := figuresOf(t, p); s.Attempts != 1 || s.InFlight != 0 || s.Requests["pay"].Served != 1 {
 			t.Errorf("then: %+v", s)
 		}
 	}
@@ -247,7 +247,7 @@
 			if n := one.requests.Load() + two.requests.Load(); n != 1 {
 				t.Errorf("sent %d times", n)
 			}
-			if s := figuresOf(t, p); s.Inflight != 0 {
+			if s := figuresOf(t, p); s.InFlight != 0 {
 				t.Errorf("%+v", s)
 			}
 		})
@@ -273,7 +273,7 @@
 		defer core.mu.Unlock()
 		return len(core.open) == 0
 	})
-	if s := figuresOf(t, p); s.HostsDown != 0 || s.Inflight != 0 {
+	if s := figuresOf(t, p); s.EndpointsDown != 0 || s.InFlight != 0 {
 		t.Errorf("%+v", s)
 	}
 	slow := dial(t, p.Address())
--- a/proxy/takein.go
+++ b/proxy/takein.go
@@ -16,19 +16,19 @@
 // may have: lent room is looked at many times in it.
 const noRoom = 500 * time.Millisecond
 
-// Take takes an invocation in. From here on it is owed one final answer.
-func (c *core) Take(inv *message.Invocation) uint64 {
-	if !c.rooms.work.Take(1+config.Cost(inv.Request.Body.Len())) || !c.rooms.open.Take(1) {
-		inv.Request.Free()
-		c.tallies[inv.Class].ended(message.Refused)
-		inv.Reply(message.Answer{Verdict: message.Refused, RetryAfter: noRoom})
+// Accept takes an invocation in. From here on it is owed one final answer.
+func (c *core) Accept(inv *message.Request) uint64 {
+	if !c.rooms.work.Take(1+config.Cost(inv.Outgoing.Body.Len())) || !c.rooms.open.Take(1) {
+		inv.Outgoing.Free()
+		c.tallies[inv.Class].ended(message.Shed)
+		inv.Reply(message.Result{Kind: message.Shed, RetryAfter: noRoom})
 		return 0 // the ticket of none: the Balancer's ids begin at 1
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.newest++
-	e := &entry{id: c.newest, inv: inv, until: inv.Taken.Add(inv.Left)}
-	if inv.Request.Rest == nil {
+	e := &entry{id: c.newest, inv: inv, until: inv.ReceivedAt.Add(inv.Remaining)}
+	if inv.Outgoing.Stream == nil {
 		c.taken(e)
 	} else {
 		e.until = e.until.Add(longestUpload)
@@ -40,8 +40,8 @@
 	return uint64(e.id)
 }
 
-// Leave books that the consumer of an invocation has gone away.
-func (c *core) Leave(ticket uint64) (owed bool) {
+// ClientLeft books that the consumer of an invocation has gone away.
+func (c *core) ClientLeft(ticket uint64) (owed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := c.open[balancer.RequestID(ticket)]
@@ -67,7 +67,7 @@
 	defer c.mu.Unlock()
 	if !e.done {
 		c.log.Warn("an invocation's time is over with its call out")
-		e.inv.Reply(message.Answer{Verdict: message.Overdue})
+		e.inv.Reply(message.Result{Kind: message.TimedOut})
 		c.depart(e)
 	}
 }
@@ -80,6 +80,6 @@
 	for _, k := range e.calls {
 		k.Withdraw()
 	}
-	c.happen(balancer.Event{Kind: balancer.Departed, Request: e.id})
+	c.happen(balancer.Event{Kind: balancer.ClientLeft, Request: e.id})
 	c.release(e)
 }
--- a/proxy/upgrade.go
+++ b/proxy/upgrade.go
@@ -17,8 +17,8 @@
 
 // known is what a process makes known of a pool to the others of its proxy.
 type known struct {
-	InFlight int             `json:"in_flight"`
-	Learnt   balancer.Learnt `json:"learnt"`
+	InFlight int               `json:"in_flight"`
+	Learnt   balancer.Snapshot `json:"learnt"`
 }
 
 // await waits until each pool has heard the directory: what the configuration
@@ -66,12 +66,12 @@
 	if err != nil {
 		p.log.Warn("what was learnt can't be made known", "error", err)
 	}
-	p.siblings.Say(state, text)
+	p.siblings.Publish(state, text)
 }
 
 // divide takes in what other processes of this proxy are at: what is allowed,
 // is allowed them all together.
-func (p *Proxy) divide(others []overridestore.Sibling) {
+func (p *Proxy) divide(others []overridestore.Process) {
 	together, inFlight := 0, map[string]int{}
 	var heir map[string]known // of who serves now
 	for _, o := range others {
@@ -123,22 +123,22 @@
 func (c *core) known() known {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, inFlight := c.balancer.Standing()
-	return known{inFlight, c.balancer.Learnt()}
+	_, inFlight := c.balancer.Concurrency()
+	return known{inFlight, c.balancer.Snapshot()}
 }
 
 // beside tells the Balancer of others at its place.
 func (c *core) beside(others, inFlight int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.balancer.Beside(others, inFlight)
+	c.balancer.SetSiblings(others, inFlight)
 }
 
 // adopt has the Balancer begin with what another one has learnt.
-func (c *core) adopt(l balancer.Learnt) {
+func (c *core) adopt(l balancer.Snapshot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.balancer.Adopt(l)
+	c.balancer.Restore(l)
 }
 
 // ends tells whether the whole process does.
@@ -148,16 +148,16 @@
 	return p.life.Err() != nil
 }
 
-// Ending is the plan by which a front ends: its consumers are led over to a
+// ShutdownPlan is the plan by which a front ends: its consumers are led over to a
 // process that serves beside this one, if there is one.
-func (p *Proxy) Ending(killed time.Duration) drain.Plan {
+func (p *Proxy) ShutdownPlan(killed time.Duration) drain.Plan {
 	for _, other := range p.siblings.Others() {
 		if other.State == overridestore.Serving {
 			p.log.Info("handing over to the process that serves beside this one")
 			return drain.Handover()
 		}
 	}
-	plan := drain.Ending(killed)
-	plan.Stays = !p.ends()
+	plan := drain.Shutdown(killed)
+	plan.KeepsProcess = !p.ends()
 	return plan
 }
--- a/route/route.go
+++ b/route/route.go
@@ -97,9 +97,9 @@
 	return p.Text + ", as for " + p.Example
 }
 
-// Known are the methods and classes that requests can have; none is that any
+// Vocabulary are the methods and classes that requests can have; none is that any
 // may come. It serves to find what is shadowed.
-type Known struct {
+type Vocabulary struct {
 	Methods, Classes []string
 }
 
@@ -141,7 +141,7 @@
 type key struct{ method, class string }
 
 // New makes a table. It is nil if a problem is fatal.
-func New(rules []Rule, known Known) (*Table, []Problem) {
+func New(rules []Rule, known Vocabulary) (*Table, []Problem) {
 	t := &Table{exact: map[string]*node{}, wild: map[string]*node{}}
 	if len(rules) > MaxRules {
 		return nil, []Problem{{Kind: Malformed, Text: fmt.Sprintf("%d routes are more than %d", len(rules), MaxRules)}}
@@ -397,7 +397,7 @@
 }
 
 // shadowed finds the rules that never come first, whatever the method and class.
-func (l *leaf) shadowed(known Known) (problems []Problem) {
+func (l *leaf) shadowed(known Vocabulary) (problems []Problem) {
 	if len(l.all) < 2 {
 		return nil
 	}
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -39,7 +39,7 @@
 		{Name: "beta-2", Host: "app.svc", Path: "/shops/{id}", Headers: []Header{{"X-Beta", "2"}, {"X-Who", ""}}, Pool: "p"},
 		{Name: "coded", Host: "app.svc", Path: "/a%2Fb/c d", Pool: "p"},
 	}
-	table, problems := New(rules, Known{})
+	table, problems := New(rules, Vocabulary{})
 	if len(problems) > 0 {
 		t.Fatal(problems)
 	}
@@ -85,7 +85,7 @@
 
 // A path that another reader would resolve to another one is never routed.
 func TestPathsThatCanBeReadInTwoWaysAreRefused(t *testing.T) {
-	table, _ := New([]Rule{{Name: "all", Pool: "p"}}, Known{})
+	table, _ := New([]Rule{{Name: "all", Pool: "p"}}, Vocabulary{})
 	for _, path := range []string{"", "x", "/..", "/a/../b", "/a/./b", "/a/%2e%2E/b", "/%2e", "/a%zz", "/.%2e/x"} {
 		if _, err := table.Find(&Request{Path: path}); !errors.Is(err, ErrPath) {
 			t.Errorf("%q: %v", path, err)
@@ -99,7 +99,7 @@
 }
 
 func TestProblemsAreNamed(t *testing.T) {
-	known := Known{Methods: []string{"GET", "POST"}, Classes: []string{"view", "swap"}}
+	known := Vocabulary{Methods: []string{"GET", "POST"}, Classes: []string{"view", "swap"}}
 	for _, tc := range []struct {
 		name  string
 		rules []Rule
@@ -282,7 +282,7 @@
 	Fatalf(string, ...any)
 }, rules []Rule, requests []Request) {
 	for { // what ties is taken out, until a table stands
-		table, problems := New(rules, Known{})
+		table, problems := New(rules, Vocabulary{})
 		if table != nil {
 			for i := range requests {
 				compare(t, table, &requests[i])
@@ -323,7 +323,7 @@
 
 // A rule that is called shadowed never comes first, and no two rules of a table tie.
 func TestShadowedNeverComesFirst(t *testing.T) {
-	known := Known{Methods: []string{"GET", "POST", "PUT"}, Classes: []string{"view", "swap", ""}}
+	known := Vocabulary{Methods: []string{"GET", "POST", "PUT"}, Classes: []string{"view", "swap", ""}}
 	rng, found := rand.New(rand.NewPCG(3, 4)), 0
 	for range 3000 {
 		rules, requests := drawn(rng.IntN)
@@ -352,7 +352,7 @@
 			for i := range n {
 				rules = append(rules, Rule{Name: fmt.Sprint(i), Pool: "p", Host: fmt.Sprintf("h%d.svc", i%97), Path: fmt.Sprintf("/shops/{id}/part%d/*", i/97)})
 			}
-			table, problems := New(rules, Known{})
+			table, problems := New(rules, Vocabulary{})
 			if len(problems) > 0 {
 				b.Fatal(problems)
 			}
--- a/simadapter/wire.go
+++ b/simadapter/wire.go
@@ -86,7 +86,7 @@
 	frame []byte
 	pos   int
 	left  uint32
-	banks [banks][]balancer.Server
+	banks [banks][]balancer.Endpoint
 	known [banks]bool
 	load  []float32
 
@@ -179,7 +179,7 @@
 	case codeStop:
 		rec.Kind = Stop
 	case codeTargets:
-		ev.Kind = balancer.ServerList
+		ev.Kind = balancer.EndpointListUpdated
 		form := f.u8()
 		ev.Version = f.u64()
 		bank := f.u8()
@@ -191,15 +191,15 @@
 		if int(form) >= len(kinds) {
 			return false, fmt.Errorf("unknown form %d of a list", form)
 		}
-		ev.List = kinds[form]
-		if ev.List != balancer.ListFailed {
+		ev.ListKind = kinds[form]
+		if ev.ListKind != balancer.ListFailed {
 			if int(bank) >= banks || !r.known[bank] {
 				return false, fmt.Errorf("list %d was never defined", bank)
 			}
-			ev.Servers = r.banks[bank]
+			ev.Endpoints = r.banks[bank]
 		}
 	case codeKnock:
-		ev.Kind = balancer.Arrival
+		ev.Kind = balancer.RequestArrived
 		ev.Request = balancer.RequestID(f.u64())
 		ev.Class = int(f.u8())
 		ev.Tenant = int(f.u32())
@@ -208,41 +208,41 @@
 		work := f.micros()
 		bits := f.u8()
 		if bits&bitHint != 0 {
-			ev.Work = work
+			ev.ExpectedWork = work
 		}
-		ev.Repeat = bits&bitRetry != 0
+		ev.ClientRetry = bits&bitRetry != 0
 		ev.Write = bits&bitWrite != 0
 	case codeBegun:
-		ev.Kind = balancer.StreamBegun
+		ev.Kind = balancer.StreamStarted
 		ev.Request = balancer.RequestID(f.u64())
 		ev.Attempt = int(f.u8())
-		ev.Server = f.server()
+		ev.Endpoint = f.server()
 		ev.Elapsed = f.micros()
 	case codeAttemptEnd:
 		ev.Kind = balancer.AttemptEnded
 		ev.Request = balancer.RequestID(f.u64())
 		verdict := f.u8()
-		ev.Closed = f.u8() != 0
+		ev.RequestClosed = f.u8() != 0
 		ev.Attempt = int(f.u8())
 		ev.Elapsed = f.micros()
-		ev.Server = f.server()
+		ev.Endpoint = f.server()
 		r.metrics(f, ev)
 		return false, outcome(f, verdict, ev)
 	case codeDropped:
-		ev.Kind = balancer.Departed
+		ev.Kind = balancer.ClientLeft
 		ev.Request = balancer.RequestID(f.u64())
 	case codeTimer:
-		ev.Kind = balancer.Timer
+		ev.Kind = balancer.TimerFired
 		ev.Token = f.u32()
 	case codeStatusBack:
-		ev.Kind = balancer.Probed
-		ev.Server = f.server()
+		ev.Kind = balancer.ProbeEnded
+		ev.Endpoint = f.server()
 		verdict := f.u8()
 		ev.Elapsed = f.micros()
 		r.metrics(f, ev)
 		return false, outcome(f, verdict, ev)
 	case codeHeard:
-		ev.Kind = balancer.PeerMessage
+		ev.Kind = balancer.PeerMessageReceived
 		ev.Peer = f.u32()
 		ev.Payload = f.bytes(int(f.u16()))
 	default:
@@ -251,8 +251,8 @@
 	return false, nil
 }
 
-var outcomes = [...]balancer.Outcome{balancer.OK, balancer.Error, balancer.Full, balancer.Timeout,
-	balancer.ConnectFailed, balancer.Reset, balancer.Cancelled, balancer.Moot}
+var outcomes = [...]balancer.Outcome{balancer.OK, balancer.Error, balancer.Rejected, balancer.Timeout,
+	balancer.ConnectFailed, balancer.Reset, balancer.Cancelled, balancer.NotSent}
 
 func outcome(f *fields, verdict uint8, ev *balancer.Event) error {
 	if f.short {
@@ -279,14 +279,14 @@
 		return nil
 	}
 	// A list is made anew: events decoded earlier may still hold the one it replaces.
-	list := make([]balancer.Server, n)
+	list := make([]balancer.Endpoint, n)
 	for i := range list {
 		e := &list[i]
 		e.Kind = int(f.u8())
 		e.Weight = float64(math.Float32frombits(f.u32()))
 		e.Zone = int(f.u8())
 		e.Cell = int(f.u16())
-		e.Started = f.clock()
+		e.StartedAt = f.clock()
 		e.ID = f.server()
 		switch state := f.u8(); state {
 		case 0:
@@ -313,7 +313,7 @@
 	for range n {
 		r.load = append(r.load, math.Float32frombits(f.u32()))
 	}
-	ev.Load = r.load[from:len(r.load):len(r.load)]
+	ev.LoadReport = r.load[from:len(r.load):len(r.load)]
 }
 
 // fields reads the fields of a record in turn. After a field that is not
@@ -369,9 +369,9 @@
 }
 
 // server reads an address and a port into one opaque number.
-func (f *fields) server() balancer.ServerID {
+func (f *fields) server() balancer.EndpointID {
 	addr := f.u32()
-	return balancer.ServerID(addr)<<16 | balancer.ServerID(f.u16())
+	return balancer.EndpointID(addr)<<16 | balancer.EndpointID(f.u16())
 }
 
 // Reply builds the reply to one batch in a buffer of its own.
@@ -402,8 +402,8 @@
 		w.record(codeRoute, instance)
 		w.u64(uint64(a.Request))
 		w.micros(a.Wait)
-		w.server(a.Server)
-	case balancer.Refuse:
+		w.server(a.Endpoint)
+	case balancer.Shed:
 		w.record(codeSayNo, instance)
 		w.u64(uint64(a.Request))
 		w.micros(a.Wait)
@@ -420,11 +420,11 @@
 		w.u32(a.Token)
 	case balancer.Probe:
 		w.record(codePing, instance)
-		w.server(a.Server)
+		w.server(a.Endpoint)
 	case balancer.CloseIdle:
 		w.record(codeShutIdle, instance)
-		w.server(a.Server)
-	case balancer.Tell:
+		w.server(a.Endpoint)
+	case balancer.SendToPeer:
 		if len(a.Payload) > maxPayload {
 			return fmt.Errorf("a message of %d bytes to a peer is over %d", len(a.Payload), maxPayload)
 		}
@@ -434,11 +434,11 @@
 	case balancer.Subscribe:
 		w.record(codeStreamChanges, instance)
 		on := uint8(0)
-		if a.On {
+		if a.Enabled {
 			on = 1
 		}
 		w.buf = append(w.buf, on)
-	case balancer.FetchList:
+	case balancer.FetchEndpoints:
 		w.record(codeRefresh, instance)
 	case balancer.Log:
 		w.record(codeLog, instance)
@@ -449,8 +449,8 @@
 	return nil
 }
 
-// BailOut appends the word that an instance's decision code broke down.
-func (w *Reply) BailOut(instance uint16, text string) {
+// Abort appends the word that an instance's decision code broke down.
+func (w *Reply) Abort(instance uint16, text string) {
 	w.record(codeBailOut, instance)
 	w.text(text)
 }
@@ -470,7 +470,7 @@
 	w.u32(uint32(min(us, math.MaxInt32)))
 }
 
-func (w *Reply) server(id balancer.ServerID) {
+func (w *Reply) server(id balancer.EndpointID) {
 	w.u32(uint32(id >> 16))
 	w.buf = binary.LittleEndian.AppendUint16(w.buf, uint16(id))
 }
--- a/simadapter/wire_test.go
+++ b/simadapter/wire_test.go
@@ -71,7 +71,7 @@
 	sampleMemo = "53 0300 ffff 0400 68692037"
 )
 
-const sampleServer = balancer.ServerID(0x074a120a)<<16 | 0x1f93
+const sampleServer = balancer.EndpointID(0x074a120a)<<16 | 0x1f93
 
 func TestSampleFrames(t *testing.T) {
 	r := NewReader(bytes.NewReader(append(unhex(t, sampleEmpty), unhex(t, sampleEvents)...)))
@@ -88,10 +88,10 @@
 		t.Fatal(err)
 	}
 	want := []Record{
-		{Instance: 3, Event: balancer.Event{Kind: balancer.Arrival, Request: 0x5f325d3a91c4,
-			Key: 0x91f03b7c55d20a64, Remaining: 240 * time.Millisecond, Work: 12 * time.Millisecond}},
-		{Instance: 3, Event: balancer.Event{Kind: balancer.Timer, Token: 77}},
-		{Instance: 5, Event: balancer.Event{Kind: balancer.Departed, Request: 0x93160_0e6f2b19}},
+		{Instance: 3, Event: balancer.Event{Kind: balancer.RequestArrived, Request: 0x5f325d3a91c4,
+			Key: 0x91f03b7c55d20a64, Remaining: 240 * time.Millisecond, ExpectedWork: 12 * time.Millisecond}},
+		{Instance: 3, Event: balancer.Event{Kind: balancer.TimerFired, Token: 77}},
+		{Instance: 5, Event: balancer.Event{Kind: balancer.ClientLeft, Request: 0x93160_0e6f2b19}},
 	}
 	if !reflect.DeepEqual(recs, want) {
 		t.Errorf("got  %+v\nwant %+v", recs, want)
@@ -101,7 +101,7 @@
 		who uint16
 		act balancer.Action
 	}{
-		{3, balancer.Action{Kind: balancer.Send, Request: 0x5f325d3a91c4, Wait: 80 * time.Millisecond, Server: sampleServer}},
+		{3, balancer.Action{Kind: balancer.Send, Request: 0x5f325d3a91c4, Wait: 80 * time.Millisecond, Endpoint: sampleServer}},
 		{3, balancer.Action{Kind: balancer.SetTimer, Wait: 500 * time.Millisecond, Token: 77}},
 		{5, balancer.Action{Kind: balancer.Log, Text: "two servers known"}},
 	} {
@@ -120,21 +120,21 @@
 		t.Fatalf("%+v, %v", recs, err)
 	}
 	list := recs[0].Event
-	if list.List != balancer.ListCached || list.Version != 41 || len(list.Servers) != 2 {
+	if list.ListKind != balancer.ListCached || list.Version != 41 || len(list.Endpoints) != 2 {
 		t.Errorf("list %+v", list)
 	}
-	second := balancer.Server{ID: 0xf211900a<<16 | 0x1fbc, State: balancer.Ready, Weight: 1.5,
-		Started: 0x5d1420 * time.Microsecond}
-	if list.Servers[1] != second {
-		t.Errorf("second entry %+v, want %+v", list.Servers[1], second)
+	second := balancer.Endpoint{ID: 0xf211900a<<16 | 0x1fbc, State: balancer.Ready, Weight: 1.5,
+		StartedAt: 0x5d1420 * time.Microsecond}
+	if list.Endpoints[1] != second {
+		t.Errorf("second entry %+v, want %+v", list.Endpoints[1], second)
 	}
 	end := recs[1].Event
-	if end.Outcome != balancer.OK || !end.Closed || end.Elapsed != 18500*time.Microsecond || end.Server != sampleServer {
+	if end.Outcome != balancer.OK || !end.RequestClosed || end.Elapsed != 18500*time.Microsecond || end.Endpoint != sampleServer {
 		t.Errorf("end %+v", end)
 	}
 	var w Reply
 	w.Begin(0)
-	if err := w.Add(3, &balancer.Action{Kind: balancer.Tell, Peer: 0xffff, Payload: []byte("hi 7")}); err != nil {
+	if err := w.Add(3, &balancer.Action{Kind: balancer.SendToPeer, Peer: 0xffff, Payload: []byte("hi 7")}); err != nil {
 		t.Fatal(err)
 	}
 	if want := unhex(t, sampleMemo); !bytes.Equal(w.Bytes()[replyHeader:], want) {
@@ -152,16 +152,16 @@
 		{"init", "10 0700 0102030405060708 03000000 613d62", Record{Kind: Start, Instance: 7, Seed: 0x0807060504030201, Settings: "a=b"}},
 		{"stop", "19 0700", Record{Kind: Stop, Instance: 7}},
 		{"begun", "13 0100 0500000000000000 02 0a124a07931f e8030000", Record{Instance: 1, Event: balancer.Event{
-			Kind: balancer.StreamBegun, Request: 5, Attempt: 2, Server: sampleServer, Elapsed: time.Millisecond}}},
+			Kind: balancer.StreamStarted, Request: 5, Attempt: 2, Endpoint: sampleServer, Elapsed: time.Millisecond}}},
 		{"status", "17 0100 0a124a07931f 04 e8030000 01" + hex.EncodeToString(load), Record{Instance: 1, Event: balancer.Event{
-			Kind: balancer.Probed, Outcome: balancer.ConnectFailed, Server: sampleServer, Elapsed: time.Millisecond, Load: []float32{0.5}}}},
+			Kind: balancer.ProbeEnded, Outcome: balancer.ConnectFailed, Endpoint: sampleServer, Elapsed: time.Millisecond, LoadReport: []float32{0.5}}}},
 		{"heard", "18 0100 09000000 0200 6869", Record{Instance: 1, Event: balancer.Event{
-			Kind: balancer.PeerMessage, Peer: 9, Payload: []byte("hi")}}},
+			Kind: balancer.PeerMessageReceived, Peer: 9, Payload: []byte("hi")}}},
 		{"failed list", "11 0100 02 0000000000000000 63", Record{Instance: 1, Event: balancer.Event{
-			Kind: balancer.ServerList, List: balancer.ListFailed}}},
+			Kind: balancer.EndpointListUpdated, ListKind: balancer.ListFailed}}},
 		{"no hint", "12 0100 0500000000000000 01 02000000 0000000000000000 01000000 07000000 06", Record{Instance: 1,
-			Event: balancer.Event{Kind: balancer.Arrival, Request: 5, Class: 1, Tenant: 2,
-				Remaining: time.Microsecond, Repeat: true, Write: true}}},
+			Event: balancer.Event{Kind: balancer.RequestArrived, Request: 5, Class: 1, Tenant: 2,
+				Remaining: time.Microsecond, ClientRetry: true, Write: true}}},
 	} {
 		recs, err := readAll(NewReader(bytes.NewReader(frame(1, 1, 1, unhex(t, c.hex)))))
 		if err != nil || len(recs) != 1 || !reflect.DeepEqual(recs[0], c.want) {
@@ -176,13 +176,13 @@
 		act balancer.Action
 		hex string
 	}{
-		{balancer.Action{Kind: balancer.Refuse, Request: 5, Wait: time.Millisecond}, "58 0100 0500000000000000 e8030000"},
+		{balancer.Action{Kind: balancer.Shed, Request: 5, Wait: time.Millisecond}, "58 0100 0500000000000000 e8030000"},
 		{balancer.Action{Kind: balancer.Fail, Request: 5}, "51 0100 0500000000000000"},
 		{balancer.Action{Kind: balancer.Cancel, Request: 5, Attempt: 2}, "59 0100 0500000000000000 02"},
-		{balancer.Action{Kind: balancer.Probe, Server: sampleServer}, "50 0100 0a124a07931f"},
-		{balancer.Action{Kind: balancer.CloseIdle, Server: sampleServer}, "54 0100 0a124a07931f"},
-		{balancer.Action{Kind: balancer.Subscribe, On: true}, "57 0100 01"},
-		{balancer.Action{Kind: balancer.FetchList}, "5b 0100"},
+		{balancer.Action{Kind: balancer.Probe, Endpoint: sampleServer}, "50 0100 0a124a07931f"},
+		{balancer.Action{Kind: balancer.CloseIdle, Endpoint: sampleServer}, "54 0100 0a124a07931f"},
+		{balancer.Action{Kind: balancer.Subscribe, Enabled: true}, "57 0100 01"},
+		{balancer.Action{Kind: balancer.FetchEndpoints}, "5b 0100"},
 		{balancer.Action{Kind: balancer.SetTimer, Wait: 1}, "55 0100 01000000 00000000"},
 	} {
 		var w Reply
@@ -196,10 +196,10 @@
 	}
 	var w Reply
 	w.Begin(1)
-	if w.Add(1, &balancer.Action{}) == nil || w.Add(1, &balancer.Action{Kind: balancer.Tell, Payload: make([]byte, 257)}) == nil {
+	if w.Add(1, &balancer.Action{}) == nil || w.Add(1, &balancer.Action{Kind: balancer.SendToPeer, Payload: make([]byte, 257)}) == nil {
 		t.Error("an action the wire cannot carry was taken")
 	}
-	w.BailOut(1, "no")
+	w.Abort(1, "no")
 	if got := w.Bytes()[replyHeader:]; !bytes.Equal(got, unhex(t, "56 0100 0200 6e6f")) {
 		t.Errorf("bail out % x", got)
 	}
@@ -214,7 +214,7 @@
 	if err != nil || len(recs) != 2 {
 		t.Fatal(recs, err)
 	}
-	if a, b := recs[0].Event.Servers[0].ID, recs[1].Event.Servers[0].ID; a&0xffff != 1 || b&0xffff != 2 {
+	if a, b := recs[0].Event.Endpoints[0].ID, recs[1].Event.Endpoints[0].ID; a&0xffff != 1 || b&0xffff != 2 {
 		t.Errorf("lists were mixed up: %x, %x", a, b)
 	}
 }
@@ -273,15 +273,15 @@
 `)
 	want := balancer.Config{
 		Classes: []balancer.Class{
-			{Name: "a", Aim: 2500 * time.Millisecond, Deadline: 6 * time.Second, Effect: balancer.Keyed,
-				Group: balancer.GroupCell, Memory: 10 * time.Second, LateWorth: 0.25, Worth: 8},
-			{Effect: balancer.Safe, Group: balancer.GroupCell, KeepOrder: true},
+			{Name: "a", LatencyObjective: 2500 * time.Millisecond, Deadline: 6 * time.Second, Effect: balancer.Keyed,
+				Group: balancer.GroupCell, IdempotencyWindow: 10 * time.Second, LateWeight: 0.25, PriorityWeight: 8},
+			{Effect: balancer.Safe, Group: balancer.GroupCell, OrderedByKey: true},
 		},
-		Tenants: []balancer.Tenant{{Name: "x_y", Quota: 49}}, GroupSize: 3, Tier: 1, Tiers: 3,
-		Subscribe: true, ValueByWork: true, LoadNames: []string{"pending", "cpu_share"},
-		Limits:   balancer.Limits{Attempts: 5, Cancel: true},
-		Contract: balancer.Contract{ColdFrom: 0.13, WarmUp: 23 * time.Second, DrainBindsAlone: true, KeyRest: 50 * time.Millisecond},
-		Goal:     balancer.Goal{LogLossPart: 0.2, TopNines: 3},
+		Tenants: []balancer.Tenant{{Name: "x_y", Quota: 49}}, ReplicaCount: 3, Tier: 1, Tiers: 3,
+		Subscribe: true, WeightByWork: true, LoadReportNames: []string{"pending", "cpu_share"},
+		Limits:   balancer.Limits{MaxAttempts: 5, AllowCancel: true},
+		Contract: balancer.Contract{InitialCapacity: 0.13, WarmUpPeriod: 23 * time.Second, OnlyDrainingBinds: true, KeyQuarantine: 50 * time.Millisecond},
+		Goal:     balancer.Goal{LogLossWeight: 0.2, TopNines: 3},
 	}
 	if err != nil || !reflect.DeepEqual(cfg, want) {
 		t.Errorf("%v\ngot  %+v\nwant %+v", err, cfg, want)
--- a/upstream/call.go
+++ b/upstream/call.go
@@ -23,18 +23,18 @@
 	maxInterim = 5        // answers of 1xx before the real one
 )
 
-// Call is one invoker call: one attempt at one provider. It is used once.
-type Call struct {
-	Request  *message.Request
-	Provider uint64 // who is called: an address may pass to another
-	Address  string
-	Until    time.Time   // the proxy stops waiting
-	OutBy    time.Time   // its last byte has to be out by then; zero is no bound. One of whose body part is still to come may take longer
-	MayStart func() bool // asked right before the first byte is written
+// Attempt is one invoker call: one attempt at one provider. It is used once.
+type Attempt struct {
+	Request       *message.OutgoingRequest
+	Endpoint      uint64 // who is called: an address may pass to another
+	Address       string
+	Deadline      time.Time   // the proxy stops waiting
+	WriteDeadline time.Time   // its last byte has to be out by then; zero is no bound. One of whose body part is still to come may take longer
+	MaySend       func() bool // asked right before the first byte is written
 
 	// Written is told once the last byte is, and returns until when to wait from
 	// then on; zero is as before. It may be nil.
-	Written func() time.Time
+	OnWritten func() time.Time
 
 	mu        sync.Mutex
 	conn      *conn // nil unless the call holds one
@@ -45,14 +45,14 @@
 
 // Cancel calls the attempt off by closing its connection, or ends the wait for
 // one. It does not block.
-func (c *Call) Cancel() {
+func (c *Attempt) Cancel() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cancel()
 }
 
 // cancel does so. The mutex is held.
-func (c *Call) cancel() {
+func (c *Attempt) cancel() {
 	c.cancelled = true
 	if c.dialling != nil {
 		c.dialling()
@@ -64,7 +64,7 @@
 
 // Withdraw calls the attempt off if nothing of it has been written yet. It does not
 // block, and other than Cancel it leaves alone what may be running.
-func (c *Call) Withdraw() {
+func (c *Attempt) Withdraw() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.writing {
@@ -73,19 +73,21 @@
 }
 
 // outBy is until when its last byte may be written.
-func (c *Call) outBy() time.Time {
-	if !c.OutBy.IsZero() && c.OutBy.Before(c.Until) {
-		return c.OutBy
+func (c *Attempt) outBy() time.Time {
+	if !c.WriteDeadline.IsZero() && c.WriteDeadline.Before(c.Deadline) {
+		return c.WriteDeadline
 	}
-	return c.Until
+	return c.Deadline
 }
 
 // late tells whether it can't be out in time any more.
-func (c *Call) late() bool { return !c.OutBy.IsZero() && !time.Now().Before(c.OutBy) }
+func (c *Attempt) late() bool {
+	return !c.WriteDeadline.IsZero() && !time.Now().Before(c.WriteDeadline)
+}
 
 // begin tells whether it may be written, and from then on it is being.
-func (c *Call) begin() bool {
-	if !c.MayStart() || c.late() {
+func (c *Attempt) begin() bool {
+	if !c.MaySend() || c.late() {
 		return false
 	}
 	c.mu.Lock()
@@ -95,7 +97,7 @@
 }
 
 // within sets the deadline of the connection, unless the call is called off.
-func (c *Call) within(conn *conn, until time.Time) {
+func (c *Attempt) within(conn *conn, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.cancelled {
@@ -104,7 +106,7 @@
 }
 
 // dial opens a connection, unless the call is called off or its time is over.
-func (c *Call) dial(within time.Duration) (net.Conn, error) {
+func (c *Attempt) dial(within time.Duration) (net.Conn, error) {
 	ctx, end := context.WithDeadline(context.Background(), c.outBy())
 	defer end()
 	c.mu.Lock()
@@ -122,14 +124,14 @@
 
 // hold and release keep Cancel away from a connection that the call does not
 // own, which may be in another call's hands already.
-func (c *Call) hold(conn *conn) bool {
+func (c *Attempt) hold(conn *conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.conn = conn
 	return !c.cancelled && conn.SetDeadline(c.outBy()) == nil
 }
 
-func (c *Call) release() (cancelled bool) {
+func (c *Attempt) release() (cancelled bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.conn = nil
@@ -138,13 +140,13 @@
 
 // Do makes the call and returns how it ended, and the answer if it served. It
 // sends once at most.
-func (p *Pool) Do(c *Call) (balancer.Outcome, *message.Response) {
+func (p *Pool) Do(c *Attempt) (balancer.Outcome, *message.Response) {
 	conn, err := p.get(c)
 	switch {
 	case err != nil && c.release():
-		return balancer.Moot, nil // nothing of it was sent
+		return balancer.NotSent, nil // nothing of it was sent
 	case ownFault(err) || err != nil && c.late(): // or it was given less time than a connection may take
-		return balancer.Moot, nil
+		return balancer.NotSent, nil
 	case err != nil:
 		return balancer.ConnectFailed, nil
 	}
@@ -156,7 +158,7 @@
 		} else {
 			p.put(conn)
 		}
-		return balancer.Moot, nil // nothing of it was written
+		return balancer.NotSent, nil // nothing of it was written
 	}
 	outcome, response, again := p.exchange(conn, c)
 	if c.release() {
@@ -166,7 +168,7 @@
 		}
 	}
 	switch {
-	case response != nil && response.Rest != nil && outcome == balancer.OK:
+	case response != nil && response.Stream != nil && outcome == balancer.OK:
 		return outcome, response // which holds the connection
 	case response != nil && outcome != balancer.OK:
 		response.Free()
@@ -182,25 +184,25 @@
 
 // exchange writes the request and reads the answer, whole unless it is long. It
 // reports whether the connection may be used again.
-func (p *Pool) exchange(conn *conn, c *Call) (outcome balancer.Outcome, response *message.Response, again bool) {
-	if c.Request.Rest != nil && c.Request.Rest.Spent() {
-		return balancer.Moot, nil, false // part of it is gone
+func (p *Pool) exchange(conn *conn, c *Attempt) (outcome balancer.Outcome, response *message.Response, again bool) {
+	if c.Request.Stream != nil && c.Request.Stream.Consumed() {
+		return balancer.NotSent, nil, false // part of it is gone
 	}
 	out := p.write(conn, c)
 	switch {
 	case out == failed:
 		return balancer.ConnectFailed, nil, false // its last byte was never written: it cannot have run
 	case out == unheard:
-		return balancer.Moot, nil, false
-	case out == whole && c.Written != nil:
-		if until := c.Written(); !until.IsZero() {
-			c.Until = until
+		return balancer.NotSent, nil, false
+	case out == whole && c.OnWritten != nil:
+		if until := c.OnWritten(); !until.IsZero() {
+			c.Deadline = until
 		}
 	}
-	if until := time.Now().Add(progress); out == heard && until.Before(c.Until) {
-		c.Until = until // how long the whole request would have been waited for says nothing now
+	if until := time.Now().Add(progress); out == heard && until.Before(c.Deadline) {
+		c.Deadline = until // how long the whole request would have been waited for says nothing now
 	}
-	c.within(conn, c.Until)
+	c.within(conn, c.Deadline)
 	request := http.Request{Method: c.Request.Method}
 	for range maxInterim + 1 {
 		conn.limit.N = maxHead
@@ -217,26 +219,26 @@
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		frame, err := framing.Judge(head)
+		frame, err := framing.ParseLength(head)
 		if err != nil || frame.Length > message.MaxBody {
 			return balancer.Reset, nil, false
 		}
-		keep := out == whole && frame.Stated && !resp.Close && resp.ProtoAtLeast(1, 1)
+		keep := out == whole && frame.HasLength && !resp.Close && resp.ProtoAtLeast(1, 1)
 		if resp.StatusCode == http.StatusOK {
 			return p.served(conn, c, resp.Header, frame, keep)
 		}
 		// What an error says is of no account, but read it must be if the connection is to be used again.
 		if resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified {
 			keep = keep || out == whole && !resp.Close && resp.ProtoAtLeast(1, 1)
-		} else if conn.limit.N = 3 * message.MaxHeld; keep {
-			body, err := p.buffers.ReadBody(frame.Reader(conn.r), message.MaxHeld)
+		} else if conn.limit.N = 3 * message.MaxBufferedBody; keep {
+			body, err := p.buffers.ReadBody(frame.Reader(conn.r), message.MaxBufferedBody)
 			keep = err == nil
 			body.Free()
 		}
 		keep = keep && conn.r.Buffered() == 0
 		declined := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
 		if declined && resp.Header.Get(http1.HeaderDeclined) == "1" {
-			return balancer.Full, nil, keep
+			return balancer.Rejected, nil, keep
 		}
 		return balancer.Error, nil, keep
 	}
@@ -246,7 +248,7 @@
 // ownFault reports whether a connection could not be opened for want of something
 // here: that says nothing of the provider.
 func ownFault(err error) bool {
-	return errors.Is(err, errNoRoom) || socket.Short(err) || errors.Is(err, syscall.EADDRNOTAVAIL)
+	return errors.Is(err, errNoRoom) || socket.OutOfDescriptors(err) || errors.Is(err, syscall.EADDRNOTAVAIL)
 }
 
 // broken tells how an attempt ended whose answer cannot be read.
--- a/upstream/crossings_test.go
+++ b/upstream/crossings_test.go
@@ -18,16 +18,16 @@
 func TestBetweenTheChoiceAndTheFirstByte(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		between func(*Call) (may bool)
+		between func(*Attempt) (may bool)
 		want    balancer.Outcome
 		kept    int // connections, with nothing out
 	}{
-		{"nothing", func(*Call) bool { return true }, balancer.OK, 1},
-		{"the provider drains", func(*Call) bool { return false }, balancer.Moot, 1},
-		{"called off", func(c *Call) bool { c.Cancel(); return true }, balancer.Moot, 0},
-		{"withdrawn", func(c *Call) bool { c.Withdraw(); return true }, balancer.Moot, 0},
-		{"its time is over", func(c *Call) bool { c.OutBy = time.Now(); return true }, balancer.Moot, 1},
-		{"called off and the provider drains", func(c *Call) bool { c.Cancel(); return false }, balancer.Moot, 0},
+		{"nothing", func(*Attempt) bool { return true }, balancer.OK, 1},
+		{"the provider drains", func(*Attempt) bool { return false }, balancer.NotSent, 1},
+		{"called off", func(c *Attempt) bool { c.Cancel(); return true }, balancer.NotSent, 0},
+		{"withdrawn", func(c *Attempt) bool { c.Withdraw(); return true }, balancer.NotSent, 0},
+		{"its time is over", func(c *Attempt) bool { c.WriteDeadline = time.Now(); return true }, balancer.NotSent, 1},
+		{"called off and the provider drains", func(c *Attempt) bool { c.Cancel(); return false }, balancer.NotSent, 0},
 	} {
 		for _, idle := range []bool{false, true} {
 			address, conns, requests := serve(t, okay, nil)
@@ -38,7 +38,7 @@
 				<-requests
 			}
 			c := newCall(address)
-			c.MayStart = func() bool { return tc.between(c) }
+			c.MaySend = func() bool { return tc.between(c) }
 			outcome, response := p.Do(c)
 			response.Free()
 			if outcome != tc.want || room.used() != tc.kept {
@@ -68,19 +68,19 @@
 func TestRightAfterTheLastByte(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		after func(*Call)
+		after func(*Attempt)
 		want  balancer.Outcome
 	}{
-		{"withdrawn", (*Call).Withdraw, balancer.OK},
-		{"called off", (*Call).Cancel, balancer.Cancelled},
-		{"no repeat would be harmless now", func(c *Call) { c.OutBy = time.Now() }, balancer.OK},
+		{"withdrawn", (*Attempt).Withdraw, balancer.OK},
+		{"called off", (*Attempt).Cancel, balancer.Cancelled},
+		{"no repeat would be harmless now", func(c *Attempt) { c.WriteDeadline = time.Now() }, balancer.OK},
 	} {
 		answer := make(chan struct{})
 		address, _, _ := serve(t, "", func(c net.Conn) { <-answer; io.WriteString(c, okay) })
 		room := newRoom(1)
 		p := NewPool(room, time.Hour, 5*time.Second, new(buffer.Pool))
 		c := newCall(address)
-		c.Written = func() time.Time { tc.after(c); close(answer); return time.Time{} }
+		c.OnWritten = func() time.Time { tc.after(c); close(answer); return time.Time{} }
 		outcome, response := p.Do(c)
 		response.Free()
 		if outcome != tc.want {
@@ -156,16 +156,16 @@
 func TestConnectionsThatComeUpLate(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		set  func(*Call)
-		end  func(*Call)
+		set  func(*Attempt)
+		end  func(*Attempt)
 		want balancer.Outcome
 	}{
-		{"still wanted", func(*Call) {}, func(*Call) {}, balancer.OK},
-		{"called off", func(*Call) {}, (*Call).Cancel, balancer.Moot},
-		{"withdrawn", func(*Call) {}, (*Call).Withdraw, balancer.Moot},
-		{"no repeat is harmless any more", func(c *Call) { c.OutBy = time.Now().Add(50 * time.Millisecond) }, nil, balancer.Moot},
-		{"timed out", func(c *Call) { c.Until = time.Now().Add(50 * time.Millisecond) }, nil, balancer.ConnectFailed},
-		{"on its way, the provider begins to drain", func(c *Call) { c.MayStart = func() bool { return false } }, func(*Call) {}, balancer.Moot},
+		{"still wanted", func(*Attempt) {}, func(*Attempt) {}, balancer.OK},
+		{"called off", func(*Attempt) {}, (*Attempt).Cancel, balancer.NotSent},
+		{"withdrawn", func(*Attempt) {}, (*Attempt).Withdraw, balancer.NotSent},
+		{"no repeat is harmless any more", func(c *Attempt) { c.WriteDeadline = time.Now().Add(50 * time.Millisecond) }, nil, balancer.NotSent},
+		{"timed out", func(c *Attempt) { c.Deadline = time.Now().Add(50 * time.Millisecond) }, nil, balancer.ConnectFailed},
+		{"on its way, the provider begins to drain", func(c *Attempt) { c.MaySend = func() bool { return false } }, func(*Attempt) {}, balancer.NotSent},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
@@ -221,11 +221,11 @@
 func TestWritingEndsWhenARepeatIsNoLongerHarmless(t *testing.T) {
 	held := make(chan net.Conn, 1)
 	p, c := largeCall(t, func(c net.Conn) { held <- c }) // who reads nothing of it
-	c.OutBy = time.Now().Add(100 * time.Millisecond)
+	c.WriteDeadline = time.Now().Add(100 * time.Millisecond)
 	if outcome, _ := p.Do(c); !outcome.NeverRan() {
 		t.Errorf("booked as: %v", outcome)
 	}
-	if !time.Now().Before(c.Until) {
+	if !time.Now().Before(c.Deadline) {
 		t.Error("it was waited for until its answer was due")
 	}
 	(<-held).Close()
@@ -242,7 +242,7 @@
 		p := NewPool(room, time.Hour, 5*time.Second, new(buffer.Pool))
 		for i := range 2 {
 			if i == 1 {
-				p.Set(tc.keep, 5*time.Second)
+				p.SetTimeouts(tc.keep, 5*time.Second)
 			}
 			outcome, response := p.Do(newCall(address))
 			response.Free()
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -26,17 +26,17 @@
 // none of them is idle.
 var errNoRoom = errors.New("no room for another connection to a provider")
 
-// Room is what a pool may hold of the machine's descriptors. Both methods are
+// Budget is what a pool may hold of the machine's descriptors. Both methods are
 // safe for concurrent use and don't block.
-type Room interface {
+type Budget interface {
 	Take(n int) bool // false if there is none now
 	Give(n int)
 }
 
 // Pool keeps the connections to providers.
 type Pool struct {
-	room    Room
-	bodies  Room // bytes of answers that are held; nil has no bound
+	room    Budget
+	bodies  Budget // bytes of answers that are held; nil has no bound
 	keep    time.Duration
 	connect time.Duration
 	buffers *buffer.Pool
@@ -88,25 +88,25 @@
 
 // NewPool returns a pool that holds as many connections as it finds room for,
 // none of which is used again close to idleClose after its last use.
-func NewPool(room Room, idleClose, connectTimeout time.Duration, buffers *buffer.Pool) *Pool {
+func NewPool(room Budget, idleClose, connectTimeout time.Duration, buffers *buffer.Pool) *Pool {
 	p := &Pool{room: room, buffers: buffers, idle: make(map[place][]*conn)}
-	p.Set(idleClose, connectTimeout)
+	p.SetTimeouts(idleClose, connectTimeout)
 	return p
 }
 
-// HoldIn makes the pool take what it holds of answers, in bytes, from a room.
-func (p *Pool) HoldIn(bodies Room) { p.bodies = bodies }
+// SetBodyBudget makes the pool take what it holds of answers, in bytes, from a room.
+func (p *Pool) SetBodyBudget(bodies Budget) { p.bodies = bodies }
 
-// Set changes how long connections are kept and waited for, from the next on.
-func (p *Pool) Set(idleClose, connectTimeout time.Duration) {
+// SetTimeouts changes how long connections are kept and waited for, from the next on.
+func (p *Pool) SetTimeouts(idleClose, connectTimeout time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.keep, p.connect = max(idleClose-idleMargin, idleClose/2), connectTimeout
 }
 
-// Shed closes up to n idle connections, those idle for longest first: room that
+// TrimIdle closes up to n idle connections, those idle for longest first: room that
 // was lent is called back.
-func (p *Pool) Shed(n int) {
+func (p *Pool) TrimIdle(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for ; n > 0 && p.evictLocked(); n-- {
@@ -115,8 +115,8 @@
 
 // get returns a connection for a call: the one to its place used last, if any is
 // usable, or a new one.
-func (p *Pool) get(call *Call) (*conn, error) {
-	at := place{call.Provider, call.Address}
+func (p *Pool) get(call *Attempt) (*conn, error) {
+	at := place{call.Endpoint, call.Address}
 	p.mu.Lock()
 	for list := p.idle[at]; len(list) > 0; list = p.idle[at] {
 		c := list[len(list)-1]
--- a/upstream/provider_test.go
+++ b/upstream/provider_test.go
@@ -74,9 +74,9 @@
 func (r *room) Give(n int) { r.left.Add(int64(n)) }
 func (r *room) used() int  { return int(r.most.Load() - r.left.Load()) }
 
-func newCall(address string) *Call {
-	return &Call{Request: &message.Request{Method: "GET", Target: "/x", Host: "h"}, Address: address,
-		Until: time.Now().Add(20 * time.Second), MayStart: func() bool { return true }}
+func newCall(address string) *Attempt {
+	return &Attempt{Request: &message.OutgoingRequest{Method: "GET", Target: "/x", Host: "h"}, Address: address,
+		Deadline: time.Now().Add(20 * time.Second), MaySend: func() bool { return true }}
 }
 
 // A connection is used again only while it is sound: a request written to one
@@ -120,13 +120,13 @@
 	p := NewPool(newRoom(8), time.Hour, 5*time.Second, new(buffer.Pool))
 	defer p.Close()
 	drained := newCall(address)
-	drained.MayStart = func() bool { return false }
-	if outcome, _ := p.Do(drained); outcome != balancer.Moot {
+	drained.MaySend = func() bool { return false }
+	if outcome, _ := p.Do(drained); outcome != balancer.NotSent {
 		t.Errorf("drained: %v", outcome)
 	}
 	cancelled := newCall(address)
 	cancelled.Cancel()
-	if outcome, _ := p.Do(cancelled); outcome != balancer.Moot {
+	if outcome, _ := p.Do(cancelled); outcome != balancer.NotSent {
 		t.Errorf("cancelled: %v", outcome)
 	}
 	if outcome, _ := p.Do(newCall(address)); outcome != balancer.OK || len(requests) > 1 {
@@ -148,7 +148,7 @@
 
 // largeCall is a call with more of a body than sockets hold, to a provider that does
 // something with the connection.
-func largeCall(t *testing.T, then func(net.Conn)) (*Pool, *Call) {
+func largeCall(t *testing.T, then func(net.Conn)) (*Pool, *Attempt) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -167,7 +167,7 @@
 	p := NewPool(newRoom(8), time.Hour, 5*time.Second, buffers)
 	t.Cleanup(func() { l.Close(); p.Close() })
 	c := newCall(l.Addr().String())
-	c.Request = &message.Request{Method: "POST", Target: "/x", Host: "h", Body: body}
+	c.Request = &message.OutgoingRequest{Method: "POST", Target: "/x", Host: "h", Body: body}
 	return p, c
 }
 
@@ -191,7 +191,7 @@
 	held, over := newCall(silent), make(chan balancer.Outcome)
 	go func() { outcome, _ := p.Do(held); over <- outcome }()
 	<-requests
-	if outcome, _ := p.Do(newCall(first)); outcome != balancer.Moot { // no fault of the provider's
+	if outcome, _ := p.Do(newCall(first)); outcome != balancer.NotSent { // no fault of the provider's
 		t.Errorf("with none idle: %v", outcome)
 	}
 	held.Cancel()
@@ -225,7 +225,7 @@
 		conns    int
 	}{{1, 1}, {1, 1}, {2, 2}, {1, 2}} {
 		c := newCall(address)
-		c.Provider = tc.provider
+		c.Endpoint = tc.provider
 		if outcome, _ := p.Do(c); outcome != balancer.OK || len(conns) != tc.conns {
 			t.Errorf("call %d: %v, %d connections", i, outcome, len(conns))
 		}
--- a/upstream/stream.go
+++ b/upstream/stream.go
@@ -32,10 +32,10 @@
 )
 
 // write writes the request.
-func (p *Pool) write(conn *conn, c *Call) written {
+func (p *Pool) write(conn *conn, c *Attempt) written {
 	r := c.Request
-	buffers := net.Buffers{encode(r, time.Until(c.Until))}
-	if r.Rest == nil {
+	buffers := net.Buffers{encode(r, time.Until(c.Deadline))}
+	if r.Stream == nil {
 		buffers = r.Body.AppendTo(buffers)
 		if _, err := buffers.WriteTo(conn.TCPConn); err != nil {
 			return failed
@@ -44,7 +44,7 @@
 	}
 	block := p.buffers.Block()
 	defer p.buffers.PutBlock(block)
-	chunked := r.Length == message.Unknown
+	chunked := r.Length == message.UnknownLength
 	if chunked {
 		buffers = framing.AppendChunk(buffers, r.Body.AppendTo(nil))
 	} else {
@@ -64,7 +64,7 @@
 		if p.answered(conn) {
 			return heard
 		}
-		n, err := r.Rest.Read(block[:])
+		n, err := r.Stream.Read(block[:])
 		buffers = net.Buffers{block[:n]}
 		if chunked {
 			buffers = framing.AppendChunk(nil, buffers)
@@ -85,33 +85,33 @@
 
 // served reads the body of an answer that served: whole if it is short, else its
 // beginning, and the connection goes with what follows.
-func (p *Pool) served(conn *conn, c *Call, header http.Header, frame framing.Body, keep bool) (balancer.Outcome, *message.Response, bool) {
+func (p *Pool) served(conn *conn, c *Attempt, header http.Header, frame framing.Body, keep bool) (balancer.Outcome, *message.Response, bool) {
 	length := frame.Length
-	if !frame.Stated || frame.Chunked {
-		length = message.Unknown
+	if !frame.HasLength || frame.Chunked {
+		length = message.UnknownLength
 	}
 	conn.limit.N = math.MaxInt64
 	body := frame.Reader(conn.r)
 	rest := &download{pool: p, conn: conn, body: body, keep: keep, left: message.MaxBody}
-	response := &message.Response{Header: header, Rest: rest, Length: length}
+	response := &message.Response{Header: header, Stream: rest, Length: length}
 	hold := int(length)
-	if length == message.Unknown {
-		hold = message.MaxHeld
+	if length == message.UnknownLength {
+		hold = message.MaxBufferedBody
 	}
-	if hold > message.MaxHeld || p.bodies != nil && !p.bodies.Take(hold) {
+	if hold > message.MaxBufferedBody || p.bodies != nil && !p.bodies.Take(hold) {
 		return balancer.OK, response, false // it goes on as it comes
 	}
 	if p.bodies != nil {
-		response.Done = func() { p.bodies.Give(hold) }
+		response.OnFree = func() { p.bodies.Give(hold) }
 	}
 	var enough func() bool
-	if length == message.Unknown {
+	if length == message.UnknownLength {
 		began := time.Now()
 		enough = func() bool {
 			if conn.r.Buffered() == 0 { // who waits for more must not hold back what there is
 				c.within(conn, began.Add(holdBack))
 				_, err := conn.r.Peek(1)
-				c.within(conn, c.Until)
+				c.within(conn, c.Deadline)
 				if errors.Is(err, os.ErrDeadlineExceeded) {
 					return true
 				}
@@ -119,15 +119,15 @@
 			return time.Since(began) > holdBack
 		}
 	}
-	part, all, err := p.buffers.ReadPart(body, message.MaxHeld+1, enough)
+	part, all, err := p.buffers.ReadPart(body, message.MaxBufferedBody+1, enough)
 	response.Body, rest.left = part, rest.left-int64(part.Len())
 	switch {
 	case err != nil:
-		response.Rest = nil // the caller drops the connection
+		response.Stream = nil // the caller drops the connection
 		response.Free()
 		return broken(err), nil, false
 	case all:
-		response.Rest = nil
+		response.Stream = nil
 		return balancer.OK, response, keep && conn.r.Buffered() == 0
 	}
 	return balancer.OK, response, false
