--- a/cli/config.go
+++ b/cli/config.go
@@ -80,7 +80,7 @@
 				if err != nil {
 					return err
 				}
-				if !config.Platform(text) {
+				if !config.IsPlatformForm(text) {
 					return fmt.Errorf("%s: it is in the format of files already", file)
 				}
 				out, err := config.Convert(text, getenv)
--- a/cli/config_test.go
+++ b/cli/config_test.go
@@ -66,7 +66,7 @@
 // What is converted means the same: a proxy that decides by one decides by the other.
 func TestConvertKeepsWhatIsDecidedBy(t *testing.T) {
 	_, out, _ := run(t, "config", "convert", file(t, platform))
-	a, err := config.Parse([]byte(platform), func(string) string { return "" })
+	a, err := config.ParsePlatform([]byte(platform), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -48,7 +48,7 @@
 		{"part above 1", `"AnswerSlack":20000`, `"ColdFrom":1.5`, `setting Contract.ColdFrom: unexpected value "1.5"`},
 		{"negative time", `"IdleClose":5000000`, `"IdleClose":-1`, "setting Limits.IdleClose: "},
 	} {
-		_, err := Parse([]byte(strings.Replace(whole, tc.old, tc.new, 1)), none)
+		_, err := ParsePlatform([]byte(strings.Replace(whole, tc.old, tc.new, 1)), none)
 		if tc.want == "" && err != nil || tc.want != "" && (err == nil || !strings.Contains(err.Error(), tc.want)) {
 			t.Errorf("%s: got %v, want %q", tc.name, err, tc.want)
 		}
@@ -56,7 +56,7 @@
 }
 
 func TestEnvironmentGoesBeforeTheFile(t *testing.T) {
-	cfg, err := Parse([]byte(whole), func(name string) string {
+	cfg, err := ParsePlatform([]byte(whole), func(name string) string {
 		return map[string]string{EnvName: "n9", EnvListen: "127.0.0.9:1"}[name]
 	})
 	if err != nil || cfg.Name != "n9" || cfg.Listeners[0].Address != "127.0.0.9:1" || cfg.Pools[0].Discovery != "127.0.0.1:8500" {
@@ -100,7 +100,7 @@
 
 // Both hosts must tell the Balancer the same.
 func TestPairsAndJSONMeanTheSame(t *testing.T) {
-	cfg, err := Parse([]byte(whole), none)
+	cfg, err := ParsePlatform([]byte(whole), none)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,7 +125,7 @@
 	} {
 		text := `{` + tc.file + `"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2",
 			"settings":{"Classes":[{"Name":"read","Deadline":1000000,"Effect":"pure"}]}}`
-		cfg, err := Parse([]byte(text), func(name string) string {
+		cfg, err := ParsePlatform([]byte(text), func(name string) string {
 			if name == EnvAdmin {
 				return tc.env
 			}
@@ -144,7 +144,7 @@
 		stated        string
 		pushed, asked bool
 	}{{`"subscribe"`, false, true}, {`"automatic"`, true, false}, {`""`, false, true}} {
-		cfg, err := Parse([]byte(strings.Replace(whole, `"subscribe"`, tc.stated, 1)), none)
+		cfg, err := ParsePlatform([]byte(strings.Replace(whole, `"subscribe"`, tc.stated, 1)), none)
 		if s := cfg.Pools[0].Settings; err != nil || s.PushedDiscovery != tc.pushed || s.Balancer.Subscribe != tc.asked {
 			t.Errorf("%s: pushed %v, asked for %v, %v", tc.stated, s.PushedDiscovery, s.Balancer.Subscribe, err)
 		}
--- a/config/file_test.go
+++ b/config/file_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err, warnings)
 	}
 	for _, tc := range []struct{ name, from, to, want string }{
-		{"unknown key", "  - {name: main, address:", "  - {name: main, adress:", `r.yaml:3:18: unknown field "adress", want a key of this place (did you mean "address"?)`},
+		{"unknown key", "  - {name: main, address:", "  - {name: main, adress:", `r.yaml:3:18: unknown field "adress", want a key of this place (did you mean "address"?)`}, //nolint:misspell // the mistake is the test
 		{"no unit", "deadline: 4s", "deadline: 4000", "r.yaml:5:"},
 		{"wrong unit", "deadline: 4s", "deadline: 4sec", `r.yaml:5:28: unexpected value "4sec": want a time with a unit`},
 		{"doubled pool", "name: two, zone", "name: one, zone", `r.yaml:12:12: pools[1].name: unexpected value "one", want a name that stands once`},
@@ -87,7 +87,7 @@
 	}
 	text := `{"listeners":[{"name":"m","address":"127.0.0.1:1"}],"routes":[{"name":"r","pool":"p"}],
  "classes":[{"name":"view","deadline":"4s","effect":"safe"}],"pools":[{"name":"p","providers":[{"name":"a","address":"127.0.0.1:2"}]}]}`
-	if Platform([]byte(text)) || !Platform([]byte(whole)) || Platform([]byte(written)) {
+	if IsPlatformForm([]byte(text)) || !IsPlatformForm([]byte(whole)) || IsPlatformForm([]byte(written)) {
 		t.Error("the forms are not told apart")
 	}
 	cfg, _, err := ParseFile("r.json", []byte(text), none)
--- a/config/fleet.go
+++ b/config/fleet.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"fmt"
+	"maps"
 	"os"
 	"slices"
 	"time"
@@ -12,7 +13,8 @@
 	"ryerill/fleet/membership"
 )
 
-// FleetFile switches the fleet on: what this proxy and its copies tell each other.
+// FleetFile switches the fleet on: the proxies that exchange membership, and whatever else is configured, with this
+// one.
 type FleetFile struct {
 	Name             string            `yaml:"name" json:"name" jsonschema_description:"of the fleet; proxies of another one are not heard"`
 	Listen           string            `yaml:"listen" json:"listen" jsonschema_description:"IP and port, for UDP and TCP"`
@@ -27,7 +29,7 @@
 	BytesPerSecond   int               `yaml:"bytes_per_s,omitempty" json:"bytes_per_s,omitempty" jsonschema_description:"of news beside probes; default 1200"`
 }
 
-// SharingFile says what copies share.
+// SharingFile says what replicas share beyond membership.
 type SharingFile struct {
 	Quotas         bool `yaml:"quotas,omitempty" json:"quotas,omitempty" jsonschema_description:"what one copy does not need of a tenant's quota another may use"`
 	Counters       bool `yaml:"counts,omitempty" json:"counts,omitempty" jsonschema_description:"arrivals, calls in flight and how requests ended are counted over all copies"`
@@ -35,7 +37,7 @@
 	BytesPerSecond int  `yaml:"bytes_per_s,omitempty" json:"bytes_per_s,omitempty" jsonschema_description:"that a copy sends of it; default 1500"`
 }
 
-// Fleet is what the fleet's host is told.
+// Fleet is the configuration of the fleet's host, and where its keys are read from.
 type Fleet struct {
 	fleet.Config
 	KeyFile string
@@ -43,98 +45,137 @@
 
 const (
 	fleetDescriptors = fleet.Descriptors
-	mostKeyFile      = 4 << 10
-	mostFleetSeeds   = 64
+
+	maxKeyFileBytes = 4 << 10
+	maxSeeds        = 64
+
+	minProbeInterval = 50 * time.Millisecond
+	maxProbeInterval = 10 * time.Second
+
+	minGossipBytesPerSecond  = 100
+	minSharingBytesPerSecond = 200
+	maxBytesPerSecond        = 1e7
 )
 
-// ReadKeys reads a key file: a key a line, the one that signs first. Empty lines
-// and those that begin with # are passed over.
+// ReadKeys reads a key file: a key a line, the one that signs first. Empty lines and those that begin with # are
+// skipped.
 func ReadKeys(file string) (keys [][]byte, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	if len(text) > mostKeyFile {
-		return nil, fmt.Errorf("%d bytes, and %d are the most", len(text), mostKeyFile)
+	if len(text) > maxKeyFileBytes {
+		return nil, fmt.Errorf("%d bytes, and %d are the most", len(text), maxKeyFileBytes)
 	}
 	for line := range bytes.Lines(text) {
-		if line = bytes.TrimSpace(line); len(line) > 0 && line[0] != '#' {
+		line = bytes.TrimSpace(line)
+		if len(line) > 0 && line[0] != '#' {
 			keys = append(keys, line)
 		}
 	}
-	if _, err := codec.New("", keys); err != nil { // as the fleet would
+	if _, err := codec.New("", keys); err != nil { // the checks of the codec that will use them
 		return nil, err
 	}
 	return keys, nil
 }
 
-// fleet checks the fleet's block and turns it into what its host is told.
-func (f *File) fleet(cfg *Config, c *checker) {
+// buildFleet checks the fleet's block and adds the configuration of the fleet's host.
+func (f *File) buildFleet(cfg *Config, c *checker) {
 	if f.Fleet == nil {
 		return
 	}
-	for i, p := range f.Pools {
-		if p.Limits.Peers != nil && !*p.Limits.Peers {
-			c.bad(fmt.Sprintf("pools[%d].limits.peers", i), false, "true or nothing beside fleet: proxies that must not speak to each other are in none; take fleet or limits.peers out")
+	f.checkFleetNames(c)
+	f.Fleet.checkAddresses(c)
+	f.Fleet.checkRates(c)
+	keys, err := ReadKeys(f.Fleet.KeyFile)
+	if err != nil {
+		c.bad("fleet.key_file", f.Fleet.KeyFile,
+			"a file of one key a line, each of 16 characters or more, as proxy fleet key makes them: "+err.Error())
+	}
+	host := fleet.Config{
+		Name:             f.Name,
+		Fleet:            f.Fleet.Name,
+		Listen:           f.Fleet.Listen,
+		Advertise:        f.Fleet.Advertise,
+		Seeds:            f.Fleet.Seeds,
+		AddressOverrides: f.Fleet.AddressOverrides,
+		Keys:             keys,
+		StateFile:        f.Fleet.StateFile,
+		ReplicaCounts:    map[string]int{},
+		Zone:             f.Fleet.Zone,
+		Seed:             cfg.Seed,
+		Period:           f.Fleet.Period,
+		BytesPerSecond:   f.Fleet.BytesPerSecond,
+	}
+	for _, pool := range f.Pools {
+		host.Pools = append(host.Pools, pool.Name)
+		host.ReplicaCounts[pool.Name] = pool.ReplicaCount
+		setDefault(&host.Zone, pool.Zone)
+	}
+	slices.Sort(host.Pools)
+	if !membership.PoolsFit(host.Pools) {
+		c.bad("fleet", len(host.Pools), fmt.Sprintf(
+			"at most %d pools beside it, with %d bytes of names: each copy tells which it has",
+			membership.MaxPools, membership.MaxPoolBytes))
+	}
+	if len(f.Pools) > 0 {
+		host.Tier = f.Pools[0].Tier
+	}
+	host.Sharing = f.Fleet.Sharing.build(c)
+	cfg.Fleet = &Fleet{KeyFile: f.Fleet.KeyFile, Config: host}
+}
+
+func (f *File) checkFleetNames(c *checker) {
+	for i, pool := range f.Pools {
+		if pool.Limits.Peers != nil && !*pool.Limits.Peers {
+			c.bad(fmt.Sprintf("pools[%d].limits.peers", i), false, "true or nothing beside fleet: "+
+				"proxies that must not speak to each other are in none; take fleet or limits.peers out")
 		}
 	}
-	b := f.Fleet
-	if b.Name == "" || len(b.Name) > membership.MaxName {
-		c.bad("fleet.name", b.Name, fmt.Sprintf("a name of at most %d bytes", membership.MaxName))
+	if f.Fleet.Name == "" || len(f.Fleet.Name) > membership.MaxName {
+		c.bad("fleet.name", f.Fleet.Name, fmt.Sprintf("a name of at most %d bytes", membership.MaxName))
 	}
 	if f.Name == "" || len(f.Name) > membership.MaxName {
-		c.bad("name", f.Name, fmt.Sprintf("a name of at most %d bytes that no other proxy of the fleet has", membership.MaxName))
+		c.bad("name", f.Name,
+			fmt.Sprintf("a name of at most %d bytes that no other proxy of the fleet has", membership.MaxName))
 	}
-	c.address("fleet.listen", b.Listen)
-	if b.Advertise != "" {
-		c.address("fleet.advertise", b.Advertise)
-	}
-	if len(b.Seeds) > mostFleetSeeds {
-		c.bad("fleet.seeds", len(b.Seeds), fmt.Sprintf("at most %d addresses", mostFleetSeeds))
+}
+
+func (f *FleetFile) checkAddresses(c *checker) {
+	c.address("fleet.listen", f.Listen)
+	if f.Advertise != "" {
+		c.address("fleet.advertise", f.Advertise)
 	}
-	for i, s := range b.Seeds {
-		c.address(fmt.Sprintf("fleet.seeds[%d]", i), s)
+	if len(f.Seeds) > maxSeeds {
+		c.bad("fleet.seeds", len(f.Seeds), fmt.Sprintf("at most %d addresses", maxSeeds))
 	}
-	for _, name := range sortedKeys(b.AddressOverrides) {
-		c.address("fleet.via."+name, b.AddressOverrides[name])
+	for i, seed := range f.Seeds {
+		c.address(fmt.Sprintf("fleet.seeds[%d]", i), seed)
 	}
-	if b.Period != 0 {
-		c.span("fleet.period", b.Period, 50*time.Millisecond, 10*time.Second)
+	for _, name := range slices.Sorted(maps.Keys(f.AddressOverrides)) {
+		c.address("fleet.via."+name, f.AddressOverrides[name])
 	}
-	if b.BytesPerSecond != 0 {
-		c.number("fleet.bytes_per_s", float64(b.BytesPerSecond), 100, 1e7)
+}
+
+func (f *FleetFile) checkRates(c *checker) {
+	if f.Period != 0 {
+		c.duration("fleet.period", f.Period, minProbeInterval, maxProbeInterval)
 	}
-	keys, err := ReadKeys(b.KeyFile)
-	if err != nil {
-		c.bad("fleet.key_file", b.KeyFile, "a file of one key a line, each of 16 characters or more, as proxy fleet key makes them: "+err.Error())
-	}
-	var pools []string
-	copies := map[string]int{}
-	zone := b.Zone
-	for _, p := range f.Pools {
-		pools = append(pools, p.Name)
-		copies[p.Name] = p.ReplicaCount
-		if zone == "" {
-			zone = p.Zone
-		}
+	if f.BytesPerSecond != 0 {
+		c.number("fleet.bytes_per_s", float64(f.BytesPerSecond), minGossipBytesPerSecond, maxBytesPerSecond)
 	}
-	slices.Sort(pools)
-	if !membership.PoolsFit(pools) {
-		c.bad("fleet", len(pools), fmt.Sprintf("at most %d pools beside it, with %d bytes of names: each copy tells which it has", membership.MaxPools, membership.MaxPoolBytes))
+}
+
+// build checks what replicas share; nil is nothing.
+func (s *SharingFile) build(c *checker) *fleet.SharingConfig {
+	if s == nil {
+		return nil
 	}
-	tier := 0
-	if len(f.Pools) > 0 {
-		tier = f.Pools[0].Tier
+	if !s.Quotas && !s.Counters && !s.Evidence {
+		c.bad("fleet.share", "nothing", "quotas, counts or verdicts to be true, or no share block")
 	}
-	var share *fleet.SharingConfig
-	if sh := b.Sharing; sh != nil {
-		if share = (*fleet.SharingConfig)(sh); !sh.Quotas && !sh.Counters && !sh.Evidence {
-			c.bad("fleet.share", "nothing", "quotas, counts or verdicts to be true, or no share block")
-		}
-		if sh.BytesPerSecond != 0 {
-			c.number("fleet.share.bytes_per_s", float64(sh.BytesPerSecond), 200, 1e7)
-		}
+	if s.BytesPerSecond != 0 {
+		c.number("fleet.share.bytes_per_s", float64(s.BytesPerSecond), minSharingBytesPerSecond, maxBytesPerSecond)
 	}
-	cfg.Fleet = &Fleet{KeyFile: b.KeyFile, Config: fleet.Config{Name: f.Name, Fleet: b.Name, Listen: b.Listen, Advertise: b.Advertise, Seeds: b.Seeds, AddressOverrides: b.AddressOverrides,
-		Keys: keys, StateFile: b.StateFile, ReplicaCounts: copies, Zone: zone, Tier: tier, Pools: pools, Seed: cfg.Seed, Period: b.Period, BytesPerSecond: b.BytesPerSecond, Sharing: share}}
+	return (*fleet.SharingConfig)(s)
 }
--- a/config/fleet_test.go
+++ b/config/fleet_test.go
@@ -20,7 +20,7 @@
 	}
 	block := "fleet: {name: shop, listen: '127.0.0.1:7946', seeds: ['127.0.0.1:7947'], key_file: " + keys + "}\n"
 	cfg, _, err := ParseFile("f", []byte(text(block, "")), none)
-	if err != nil || cfg.Fleet == nil || len(cfg.Fleet.Keys) != 2 || cfg.Fleet.ReplicaCounts["main"] != 3 || cfg.Fleet.Name != "n1" || cfg.Fleet.Config.Fleet != "shop" {
+	if err != nil || cfg.Fleet == nil || len(cfg.Fleet.Keys) != 2 || cfg.Fleet.ReplicaCounts["main"] != 3 || cfg.Fleet.Name != "n1" || cfg.Fleet.Fleet != "shop" {
 		t.Fatalf("%v, %+v", err, cfg.Fleet)
 	}
 	if cfg, _, err := ParseFile("f", []byte(text("", "  limits: {peers: false}\n")), none); err != nil || cfg.Fleet != nil {
@@ -44,7 +44,7 @@
 		}
 	}
 	platform := strings.Replace(whole, `"name":"n3"`, `"name":"n3","fleet":{}`, 1)
-	if _, err := Parse([]byte(platform), none); err == nil || !strings.Contains(err.Error(), "fleet") || !strings.Contains(err.Error(), "Limits.Peers") {
+	if _, err := ParsePlatform([]byte(platform), none); err == nil || !strings.Contains(err.Error(), "fleet") || !strings.Contains(err.Error(), "Limits.Peers") {
 		t.Errorf("in the platform's form: %v", err)
 	}
 }
--- a/config/overlay.go
+++ b/config/overlay.go
@@ -6,176 +6,98 @@
 	"encoding/json"
 	"fmt"
 	"slices"
-	"strings"
-	"time"
 
 	"github.com/goccy/go-yaml"
+)
+
+// replicaKeys are the keys of a file that are one replica's own: a plan for a fleet leaves them alone, and so does the
+// hash by which replicas compare their settings.
+var replicaKeys = []string{"name", "seed", "mgmt", "machine", "listeners", "fleet"}
 
-	"ryerill/fleet/rollout"
-	"ryerill/internal/yamlfile"
+// Keys of a pool in a tree of settings.
+const (
+	poolNameKey    = "name"
+	poolReplicaKey = "copy" // number of the replica, its own too
 )
 
-// ownKeys are those of a file that are one copy's own: a plan for a fleet leaves them
-// alone, and so does the hash by which copies compare what they hold.
-var ownKeys = []string{"name", "seed", "mgmt", "machine", "listeners", "fleet"}
+// hashBytes is how much of a hash identifies settings.
+const hashBytes = 8
 
-func tree(text []byte) (map[string]any, error) {
-	m := map[string]any{}
-	if err := yaml.Unmarshal(text, &m); err != nil {
+// settingsTree is a file as nested maps, for settings whose meaning does not matter.
+type settingsTree map[string]any
+
+func parseTree(text []byte) (settingsTree, error) {
+	tree := settingsTree{}
+	if err := yaml.Unmarshal(text, &tree); err != nil {
 		return nil, err
 	}
-	return m, nil
+	return tree, nil
+}
+
+// pools are the pools of a tree.
+func (t settingsTree) pools() (pools []map[string]any) {
+	list, _ := t["pools"].([]any)
+	for _, item := range list {
+		if pool, ok := item.(map[string]any); ok {
+			pools = append(pools, pool)
+		}
+	}
+	return pools
 }
 
-// CommonHash identifies the settings that copies have in common.
+// CommonHash identifies the settings that replicas have in common, in hexadecimal.
 func CommonHash(text []byte) string {
-	m, err := tree(text)
+	tree, err := parseTree(text)
 	if err != nil {
 		return SettingsHash(text)
 	}
-	for _, k := range ownKeys {
-		delete(m, k)
+	for _, key := range replicaKeys {
+		delete(tree, key)
 	}
-	for _, p := range pools(m) {
-		delete(p, "copy")
+	for _, pool := range tree.pools() {
+		delete(pool, poolReplicaKey)
 	}
-	plain, err := json.Marshal(m) // with keys in order
+	canonical, err := json.Marshal(tree) // sorts the keys
 	if err != nil {
 		return SettingsHash(text)
 	}
-	sum := sha256.Sum256(plain)
-	return hex.EncodeToString(sum[:8])
+	return SettingsHash(canonical)
 }
 
-// SettingsHash identifies a text by its bytes.
+// SettingsHash identifies a text by its bytes, in hexadecimal.
 func SettingsHash(text []byte) string {
 	sum := sha256.Sum256(text)
-	return hex.EncodeToString(sum[:8])
+	return hex.EncodeToString(sum[:hashBytes])
 }
 
-func pools(m map[string]any) (all []map[string]any) {
-	list, _ := m["pools"].([]any)
-	for _, p := range list {
-		if pool, ok := p.(map[string]any); ok {
-			all = append(all, pool)
-		}
-	}
-	return all
-}
-
-// Overlay lays a plan's settings over a copy's own file: whole keys of the file are
-// replaced, what is the copy's own stays.
+// Overlay applies the settings of a plan to a replica's own file: whole keys of the file are replaced, what is the
+// replica's own stays.
 func Overlay(own, plan []byte) ([]byte, error) {
-	m, err := tree(own)
+	tree, err := parseTree(own)
 	if err != nil {
 		return nil, err
 	}
-	over, err := tree(plan)
+	planned, err := parseTree(plan)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	numbers := map[any]any{}
-	for _, p := range pools(m) {
-		if n, there := p["copy"]; there {
-			numbers[p["name"]] = n
+	replicaIndexes := map[any]any{} // by name of the pool
+	for _, pool := range tree.pools() {
+		if index, found := pool[poolReplicaKey]; found {
+			replicaIndexes[pool[poolNameKey]] = index
 		}
 	}
-	for k, v := range over {
-		if slices.Contains(ownKeys, k) {
-			return nil, fmt.Errorf("settings.%s: is each copy's own: take it out of the plan", k)
+	for key, value := range planned {
+		if slices.Contains(replicaKeys, key) {
+			return nil, fmt.Errorf("settings.%s: is each copy's own: take it out of the plan", key)
 		}
-		m[k] = v
+		tree[key] = value
 	}
-	for _, p := range pools(m) {
-		delete(p, "copy")
-		if n, there := numbers[p["name"]]; there {
-			p["copy"] = n
+	for _, pool := range tree.pools() {
+		delete(pool, poolReplicaKey)
+		if index, found := replicaIndexes[pool[poolNameKey]]; found {
+			pool[poolReplicaKey] = index
 		}
 	}
-	return yaml.Marshal(m)
-}
-
-// PlanFile is a plan as a person writes it, in YAML.
-type PlanFile struct {
-	ID               string         `yaml:"id"`
-	Kind             string         `yaml:"kind"`
-	Settings         map[string]any `yaml:"settings,omitempty"`
-	Program          string         `yaml:"program,omitempty"` // version
-	Levels           []uint8        `yaml:"speaks,omitempty"`  // least and most level that it speaks, as proxy version prints
-	Stages           []StageFile    `yaml:"stages,omitempty"`
-	MaxUnavailable   int            `yaml:"away,omitempty"`
-	Baseline         time.Duration  `yaml:"watch,omitempty"`
-	ReadyTimeout     time.Duration  `yaml:"wait,omitempty"`
-	ExtraObservation time.Duration  `yaml:"unknown,omitempty"`
-	RollBack         *bool          `yaml:"back,omitempty"` // default true
-	ExpiresAfter     time.Duration  `yaml:"expires,omitempty"`
-	Guardrails       GuardrailsFile `yaml:"guards,omitempty"`
-}
-
-// StageFile is one stage.
-type StageFile struct {
-	Count       int           `yaml:"count,omitempty"`
-	Fraction    float64       `yaml:"part,omitempty"`
-	PerZone     bool          `yaml:"per_zone,omitempty"`
-	Observation time.Duration `yaml:"soak,omitempty"`
-}
-
-// GuardrailsFile says what a stage must not cost.
-type GuardrailsFile struct {
-	Goodput          float64 `yaml:"goodput,omitempty"`
-	Latency          float64 `yaml:"latency,omitempty"`
-	FalseAlarm       float64 `yaml:"wrong,omitempty"`
-	MissedRegression float64 `yaml:"missed,omitempty"`
-
-	Attempts float64 `yaml:"attempts,omitempty"`
-	Memory   float64 `yaml:"memory,omitempty"`
-}
-
-// ParsePlan reads a plan. What is at fault is named with file, line and key. Its target
-// is that of a copy whose own file is given.
-func ParsePlan(name string, text, own []byte, getenv func(string) string) (p rollout.Plan, err error) {
-	f := new(PlanFile)
-	tree, err := yamlfile.Decode(name, text, f)
-	if err != nil {
-		return p, err
-	}
-	at := func(key string, err error) error { return fmt.Errorf("%s%s: %w", name, tree.Position(key), err) }
-	p = rollout.Plan{ID: f.ID, Kind: map[string]rollout.Kind{"settings": rollout.Settings, "program": rollout.Program}[f.Kind], MaxUnavailable: f.MaxUnavailable, Baseline: f.Baseline, ReadyTimeout: f.ReadyTimeout, ExtraObservation: f.ExtraObservation,
-		RollBack: f.RollBack == nil || *f.RollBack, ExpiresAfter: f.ExpiresAfter, Target: f.Program, Guardrails: rollout.Guardrails(f.Guardrails)}
-	switch len(f.Levels) {
-	case 0:
-	case 2:
-		p.MinLevel, p.MaxLevel = f.Levels[0], f.Levels[1]
-	default:
-		return p, at("speaks", fmt.Errorf("speaks: unexpected value %v, want the least and the most level, as in [1, 2]", f.Levels))
-	}
-	for _, s := range f.Stages {
-		p.Stages = append(p.Stages, rollout.Stage(s))
-	}
-	switch {
-	case p.Kind == 0:
-		return p, at("kind", fmt.Errorf("kind: unexpected value %q, want settings or program", f.Kind))
-	case p.Kind == rollout.Settings && len(f.Settings) == 0:
-		return p, at("settings", fmt.Errorf("settings: missing: say which keys of the configuration are replaced"))
-	case p.Kind == rollout.Program && f.Program == "":
-		return p, at("program", fmt.Errorf("program: missing: say which version proxy version is to print"))
-	case p.Kind == rollout.Settings:
-		if p.Settings, err = yaml.Marshal(f.Settings); err != nil {
-			return p, at("settings", err)
-		}
-		next, err := Overlay(own, p.Settings)
-		if err != nil {
-			return p, at("settings", err)
-		}
-		if _, _, err := ParseFile(name+" over this copy's file", next, getenv); err != nil {
-			return p, at("settings", fmt.Errorf("settings: %w", err))
-		}
-		p.Target = CommonHash(next)
-	}
-	p.Complete()
-	if err := p.Check(); err != nil {
-		key, _, _ := strings.Cut(err.Error(), ":")
-		return p, at(key, err)
-	}
-	return p, nil
+	return yaml.Marshal(map[string]any(tree))
 }
--- a/config/settings.go
+++ b/config/settings.go
@@ -12,30 +12,29 @@
 	"ryerill/balancer"
 )
 
-// maxItems bounds the length that a list of objects may claim.
+// maxItems bounds the length that a list of objects may state.
 const maxItems = 1 << 16
 
-// Settings is what a deployment states about itself: what the Balancer is told
-// and what only a host on sockets needs.
+// Settings is what a deployment states about itself: the configuration of the balancer, and what only a host on
+// sockets needs.
 type Settings struct {
 	Balancer        balancer.Config
 	Zones           []string
 	Kinds           []string
-	IdleClose       time.Duration // a provider's machine closes idle connections after this
+	IdleClose       time.Duration // an endpoint closes idle connections after this
 	AnyPath         bool          // a class need not be the first part of the path
-	PushedDiscovery bool          // an agent on this machine holds the list: watching it costs nobody anything
+	PushedDiscovery bool          // an agent on this machine holds the list: watching it is free
 }
 
-// SettingsFromPairs reads settings in the form of the simulator's wire, a
-// path=value pair a line. Unknown keys are skipped and absent ones leave the
-// zero value; a value of the wrong form is an error.
+// SettingsFromPairs reads settings in the form of the simulator's wire, a path=value pair a line. Unknown keys are
+// skipped and absent ones leave the zero value; a value of the wrong form is an error.
 func SettingsFromPairs(text string) (Settings, error) {
-	v := values{one: make(map[string]string), many: make(map[string][]string)}
+	v := newValues()
 	for line := range strings.Lines(text) {
 		if path, value, ok := strings.Cut(strings.TrimRight(line, "\r\n"), "="); ok {
-			v.one[path] = value
+			v.scalars[path] = value
 			if value != "" {
-				v.many[path] = strings.Split(value, ",")
+				v.lists[path] = strings.Split(value, ",")
 			}
 		}
 	}
@@ -44,7 +43,8 @@
 
 // SettingsFromJSON reads the same settings as nested JSON.
 func SettingsFromJSON(text []byte) (Settings, error) {
-	v := values{one: make(map[string]string), many: make(map[string][]string), strict: true}
+	v := newValues()
+	v.strict = true
 	d := json.NewDecoder(strings.NewReader(string(text)))
 	d.UseNumber()
 	var tree map[string]any
@@ -57,15 +57,20 @@
 
 // values holds settings by path and keeps the first error.
 type values struct {
-	one  map[string]string
-	many map[string][]string // lists of plain values
-	err  error
+	scalars map[string]string
+	lists   map[string][]string // of scalars
+	err     error
 
-	// strict refuses what no setting can mean: figures below 0, parts above 1, unknown words. A simulation
-	// goes on with them, read as what makes the Balancer most careful.
+	// strict refuses what no setting can mean: figures below 0, fractions above 1, unknown words. A simulation
+	// goes on with them, read as what makes the balancer most careful.
 	strict bool
 }
 
+func newValues() *values {
+	return &values{scalars: make(map[string]string), lists: make(map[string][]string)}
+}
+
+// flatten adds the values below a node of nested JSON, by path.
 func (v *values) flatten(path string, node any) {
 	switch node := node.(type) {
 	case map[string]any:
@@ -76,70 +81,87 @@
 			v.flatten(path+key, child)
 		}
 	case []any:
-		v.one[path+".count"] = strconv.Itoa(len(node))
+		v.scalars[path+".count"] = strconv.Itoa(len(node))
 		for i, child := range node {
 			v.flatten(path+"."+strconv.Itoa(i), child)
-			if text, ok := v.one[path+"."+strconv.Itoa(i)]; ok {
-				v.many[path] = append(v.many[path], text)
+			if text, ok := v.scalars[path+"."+strconv.Itoa(i)]; ok {
+				v.lists[path] = append(v.lists[path], text)
 			}
 		}
 	case nil:
 	default:
-		v.one[path] = fmt.Sprint(node)
+		v.scalars[path] = fmt.Sprint(node)
 	}
 }
 
-// settings is the one mapping of names to fields.
+// settings is the one mapping of names of settings to fields. Of several faults the first in this order is reported.
 func (v *values) settings() (Settings, error) {
-	s := Settings{Zones: v.many["Areas"], Kinds: v.many["Kinds"], IdleClose: v.micros("Limits.IdleClose")}
-	s.Balancer = balancer.Config{
-		Tier:            v.int("Tier"),
-		Tiers:           len(v.many["Tiers"]),
-		Zone:            v.int("Zone"),
-		ReplicaIndex:    v.int("Me"),
-		ReplicaCount:    v.int("GroupSize"),
-		Subscribe:       v.word("Discovery", "subscribe", "automatic") == "subscribe",
-		WeightByWork:    v.is("ValueBy", "work"),
-		OverQuotaWeight: v.part("OverShareWorth"),
-		LoadReportNames: v.many["LoadInfo.Names"],
-		Limits: balancer.Limits{
-			MaxAttempts:     v.int("Limits.TryLimit"),
-			MaxOpenRequests: v.int("Limits.MostHeld"),
-			MaxRetryAfter:   v.micros("Limits.MaxRetryAfter"),
-			ConnectTimeout:  v.micros("Limits.ConnectTimeout"),
-			SendRetryAfter:  v.bool("Limits.RetryAfter"),
-			AllowHedging:    v.bool("Limits.SecondCopies"),
-			AllowCancel:     v.bool("Limits.MayCancel"),
-			AllowProbes:     v.bool("Limits.Probes"),
-			AllowPeers:      v.bool("Limits.Peers"),
+	s := Settings{
+		Zones:           v.lists["Areas"],
+		Kinds:           v.lists["Kinds"],
+		IdleClose:       v.micros("Limits.IdleClose"),
+		PushedDiscovery: v.scalars["Discovery"] == "automatic",
+		Balancer: balancer.Config{
+			Tier:            v.int("Tier"),
+			Tiers:           len(v.lists["Tiers"]),
+			Zone:            v.int("Zone"),
+			ReplicaIndex:    v.int("Me"),
+			ReplicaCount:    v.int("GroupSize"),
+			Subscribe:       v.word("Discovery", "subscribe", "automatic") == "subscribe",
+			WeightByWork:    v.scalars["ValueBy"] == "work",
+			OverQuotaWeight: v.fraction("OverShareWorth"),
+			LoadReportNames: v.lists["LoadInfo.Names"],
+			Limits:          v.limits(),
+			Contract:        v.contract(),
+			Goal: balancer.Goal{
+				LogLossWeight: v.float("Goal.LogLossPart"),
+				TopNines:      v.float("Goal.TopNines"),
+			},
+			Classes: v.classes(),
+			Tenants: v.tenants(),
 		},
-		Contract: balancer.Contract{
-			AnswerSlack:      v.micros("Contract.AnswerSlack"),
-			DrainGrace:       v.micros("Contract.StopSendingWithin"),
-			MaxPollInterval:  v.micros("Contract.AskWithin"),
-			InitialCapacity:  v.part("Contract.ColdFrom"),
-			WarmUpPeriod:     v.micros("Contract.WarmUp"),
-			OverloadMultiple: v.float("Contract.FallMultiple"),
-			OverloadPeriod:   v.micros("Contract.OverloadFor"),
+	}
+	return s, v.err
+}
 
-			OnlyDrainingBinds: v.bool("Contract.DrainBindsAlone"),
-			KeyQuarantine:     v.micros("Contract.KeyRest"),
-		},
-		Goal: balancer.Goal{
-			LogLossWeight: v.float("Goal.LogLossPart"),
-			TopNines:      v.float("Goal.TopNines"),
-		},
+func (v *values) limits() balancer.Limits {
+	return balancer.Limits{
+		MaxAttempts:     v.int("Limits.TryLimit"),
+		MaxOpenRequests: v.int("Limits.MostHeld"),
+		MaxRetryAfter:   v.micros("Limits.MaxRetryAfter"),
+		ConnectTimeout:  v.micros("Limits.ConnectTimeout"),
+		SendRetryAfter:  v.bool("Limits.RetryAfter"),
+		AllowHedging:    v.bool("Limits.SecondCopies"),
+		AllowCancel:     v.bool("Limits.MayCancel"),
+		AllowProbes:     v.bool("Limits.Probes"),
+		AllowPeers:      v.bool("Limits.Peers"),
+	}
+}
+
+func (v *values) contract() balancer.Contract {
+	return balancer.Contract{
+		AnswerSlack:       v.micros("Contract.AnswerSlack"),
+		DrainGrace:        v.micros("Contract.StopSendingWithin"),
+		MaxPollInterval:   v.micros("Contract.AskWithin"),
+		InitialCapacity:   v.fraction("Contract.ColdFrom"),
+		WarmUpPeriod:      v.micros("Contract.WarmUp"),
+		OverloadMultiple:  v.float("Contract.FallMultiple"),
+		OverloadPeriod:    v.micros("Contract.OverloadFor"),
+		OnlyDrainingBinds: v.bool("Contract.DrainBindsAlone"),
+		KeyQuarantine:     v.micros("Contract.KeyRest"),
 	}
-	s.PushedDiscovery = v.one["Discovery"] == "automatic"
+}
+
+func (v *values) classes() (classes []balancer.Class) {
 	for i := range v.count("Classes") {
 		at := "Classes." + strconv.Itoa(i) + "."
-		s.Balancer.Classes = append(s.Balancer.Classes, balancer.Class{
-			Name:              v.one[at+"Name"],
+		classes = append(classes, balancer.Class{
+			Name:              v.scalars[at+"Name"],
 			LatencyObjective:  v.micros(at + "Slo"),
 			ObjectivePerWork:  v.float(at + "AimStretch"),
 			Deadline:          v.micros(at + "Deadline"),
 			PriorityWeight:    v.float(at + "Worth"),
-			LateWeight:        v.part(at + "LateWorth"),
+			LateWeight:        v.fraction(at + "LateWorth"),
 			Effect:            v.effect(at + "Effect"),
 			Group:             v.group(at + "Group"),
 			IdempotencyWindow: v.micros(at + "MemorySpan"),
@@ -147,25 +169,31 @@
 			OrderedByKey:      v.bool(at + "KeepOrder"),
 		})
 	}
+	return classes
+}
+
+func (v *values) tenants() (tenants []balancer.Tenant) {
 	for i := range v.count("Customers") {
 		at := "Customers." + strconv.Itoa(i) + "."
-		s.Balancer.Tenants = append(s.Balancer.Tenants, balancer.Tenant{
-			Name:  v.one[at+"Name"],
+		tenants = append(tenants, balancer.Tenant{
+			Name:  v.scalars[at+"Name"],
 			Quota: v.float(at + "QuotaPerS"),
 			Share: v.float(at + "Share"),
 		})
 	}
-	return s, v.err
+	return tenants
 }
 
+// bad records the first value that is at fault.
 func (v *values) bad(path string) {
 	if v.err == nil {
-		v.err = fmt.Errorf("setting %s: unexpected value %q", path, v.one[path])
+		v.err = fmt.Errorf("setting %s: unexpected value %q", path, v.scalars[path])
 	}
 }
 
+// float reads a number; a missing one is 0.
 func (v *values) float(path string) float64 {
-	text, ok := v.one[path]
+	text, ok := v.scalars[path]
 	if !ok || text == "" {
 		return 0
 	}
@@ -177,8 +205,8 @@
 	return n
 }
 
-// part is a share of something.
-func (v *values) part(path string) float64 {
+// fraction reads a number that can't be above 1.
+func (v *values) fraction(path string) float64 {
 	n := v.float(path)
 	if v.strict && n > 1 {
 		v.bad(path)
@@ -186,6 +214,7 @@
 	return n
 }
 
+// int reads a number that fits 32 bits, without its fraction.
 func (v *values) int(path string) int {
 	n := v.float(path)
 	if math.Abs(n) > math.MaxInt32 {
@@ -195,6 +224,7 @@
 	return int(n)
 }
 
+// count reads the length of a list of objects.
 func (v *values) count(path string) int {
 	n := v.int(path + ".count")
 	if n < 0 || n > maxItems {
@@ -204,6 +234,7 @@
 	return n
 }
 
+// micros reads a time in microseconds.
 func (v *values) micros(path string) time.Duration {
 	n := v.float(path)
 	if math.Abs(n) > math.MaxInt64/float64(time.Microsecond)/2 {
@@ -213,8 +244,9 @@
 	return time.Duration(n * float64(time.Microsecond))
 }
 
+// bool reads true or false; a missing one is false.
 func (v *values) bool(path string) bool {
-	switch v.one[path] {
+	switch v.scalars[path] {
 	case "true":
 		return true
 	case "", "false":
@@ -224,29 +256,27 @@
 	return false
 }
 
-// known is a word that may be another where that is not refused.
-func (v *values) known(path string, words ...string) string {
+// lenientWord reads one of some words; another one is refused only where reading is strict.
+func (v *values) lenientWord(path string, words ...string) string {
 	if !v.strict {
-		return v.one[path]
+		return v.scalars[path]
 	}
 	return v.word(path, words...)
 }
 
-// word is one of some words, or missing.
+// word reads one of some words, or an empty string where it is missing.
 func (v *values) word(path string, words ...string) string {
-	if text := v.one[path]; text == "" || slices.Contains(words, text) {
+	if text := v.scalars[path]; text == "" || slices.Contains(words, text) {
 		return text
 	}
 	v.bad(path)
 	return ""
 }
 
-func (v *values) is(path, want string) bool { return v.one[path] == want }
-
-// effect and group read a missing word as the strictest kind, and an unknown one
-// where it is not refused: it can only make the balancer more careful.
+// effect reads a missing word as the strictest kind, and an unknown one where it is not refused: it can only make the
+// balancer more careful.
 func (v *values) effect(path string) balancer.Effect {
-	switch v.known(path, "pure", "token", "side_effect") {
+	switch v.lenientWord(path, "pure", "token", "side_effect") {
 	case "pure":
 		return balancer.Safe
 	case "token":
@@ -255,8 +285,9 @@
 	return balancer.Unsafe
 }
 
+// group reads a missing or unknown word as the narrowest group, like effect.
 func (v *values) group(path string) balancer.Group {
-	switch v.known(path, "all", "zone", "cell") {
+	switch v.lenientWord(path, "all", "zone", "cell") {
 	case "all":
 		return balancer.GroupAll
 	case "zone":
--- a/lab/realtime/instance.go
+++ b/lab/realtime/instance.go
@@ -208,8 +208,8 @@
 
 func (i *instance) parse(text []byte) (config.Config, error) {
 	none := func(string) string { return "" }
-	if config.Platform(text) {
-		return config.Parse(text, none)
+	if config.IsPlatformForm(text) {
+		return config.ParsePlatform(text, none)
 	}
 	cfg, _, err := config.ParseFile(i.name, text, none)
 	return cfg, err
