--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -547,7 +547,7 @@
 	}
 	b.asking = true
 	wait := float64(min(b.cfg.Contract.MaxPollInterval, askWithin)) / 32 * math.Exp2(float64(min(b.failed, 3)))
-	b.out = append(b.out, Action{Kind: SetTimer, Wait: time.Duration(wait * (0.1 + b.random()))})
+	b.out = append(b.out, Action{Kind: SetTimer, Delay: time.Duration(wait * (0.1 + b.random()))})
 }
 
 // --- Request state: what may have run and what is still allowed. Rules 1, 2 and 5 are decided here alone.
@@ -663,7 +663,7 @@
 func (b *Balancer) wake(key uint64, wait time.Duration) {
 	b.token = max(b.token+1, 1)
 	b.timers[b.token] = key
-	b.out = append(b.out, Action{Kind: SetTimer, Wait: wait, Token: b.token})
+	b.out = append(b.out, Action{Kind: SetTimer, Delay: wait, Token: b.token})
 }
 
 // least is the time without which a request is not worth sending.
@@ -693,7 +693,7 @@
 		s.budget.n--
 	}
 	b.place(s)
-	a := Action{Kind: Send, Request: r.id, Endpoint: s.ID, Wait: left, WriteTimeout: left}
+	a := Action{Kind: Send, Request: r.id, Endpoint: s.ID, Timeout: left, WriteTimeout: left}
 	if r.ran != nil && r.c.Effect == Keyed { // a connection may come up late
 		a.WriteTimeout = min(left, r.lapse-b.now)
 	}
@@ -753,7 +753,7 @@
 		a.Kind = Shed
 		if b.cfg.Tier == 0 && b.cfg.Limits.SendRetryAfter {
 			// Half an aim away the limit has had time to move; the spread keeps clients apart.
-			a.Wait = min(time.Duration((0.25+0.5*b.random())*float64(r.c.LatencyObjective)), b.cfg.Limits.MaxRetryAfter)
+			a.RetryAfter = min(time.Duration((0.25+0.5*b.random())*float64(r.c.LatencyObjective)), b.cfg.Limits.MaxRetryAfter)
 		}
 	}
 	b.out = append(b.out, a)
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -190,8 +190,8 @@
 		cfg.Subscribe, cfg.Contract.MaxPollInterval = true, within
 		n := newNode(t, cfg, fleet(2)...)
 		for _, most := range []time.Duration{350 * ms, 700 * ms} {
-			if a := only(t, n.acts, SetTimer); a.Wait > min(most, within) {
-				t.Errorf("of %v: after %d failures the list is asked for in %v", within, n.b.failed, a.Wait)
+			if a := only(t, n.acts, SetTimer); a.Delay > min(most, within) {
+				t.Errorf("of %v: after %d failures the list is asked for in %v", within, n.b.failed, a.Delay)
 			}
 			n.handle(Event{Kind: TimerFired})
 			n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFailed})
@@ -295,13 +295,13 @@
 	n := newNode(t, testConfig(), fleet(2)...)
 	n.b.maxIFR = 5
 	for i := range 5 {
-		if _, acts := n.arrive(0); only(t, acts, Send).Wait <= 0 {
+		if _, acts := n.arrive(0); only(t, acts, Send).Timeout <= 0 {
 			t.Fatalf("request %d was not sent with a time-out", i)
 		}
 	}
 	_, acts := n.arrive(0)
-	if a := only(t, acts, Shed); a.Wait <= 0 || a.Wait > 400*ms {
-		t.Errorf("retry-after %v", a.Wait)
+	if a := only(t, acts, Shed); a.RetryAfter <= 0 || a.RetryAfter > 400*ms {
+		t.Errorf("retry-after %v", a.RetryAfter)
 	}
 	n.end(1, 0, OK, 10*ms)
 	_, acts = n.arrive(0)
@@ -313,8 +313,8 @@
 	cfg.Tiers, cfg.Tier = 3, 1
 	n := newNode(t, cfg)
 	_, acts := n.arrive(4)
-	if a := only(t, acts, Shed); a.Wait != 0 {
-		t.Errorf("retry-after %v at a deeper tier", a.Wait)
+	if a := only(t, acts, Shed); a.RetryAfter != 0 {
+		t.Errorf("retry-after %v at a deeper tier", a.RetryAfter)
 	}
 	if n.b.lmax >= lmaxShare || n.b.lmax <= lmaxShare/3 {
 		t.Errorf("Lmax %v of a middle tier", n.b.lmax)
@@ -426,8 +426,8 @@
 	n := newNode(t, testConfig(), fleet(3)...)
 	n.b.usual[0] = 0.1
 	_, acts := n.arrive(0)
-	if a := only(t, acts, Send); a.Wait != 2*time.Second {
-		t.Errorf("time-out %v, want all the time left", a.Wait)
+	if a := only(t, acts, Send); a.Timeout != 2*time.Second {
+		t.Errorf("time-out %v, want all the time left", a.Timeout)
 	}
 }
 
@@ -508,11 +508,11 @@
 		n.next++
 		return n.handle(Event{Kind: RequestArrived, Request: n.next, Class: class, Remaining: left})
 	}
-	if a := only(t, arrive(4, 700*ms), Send); a.Wait > 700*ms {
-		t.Errorf("time-out %v beyond the time left", a.Wait)
+	if a := only(t, arrive(4, 700*ms), Send); a.Timeout > 700*ms {
+		t.Errorf("time-out %v beyond the time left", a.Timeout)
 	}
-	if a := only(t, arrive(0, 2*time.Second), Send); a.Wait >= time.Second {
-		t.Errorf("time-out %v beyond the aim, after which an answer is worth nothing", a.Wait)
+	if a := only(t, arrive(0, 2*time.Second), Send); a.Timeout >= time.Second {
+		t.Errorf("time-out %v beyond the aim, after which an answer is worth nothing", a.Timeout)
 	}
 	only(t, arrive(4, 0), Shed)
 	only(t, arrive(4, ms), Shed)
@@ -574,10 +574,10 @@
 	n := newNode(t, cfg, fleet(1)...)
 	for try := range 4 {
 		timer := only(t, n.acts, SetTimer)
-		if timer.Wait <= 0 || timer.Wait > cfg.Contract.MaxPollInterval {
-			t.Errorf("try %d: asked after %v", try, timer.Wait)
+		if timer.Delay <= 0 || timer.Delay > cfg.Contract.MaxPollInterval {
+			t.Errorf("try %d: asked after %v", try, timer.Delay)
 		}
-		n.now += timer.Wait
+		n.now += timer.Delay
 		if a := only(t, n.handle(Event{Kind: TimerFired, Token: timer.Token}), Subscribe); !a.Enabled {
 			t.Error("subscription turned off")
 		}
@@ -937,11 +937,11 @@
 	}{{"safe", 0, Reset, false}, {"keyed, never ran", 1, ConnectFailed, false}, {"keyed", 1, Reset, true}, {"unsafe, never ran", 4, Rejected, false}} {
 		n := newNode(t, testConfig(), fleet(3)...)
 		id, first := n.arrive(c.class)
-		if a := only(t, first, Send); a.WriteTimeout != a.Wait {
-			t.Errorf("%s: first sent within %v of %v", c.name, a.WriteTimeout, a.Wait)
+		if a := only(t, first, Send); a.WriteTimeout != a.Timeout {
+			t.Errorf("%s: first sent within %v of %v", c.name, a.WriteTimeout, a.Timeout)
 		}
-		if a := only(t, n.end(id, 0, c.o, 10*ms), Send); a.WriteTimeout < a.Wait != c.soon {
-			t.Errorf("%s: sent again within %v of %v", c.name, a.WriteTimeout, a.Wait)
+		if a := only(t, n.end(id, 0, c.o, 10*ms), Send); a.WriteTimeout < a.Timeout != c.soon {
+			t.Errorf("%s: sent again within %v of %v", c.name, a.WriteTimeout, a.Timeout)
 		}
 	}
 }
@@ -1000,7 +1000,7 @@
 	id, acts := n.keyed(4, 7, 2*time.Second)
 	timer := only(t, acts, SetTimer)
 	n.b.usual[0], n.b.usual[4] = 0.001, 0.001
-	n.now += timer.Wait
+	n.now += timer.Delay
 	if a := only(t, n.handle(Event{Kind: TimerFired, Token: timer.Token}), Shed); a.Request != id {
 		t.Errorf("refused %d, want %d", a.Request, id)
 	}
@@ -1029,7 +1029,7 @@
 	}
 	third, _ := n.keyed(0, 7, 2*time.Second)
 	acts = n.end(second, 0, Reset, 10*ms)
-	if len(acts) != 2 || acts[0].Kind != SetTimer || acts[0].Wait != 50*ms || acts[1].Kind != Fail {
+	if len(acts) != 2 || acts[0].Kind != SetTimer || acts[0].Delay != 50*ms || acts[1].Kind != Fail {
 		t.Fatalf("a broken connection gave %+v, want a rest and the answer", acts)
 	}
 	n.now += 49 * ms
@@ -1054,7 +1054,7 @@
 	only(t, n.handle(Event{Kind: ClientLeft, Request: first}), Cancel)
 	acts := n.end(first, 0, Cancelled, 10*ms)
 	timer := only(t, acts, SetTimer)
-	n.now += timer.Wait
+	n.now += timer.Delay
 	if a := only(t, n.handle(Event{Kind: TimerFired, Token: timer.Token}), Send); a.Request != waiting {
 		t.Errorf("sent %d, want %d", a.Request, waiting)
 	}
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -26,7 +26,7 @@
 		Remaining: time.Second}, actions[:0])
 	for _, a := range actions {
 		if a.Kind == balancer.Send {
-			fmt.Printf("send request %d to server %d for up to %v\n", a.Request, a.Endpoint, a.Wait)
+			fmt.Printf("send request %d to server %d for up to %v\n", a.Request, a.Endpoint, a.Timeout)
 		}
 	}
 
--- a/balancer/explore_test.go
+++ b/balancer/explore_test.go
@@ -169,8 +169,8 @@
 			w.fail("no-repeat-against-its-class", "keyed request %d may be out %v after it may have run", r.id, w.now+a.WriteTimeout-r.ranAt)
 		}
 	}
-	if a.Wait <= 0 || a.Wait > patience || a.WriteTimeout <= 0 || a.WriteTimeout > a.Wait {
-		w.fail("every-attempt-has-a-deadline", "%v", a.Wait)
+	if a.Timeout <= 0 || a.Timeout > patience || a.WriteTimeout <= 0 || a.WriteTimeout > a.Timeout {
+		w.fail("every-attempt-has-a-deadline", "%v", a.Timeout)
 	}
 	r.sent = append(r.sent, a.Endpoint)
 	r.out, r.withdrew, r.sentAt = len(r.sent)-1, false, w.now
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -68,7 +68,7 @@
 				w.fail("cancel of an attempt never made: %+v", a)
 			}
 		case SetTimer:
-			w.due = append(w.due, Event{Kind: TimerFired, Token: a.Token, Elapsed: w.now + a.Wait})
+			w.due = append(w.due, Event{Kind: TimerFired, Token: a.Token, Elapsed: w.now + a.Delay})
 		case Probe, SendToPeer:
 			w.fail("%+v is not allowed here", a)
 		}
@@ -105,10 +105,10 @@
 		w.fail("sent to a server in state %d: %+v", s.State, a)
 	case len(r.attempts) >= w.cfg.Limits.MaxAttempts:
 		w.fail("attempt %d", len(r.attempts))
-	case a.WriteTimeout <= 0 || a.WriteTimeout > a.Wait:
-		w.fail("to be out in %v, time-out %v", a.WriteTimeout, a.Wait)
-	case a.Wait <= 0 || w.now+a.Wait > r.until:
-		w.fail("time-out %v, request ends at %v", a.Wait, r.until)
+	case a.WriteTimeout <= 0 || a.WriteTimeout > a.Timeout:
+		w.fail("to be out in %v, time-out %v", a.WriteTimeout, a.Timeout)
+	case a.Timeout <= 0 || w.now+a.Timeout > r.until:
+		w.fail("time-out %v, request ends at %v", a.Timeout, r.until)
 	}
 	if turn := w.turns[r.key]; r.key != 0 {
 		if turn[0] != a.Request {
@@ -135,10 +135,10 @@
 		w.checkCold(s)
 	}
 	w.due = append(w.due, Event{Kind: AttemptEnded, Request: a.Request, Attempt: len(r.attempts) - 1, Endpoint: a.Endpoint,
-		Elapsed: w.now + min(time.Duration(w.rng.Int63n(int64(60*ms))), a.Wait)})
+		Elapsed: w.now + min(time.Duration(w.rng.Int63n(int64(60*ms))), a.Timeout)})
 	w.sentAt[a.Request] = w.now
 	if w.rng.Intn(16) == 0 {
-		w.due[len(w.due)-1].Elapsed = w.now + a.Wait
+		w.due[len(w.due)-1].Elapsed = w.now + a.Timeout
 	}
 }
 
@@ -181,8 +181,8 @@
 	if w.now > r.until {
 		w.fail("answered %v after the client's time", w.now-r.until)
 	}
-	if a.Wait > w.cfg.Limits.MaxRetryAfter {
-		w.fail("retry-after %v", a.Wait)
+	if a.RetryAfter > w.cfg.Limits.MaxRetryAfter {
+		w.fail("retry-after %v", a.RetryAfter)
 	}
 	r.answered = true
 	w.over(a.Request)
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -254,15 +254,15 @@
 
 // The kinds of action, each with the fields it sets.
 const (
-	Send           ActionKind = iota + 1 // Request, Server, Within, Wait: the attempt's time-out
-	Shed                                 // Request, Wait: retry-after. Tells that a retry is harmless
+	Send           ActionKind = iota + 1 // Request, Endpoint, Timeout, WriteTimeout
+	Shed                                 // Request, RetryAfter. Tells that a retry is harmless
 	Fail                                 // Request: final, with no promise
 	Cancel                               // Request, Attempt
-	SetTimer                             // Wait, Token
-	Probe                                // Server
-	CloseIdle                            // Server
+	SetTimer                             // Delay, Token
+	Probe                                // Endpoint
+	CloseIdle                            // Endpoint
 	SendToPeer                           // Peer, Payload; Peer 0xffff is every peer
-	Subscribe                            // On
+	Subscribe                            // Enabled
 	FetchEndpoints                       // none
 	Log                                  // Text
 )
@@ -276,7 +276,9 @@
 	Peer         uint16
 	Request      RequestID
 	Endpoint     EndpointID
-	Wait         time.Duration
+	Timeout      time.Duration // Send: the attempt ends after this
+	RetryAfter   time.Duration // Shed: how long the client is asked to wait; 0 if it is told nothing
+	Delay        time.Duration // SetTimer: when it fires, from now
 	WriteTimeout time.Duration // Send: its last byte has to be out in this time
 	Payload      []byte
 	Text         string
--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -137,7 +137,7 @@
 func (t *textbook) list(ev *balancer.Event, out []balancer.Action) []balancer.Action {
 	if ev.ListKind != balancer.ListFull && ev.ListKind != balancer.ListChanges && !t.asking {
 		t.asking = true
-		out = append(out, balancer.Action{Kind: balancer.SetTimer, Wait: time.Duration((0.2 + t.rng.Float64()) * float64(200*time.Millisecond))})
+		out = append(out, balancer.Action{Kind: balancer.SetTimer, Delay: time.Duration((0.2 + t.rng.Float64()) * float64(200*time.Millisecond))})
 	}
 	if ev.ListKind == balancer.ListFailed {
 		return out
@@ -233,7 +233,7 @@
 	r.tried, r.open, r.sent = append(r.tried, s), true, now
 	s.out++
 	t.ifr++
-	return append(out, balancer.Action{Kind: balancer.Send, Request: id, Endpoint: s.ID, Wait: r.until - now})
+	return append(out, balancer.Action{Kind: balancer.Send, Request: id, Endpoint: s.ID, Timeout: r.until - now})
 }
 
 func (t *textbook) ended(now time.Duration, ev *balancer.Event, out []balancer.Action) []balancer.Action {
@@ -267,7 +267,7 @@
 	if r.ran == nil || c.Effect == balancer.Safe || c.Effect == balancer.Keyed && c.Group == balancer.GroupAll {
 		a.Kind = balancer.Shed
 		if t.cfg.Tier == 0 && t.cfg.Limits.SendRetryAfter {
-			a.Wait = min(time.Second, t.cfg.Limits.MaxRetryAfter)
+			a.RetryAfter = min(time.Second, t.cfg.Limits.MaxRetryAfter)
 		}
 	}
 	r.answered = true
--- a/lab/sim/proxy.go
+++ b/lab/sim/proxy.go
@@ -114,7 +114,7 @@
 	case balancer.Send:
 		p.send(a)
 	case balancer.Shed:
-		p.answer(a.Request, invariant.Shed, a.Wait)
+		p.answer(a.Request, invariant.Shed, a.RetryAfter)
 	case balancer.Fail:
 		p.answer(a.Request, invariant.Failed, 0)
 	case balancer.Cancel:
@@ -126,7 +126,7 @@
 		}
 	case balancer.SetTimer:
 		token := a.Token
-		p.s.after(a.Wait, func() { p.happen(balancer.Event{Kind: balancer.TimerFired, Token: token}) })
+		p.s.after(a.Delay, func() { p.happen(balancer.Event{Kind: balancer.TimerFired, Token: token}) })
 	case balancer.CloseIdle:
 		p.forget(a.Endpoint)
 	case balancer.Subscribe:
@@ -211,8 +211,8 @@
 		s.rec.Count("crossed", 1)
 	}
 	until := r.until
-	if act.Wait > 0 {
-		until = min(until, s.now+act.Wait)
+	if act.Timeout > 0 {
+		until = min(until, s.now+act.Timeout)
 	}
 	s.at(until, func() {
 		if !a.ended {
--- a/proxy/core.go
+++ b/proxy/core.go
@@ -114,7 +114,7 @@
 	case balancer.Send:
 		c.route(a)
 	case balancer.Shed:
-		c.relay(c.open[a.Request], message.Result{Kind: message.Shed, RetryAfter: a.Wait})
+		c.relay(c.open[a.Request], message.Result{Kind: message.Shed, RetryAfter: a.RetryAfter})
 	case balancer.Fail:
 		c.relay(c.open[a.Request], message.Result{Kind: message.Failed})
 	case balancer.Cancel:
@@ -122,7 +122,7 @@
 			e.calls[a.Attempt].Cancel()
 		}
 	case balancer.SetTimer:
-		c.remind(a.Wait, a.Token)
+		c.remind(a.Delay, a.Token)
 	case balancer.CloseIdle:
 		go c.pool.CloseIdle(uint64(a.Endpoint))
 	case balancer.Subscribe:
--- a/proxy/route.go
+++ b/proxy/route.go
@@ -52,8 +52,8 @@
 		return
 	}
 	until := e.until
-	if a.Wait > 0 {
-		if end := time.Now().Add(a.Wait); end.Before(until) {
+	if a.Timeout > 0 {
+		if end := time.Now().Add(a.Timeout); end.Before(until) {
 			until = end
 		}
 	}
--- a/simadapter/wire.go
+++ b/simadapter/wire.go
@@ -401,12 +401,12 @@
 	case balancer.Send:
 		w.record(codeRoute, instance)
 		w.u64(uint64(a.Request))
-		w.micros(a.Wait)
+		w.micros(a.Timeout)
 		w.server(a.Endpoint)
 	case balancer.Shed:
 		w.record(codeSayNo, instance)
 		w.u64(uint64(a.Request))
-		w.micros(a.Wait)
+		w.micros(a.RetryAfter)
 	case balancer.Fail:
 		w.record(codeRespondError, instance)
 		w.u64(uint64(a.Request))
@@ -416,7 +416,7 @@
 		w.buf = append(w.buf, uint8(a.Attempt))
 	case balancer.SetTimer:
 		w.record(codeRemind, instance)
-		w.micros(min(a.Wait, maxTimer))
+		w.micros(min(a.Delay, maxTimer))
 		w.u32(a.Token)
 	case balancer.Probe:
 		w.record(codePing, instance)
--- a/simadapter/wire_test.go
+++ b/simadapter/wire_test.go
@@ -101,8 +101,8 @@
 		who uint16
 		act balancer.Action
 	}{
-		{3, balancer.Action{Kind: balancer.Send, Request: 0x5f325d3a91c4, Wait: 80 * time.Millisecond, Endpoint: sampleServer}},
-		{3, balancer.Action{Kind: balancer.SetTimer, Wait: 500 * time.Millisecond, Token: 77}},
+		{3, balancer.Action{Kind: balancer.Send, Request: 0x5f325d3a91c4, Timeout: 80 * time.Millisecond, Endpoint: sampleServer}},
+		{3, balancer.Action{Kind: balancer.SetTimer, Delay: 500 * time.Millisecond, Token: 77}},
 		{5, balancer.Action{Kind: balancer.Log, Text: "two servers known"}},
 	} {
 		if err := w.Add(a.who, &a.act); err != nil {
@@ -176,14 +176,14 @@
 		act balancer.Action
 		hex string
 	}{
-		{balancer.Action{Kind: balancer.Shed, Request: 5, Wait: time.Millisecond}, "58 0100 0500000000000000 e8030000"},
+		{balancer.Action{Kind: balancer.Shed, Request: 5, RetryAfter: time.Millisecond}, "58 0100 0500000000000000 e8030000"},
 		{balancer.Action{Kind: balancer.Fail, Request: 5}, "51 0100 0500000000000000"},
 		{balancer.Action{Kind: balancer.Cancel, Request: 5, Attempt: 2}, "59 0100 0500000000000000 02"},
 		{balancer.Action{Kind: balancer.Probe, Endpoint: sampleServer}, "50 0100 0a124a07931f"},
 		{balancer.Action{Kind: balancer.CloseIdle, Endpoint: sampleServer}, "54 0100 0a124a07931f"},
 		{balancer.Action{Kind: balancer.Subscribe, Enabled: true}, "57 0100 01"},
 		{balancer.Action{Kind: balancer.FetchEndpoints}, "5b 0100"},
-		{balancer.Action{Kind: balancer.SetTimer, Wait: 1}, "55 0100 01000000 00000000"},
+		{balancer.Action{Kind: balancer.SetTimer, Delay: 1}, "55 0100 01000000 00000000"},
 	} {
 		var w Reply
 		w.Begin(1)
