--- /dev/null
+++ b/internal/overridestore/file.go
@@ -0,0 +1,107 @@
+package overridestore
+
+import (
+	"errors"
+	"fmt"
+	"hash/fnv"
+	"io"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"syscall"
+	"time"
+
+	"ryerill/internal/socket"
+	"ryerill/override"
+)
+
+// maxFile bounds the bytes of the file that are read.
+const maxFile = 1 << 20
+
+// errUnreadable says that the file can't be read now, and may be later: what it holds is unknown.
+var errUnreadable = errors.New("the file can't be read now")
+
+// fileVersion tells one writing of a file from another.
+type fileVersion struct {
+	inode    uint64
+	size     int64
+	modified time.Time
+}
+
+func versionOf(info fs.FileInfo) fileVersion {
+	version := fileVersion{size: info.Size(), modified: info.ModTime()}
+	if sys, ok := info.Sys().(*syscall.Stat_t); ok {
+		version.inode = sys.Ino
+	}
+	return version
+}
+
+// Path is the file that the processes of a proxy share, by the proxy's
+// name and the address that it serves at. It is empty if there is no directory.
+func Path(dir, name, address string) string {
+	if dir == "" {
+		return ""
+	}
+	h := fnv.New64a()
+	io.WriteString(h, name+"\x00"+address)
+	return filepath.Join(dir, fmt.Sprintf("ryerill-%016x.word", h.Sum64()))
+}
+
+// lock takes the lock that the processes share, which ends with its holder. After
+// the deadline it fails with [ErrBusy].
+func (s *Store) lock(deadline time.Time) (unlock func(), err error) {
+	file, err := os.OpenFile(s.path+".lock", os.O_CREATE|os.O_RDWR|syscall.O_NOFOLLOW, 0o600)
+	if err != nil {
+		return nil, fmt.Errorf("the word can't be kept: %w", err)
+	}
+	for {
+		err = syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
+		if err == nil {
+			return func() { file.Close() }, nil
+		}
+		if !errors.Is(err, syscall.EWOULDBLOCK) || time.Now().After(deadline) {
+			file.Close()
+			return nil, ErrBusy
+		}
+		time.Sleep(retryInterval)
+	}
+}
+
+// write replaces the file. After an error it is as it was.
+func (s *Store) write(set override.Set) error {
+	temporary := fmt.Sprintf("%s.%d", s.path, os.Getpid())
+	if err := os.WriteFile(temporary, override.Encode(set), 0o600); err != nil {
+		os.Remove(temporary)
+		return err
+	}
+	if err := os.Rename(temporary, s.path); err != nil {
+		os.Remove(temporary)
+		return err
+	}
+	return nil
+}
+
+// read returns what the file holds, and logs if that is malformed. The error is
+// [errUnreadable] if the file may hold overrides that can't be read now.
+func (s *Store) read() (override.Set, error) {
+	file, err := os.OpenFile(s.path, os.O_RDONLY|syscall.O_NOFOLLOW|syscall.O_NONBLOCK, 0)
+	if socket.OutOfDescriptors(err) {
+		return override.Set{}, fmt.Errorf("%w: %w", errUnreadable, err)
+	}
+	if err != nil {
+		if !errors.Is(err, fs.ErrNotExist) {
+			s.log.Warn("override file not readable, passed over", "file", s.path, "err", err)
+		}
+		return override.Set{}, err
+	}
+	defer file.Close()
+	text, err := io.ReadAll(io.LimitReader(file, maxFile))
+	if err != nil {
+		return override.Set{}, fmt.Errorf("%w: %w", errUnreadable, err)
+	}
+	set, err := override.Decode(text)
+	if err != nil {
+		s.log.Warn("override file malformed, passed over", "file", s.path, "err", err)
+	}
+	return set, err
+}
--- a/proxy/fleet.go
+++ b/proxy/fleet.go
@@ -14,7 +14,7 @@
 	"ryerill/fleet"
 	"ryerill/fleet/membership"
 	"ryerill/fleet/placement"
-	"ryerill/internal/overridestore"
+	"ryerill/internal/handover"
 )
 
 // again is how often a second process tries to take the fleet's address over from
@@ -117,7 +117,7 @@
 
 // succeeded tells whether another process of this proxy serves.
 func (p *Proxy) succeeded() bool {
-	return slices.ContainsFunc(p.siblings.Others(), func(s overridestore.Process) bool { return s.State == overridestore.Serving })
+	return slices.ContainsFunc(p.siblings.Others(), func(s handover.Process) bool { return s.State == handover.Serving })
 }
 
 // sayPhase tells the fleet what this process is at.
@@ -129,7 +129,7 @@
 	p.mu.Lock()
 	phase := membership.Starting
 	switch {
-	case p.ending || p.state == overridestore.Leaving:
+	case p.ending || p.state == handover.Leaving:
 		phase = membership.Leaving
 	case p.word.DrainSince != 0:
 		phase = membership.Draining
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -23,6 +23,7 @@
 	"ryerill/fleet"
 	"ryerill/fleet/rollout"
 	"ryerill/internal/buffer"
+	"ryerill/internal/handover"
 	"ryerill/internal/overridestore"
 	"ryerill/override"
 	"ryerill/route"
@@ -65,10 +66,10 @@
 	figures  figures
 	door     *admin.Server // nil is none
 	kept     *overridestore.Store
-	siblings *overridestore.Registry
+	siblings *handover.Registry
 	second   bool // another process of this proxy was there first
 	lives    int  // processes of this proxy, and this one
-	state    overridestore.State
+	state    handover.State
 	teach    sync.Once
 	taught   chan struct{} // closed once another process has told what it has learnt
 	onShare  func(part float64)
@@ -109,7 +110,7 @@
 // finds another process of the same proxy listens in Run, when it is ready to serve.
 func New(cfg config.Config, options ...Option) (*Proxy, error) {
 	p := &Proxy{cfg: cfg, log: slog.Default(), buffers: new(buffer.Pool), failed: make(chan error, 1),
-		machine: newMachine(cfg.Shared()), parting: make(map[*core]struct{}), lives: 1, state: overridestore.Starting, taught: make(chan struct{}), onShare: func(float64) {}}
+		machine: newMachine(cfg.Shared()), parting: make(map[*core]struct{}), lives: 1, state: handover.Starting, taught: make(chan struct{}), onShare: func(float64) {}}
 	for _, option := range options {
 		option(p)
 	}
@@ -125,7 +126,7 @@
 	p.kept = overridestore.Open(path, p.log, p.obey)
 	p.word = p.kept.Current()
 	var err error
-	if p.siblings, err = overridestore.Register(path, p.log); err != nil { // serving goes before being known
+	if p.siblings, err = handover.Register(path, p.log); err != nil { // serving goes before being known
 		p.log.Warn("an upgrade will not find this process", "error", err)
 	}
 	if cfg.Admin != "" {
@@ -280,7 +281,7 @@
 	}
 	p.ready = true
 	p.mu.Unlock()
-	p.say(overridestore.Serving)
+	p.say(handover.Serving)
 	p.sayPhase()
 	if len(cfg.Pools) > 1 || cfg.Pools[0].Settings.AnyPath {
 		go p.machine.run(side)
@@ -291,7 +292,7 @@
 	case err = <-p.failed:
 	}
 	stop()
-	p.say(overridestore.Leaving)
+	p.say(handover.Leaving)
 	p.mu.Lock()
 	p.ending = true
 	p.mu.Unlock()
--- a/proxy/upgrade.go
+++ b/proxy/upgrade.go
@@ -7,7 +7,7 @@
 
 	"ryerill/balancer"
 	"ryerill/drain"
-	"ryerill/internal/overridestore"
+	"ryerill/internal/handover"
 )
 
 const (
@@ -46,7 +46,7 @@
 }
 
 // say makes known what this process is at.
-func (p *Proxy) say(now overridestore.State) {
+func (p *Proxy) say(now handover.State) {
 	p.mu.Lock()
 	p.state = now
 	p.mu.Unlock()
@@ -71,7 +71,7 @@
 
 // divide takes in what other processes of this proxy are at: what is allowed,
 // is allowed them all together.
-func (p *Proxy) divide(others []overridestore.Process) {
+func (p *Proxy) divide(others []handover.Process) {
 	together, inFlight := 0, map[string]int{}
 	var heir map[string]known // of who serves now
 	for _, o := range others {
@@ -79,14 +79,14 @@
 		if json.Unmarshal([]byte(o.Text), &pools) != nil {
 			pools = nil // torn, or of another version: the next look may find more
 		}
-		if o.State == overridestore.Starting {
+		if o.State == handover.Starting {
 			continue
 		}
 		together++
 		for name, k := range pools {
 			inFlight[name] += max(k.InFlight, 0)
 		}
-		if o.State == overridestore.Serving && len(pools) > 0 {
+		if o.State == handover.Serving && len(pools) > 0 {
 			heir = pools
 		}
 	}
@@ -105,7 +105,7 @@
 	for c := range p.parting {
 		c.beside(together, 0)
 	}
-	if p.state == overridestore.Starting && p.pools != nil && heir != nil {
+	if p.state == handover.Starting && p.pools != nil && heir != nil {
 		for name, c := range p.pools {
 			if k, told := heir[name]; told {
 				c.adopt(k.Learnt)
@@ -152,7 +152,7 @@
 // process that serves beside this one, if there is one.
 func (p *Proxy) ShutdownPlan(killed time.Duration) drain.Plan {
 	for _, other := range p.siblings.Others() {
-		if other.State == overridestore.Serving {
+		if other.State == handover.Serving {
 			p.log.Info("handing over to the process that serves beside this one")
 			return drain.Handover()
 		}
