--- a/override/compatibility_test.go
+++ b/override/compatibility_test.go
@@ -11,7 +11,7 @@
 )
 
 // The file of the recorded program is read as it meant it, and written to the letter.
-func TestRecordedOrdersAreReadAndWrittenAlike(t *testing.T) {
+func TestRecordedOverridesAreReadAndWrittenAlike(t *testing.T) {
 	want := Set{Version: 9, Down: map[string]time.Duration{"s1": 1_700_000_000_000_001 * time.Microsecond, "a/b": time.Second},
 		Restored: map[string]time.Duration{"s2": 1_700_000_000_000_002 * time.Microsecond}, DrainSince: 1_700_000_000_000_003 * time.Microsecond}
 	file := filepath.Join("testdata", "compatibility", "orders.json")
