--- a/internal/handover/registry.go
+++ b/internal/handover/registry.go
@@ -188,7 +188,8 @@
 	err = syscall.Flock(int(file.Fd()), syscall.LOCK_SH|syscall.LOCK_NB)
 	switch {
 	case err == nil && len(content) == 0:
-		return Process{}, false // about to be locked by the process that has just made it, or left by one that died then
+		// About to be locked by the process that has just made it, or left by one that died then.
+		return Process{}, false
 	case err == nil: // nobody holds it
 		r.log.Info("removed file of ended process", "file", path)
 		os.Remove(path)
--- a/internal/overridestore/file.go
+++ b/internal/overridestore/file.go
@@ -43,7 +43,7 @@
 		return ""
 	}
 	h := fnv.New64a()
-	io.WriteString(h, name+"\x00"+address)
+	h.Write([]byte(name + "\x00" + address))
 	return filepath.Join(dir, fmt.Sprintf("ryerill-%016x.word", h.Sum64()))
 }
 
--- a/internal/overridestore/store.go
+++ b/internal/overridestore/store.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	pollInterval  = 100 * time.Millisecond // between looks at the file: an override at another process applies here soon
+	pollInterval  = 100 * time.Millisecond // between looks at the file: what another process writes applies here soon
 	updateTimeout = 400 * time.Millisecond // after which a change that can't be persisted is undone
 	retryInterval = 5 * time.Millisecond   // between attempts to lock or write the file
 )
--- a/override/encoding.go
+++ b/override/encoding.go
@@ -79,5 +79,10 @@
 	if !validTime(f.Drain) {
 		return Set{}, fmt.Errorf("overrides: drain at %d", f.Drain)
 	}
-	return Set{Version: f.Version, Down: down, Restored: restored, DrainSince: time.Duration(f.Drain) * time.Microsecond}, nil
+	return Set{
+		Version:    f.Version,
+		Down:       down,
+		Restored:   restored,
+		DrainSince: time.Duration(f.Drain) * time.Microsecond,
+	}, nil
 }
