--- a/admin/compatibility_test.go
+++ b/admin/compatibility_test.go
@@ -24,7 +24,7 @@
 
 // Each path with each method, a body and none: status, type and text.
 func TestRecordedAnswers(t *testing.T) {
-	d, _ := open(t)
+	server, _ := open(t)
 	var now []byte
 	for _, path := range []string{"readiness", "stats", "backends/down", "backends/up", "drain/start", "drain/stop", "fleet", "fleet/shared", "fleet/forget",
 		"rollout", "rollout/pause", "rollout/resume", "rollout/abort", "rollout/back", "rollout/refused", "nothing"} {
@@ -34,7 +34,7 @@
 				if body != "" {
 					head += "Content-Length: " + string(rune('0'+len(body))) + "\r\n"
 				}
-				status, text, resp := ask(t, d, head+"\r\n"+body)
+				status, text, resp := ask(t, server, head+"\r\n"+body)
 				line, _ := json.Marshal([]any{method, path, body, status, resp.Header.Get("Content-Type"), resp.Header.Get("Allow"), text})
 				now = append(append(now, line...), '\n')
 			}
--- /dev/null
+++ b/admin/server.go
@@ -0,0 +1,182 @@
+// Package admin is the management endpoint: a listener of its own at which operators ask
+// for the state of a proxy and give it orders. It speaks HTTP/1.1, one request to a
+// connection. It knows no endpoint and no discovery: what a request asks for it passes
+// on to a [Controller].
+package admin
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"sync"
+	"time"
+
+	"ryerill/internal/socket"
+)
+
+// Descriptors is how many file descriptors the server may hold; they are set aside for it.
+const Descriptors = maxConnections + 8
+
+const (
+	maxConnections = 32
+	readTimeout    = 3 * time.Second        // from the accept on until the request is in
+	writeTimeout   = 500 * time.Millisecond // for the response
+	linger         = 200 * time.Millisecond // what arrives after a response is read for so long, lest it be reset
+	maxLinger      = 64 << 10               // bytes that are read then
+	spare          = 2                      // descriptors set aside for when there are no others
+)
+
+// Server is the listener with its connections.
+type Server struct {
+	listener   *net.TCPListener
+	controller Controller
+	reserve    *socket.Reserve
+	serving    sync.WaitGroup // a goroutine for each connection
+
+	mu    sync.Mutex
+	conns map[*conn]struct{} // guarded by mu, with the fields of each that change
+}
+
+type conn struct {
+	tcp        *net.TCPConn
+	acceptedAt time.Time
+	received   bool // the request is in
+	answered   bool // the response is out: it only lingers
+}
+
+// Listen opens a server at an address; no request is answered before [Server.Serve].
+func Listen(address string) (*Server, error) {
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	return &Server{
+		listener: listener.(*net.TCPListener),
+		reserve:  socket.NewReserve(spare),
+		conns:    make(map[*conn]struct{}),
+	}, nil
+}
+
+// Address returns the address that the server listens at.
+func (s *Server) Address() string { return s.listener.Addr().String() }
+
+// Close closes a server that never served.
+func (s *Server) Close() {
+	s.listener.Close()
+	s.reserve.Close()
+}
+
+// Serve answers requests until ctx ends and those that are in have their response.
+func (s *Server) Serve(ctx context.Context, controller Controller) {
+	s.controller = controller
+	defer context.AfterFunc(ctx, s.stop)()
+	defer s.reserve.Close()
+	var backoff socket.Backoff
+	for {
+		tcp, err := s.listener.AcceptTCP()
+		if socket.OutOfDescriptors(err) && s.reserve.Lend() {
+			tcp, err = s.listener.AcceptTCP()
+		}
+		if errors.Is(err, net.ErrClosed) {
+			break
+		}
+		if err != nil { // the client has gone, or another socket has taken the descriptor
+			s.reserve.Fill()
+			time.Sleep(backoff.Next())
+			continue
+		}
+		backoff.Reset()
+		s.add(&conn{tcp: tcp, acceptedAt: time.Now()})
+	}
+	s.serving.Wait()
+}
+
+// stop ends accepting, and connections whose request is not in.
+func (s *Server) stop() {
+	s.listener.Close()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.conns {
+		if !c.received {
+			c.tcp.SetDeadline(time.Unix(1, 0))
+		}
+	}
+}
+
+// add serves a connection. At the bound it replaces another one, or is closed if none may go.
+func (s *Server) add(c *conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.conns) >= maxConnections {
+		evicted := s.evictableLocked()
+		if evicted == nil {
+			c.tcp.Close()
+			return
+		}
+		delete(s.conns, evicted)
+		evicted.tcp.Close()
+	}
+	s.conns[c] = struct{}{}
+	s.serving.Add(1)
+	go s.serve(c)
+}
+
+// evictableLocked returns the connection that makes room for another: the oldest that has its
+// response, else the oldest whose request is not in. Those that wait for their
+// response, which takes moments, stay; nil is none.
+func (s *Server) evictableLocked() (evicted *conn) {
+	for c := range s.conns {
+		switch {
+		case c.received && !c.answered:
+		case evicted == nil,
+			c.answered && !evicted.answered,
+			c.answered == evicted.answered && c.acceptedAt.Before(evicted.acceptedAt):
+			evicted = c
+		}
+	}
+	return evicted
+}
+
+// serve answers one connection's request, and closes it.
+func (s *Server) serve(c *conn) {
+	defer s.serving.Done()
+	defer func() {
+		s.mu.Lock()
+		delete(s.conns, c)
+		s.mu.Unlock()
+		c.tcp.Close()
+		s.reserve.Fill()
+	}()
+	c.tcp.SetReadDeadline(c.acceptedAt.Add(readTimeout))
+	req, err := readRequest(bufio.NewReaderSize(c.tcp, maxHead), c.tcp)
+	var invalid *statusError
+	var resp response
+	switch {
+	case err == nil:
+		s.mu.Lock()
+		c.received = true
+		s.mu.Unlock()
+		resp = handle(s.controller, req)
+	case errors.As(err, &invalid):
+		resp = invalid.response()
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		late := failf(http.StatusRequestTimeout, "the call did not come whole in %v: send it at once", readTimeout)
+		resp = late.response()
+	default:
+		return // the client has gone
+	}
+	c.tcp.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if _, err := c.tcp.Write(resp.encode()); err != nil || c.tcp.CloseWrite() != nil {
+		return
+	}
+	s.mu.Lock()
+	c.received = true
+	c.answered = true
+	s.mu.Unlock()
+	c.tcp.SetReadDeadline(time.Now().Add(linger))
+	_, _ = io.Copy(io.Discard, io.LimitReader(c.tcp, maxLinger)) // whatever ends it, the connection is closed next
+}
--- a/admin/ops_test.go
+++ b/admin/server_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"context"
+	"encoding/json"
 	"errors"
 	"io"
 	"net"
@@ -14,9 +15,9 @@
 	"time"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// controller counts what it is told.
+// controller counts the changes that it is asked for.
 type controller struct {
 	changes atomic.Int64
 	last    atomic.Pointer[string]
@@ -40,18 +41,20 @@
 func (s *controller) Restore(id string) error { s.changes.Add(1); return nil }
 func (s *controller) StartDrain() error       { s.changes.Add(1); return nil }
 func (s *controller) StopDrain() error        { s.changes.Add(1); return nil }
-func (s *controller) Fleet() (any, bool)      { return map[string]string{"name": "n1"}, true }
+func (s *controller) Fleet() (json.RawMessage, error) {
+	return json.RawMessage(`{"name":"n1"}`), nil
+}
 
-func (s *controller) SharedState() (any, bool) { return nil, false }
+func (s *controller) SharedState() (json.RawMessage, error) { return nil, ErrNothingShared }
 
-func (s *controller) Rollout() (any, bool) { return nil, false }
+func (s *controller) Rollout() (json.RawMessage, error) { return nil, ErrNoRollouts }
 
 func (s *controller) StartRollout(plan []byte) error {
 	s.changes.Add(1)
 	return nil
 }
 
-func (s *controller) RolloutCommand(word, body string) error { s.changes.Add(1); return nil }
+func (s *controller) RolloutCommand(command, argument string) error { s.changes.Add(1); return nil }
 
 func (s *controller) ForgetReplica(name string) error {
 	if name != "n2" {
@@ -62,32 +65,32 @@
 
 func open(t *testing.T) (*Server, *controller) {
 	t.Helper()
-	d, err := Listen("127.0.0.1:0")
+	server, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &controller{}
 	ctx, stop := context.WithCancel(context.Background())
 	over := make(chan struct{})
-	go func() { d.Serve(ctx, s); close(over) }()
+	go func() { server.Serve(ctx, s); close(over) }()
 	t.Cleanup(func() { stop(); <-over })
-	return d, s
+	return server, s
 }
 
-func dial(t *testing.T, d *Server) net.Conn {
+func dial(t *testing.T, server *Server) net.Conn {
 	t.Helper()
-	c, err := net.Dial("tcp", d.Address())
+	c, err := net.Dial("tcp", server.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
-func ask(t *testing.T, d *Server, text string) (int, string, *http.Response) {
+func ask(t *testing.T, server *Server, text string) (int, string, *http.Response) {
 	t.Helper()
-	c := dial(t, d)
+	c := dial(t, server)
 	io.WriteString(c, text)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -100,8 +103,8 @@
 	return resp.StatusCode, string(body), resp
 }
 
-func TestCalls(t *testing.T) {
-	d, s := open(t)
+func TestRequestsAndTheirResponses(t *testing.T) {
+	server, s := open(t)
 	const down = "POST /ops/backends/down HTTP/1.1\r\nHost: x\r\n"
 	for _, tc := range []struct {
 		text    string
@@ -148,7 +151,7 @@
 		{"GET /ops/stats HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("x", 9000) + "\r\n\r\n", 431, "over", 0},
 	} {
 		before := s.changes.Load()
-		status, text, resp := ask(t, d, tc.text)
+		status, text, resp := ask(t, server, tc.text)
 		if status != tc.status || !strings.Contains(text, tc.says) || s.changes.Load()-before != tc.changes || !resp.Close {
 			t.Errorf("%.70q: %d %s, %d changes, close %v", tc.text, status, text, s.changes.Load()-before, resp.Close)
 		}
@@ -158,10 +161,10 @@
 	}
 }
 
-// A call in single bytes is a call like any other, and one that asks first is told to go on.
-func TestCallInPieces(t *testing.T) {
-	d, s := open(t)
-	c := dial(t, d)
+// A request in single bytes is a request like any other, and one that asks for leave to send its body gets it.
+func TestRequestInPieces(t *testing.T) {
+	server, s := open(t)
+	c := dial(t, server)
 	for _, b := range []byte("POST /ops/backends/down HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n") {
 		c.Write([]byte{b})
 	}
@@ -177,46 +180,46 @@
 	}
 }
 
-// Callers who hold connections without a whole call keep nobody out, and are
-// told in the end.
-func TestHeldConnectionsMakeRoom(t *testing.T) {
-	d, _ := open(t)
-	first := dial(t, d)
+// Clients that hold connections without a whole request keep no other out, and get a
+// response in the end.
+func TestHeldConnectionsAreReplaced(t *testing.T) {
+	server, _ := open(t)
+	first := dial(t, server)
 	io.WriteString(first, "GET /ops/sta")
-	for range 3 * most {
-		io.WriteString(dial(t, d), "GET /ops/stats HT")
+	for range 3 * maxConnections {
+		io.WriteString(dial(t, server), "GET /ops/stats HT")
 	}
-	if status, _, _ := ask(t, d, "GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
+	if status, _, _ := ask(t, server, "GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
 		t.Error(status)
 	}
 	if _, err := first.Read(make([]byte, 1)); err == nil {
-		t.Error("the one that has waited longest did not go")
+		t.Error("the connection that waited longest was not closed")
 	}
-	for range 3 * most { // nor do callers who keep their connection once they have their answer
-		c := dial(t, d)
+	for range 3 * maxConnections { // nor do clients that keep their connection once they have their response
+		c := dial(t, server)
 		io.WriteString(c, "GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n")
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
 			t.Fatal(resp, err)
 		}
 	}
-	late := dial(t, d)
+	late := dial(t, server)
 	if resp, err := http.ReadResponse(bufio.NewReader(late), nil); err != nil || resp.StatusCode != 408 {
 		t.Error(resp, err)
 	}
 }
 
-// Whatever comes, reading ends without a panic, in a whole call or an error.
-func FuzzRead(f *testing.F) {
+// Whatever comes, reading ends without a panic, in a whole request or an error.
+func FuzzReadRequest(f *testing.F) {
 	f.Add([]byte("POST /ops/backends/down HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n1;x=y\r\ns\r\n0\r\n\r\n"))
 	f.Add([]byte("GET /ops/stats HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabcd"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		k, err := read(bufio.NewReaderSize(bytes.NewReader(text), maxHead), io.Discard)
-		if err == nil && (len(k.body) > maxBody || !strings.HasPrefix(k.path, "/")) {
-			t.Errorf("%q is a call: %+v", text, k)
+		req, err := readRequest(bufio.NewReaderSize(bytes.NewReader(text), maxHead), io.Discard)
+		if err == nil && (len(req.body) > maxBody || !strings.HasPrefix(req.path, "/")) {
+			t.Errorf("%q is a request: %+v", text, req)
 		}
-		var a answer
-		if errors.As(err, &a) && (a.status < 400 || a.status > 499 || a.text == "") {
-			t.Errorf("%q: %+v", text, a)
+		var invalid *statusError
+		if errors.As(err, &invalid) && (invalid.status < 400 || invalid.status > 499 || invalid.text == "") {
+			t.Errorf("%q: %+v", text, invalid)
 		}
 	})
 }
--- a/proxy/fleet.go
+++ b/proxy/fleet.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"encoding/json"
 	"errors"
 	"fmt"
 	"slices"
@@ -10,6 +11,7 @@
 	"syscall"
 	"time"
 
+	"ryerill/admin"
 	"ryerill/config"
 	"ryerill/fleet"
 	"ryerill/fleet/membership"
@@ -192,30 +194,35 @@
 	return a.Listen != b.Listen || a.Fleet != b.Fleet || a.Advertise != b.Advertise
 }
 
-// Fleet tells how the fleet stands; ok is false where the proxy is in none.
-func (p *Proxy) Fleet() (s any, ok bool) {
+// Fleet implements [admin.Controller].
+func (p *Proxy) Fleet() (json.RawMessage, error) {
 	if host := p.fleetHost(); host != nil {
-		return host.Status(), true
+		return json.Marshal(host.Status())
 	}
-	return nil, p.side != nil
+	if p.side != nil {
+		return nil, admin.ErrFleetNotJoined
+	}
+	return nil, admin.ErrNoFleet
 }
 
-// SharedState tells what copies share; in is false where nothing is.
-func (p *Proxy) SharedState() (s any, in bool) {
+// SharedState implements [admin.Controller].
+func (p *Proxy) SharedState() (json.RawMessage, error) {
 	if host := p.fleetHost(); host != nil {
 		if shared := host.SharedStatus(); shared != nil {
-			return shared, true
+			return json.Marshal(shared)
 		}
 	}
-	return nil, false
+	return nil, admin.ErrNothingShared
 }
 
-// Rollout tells how a plan stands; in is false where the proxy takes no part.
-func (p *Proxy) Rollout() (s any, in bool) {
+// Rollout implements [admin.Controller].
+func (p *Proxy) Rollout() (json.RawMessage, error) {
 	if host := p.fleetHost(); host != nil {
-		return host.RolloutStatus()
+		if status, enabled := host.RolloutStatus(); enabled {
+			return json.Marshal(status)
+		}
 	}
-	return nil, false
+	return nil, admin.ErrNoRollouts
 }
 
 // StartRollout hands a plan over, as a person wrote it.
