--- a/admin/server.go
+++ b/admin/server.go
@@ -41,8 +41,14 @@
 	conns map[*conn]struct{} // guarded by mu, with the fields of each that change
 }
 
+// tcpConn is a *net.TCPConn.
+type tcpConn interface {
+	net.Conn
+	CloseWrite() error
+}
+
 type conn struct {
-	tcp        *net.TCPConn
+	tcp        tcpConn
 	acceptedAt time.Time
 	received   bool // the request is in
 	answered   bool // the response is out: it only lingers
