--- a/fairshare/budget_test.go
+++ b/fairshare/fairshare_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestSharesAreMaxMin(t *testing.T) {
+func TestPartsAreMaxMinFair(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		amount  int
@@ -32,7 +32,7 @@
 
 // Nobody gets more than it wants, all is given if it is wanted, and no part can
 // grow but at the cost of one that has less for its weight.
-func TestSharesHoldTheDefinition(t *testing.T) {
+func TestPartsMeetTheDefinitionOfMaxMin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "n")
 		amount := rapid.IntRange(0, 100).Draw(t, "amount")
@@ -66,30 +66,30 @@
 	})
 }
 
-// greedy are pools that take what they may in any order, and give back what they will.
+// Pools take what they may in any order, and give back when they like.
 func TestGuaranteesHoldAndTheTotalIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(10, 60).Draw(t, "total")
-		l := NewLedger(total)
+		ledger := NewLedger(total)
 		draw := func() map[string]Claim {
 			claims, left := map[string]Claim{}, total
 			for i := range rapid.IntRange(1, 4).Draw(t, "pools") {
 				g := rapid.IntRange(0, left/2).Draw(t, "guarantee")
 				left -= g
 				claims[fmt.Sprint(i)] = Claim{Guarantee: g, Weight: float64(rapid.IntRange(0, 3).Draw(t, "weight")),
-					Max: rapid.SampledFrom([]int{0, 5, 20}).Draw(t, "most")}
+					Max: rapid.SampledFrom([]int{0, 5, 20}).Draw(t, "max")}
 			}
 			return claims
 		}
 		claims := draw()
-		if !l.Set(claims) {
+		if !ledger.Set(claims) {
 			t.Fatal("claims within the total are refused")
 		}
-		used, allowed := map[string]int{}, l.Step(nil)
+		used, allowed := map[string]int{}, ledger.Step(nil)
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			if rapid.IntRange(0, 9).Draw(t, "reload") == 0 {
 				claims = draw()
-				l.Set(claims)
+				ledger.Set(claims)
 			}
 			wanted := map[string]int{}
 			for range rapid.IntRange(0, 30).Draw(t, "acts") {
@@ -111,7 +111,7 @@
 			if sum > total {
 				t.Fatalf("step %d: %d of %d are in use: %v", step, sum, total, used)
 			}
-			allowed = l.Step(usage)
+			allowed = ledger.Step(usage)
 			reach := 0
 			for name := range map[string]bool{"0": true, "1": true, "2": true, "3": true} {
 				reach += max(used[name], allowed[name])
@@ -121,8 +121,8 @@
 			}
 		}
 		// Once all is given back, each has its guarantee at the next step but one.
-		l.Step(nil)
-		allowed = l.Step(nil)
+		ledger.Step(nil)
+		allowed = ledger.Step(nil)
 		for name, c := range claims {
 			if allowed[name] < c.Guarantee {
 				t.Fatalf("%s is allowed %d, guaranteed %d", name, allowed[name], c.Guarantee)
@@ -131,37 +131,37 @@
 	})
 }
 
-// What was lent is called back when its owner's neighbour wants it, as fast as it is given back.
-func TestWhatIsLentIsCalledBack(t *testing.T) {
-	l := NewLedger(100)
-	l.Set(map[string]Claim{"calm": {Guarantee: 20, Weight: 1}, "flood": {Guarantee: 20, Weight: 1}})
+// What was lent falls back when another pool wants it, as fast as it is given back.
+func TestWhatIsLentFallsBack(t *testing.T) {
+	ledger := NewLedger(100)
+	ledger.Set(map[string]Claim{"calm": {Guarantee: 20, Weight: 1}, "flood": {Guarantee: 20, Weight: 1}})
 	// The flood wants everything and gets the rest; the guarantee of the calm pool is not touched.
 	var allowed map[string]int
 	for range 3 {
-		allowed = l.Step(map[string]Usage{"flood": {Used: min(allowed["flood"], 500), Wanted: 400}})
+		allowed = ledger.Step(map[string]Usage{"flood": {Used: min(allowed["flood"], 500), Wanted: 400}})
 	}
 	if allowed["flood"] != 80 || allowed["calm"] != 20 {
 		t.Fatalf("alone, the flood is allowed %v", allowed)
 	}
 	// The calm pool takes its guarantee and wants more: half of the rest is its own.
-	allowed = l.Step(map[string]Usage{"flood": {80, 400}, "calm": {20, 30}})
+	allowed = ledger.Step(map[string]Usage{"flood": {80, 400}, "calm": {20, 30}})
 	if allowed["flood"] != 50 || allowed["calm"] != 20 {
-		t.Fatalf("called back: %v", allowed)
+		t.Fatalf("once the other wants some: %v", allowed)
 	}
-	// The flood drags: what it holds on to is not given twice.
-	allowed = l.Step(map[string]Usage{"flood": {70, 400}, "calm": {20, 30}})
+	// The flood is slow to give back: what it still uses is not given twice.
+	allowed = ledger.Step(map[string]Usage{"flood": {70, 400}, "calm": {20, 30}})
 	if allowed["calm"] != 30 {
 		t.Fatalf("10 were given back, and the other is allowed %v", allowed)
 	}
-	allowed = l.Step(map[string]Usage{"flood": {50, 400}, "calm": {30, 30}})
+	allowed = ledger.Step(map[string]Usage{"flood": {50, 400}, "calm": {30, 30}})
 	if allowed["calm"] != 50 || allowed["flood"] != 50 {
 		t.Fatalf("in the end: %v", allowed)
 	}
 }
 
-func TestGuaranteesBeyondTheTotalAreRefused(t *testing.T) {
-	l := NewLedger(10)
-	if l.Set(map[string]Claim{"a": {Guarantee: 6}, "b": {Guarantee: 5}}) {
+func TestGuaranteesBeyondTheTotalAreRejected(t *testing.T) {
+	ledger := NewLedger(10)
+	if ledger.Set(map[string]Claim{"a": {Guarantee: 6}, "b": {Guarantee: 5}}) {
 		t.Error("11 are guaranteed of 10")
 	}
 }
@@ -169,30 +169,30 @@
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{10, 500} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l, claims, usage := NewLedger(10_000), map[string]Claim{}, map[string]Usage{}
+			ledger, claims, usage := NewLedger(10_000), map[string]Claim{}, map[string]Usage{}
 			for i := range n {
 				claims[fmt.Sprint(i)] = Claim{Guarantee: 2, Weight: 1}
 				usage[fmt.Sprint(i)] = Usage{i, i % 7}
 			}
-			l.Set(claims)
+			ledger.Set(claims)
 			for b.Loop() {
-				l.Step(usage)
+				ledger.Step(usage)
 			}
 		})
 	}
 }
 
 func TestRatesAreDividedAnewInEachSpan(t *testing.T) {
-	claims := map[string]Claim{"calm": {Guarantee: 10, Weight: 1}, "flood": {Guarantee: 10, Weight: 1}, "most": {Weight: 1, Max: 5}}
+	claims := map[string]Claim{"calm": {Guarantee: 10, Weight: 1}, "flood": {Guarantee: 10, Weight: 1}, "bounded": {Weight: 1, Max: 5}}
 	for _, tc := range []struct {
 		name  string
 		usage map[string]Usage
 		want  map[string]int
 	}{
-		{"nobody wants anything", nil, map[string]int{"calm": 48, "flood": 47, "most": 5}},
-		{"one floods", map[string]Usage{"flood": {100, 900}}, map[string]int{"calm": 10, "flood": 90, "most": 0}},
-		{"two do", map[string]Usage{"flood": {100, 900}, "calm": {60, 60}}, map[string]int{"calm": 50, "flood": 50, "most": 0}},
-		{"little is wanted by one", map[string]Usage{"flood": {100, 900}, "calm": {20, 0}, "most": {9, 9}}, map[string]int{"calm": 20, "flood": 75, "most": 5}},
+		{"nobody wants anything", nil, map[string]int{"calm": 48, "flood": 47, "bounded": 5}},
+		{"one floods", map[string]Usage{"flood": {100, 900}}, map[string]int{"calm": 10, "flood": 90, "bounded": 0}},
+		{"two do", map[string]Usage{"flood": {100, 900}, "calm": {60, 60}}, map[string]int{"calm": 50, "flood": 50, "bounded": 0}},
+		{"little is wanted by one", map[string]Usage{"flood": {100, 900}, "calm": {20, 0}, "bounded": {9, 9}}, map[string]int{"calm": 20, "flood": 75, "bounded": 5}},
 	} {
 		if diff := cmp.Diff(tc.want, Rates(100, claims, tc.usage)); diff != "" {
 			t.Errorf("%s: %s", tc.name, diff)
