--- a/discovery/client_test.go
+++ b/discovery/client_test.go
@@ -81,7 +81,7 @@
 		if step.told == "failed" {
 			for running := true; running; { // until the failed watch has let go
 				c.mu.Lock()
-				running = c.stop != nil
+				running = c.stopWatch != nil
 				c.mu.Unlock()
 			}
 		}
@@ -93,7 +93,7 @@
 	}
 }
 
-// A watch that is moved lets go of the old directory and asks the new one for
+// A watch that is moved lets go of the old discovery service and asks the new one for
 // the whole list, whatever version it held; nothing of the old one is told
 // afterwards. Without this a reload would leave the proxy with a dead list.
 func TestMove(t *testing.T) {
@@ -158,7 +158,7 @@
 	}
 }
 
-// A directory that takes a watch and says nothing more is noticed long before
+// A discovery service that takes a watch and says nothing more is noticed long before
 // what it had to tell would have been missed.
 func TestSilenceIsNoticed(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
@@ -177,7 +177,7 @@
 	}
 }
 
-// A list of a fleet ten times today's largest, 7,000 providers, is taken whole.
+// A list of a fleet ten times today's largest, 7,000 endpoints, is taken whole.
 func TestLargeList(t *testing.T) {
 	var list EndpointList
 	list.Snapshot, list.Index = true, 1
@@ -193,7 +193,7 @@
 	defer server.Close()
 	c := NewClient(t.Context(), server.Listener.Addr().String(), EndpointList{}, new(buffer.Pool), nil)
 	c.mu.Lock()
-	l := c.connection()
+	l := c.newConnectionLocked()
 	c.mu.Unlock()
 	defer l.close()
 	got, err := c.get(t.Context(), l, path, 0)
@@ -230,7 +230,7 @@
 	defer cancel()
 	c := NewAgentClient(ctx, server.Listener.Addr().String(), EndpointList{}, new(buffer.Pool), news)
 	c.Subscribe(true) // of no effect
-	within := (agentFor + agentIn + agentMost).Milliseconds()
+	within := (agentWatchWait + agentAnswerTimeout + agentMaxPause).Milliseconds()
 	for i, step := range []struct{ answer, told string }{
 		{`{"index":5,"snapshot":true,"endpoints":[]}`, "list 5"},
 		{"fails", "failed"}, {"breaks", ""}, {"silent", ""}, {"fails", ""}, {"fails", ""},
--- a/discovery/crossings_test.go
+++ b/discovery/crossings_test.go
@@ -17,7 +17,7 @@
 
 // However an answer breaks off or lies, it is a failed call and never half a list, and
 // the call after it is told whole: on another connection, in time for the rule on drains,
-// for a directory that is asked and for an agent alike.
+// for a discovery service that is asked and for an agent alike.
 func TestAnswersThatBreak(t *testing.T) {
 	const head, list = "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", `{"index":8,"snapshot":true,"endpoints":[{"name":"s","address":"127.0.0.1:1","status":"Terminating"}]}`
 	says := func(text string) string { return fmt.Sprintf(head, len(text), text) }
@@ -94,7 +94,7 @@
 				if (text != "failed") != tc.whole {
 					t.Fatalf("told %q", text)
 				}
-				if took := time.Since(began); took > watchFor+answerIn+time.Second {
+				if took := time.Since(began); took > watchWait+answerTimeout+time.Second {
 					t.Errorf("told after %v", took)
 				}
 				if tc.whole {
@@ -104,7 +104,7 @@
 					t.Error("the broken connection is used again")
 				}
 				c.mu.Lock()
-				running := c.stop != nil
+				running := c.stopWatch != nil
 				c.mu.Unlock()
 				if running != agent {
 					t.Errorf("the watch goes on: %v", running)
@@ -125,7 +125,7 @@
 }
 
 // Two moves in a row while a call is out, in any order with its answer: only what the
-// last directory says is told after the last move, and one watch is left.
+// last discovery service says is told after the last move, and one watch is left.
 func TestMovesInARow(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
 	peer := func() (string, chan net.Conn, func()) {
@@ -150,7 +150,7 @@
 		text := fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[]}`, index)
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	}
-	for _, early := range []bool{true, false} { // the old directories' answers come before the last move, or after
+	for _, early := range []bool{true, false} { // the old discovery services' answers come before the last move, or after
 		a, fromA, endA := peer()
 		b, fromB, endB := peer()
 		news := make(told, 8)
--- a/discovery/list.go
+++ b/discovery/list.go
@@ -1,5 +1,3 @@
-// Package discovery asks the directory for the list of providers and watches
-// its changes.
 package discovery
 
 import (
@@ -13,46 +11,50 @@
 // The states of an endpoint.
 const (
 	Ready       = "Ready"
-	Terminating = "Terminating" // completes what it has and wants nothing new
+	Terminating = "Terminating" // completes the requests that it has and wants no new ones
 	Gone        = "Gone"        // only among changes
 )
 
-// Endpoint is one provider as the directory lists it.
+// maxSinceMS bounds the start of an endpoint, so that it fits a time.Duration with room to spare.
+const maxSinceMS = math.MaxInt64 / 2_000_000
+
+// Endpoint is one endpoint as the discovery service lists it.
 type Endpoint struct {
 	Name    string  `json:"name"`    // the same at every proxy
-	Address string  `json:"address"` // as this proxy reaches it
+	Address string  `json:"address"` // IP address and port by which this proxy reaches it
 	Zone    string  `json:"zone"`
 	Type    string  `json:"type"`
 	Group   int     `json:"group"`
-	Status  string  `json:"status"`
+	Status  string  `json:"status"` // Ready, Terminating or Gone
 	Weight  float64 `json:"weight"`
-	SinceMS int64   `json:"since_ms"` // its last start in Unix milliseconds; 0 is long ago
+	SinceMS int64   `json:"since_ms"` // its last start in Unix milliseconds; 0 is unknown or long ago
 }
 
-// EndpointList is an answer of the directory: the whole list or changes of it.
+// EndpointList is an answer of the discovery service: the whole list, or changes of the one before.
 type EndpointList struct {
-	Index     uint64     `json:"index"`
+	Index     uint64     `json:"index"`    // version of the list
 	Snapshot  bool       `json:"snapshot"` // the whole list
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// Parse reads a list and checks each of its entries, so that a damaged answer
-// is a failed call and never half a list.
+var errListIncomplete = errors.New("list of providers: index or endpoints are missing")
+
+// Parse reads a list and checks each of its entries, so that a damaged answer is a failed call and never half a list.
 func Parse(text []byte) (EndpointList, error) {
-	var shape struct {
+	var parsed struct {
 		EndpointList
 		Index     *uint64     `json:"index"`
 		Endpoints *[]Endpoint `json:"endpoints"`
 	}
-	if err := json.Unmarshal(text, &shape); err != nil {
+	if err := json.Unmarshal(text, &parsed); err != nil {
 		return EndpointList{}, fmt.Errorf("list of providers: %w", err)
 	}
-	if shape.Index == nil || shape.Endpoints == nil {
-		return EndpointList{}, errors.New("list of providers: index or endpoints are missing")
+	if parsed.Index == nil || parsed.Endpoints == nil {
+		return EndpointList{}, errListIncomplete
 	}
-	list := EndpointList{Index: *shape.Index, Snapshot: shape.Snapshot, Endpoints: *shape.Endpoints}
-	for i, e := range list.Endpoints {
-		if err := e.check(); err != nil {
+	list := EndpointList{Index: *parsed.Index, Snapshot: parsed.Snapshot, Endpoints: *parsed.Endpoints}
+	for i := range list.Endpoints {
+		if err := list.Endpoints[i].check(); err != nil {
 			return EndpointList{}, fmt.Errorf("list of providers: endpoints.%d: %w", i, err)
 		}
 	}
@@ -65,7 +67,7 @@
 	}
 	switch e.Status {
 	case Gone:
-		return nil // its address concerns nobody any more
+		return nil // its address does not matter any more
 	case Ready, Terminating:
 	default:
 		return fmt.Errorf("status: unexpected value %q", e.Status)
@@ -73,7 +75,7 @@
 	if _, err := netip.ParseAddrPort(e.Address); err != nil {
 		return fmt.Errorf("address: unexpected value %q", e.Address)
 	}
-	if e.SinceMS < 0 || e.SinceMS > math.MaxInt64/2_000_000 {
+	if e.SinceMS < 0 || e.SinceMS > maxSinceMS {
 		return fmt.Errorf("since_ms: unexpected value %d", e.SinceMS)
 	}
 	return nil
--- /dev/null
+++ b/discovery/watch.go
@@ -0,0 +1,99 @@
+package discovery
+
+import (
+	"context"
+	"fmt"
+	"time"
+)
+
+// startWatchLocked starts a watch, which ends with its context or when a call fails. c.mu is held.
+func (c *Client) startWatchLocked() {
+	ctx, stop := context.WithCancel(c.ctx)
+	c.stopWatch = stop
+	c.watchNumber++
+	number := c.watchNumber
+	conn := c.newConnectionLocked()
+	go func() {
+		defer stop() // also when the watch fails: its context must not outlive it
+		defer conn.close()
+		c.watch(ctx, number, conn)
+	}()
+}
+
+// watch calls again as soon as an answer is in: the service forgets a watch 200 ms after its last answer, and what
+// changes in between binds the proxy all the same.
+func (c *Client) watch(ctx context.Context, number int, conn *connection) {
+	agentPause := agentMinPause
+	for {
+		target, wait := c.nextCall()
+		began := time.Now()
+		list, err := c.get(ctx, conn, target, wait)
+		if err != nil && c.agent {
+			if agentPause == agentMinPause {
+				c.notify(ctx, conn, list, err)
+			}
+			if !sleep(ctx, agentPause) {
+				return
+			}
+			agentPause = min(2*agentPause, agentMaxPause)
+			continue
+		}
+		agentPause = agentMinPause
+		if err != nil {
+			c.watchEnded(number)
+		}
+		if !c.notify(ctx, conn, list, err) {
+			return
+		}
+		earlyAndEmpty := len(list.Endpoints) == 0 && time.Since(began) < wait/2
+		if earlyAndEmpty && !sleep(ctx, emptyPause) {
+			return
+		}
+	}
+}
+
+// nextCall returns the target of the next call of a watch and how long the service may wait before it answers.
+func (c *Client) nextCall() (target string, wait time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.holdsList {
+		return path, 0
+	}
+	wait = c.watchWait()
+	return fmt.Sprintf("%s?since=%d&timeout_ms=%d", path, c.index, wait.Milliseconds()), wait
+}
+
+// watchEnded records that a watch has failed, unless another has taken its place.
+func (c *Client) watchEnded(number int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.watchNumber == number {
+		c.stopWatch = nil
+	}
+}
+
+// watchWait is how long one call of the watch waits for something newer.
+func (c *Client) watchWait() time.Duration {
+	if c.agent {
+		return agentWatchWait
+	}
+	return watchWait
+}
+
+// answerTimeout is how long an answer may take beyond what its call may wait.
+func (c *Client) answerTimeout() time.Duration {
+	if c.agent {
+		return agentAnswerTimeout
+	}
+	return answerTimeout
+}
+
+// sleep waits, and reports false if ctx has ended before.
+func sleep(ctx context.Context, d time.Duration) bool {
+	select {
+	case <-ctx.Done():
+		return false
+	case <-time.After(d):
+		return true
+	}
+}
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -15,7 +15,7 @@
 	HeaderRetry    = "Req-Retry"
 	HeaderKey      = "Idempotency-Key"
 	HeaderDeadline = "Req-Deadline-Ms" // how long the sender will wait
-	HeaderDeclined = "Srv-Declined"    // the provider has not run the request
+	HeaderDeclined = "Srv-Declined"    // the endpoint has not run the request
 )
 
 // AppendHeader appends the lines of a header to b. It leaves out what concerns
@@ -44,8 +44,8 @@
 	return false
 }
 
-// ours reports whether a header is part of the protocol between consumer and
-// provider. It always passes: without its id or key a request is another one.
+// ours reports whether a header is part of the protocol between client and
+// endpoint. It always passes: without its id or key a request is another one.
 func ours(name string) bool {
 	return strings.HasPrefix(name, "Req-") || name == "Idempotency-Key"
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -10,53 +10,60 @@
 )
 
 const (
-	waiting = 256     // lines that may wait to be written
-	burst   = 4 << 20 // bytes at once; a log is no place for what repeats for ever,
-	pace    = 64      // but it must not fall silent: bytes a second that come back, 5 MB a day
+	maxQueuedLines = 256 // that may wait to be written
+
+	// Bytes that may be written at once. A log is no place for what repeats for ever, but it must not fall silent
+	// either: the allowance refills at so many bytes a second, 5 MB a day.
+	burstBytes           = 4 << 20
+	refillBytesPerSecond = 64
 )
 
-// New returns a logger to w. Lines that w is too slow for are dropped, and so is
-// what comes faster than the log's pace; the next line that passes says how many.
+// New returns a logger to w that lives as long as the process. Lines that w is too slow for are dropped, and so is what
+// exceeds the log's allowance; the next line that passes says how many.
 func New(w io.Writer) *slog.Logger { return newLogger(w, time.Now) }
 
 func newLogger(w io.Writer, now func() time.Time) *slog.Logger {
-	q := &queue{lines: make(chan []byte, waiting), now: now, room: burst, at: now()}
+	q := &queue{lines: make(chan []byte, maxQueuedLines), now: now, allowance: burstBytes, refilledAt: now()}
 	go func() {
 		for line := range q.lines {
-			w.Write(line) // to nobody, perhaps: that is no reason to end
+			_, _ = w.Write(line) // the reader may have gone: that is no reason to end
 		}
 	}()
 	return slog.New(slog.NewTextHandler(q, nil))
 }
 
+// queue passes lines on to the goroutine that writes them.
 type queue struct {
 	lines chan []byte
 	now   func() time.Time
 
-	mu      sync.Mutex
-	room    float64 // bytes
-	at      time.Time
-	dropped int // lines since the last that passed
+	// mu guards what follows.
+	mu         sync.Mutex
+	allowance  float64 // bytes
+	refilledAt time.Time
+	dropped    int // lines since the last that passed
 }
 
-// Write hands a line to the one that writes.
+// Write queues a line, or drops it. It never waits and never fails.
 func (q *queue) Write(line []byte) (int, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.now()
-	q.room = min(q.room+pace*now.Sub(q.at).Seconds(), burst)
-	q.at = now
-	text := append([]byte(nil), line...)
+	q.allowance = min(q.allowance+refillBytesPerSecond*now.Sub(q.refilledAt).Seconds(), burstBytes)
+	q.refilledAt = now
+	var text []byte
 	if q.dropped > 0 {
-		text = append(fmt.Appendf(nil, "time=%s level=WARN msg=\"lines dropped\" lines=%d\n", now.Format(time.RFC3339), q.dropped), text...)
+		text = fmt.Appendf(text, "time=%s level=WARN msg=\"lines dropped\" lines=%d\n",
+			now.Format(time.RFC3339), q.dropped)
 	}
-	if float64(len(text)) > q.room {
+	text = append(text, line...)
+	if float64(len(text)) > q.allowance {
 		q.dropped++
 		return len(line), nil
 	}
 	select {
 	case q.lines <- text:
-		q.room -= float64(len(text))
+		q.allowance -= float64(len(text))
 		q.dropped = 0
 	default:
 		q.dropped++
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -25,7 +25,7 @@
 	out := make(lines, 8192)
 	log := newLogger(out, func() time.Time { return now })
 	long := strings.Repeat("x", 64<<10)
-	for range 2 * burst / len(long) {
+	for range 2 * burstBytes / len(long) {
 		log.Info(long)
 	}
 	now = now.Add(time.Hour)
@@ -49,11 +49,11 @@
 func TestNobodyWaitsForTheReader(t *testing.T) {
 	r, w := io.Pipe()
 	log := New(w)
-	for range 4 * waiting { // nobody reads
+	for range 4 * maxQueuedLines { // nobody reads
 		log.Info("a line")
 	}
 	r.Close()
-	for range 4 * waiting {
+	for range 4 * maxQueuedLines {
 		log.Info("a line")
 	}
 }
--- a/internal/seedrand/chance_test.go
+++ b/internal/seedrand/seedrand_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // The same everywhere and for good: copies of several versions compare what follows.
-func TestFiguresStand(t *testing.T) {
+func TestKnownValues(t *testing.T) {
 	s := Source(1)
 	if a, b := s.Uint64(), s.Uint64(); a != 0x910a2dec89025cc1 || b != 0xbeeb8da1658eec67 {
 		t.Errorf("%#x, %#x", a, b)
--- a/internal/socket/peek.go
+++ b/internal/socket/peek.go
@@ -1,4 +1,4 @@
-// Package socket looks at connections without reading from them.
+// Package socket inspects connections without reading from them, and keeps descriptors in reserve.
 package socket
 
 import (
@@ -11,14 +11,14 @@
 // SharePort lets several processes of one user listen at an address. It is the
 // Control of a net.ListenConfig.
 func SharePort(_, _ string, raw syscall.RawConn) error {
-	var err error
-	if e := raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); e != nil {
-		return e
-	}
-	return err
+	var optionErr error
+	controlErr := raw.Control(func(fd uintptr) {
+		optionErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+	})
+	return errors.Join(controlErr, optionErr)
 }
 
-// State is what a look at a connection's receiving end shows.
+// State is what the receiving end of a connection is at.
 type State uint8
 
 // The states of a connection.
@@ -29,8 +29,8 @@
 	Broken               // reset, or unreadable for another reason
 )
 
-// Peek looks at a connection. It does not wait and takes nothing from it but a
-// reset: the system tells that once, and a plain end from then on.
+// Peek inspects a connection. It does not wait and takes nothing from it but a reset: the system reports that once,
+// and a plain end from then on.
 func Peek(c syscall.Conn) State {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -62,26 +62,25 @@
 	if err != nil {
 		return true
 	}
-	left := false
+	closed := false
 	err = raw.Control(func(fd uintptr) {
-		look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		n, err := unix.Poll(look, 0)
-		left = err == nil && n > 0 && look[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		n, err := unix.Poll(polled, 0)
+		closed = err == nil && n > 0 && polled[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
-	return left || err != nil
+	return closed || err != nil
 }
 
-// Discard throws away what has come in of a connection, most bytes about, without
-// waiting for more.
-func Discard(c syscall.Conn, most int) {
+// Discard throws away what has been received on a connection, up to about maxBytes, without waiting for more.
+func Discard(c syscall.Conn, maxBytes int) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return
 	}
-	raw.Control(func(fd uintptr) {
-		var b [4 << 10]byte
-		for n := 1; n > 0 && most > 0; most -= n {
-			n, _, _ = syscall.Recvfrom(int(fd), b[:], syscall.MSG_DONTWAIT)
+	_ = raw.Control(func(fd uintptr) { // a connection that is closed has nothing to discard
+		var block [4 << 10]byte
+		for n := 1; n > 0 && maxBytes > 0; maxBytes -= n {
+			n, _, _ = syscall.Recvfrom(int(fd), block[:], syscall.MSG_DONTWAIT)
 		}
 	})
 }
--- a/internal/socket/reserve.go
+++ b/internal/socket/reserve.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// OutOfDescriptors reports whether err says that this process or machine has no descriptor
-// or memory to spare now: it says nothing of the other side.
+// OutOfDescriptors reports whether err says that this process or machine has no descriptor or memory to spare now:
+// such an error says nothing of the other side.
 func OutOfDescriptors(err error) bool {
 	for _, fault := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		if errors.Is(err, fault) {
@@ -20,74 +20,76 @@
 	return false
 }
 
-// Reserve keeps descriptors aside for when the process has no other left. It is
-// safe for concurrent use.
+// Reserve holds descriptors for when the process has no other left. It is safe for concurrent use.
 type Reserve struct {
-	mu   sync.Mutex
-	most int
-	kept []int
+	// mu guards what follows.
+	mu          sync.Mutex
+	size        int
+	descriptors []int
 }
 
-// NewReserve keeps n descriptors, or as many as there are.
+// NewReserve reserves n descriptors, or as many as there are.
 func NewReserve(n int) *Reserve {
-	r := &Reserve{most: n}
+	r := &Reserve{size: n}
 	r.Fill()
 	return r
 }
 
-// Lend lets one go, for the next call that needs a descriptor. It reports false
-// if there is none left. Fill takes it back.
+// Lend frees one descriptor for the next call that needs one. It reports false if none is left. Fill takes it back.
 func (r *Reserve) Lend() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	last := len(r.kept) - 1
+	last := len(r.descriptors) - 1
 	if last < 0 {
 		return false
 	}
-	unix.Close(r.kept[last])
-	r.kept = r.kept[:last]
+	closeDescriptor(r.descriptors[last])
+	r.descriptors = r.descriptors[:last]
 	return true
 }
 
-// Fill takes back what was lent, as far as there are descriptors. It reports
-// whether all is back.
+// Fill takes back what was lent, as far as there are descriptors. It reports whether the reserve is full.
 func (r *Reserve) Fill() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for len(r.kept) < r.most {
+	for len(r.descriptors) < r.size {
 		fd, err := unix.Open("/dev/null", unix.O_RDONLY|unix.O_CLOEXEC, 0)
 		if err != nil {
 			return false
 		}
-		r.kept = append(r.kept, fd)
+		r.descriptors = append(r.descriptors, fd)
 	}
 	return true
 }
 
-// Close lets all of it go, for good.
+// Close frees the whole reserve for good.
 func (r *Reserve) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, fd := range r.kept {
-		unix.Close(fd)
+	for _, fd := range r.descriptors {
+		closeDescriptor(fd)
 	}
-	r.kept, r.most = nil, 0
+	r.descriptors = nil
+	r.size = 0
 }
 
-// How long a call that has failed for want of something waits before the next.
+// closeDescriptor closes a descriptor of /dev/null, which can't fail in a way that matters.
+func closeDescriptor(fd int) { _ = unix.Close(fd) }
+
+// Bounds of the pause after a call that failed for want of a resource.
 const (
-	leastPause = time.Millisecond
-	mostPause  = 50 * time.Millisecond
+	minPause = time.Millisecond
+	maxPause = 50 * time.Millisecond
 )
 
 // Backoff is how long to wait after failures in a row. Its zero value is ready.
 type Backoff struct{ last time.Duration }
 
 // Next returns the pause after one more failure: twice the last, within bounds.
-func (p *Backoff) Next() time.Duration {
-	p.last = min(max(2*p.last, leastPause), mostPause)
-	return p.last
+func (b *Backoff) Next() time.Duration {
+	b.last = min(max(2*b.last, minPause), maxPause)
+	return b.last
 }
 
-// Reset notes a success.
-func (p *Backoff) Reset() { p.last = 0 }
+// Reset records a success.
+func (b *Backoff) Reset() { b.last = 0 }
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -69,13 +69,13 @@
 		{Request{Host: "app.svc", Path: "/a/b/c%20d"}, "app"},
 	} {
 		i, err := table.Find(&tc.r)
-		if err != nil || table.Rule(i).Name != tc.want {
-			t.Errorf("%+v: %v, %v; want %s", tc.r, table.Rule(i).Name, err, tc.want)
+		if err != nil || table.rules[i].Name != tc.want {
+			t.Errorf("%+v: %v, %v; want %s", tc.r, table.rules[i].Name, err, tc.want)
 		}
 	}
 	for target, want := range map[string]string{"/shops/7/x?a=/shops": "/v2/s/7/x?a=/shops", "/shops": "/v2/s", "/shops?q": "/v2/s?q"} {
 		i, _ := table.Find(&Request{Host: "app.svc", Path: strings.Split(target, "?")[0]})
-		if table.Rule(i).Name == "shops" {
+		if table.rules[i].Name == "shops" {
 			if got := table.Target(i, target); got != want {
 				t.Errorf("%s goes on as %s, want %s", target, got, want)
 			}
@@ -147,7 +147,7 @@
 // --- The naive matcher: every rule, by the words of the package's doc.
 
 func (r *rule) meets(q *Request) bool {
-	host := hostname(q.Host)
+	host := normalizeHost(q.Host)
 	if rest, ok := strings.CutPrefix(r.Host, "*."); ok {
 		if !strings.HasSuffix(host, "."+rest) {
 			return false
@@ -161,11 +161,11 @@
 			return false
 		}
 	}
-	if !r.rest && len(parts) != len(r.segments) {
+	if !r.hasRest && len(parts) != len(r.segments) {
 		return false
 	}
 	in := func(list []string, v string) bool { return len(list) == 0 || slices.Contains(list, v) }
-	return in(r.Methods, q.Method) && in(r.Classes, q.Class) && r.headers(q)
+	return in(r.Methods, q.Method) && in(r.Classes, q.Class) && r.headersMatch(q)
 }
 
 // before compares two rules that meet one request.
@@ -184,7 +184,7 @@
 	}
 	kind := func(r *rule, i int) int {
 		switch {
-		case i == len(r.segments) && r.rest:
+		case i == len(r.segments) && r.hasRest:
 			return 0
 		case i == len(r.segments):
 			return 3
