--- /dev/null
+++ b/upstream/attempt.go
@@ -0,0 +1,132 @@
+package upstream
+
+import (
+	"context"
+	"net"
+	"sync"
+	"time"
+
+	"ryerill/message"
+)
+
+// pastDeadline ends an operation that is under way on a connection.
+var pastDeadline = time.Unix(1, 0)
+
+// Attempt is one attempt to have a request executed by one endpoint. It is used once.
+type Attempt struct {
+	Request  *message.OutgoingRequest
+	Endpoint uint64 // identity of the endpoint: its address may pass to another
+	Address  string
+	Deadline time.Time // the proxy stops waiting
+	// WriteDeadline is when the last byte of the request has to be written; zero is no bound. A request part of whose
+	// body is still to be received may take longer.
+	WriteDeadline time.Time
+	MaySend       func() bool // asked right before the first byte is written
+
+	// OnWritten is called once the last byte is written, and returns until when to wait from then on; zero is as
+	// before. It may be nil.
+	OnWritten func() time.Time
+
+	// mu guards what follows.
+	mu         sync.Mutex
+	conn       *conn // nil unless the attempt holds one
+	cancelled  bool
+	writing    bool               // its first byte may be written
+	cancelDial context.CancelFunc // nil unless a connection is being opened for it
+}
+
+// Cancel ends the attempt by closing its connection, or ends the wait for one. It does not block.
+func (a *Attempt) Cancel() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.cancelLocked()
+}
+
+func (a *Attempt) cancelLocked() {
+	a.cancelled = true
+	if a.cancelDial != nil {
+		a.cancelDial()
+	}
+	if a.conn != nil {
+		a.conn.SetDeadline(pastDeadline) // ends what is under way; Do closes
+	}
+}
+
+// Withdraw cancels the attempt if nothing of it has been written yet. It does not block, and other than Cancel it never
+// ends what may be executing.
+func (a *Attempt) Withdraw() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if !a.writing {
+		a.cancelLocked()
+	}
+}
+
+// lastWrite is until when the last byte of the request may be written.
+func (a *Attempt) lastWrite() time.Time {
+	if !a.WriteDeadline.IsZero() && a.WriteDeadline.Before(a.Deadline) {
+		return a.WriteDeadline
+	}
+	return a.Deadline
+}
+
+// tooLate reports whether the request can't be written in time any more.
+func (a *Attempt) tooLate() bool {
+	return !a.WriteDeadline.IsZero() && !time.Now().Before(a.WriteDeadline)
+}
+
+// beginWrite reports whether the request may be written, and from then on it counts as being written.
+func (a *Attempt) beginWrite() bool {
+	if !a.MaySend() || a.tooLate() {
+		return false
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.writing = !a.cancelled
+	return a.writing
+}
+
+// setDeadline sets the deadline of the connection, unless the attempt is cancelled.
+func (a *Attempt) setDeadline(conn *conn, deadline time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if !a.cancelled {
+		conn.SetDeadline(deadline)
+	}
+}
+
+// dial opens a connection, unless the attempt is cancelled or its time is over.
+func (a *Attempt) dial(timeout time.Duration) (net.Conn, error) {
+	ctx, cancel := context.WithDeadline(context.Background(), a.lastWrite())
+	defer cancel()
+	a.mu.Lock()
+	a.cancelDial = cancel
+	if a.cancelled {
+		cancel()
+	}
+	a.mu.Unlock()
+	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
+	opened, err := dialer.DialContext(ctx, "tcp", a.Address)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.cancelDial = nil
+	return opened, err
+}
+
+// hold takes a connection, so that Cancel ends what is under way on it. It reports false if the attempt is cancelled or
+// the connection broken.
+func (a *Attempt) hold(conn *conn) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.conn = conn
+	return !a.cancelled && conn.SetDeadline(a.lastWrite()) == nil
+}
+
+// release keeps Cancel away from a connection that the attempt does not hold any more, which may be another attempt's
+// already.
+func (a *Attempt) release() (cancelled bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.conn = nil
+	return a.cancelled
+}
--- /dev/null
+++ b/upstream/conn.go
@@ -0,0 +1,60 @@
+package upstream
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"os"
+	"syscall"
+	"time"
+
+	"ryerill/internal/socket"
+)
+
+// destination is where a connection leads: an endpoint at its address. When the address passes to another endpoint,
+// connections to the first must not be used.
+type destination struct {
+	endpoint uint64
+	address  string
+}
+
+// conn is a connection to an endpoint. The pool owns it while it is idle, an attempt while it is used, and the stream
+// of a long response until that is closed.
+type conn struct {
+	*net.TCPConn
+	destination destination
+	limit       io.LimitedReader // bounds what one response may bring
+	reader      *bufio.Reader    // of limit
+	idleSince   time.Time
+	endErr      error // what ended the receiving side; nil while it goes on
+}
+
+// Read reads from the endpoint. The system reports a reset once, to whoever reads or looks first, and a plain end from
+// then on, which would make a truncated response that states no length look whole: what ended the connection first ends
+// every read.
+func (c *conn) Read(b []byte) (int, error) {
+	if c.endErr != nil {
+		return 0, c.endErr
+	}
+	n, err := c.TCPConn.Read(b)
+	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+		c.endErr = err
+	}
+	return n, err
+}
+
+// peek inspects the receiving side.
+func (c *conn) peek() socket.State {
+	state := socket.Peek(c)
+	if state == socket.Broken && c.endErr == nil {
+		c.endErr = syscall.ECONNRESET
+	}
+	return state
+}
+
+// isUsable reports whether a connection that was idle may carry a request: nothing has been received on it, neither
+// bytes that no request asked for nor its end.
+func (c *conn) isUsable(maxIdle time.Duration) bool {
+	return time.Since(c.idleSince) < maxIdle && c.peek() == socket.Quiet
+}
--- a/upstream/crossings_test.go
+++ b/upstream/crossings_test.go
@@ -12,7 +12,7 @@
 	"ryerill/internal/buffer"
 )
 
-// Whatever comes between the choice of a provider and the first byte is looked at right
+// Whatever comes between the choice of a endpoint and the first byte is looked at right
 // before that byte: a call that is not wanted any more, or comes too late to be harmless,
 // is not written, never ran, and leaves the connection to others or closed.
 func TestBetweenTheChoiceAndTheFirstByte(t *testing.T) {
@@ -44,7 +44,7 @@
 			if outcome != tc.want || room.used() != tc.kept {
 				t.Errorf("%s, on an idle connection %v: %v, %d connections kept", tc.name, idle, outcome, room.used())
 			}
-			// The next call finds all in order, and the provider has had no more than what was wanted.
+			// The next call finds all in order, and the endpoint has had no more than what was wanted.
 			if outcome, _ := p.Do(newCall(address)); outcome != balancer.OK {
 				t.Errorf("%s, on an idle connection %v, then: %v", tc.name, idle, outcome)
 			}
@@ -182,7 +182,7 @@
 			}()
 			for dialling := false; !dialling && tc.end != nil; { // the call is out
 				c.mu.Lock()
-				dialling = c.dialling != nil
+				dialling = c.cancelDial != nil
 				c.mu.Unlock()
 			}
 			if tc.end == nil { // by its own time, before the machine hears
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -1,111 +1,70 @@
+// Package upstream holds the connections to endpoints, and makes attempts over them.
 package upstream
 
 import (
-	"bufio"
 	"errors"
-	"io"
 	"net"
-	"os"
 	"sync"
-	"syscall"
 	"time"
 
 	"ryerill/internal/buffer"
-	"ryerill/internal/socket"
 )
 
-// idleMargin is how long before the provider's machine may close an idle
-// connection it is given up here: a request written to it later is lost in a
-// reset, and it may have run.
-const idleMargin = 500 * time.Millisecond
+const (
+	// An idle connection is given up this long before its endpoint may close it: a request written to it later could be
+	// lost in a reset, and it might have been executed.
+	idleMargin = 500 * time.Millisecond
 
-// sweepStep is the least time between two looks for connections idle too long.
-const sweepStep = 100 * time.Millisecond
+	// minSweepInterval is the least time between two searches for connections that are idle too long.
+	minSweepInterval = 100 * time.Millisecond
+)
 
-// errNoRoom says that as many connections are open as the limit allows and
-// none of them is idle.
-var errNoRoom = errors.New("no room for another connection to a provider")
+// errNoDescriptor says that as many connections are open as the budget allows and none of them is idle.
+var errNoDescriptor = errors.New("no room for another connection to a provider")
 
-// Budget is what a pool may hold of the machine's descriptors. Both methods are
-// safe for concurrent use and don't block.
+// Budget is what a pool may use of a resource of the machine. Its methods are safe for concurrent use and don't block.
 type Budget interface {
-	Take(n int) bool // false if there is none now
+	// Take reports false if there is not as much now.
+	Take(n int) bool
 	Give(n int)
 }
 
-// Pool keeps the connections to providers.
+// Pool holds the connections to endpoints. It is safe for concurrent use.
 type Pool struct {
-	room    Budget
-	bodies  Budget // bytes of answers that are held; nil has no bound
-	keep    time.Duration
-	connect time.Duration
-	buffers *buffer.Pool
-
-	mu      sync.Mutex
-	idle    map[place][]*conn // the most recently used last
-	closed  bool
-	sweeper *time.Timer // nil while none is idle
-}
-
-// place is where a connection leads: a provider at its address. When the
-// address passes to another provider, what leads to the first must not be used.
-type place struct {
-	provider uint64
-	address  string
-}
-
-type conn struct {
-	*net.TCPConn
-	place place
-	limit io.LimitedReader
-	r     *bufio.Reader
-	since time.Time // idle since
-	over  error     // what ended its receiving side; nil while it goes on
-}
-
-// Read reads what comes in. The system tells a reset once, to whoever reads or
-// looks first, and a plain end from then on, which would make a cut answer that
-// states no length look whole: what ended the connection first ends every read.
-func (c *conn) Read(b []byte) (int, error) {
-	if c.over != nil {
-		return 0, c.over
-	}
-	n, err := c.TCPConn.Read(b)
-	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.over = err
-	}
-	return n, err
-}
-
-// peek looks at what has come in.
-func (c *conn) peek() socket.State {
-	state := socket.Peek(c)
-	if state == socket.Broken && c.over == nil {
-		c.over = syscall.ECONNRESET
-	}
-	return state
-}
-
-// NewPool returns a pool that holds as many connections as it finds room for,
-// none of which is used again close to idleClose after its last use.
-func NewPool(room Budget, idleClose, connectTimeout time.Duration, buffers *buffer.Pool) *Pool {
-	p := &Pool{room: room, buffers: buffers, idle: make(map[place][]*conn)}
+	connections Budget
+	bodies      Budget // bytes of responses that are held; nil has no bound
+	buffers     *buffer.Pool
+
+	// mu guards what follows.
+	mu             sync.Mutex
+	maxIdle        time.Duration
+	connectTimeout time.Duration
+	idle           map[destination][]*conn // the most recently used last
+	closed         bool
+	sweeper        *time.Timer // nil while no connection is idle
+}
+
+// NewPool returns a pool of as many connections as its budget allows. None is used again close to idleClose after its
+// last use, when endpoints close idle connections.
+func NewPool(connections Budget, idleClose, connectTimeout time.Duration, buffers *buffer.Pool) *Pool {
+	p := &Pool{connections: connections, buffers: buffers, idle: make(map[destination][]*conn)}
 	p.SetTimeouts(idleClose, connectTimeout)
 	return p
 }
 
-// SetBodyBudget makes the pool take what it holds of answers, in bytes, from a room.
+// SetBodyBudget makes the pool take the memory for responses, in bytes, from a budget. It must be called before the
+// first attempt.
 func (p *Pool) SetBodyBudget(bodies Budget) { p.bodies = bodies }
 
-// SetTimeouts changes how long connections are kept and waited for, from the next on.
+// SetTimeouts changes how long idle connections are kept and new ones waited for, from the next on.
 func (p *Pool) SetTimeouts(idleClose, connectTimeout time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.keep, p.connect = max(idleClose-idleMargin, idleClose/2), connectTimeout
+	p.maxIdle = max(idleClose-idleMargin, idleClose/2)
+	p.connectTimeout = connectTimeout
 }
 
-// TrimIdle closes up to n idle connections, those idle for longest first: room that
-// was lent is called back.
+// TrimIdle closes up to n idle connections, those idle for longest first: their budget was lent and is wanted back.
 func (p *Pool) TrimIdle(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,43 +72,52 @@
 	}
 }
 
-// get returns a connection for a call: the one to its place used last, if any is
-// usable, or a new one.
-func (p *Pool) get(call *Attempt) (*conn, error) {
-	at := place{call.Endpoint, call.Address}
+// get returns a connection for an attempt: the one to its destination that was used last, if any is usable, or a new
+// one.
+func (p *Pool) get(a *Attempt) (*conn, error) {
+	to := destination{a.Endpoint, a.Address}
 	p.mu.Lock()
-	for list := p.idle[at]; len(list) > 0; list = p.idle[at] {
-		c := list[len(list)-1]
-		p.idle[at] = list[:len(list)-1]
-		// Sound is a connection on which nothing has come in, neither bytes that no request asked for nor its end.
-		if time.Since(c.since) < p.keep && c.peek() == socket.Quiet {
-			p.mu.Unlock()
-			return c, nil
-		}
-		p.dropLocked(c)
+	if c := p.takeIdleLocked(to); c != nil {
+		p.mu.Unlock()
+		return c, nil
 	}
-	delete(p.idle, at)
-	for !p.room.Take(1) {
+	for !p.connections.Take(1) {
 		if !p.evictLocked() {
 			p.mu.Unlock()
-			return nil, errNoRoom
+			return nil, errNoDescriptor
 		}
 	}
-	within := p.connect
+	timeout := p.connectTimeout
 	p.mu.Unlock()
 
-	raw, err := call.dial(within)
+	opened, err := a.dial(timeout)
 	if err != nil {
-		p.room.Give(1)
+		p.connections.Give(1)
 		return nil, err
 	}
-	c := &conn{TCPConn: raw.(*net.TCPConn), place: at}
+	c := &conn{TCPConn: opened.(*net.TCPConn), destination: to}
 	c.limit.R = c
-	c.r = p.buffers.Reader(&c.limit)
+	c.reader = p.buffers.Reader(&c.limit)
 	return c, nil
 }
 
-// put takes back a connection on which nothing is out.
+// takeIdleLocked takes the usable connection to a destination that was used last, or nil. Those that are not usable are
+// closed on the way.
+func (p *Pool) takeIdleLocked(to destination) *conn {
+	for list := p.idle[to]; len(list) > 0; list = p.idle[to] {
+		last := len(list) - 1
+		c := list[last]
+		p.idle[to] = list[:last]
+		if c.isUsable(p.maxIdle) {
+			return c
+		}
+		p.dropLocked(c)
+	}
+	delete(p.idle, to)
+	return nil
+}
+
+// put takes back a connection on which no request is out.
 func (p *Pool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -157,10 +125,10 @@
 		p.dropLocked(c)
 		return
 	}
-	c.since = time.Now()
-	p.idle[c.place] = append(p.idle[c.place], c)
+	c.idleSince = time.Now()
+	p.idle[c.destination] = append(p.idle[c.destination], c)
 	if p.sweeper == nil {
-		p.sweeper = time.AfterFunc(p.keep, p.sweep)
+		p.sweeper = time.AfterFunc(p.maxIdle, p.sweep)
 	}
 }
 
@@ -173,79 +141,79 @@
 
 func (p *Pool) dropLocked(c *conn) {
 	c.Close()
-	p.buffers.PutReader(c.r)
-	p.room.Give(1)
+	p.buffers.PutReader(c.reader)
+	p.connections.Give(1)
 }
 
-// evictLocked makes room by closing the connection idle for longest.
+// evictLocked closes the connection idle for longest. It reports false if none is idle.
 func (p *Pool) evictLocked() bool {
 	var oldest *conn
 	for _, list := range p.idle {
-		if len(list) > 0 && (oldest == nil || list[0].since.Before(oldest.since)) {
+		if len(list) > 0 && (oldest == nil || list[0].idleSince.Before(oldest.idleSince)) {
 			oldest = list[0]
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	p.idle[oldest.place] = p.idle[oldest.place][1:]
+	p.idle[oldest.destination] = p.idle[oldest.destination][1:]
 	p.dropLocked(oldest)
 	return true
 }
 
-// sweep closes what has been idle for too long.
+// sweep closes the connections that have been idle for too long, and schedules itself for the next.
 func (p *Pool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sweeper = nil
-	next := time.Duration(-1)
-	for at, list := range p.idle {
-		for len(list) > 0 && time.Since(list[0].since) >= p.keep {
+	next := time.Duration(-1) // until the next connection is idle for too long; negative is none
+	for to, list := range p.idle {
+		for len(list) > 0 && time.Since(list[0].idleSince) >= p.maxIdle {
 			p.dropLocked(list[0])
 			list = list[1:]
 		}
 		if len(list) == 0 {
-			delete(p.idle, at)
+			delete(p.idle, to)
 			continue
 		}
-		p.idle[at] = list
-		if left := p.keep - time.Since(list[0].since); next < 0 || left < next {
+		p.idle[to] = list
+		if left := p.maxIdle - time.Since(list[0].idleSince); next < 0 || left < next {
 			next = left
 		}
 	}
 	if next >= 0 && !p.closed {
-		p.sweeper = time.AfterFunc(max(next, sweepStep), p.sweep)
+		p.sweeper = time.AfterFunc(max(next, minSweepInterval), p.sweep)
 	}
 }
 
-// CloseIdle closes the idle connections to providers, in one look at all.
-func (p *Pool) CloseIdle(providers ...uint64) {
-	gone := make(map[uint64]bool, len(providers))
-	for _, id := range providers {
+// CloseIdle closes the idle connections to endpoints, in one pass over all.
+func (p *Pool) CloseIdle(endpoints ...uint64) {
+	gone := make(map[uint64]bool, len(endpoints))
+	for _, id := range endpoints {
 		gone[id] = true
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for at, list := range p.idle {
-		if gone[at.provider] {
-			p.dropAllLocked(at, list)
+	for to, list := range p.idle {
+		if gone[to.endpoint] {
+			p.dropAllLocked(to, list)
 		}
 	}
 }
 
-func (p *Pool) dropAllLocked(at place, list []*conn) {
+func (p *Pool) dropAllLocked(to destination, list []*conn) {
 	for _, c := range list {
 		p.dropLocked(c)
 	}
-	delete(p.idle, at)
+	delete(p.idle, to)
 }
 
-// Close closes all idle connections, and the others once their calls end.
+// Close closes all idle connections, and the others once their attempts end.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for at, list := range p.idle {
-		p.dropAllLocked(at, list)
+	for to, list := range p.idle {
+		p.dropAllLocked(to, list)
 	}
 }
--- a/upstream/reset_test.go
+++ b/upstream/reset_test.go
@@ -1,6 +1,7 @@
 package upstream
 
 import (
+	"errors"
 	"io"
 	"net"
 	"testing"
@@ -26,10 +27,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.room.Take(1)
+	p.connections.Take(1)
 	near = &conn{TCPConn: raw.(*net.TCPConn)}
 	near.limit.R = near
-	near.r = p.buffers.Reader(&near.limit)
+	near.reader = p.buffers.Reader(&near.limit)
 	t.Cleanup(func() { peer.Close() })
 	return near, peer.(*net.TCPConn)
 }
@@ -104,7 +105,7 @@
 		defer p.drop(near)
 		reset(far)
 		near.peek()
-		if _, err := near.Read(make([]byte, 1)); err == nil || err == io.EOF {
+		if _, err := near.Read(make([]byte, 1)); err == nil || errors.Is(err, io.EOF) {
 			t.Errorf("then: %v", err)
 		}
 	})
--- a/upstream/provider_test.go
+++ b/upstream/upstream_test.go
@@ -80,7 +80,7 @@
 }
 
 // A connection is used again only while it is sound: a request written to one
-// that the provider has closed would be lost in a reset, and may have run.
+// that the endpoint has closed would be lost in a reset, and may have run.
 func TestConnectionsAreUsedAgainWhileSound(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
@@ -104,7 +104,7 @@
 			if outcome != balancer.OK || response.Body.Len() != 2 {
 				t.Fatalf("%s: %v, %+v", tc.name, outcome, response)
 			}
-			<-requests // what the provider does after its answer is done
+			<-requests // what the endpoint does after its answer is done
 		}
 		if len(conns) != tc.conns {
 			t.Errorf("%s: %d connections", tc.name, len(conns))
@@ -113,7 +113,7 @@
 	}
 }
 
-// A provider may be told to drain while its connection is being opened: then
+// A endpoint may be told to drain while its connection is being opened: then
 // nothing may be written any more.
 func TestNothingIsWrittenAfterTheRecheck(t *testing.T) {
 	address, _, requests := serve(t, okay, nil)
@@ -134,7 +134,7 @@
 	}
 }
 
-// A provider starts on a request when its last byte has arrived: one that
+// A endpoint starts on a request when its last byte has arrived: one that
 // breaks off before has not run it, and the call may be made again anywhere.
 func TestBrokenBeforeTheLastByteNeverRan(t *testing.T) {
 	p, c := largeCall(t, func(c net.Conn) {
@@ -146,7 +146,7 @@
 	}
 }
 
-// largeCall is a call with more of a body than sockets hold, to a provider that does
+// largeCall is a call with more of a body than sockets hold, to a endpoint that does
 // something with the connection.
 func largeCall(t *testing.T, then func(net.Conn)) (*Pool, *Attempt) {
 	t.Helper()
@@ -191,30 +191,30 @@
 	held, over := newCall(silent), make(chan balancer.Outcome)
 	go func() { outcome, _ := p.Do(held); over <- outcome }()
 	<-requests
-	if outcome, _ := p.Do(newCall(first)); outcome != balancer.NotSent { // no fault of the provider's
+	if outcome, _ := p.Do(newCall(first)); outcome != balancer.NotSent { // no fault of the endpoint's
 		t.Errorf("with none idle: %v", outcome)
 	}
 	held.Cancel()
-	if outcome := <-over; outcome != balancer.Cancelled || p.room.(*room).used() != 0 {
-		t.Errorf("called off: %v, %d open", outcome, p.room.(*room).used())
+	if outcome := <-over; outcome != balancer.Cancelled || p.connections.(*room).used() != 0 {
+		t.Errorf("called off: %v, %d open", outcome, p.connections.(*room).used())
 	}
 }
 
-// What is missing here says nothing of the provider that was to be called.
+// What is missing here says nothing of the endpoint that was to be called.
 func TestOwnFaultsAreNotTheProviders(t *testing.T) {
 	dial := func(err error) error { return &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", err)} }
 	for _, tc := range []struct {
 		err  error
 		want bool
-	}{{errNoRoom, true}, {dial(syscall.EMFILE), true}, {dial(syscall.EADDRNOTAVAIL), true},
+	}{{errNoDescriptor, true}, {dial(syscall.EMFILE), true}, {dial(syscall.EADDRNOTAVAIL), true},
 		{dial(syscall.ECONNREFUSED), false}, {dial(syscall.EHOSTUNREACH), false}, {os.ErrDeadlineExceeded, false}, {nil, false}} {
-		if got := ownFault(tc.err); got != tc.want {
+		if got := isOwnFault(tc.err); got != tc.want {
 			t.Errorf("%v: %v", tc.err, got)
 		}
 	}
 }
 
-// An address may pass to another provider: a connection to the first may still
+// An address may pass to another endpoint: a connection to the first may still
 // be open, and a request on it would be lost.
 func TestConnectionsBelongToTheirProvider(t *testing.T) {
 	address, conns, _ := serve(t, okay, nil)
@@ -230,7 +230,7 @@
 			t.Errorf("call %d: %v, %d connections", i, outcome, len(conns))
 		}
 	}
-	if p.CloseIdle(1); p.room.(*room).used() != 1 || len(p.idle) != 1 {
-		t.Errorf("without the first provider: %d open at %d places", p.room.(*room).used(), len(p.idle))
+	if p.CloseIdle(1); p.connections.(*room).used() != 1 || len(p.idle) != 1 {
+		t.Errorf("without the first provider: %d open at %d places", p.connections.(*room).used(), len(p.idle))
 	}
 }
--- /dev/null
+++ b/upstream/write.go
@@ -0,0 +1,82 @@
+package upstream
+
+import (
+	"errors"
+	"io"
+	"net"
+	"time"
+
+	"ryerill/internal/framing"
+	"ryerill/internal/socket"
+	"ryerill/message"
+)
+
+// progressTimeout ends a long body that makes no progress for so long.
+const progressTimeout = 10 * time.Second
+
+// writeResult is how the writing of a request ended.
+type writeResult uint8
+
+const (
+	writtenWhole    writeResult = iota // its last byte is written
+	answeredEarly                      // the endpoint has answered before, which ends the writing
+	connectionBroke                    // the connection broke
+	uploadBroke                        // the rest of the request was not received: no fault of the endpoint's
+)
+
+// writeRequest writes the whole request, with the part of its body that is still to be received.
+func (p *Pool) writeRequest(conn *conn, a *Attempt) writeResult {
+	request := a.Request
+	buffers := net.Buffers{encodeHead(request, time.Until(a.Deadline))}
+	if request.Stream == nil {
+		buffers = request.Body.AppendTo(buffers)
+		if _, err := buffers.WriteTo(conn.TCPConn); err != nil {
+			return connectionBroke
+		}
+		return writtenWhole
+	}
+	if request.Length == message.UnknownLength {
+		buffers = framing.AppendChunk(buffers, request.Body.AppendTo(nil))
+	} else {
+		buffers = request.Body.AppendTo(buffers)
+	}
+	return p.writeStream(conn, a, buffers)
+}
+
+// writeStream writes what is buffered and then the rest of the body as it is received.
+func (p *Pool) writeStream(conn *conn, a *Attempt, buffers net.Buffers) writeResult {
+	block := p.buffers.Block()
+	defer p.buffers.PutBlock(block)
+	chunked := a.Request.Length == message.UnknownLength
+	for last := false; ; {
+		a.setDeadline(conn, time.Now().Add(progressTimeout))
+		_, err := buffers.WriteTo(conn.TCPConn)
+		switch {
+		case err != nil && conn.hasInput():
+			return answeredEarly
+		case err != nil:
+			return connectionBroke
+		case last:
+			return writtenWhole
+		case conn.hasInput():
+			return answeredEarly
+		}
+		n, err := a.Request.Stream.Read(block[:])
+		last = errors.Is(err, io.EOF)
+		if err != nil && !last {
+			return uploadBroke
+		}
+		buffers = net.Buffers{block[:n]}
+		if chunked {
+			buffers = framing.AppendChunk(nil, buffers)
+			if last {
+				buffers = append(buffers, []byte(framing.LastChunk))
+			}
+		}
+	}
+}
+
+// hasInput reports whether the endpoint has sent something that has not been read.
+func (c *conn) hasInput() bool {
+	return c.reader.Buffered() > 0 || c.peek() == socket.Waiting
+}
