--- /dev/null
+++ b/downstream/eviction.go
@@ -0,0 +1,71 @@
+package downstream
+
+import "time"
+
+const (
+	// A new connection is about to bring a request, and a request to be whole, for so long.
+	freshPeriod = 50 * time.Millisecond
+	// A connection that has been idle for longer may be closed at any time.
+	settledAfter = 2 * time.Second
+)
+
+// evictionRank says how well a connection can be spared; lower ranks go first.
+type evictionRank int
+
+const (
+	rankLingering    evictionRank = iota // only lingers
+	rankSilent                           // was to bring a request and does not
+	rankIdle                             // idle for long
+	rankIncomplete                       // its request does not come to its end
+	rankRecentlyUsed                     // idle for a short time: its client is likely to use it again
+	notEvictable
+)
+
+// freeDescriptor frees a descriptor: one of the reserve, at once, and that of the connection that can be spared best,
+// soon. It reports whether the first is free now.
+func (s *Server) freeDescriptor() bool {
+	s.mu.Lock()
+	candidate := s.evictionCandidateLocked(time.Now())
+	if candidate != nil {
+		candidate.evictLocked()
+	}
+	s.mu.Unlock()
+	return s.descriptors.Lend()
+}
+
+// evictionCandidateLocked returns the connection that can be spared best, or nil. Among equals it is the one that has
+// been in its state for longest. s.mu is held.
+func (s *Server) evictionCandidateLocked(now time.Time) (candidate *conn) {
+	lowest := notEvictable
+	for c := range s.conns {
+		rank := c.evictionRank(now)
+		if rank == notEvictable {
+			continue
+		}
+		if rank < lowest || rank == lowest && c.stateSince.Before(candidate.stateSince) {
+			candidate = c
+			lowest = rank
+		}
+	}
+	return candidate
+}
+
+// evictionRank is the connection's rank. The server's mutex is held.
+func (c *conn) evictionRank(now time.Time) evictionRank {
+	inState := now.Sub(c.stateSince)
+	switch {
+	case c.evicted:
+		return notEvictable
+	case c.state == stateLingering:
+		return rankLingering
+	case c.state == stateIdle && !c.hasRequested && inState >= freshPeriod:
+		return rankSilent
+	case c.state == stateIdle && c.hasRequested && inState >= settledAfter:
+		return rankIdle
+	case c.state == stateReading && inState >= freshPeriod:
+		return rankIncomplete
+	case c.state == stateIdle && c.hasRequested:
+		return rankRecentlyUsed
+	}
+	return notEvictable
+}
--- a/downstream/head_test.go
+++ b/downstream/head_test.go
@@ -21,15 +21,15 @@
 // status if it is turned away, its body and what is left unread.
 func parseText(text string) (status int, body, left string) {
 	s := &Server{buffers: new(buffer.Pool)}
-	c := &conn{server: s, nc: new(net.TCPConn), N: maxHead}
+	c := &conn{server: s, nc: new(net.TCPConn), readLimit: maxHeadBytes}
 	src := strings.NewReader(text)
-	c.r = s.buffers.Reader(src)
+	c.reader = s.buffers.Reader(src)
 	rest := func() string {
-		buffered, _ := c.r.Peek(c.r.Buffered())
+		buffered, _ := c.reader.Peek(c.reader.Buffered())
 		more, _ := io.ReadAll(src)
 		return string(buffered) + string(more)
 	}
-	var wrong *httpError
+	var wrong *requestError
 	req, frame, err := c.readHead()
 	if err == nil {
 		b, _, fault := c.readBody(req, frame)
@@ -37,7 +37,7 @@
 			for _, block := range b.AppendTo(nil) {
 				body += string(block)
 			}
-			_, err = names.read(req, b, time.Now(), "")
+			_, err = names.parse(req, b, "")
 		}
 	}
 	if errors.As(err, &wrong) {
@@ -48,7 +48,7 @@
 	return 0, body, rest()
 }
 
-// What a provider might read otherwise than this proxy must not pass: it could
+// What a endpoint might read otherwise than this proxy must not pass: it could
 // hide a request in the body of another. Each case stands between good lines.
 func TestRequestsAreJudgedAsTheyStand(t *testing.T) {
 	const post, next = "POST /burn HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\nReq-Kind: burn\r\n", "GET /hidden"
@@ -119,7 +119,7 @@
 			t.Errorf("%s: status %d, body %q, left %q", tc.name, status, body, left)
 		}
 	}
-	if status, _, _ := parseText(get + "A: " + strings.Repeat("x", maxHead)); status != http.StatusRequestHeaderFieldsTooLarge {
+	if status, _, _ := parseText(get + "A: " + strings.Repeat("x", maxHeadBytes)); status != http.StatusRequestHeaderFieldsTooLarge {
 		t.Errorf("endless head: %d", status)
 	}
 }
--- a/downstream/crossings_test.go
+++ b/downstream/lifecycle_test.go
@@ -23,7 +23,7 @@
 
 const longWait = 20 * time.Second // for what must come; no test waits so long unless it fails
 
-// holding takes each invocation and answers it when the test says so.
+// holding takes each request and answers it when the test says so.
 type holding struct {
 	prompt
 	taken   chan *message.Request
@@ -69,7 +69,7 @@
 	}
 }
 
-// over notes the one end of an invocation. It reports whether it had one.
+// over notes the one end of an request. It reports whether it had one.
 func (h *holding) over(ticket uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -78,7 +78,7 @@
 	return was
 }
 
-// serve answers an invocation, unless its consumer has left.
+// serve answers an request, unless its client has left.
 func (h *holding) serve(ticket uint64) {
 	h.mu.Lock()
 	inv := h.open[ticket]
@@ -109,8 +109,8 @@
 		case <-time.After(longWait):
 			t.Fatal("the server does not end")
 		}
-		if len(s.conns) != 0 || s.leaving != 0 || len(s.ids) != 0 {
-			t.Errorf("left over: %d connections, %d leaving, %d ids", len(s.conns), s.leaving, len(s.ids))
+		if len(s.conns) != 0 || s.evicted != 0 || len(s.openIDs) != 0 {
+			t.Errorf("left over: %d connections, %d leaving, %d ids", len(s.conns), s.evicted, len(s.openIDs))
 		}
 		if err := goleak.Find(leaks); err != nil {
 			t.Error(err)
@@ -160,7 +160,7 @@
 }
 
 // A connection ends by its sending side first: a request that crosses the end, which
-// the consumer writes before it has seen it, is neither sent on nor answered by a reset.
+// the client writes before it has seen it, is neither sent on nor answered by a reset.
 // Whoever has ended it, for being idle, for room, or because all ends.
 func TestRequestsThatCrossTheEndOfAConnection(t *testing.T) {
 	for _, tc := range []struct {
@@ -173,9 +173,9 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			for c := range s.conns {
-				c.enter(idle, time.Now().Add(time.Hour))
-				c.shutLocked(time.Hour) // as serve does, and for as long as the test takes
-				c.nc.SetReadDeadline(past)
+				c.enterStateLocked(stateIdle, time.Now().Add(time.Hour))
+				c.beginLingerLocked(time.Hour) // as serve does, and for as long as the test takes
+				c.nc.SetReadDeadline(pastDeadline)
 			}
 		}},
 		{"asked to close", get(1, "Connection: close\r\n"), func(*Server, func()) {}},
@@ -185,7 +185,7 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			for c := range s.conns {
-				c.nc.SetReadDeadline(past)
+				c.nc.SetReadDeadline(pastDeadline)
 			}
 		}},
 	} {
@@ -234,7 +234,7 @@
 	}
 }
 
-// What a consumer has sent beyond its request is no reason to reset the answer.
+// What a client has sent beyond its request is no reason to reset the answer.
 func TestNoCloseOverUnreadBytes(t *testing.T) {
 	for _, size := range []int{1, 100, 5 << 10, 100 << 10} {
 		h := newHolding(time.Minute)
@@ -254,7 +254,7 @@
 	}
 }
 
-// A consumer that leaves while its request is open is noticed, whatever it has sent
+// A client that leaves while its request is open is noticed, whatever it has sent
 // behind it, and the request is called off once.
 func TestConsumersThatLeaveBehindMore(t *testing.T) {
 	closes := func(c *net.TCPConn) { c.Close() }
@@ -351,7 +351,7 @@
 			if stays {
 				for open := true; open; { // past the time at which it would have been killed
 					s.mu.Lock()
-					open = s.stopped.IsZero() || time.Since(s.stopped) < s.killed
+					open = s.stoppedAt.IsZero() || time.Since(s.stoppedAt) < s.killDelay
 					s.mu.Unlock()
 					time.Sleep(time.Millisecond)
 				}
@@ -363,7 +363,7 @@
 			if err != nil || resp.StatusCode != http.StatusGatewayTimeout || !resp.Close {
 				t.Fatalf("answered %v, %v", resp, err)
 			}
-			if killed := 300*time.Millisecond + killedLater; time.Since(began) > killed {
+			if killed := 300*time.Millisecond + killGrace; time.Since(began) > killed {
 				t.Errorf("after %v, killed after %v", time.Since(began), killed)
 			}
 			h.serve(1)
@@ -377,7 +377,7 @@
 	}
 }
 
-// An answer may be through only after its consumer has gone and the connection has
+// An answer may be through only after its client has gone and the connection has
 // ended: it must not come back to life, nor count among those that leave.
 func TestAnEndedConnectionStaysEnded(t *testing.T) {
 	s, err := Listen("127.0.0.1:0", 16, false, new(buffer.Pool))
@@ -393,18 +393,18 @@
 	s.mu.Lock()
 	c := newConn(s, nc)
 	s.conns[c] = struct{}{}
-	c.asked = true
+	c.hasRequested = true
 	s.mu.Unlock()
 	client.Close()
-	c.end()
+	c.close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.byHand = time.Now().Add(-time.Hour) // all go
-	c.rest()
-	c.giveUp()
-	c.shutLocked(linger)
-	if c.state != ended || c.gone || s.leaving != 0 || len(s.conns) != 0 {
-		t.Errorf("state %d, gone %v, %d leaving, %d connections", c.state, c.gone, s.leaving, len(s.conns))
+	s.drainSince = time.Now().Add(-time.Hour) // all go
+	c.becomeIdleLocked()
+	c.evictLocked()
+	c.beginLingerLocked(lingerPeriod)
+	if c.state != stateClosed || c.evicted || s.evicted != 0 || len(s.conns) != 0 {
+		t.Errorf("state %d, gone %v, %d leaving, %d connections", c.state, c.evicted, s.evicted, len(s.conns))
 	}
 }
 
@@ -415,8 +415,8 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	for range s.most + reserve {
-		s.conns[&conn{state: busy}] = struct{}{}
+	for range s.maxConnections + reservedConnections {
+		s.conns[&conn{state: stateBusy}] = struct{}{}
 	}
 	for _, size := range []int{0, 100, 16 << 10} {
 		client, r := connect(t, s.Address())
@@ -425,7 +425,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.add(nc, false)
+		s.addConn(nc, false)
 		text, err := io.ReadAll(r)
 		if err != nil || !strings.HasPrefix(string(text), "HTTP/1.1 503") {
 			t.Errorf("%d bytes behind: %q, %v", size, text, err)
@@ -436,7 +436,7 @@
 	}
 }
 
-// A consumer may have left before its request is read: it lay in the listener's queue, or
+// A client may have left before its request is read: it lay in the listener's queue, or
 // behind another request. Nobody waits for an answer any more, so it isn't taken.
 func TestWhoLeftBeforeBeingReadIsNotTaken(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){
@@ -468,8 +468,8 @@
 				if err := <-over; err != nil {
 					t.Error(err)
 				}
-				if len(h.taken) > 0 || len(s.conns) != 0 || len(s.ids) != 0 {
-					t.Errorf("%d more taken, %d connections, %d ids", len(h.taken), len(s.conns), len(s.ids))
+				if len(h.taken) > 0 || len(s.conns) != 0 || len(s.openIDs) != 0 {
+					t.Errorf("%d more taken, %d connections, %d ids", len(h.taken), len(s.conns), len(s.openIDs))
 				}
 			})
 		}
--- a/downstream/server_test.go
+++ b/downstream/server_test.go
@@ -48,46 +48,46 @@
 			runtime.Gosched() // until the bytes have come in
 		}
 		s.mu.Lock()
-		c.giveUp()
+		c.evictLocked()
 		s.mu.Unlock()
-		if got := c.begin(); got != tc.want {
+		if got := c.awaitRequest(); got != tc.want {
 			t.Errorf("%q came in: goes on %v", tc.text, got)
 		}
 	}
 }
 
 // At the limit the connection that is worth least makes room: silent newcomers
-// must not drive out the kept connections of good consumers, and what has a
+// must not drive out the kept connections of good clients, and what has a
 // request open or is about to bring one stays.
 func TestWhoMakesRoom(t *testing.T) {
 	now := time.Now()
-	c := func(s state, asked bool, so time.Duration) *conn {
-		return &conn{state: s, asked: asked, since: now.Add(-so)}
+	c := func(s connState, asked bool, so time.Duration) *conn {
+		return &conn{state: s, hasRequested: asked, stateSince: now.Add(-so)}
 	}
 	order := []*conn{ // from what goes first to what goes last
-		c(lingering, true, 0),
-		c(idle, false, 2*fresh),
-		c(idle, false, fresh),
-		c(idle, true, 2*settled),
-		c(idle, true, settled),
-		c(reading, false, 2*fresh),
-		c(idle, true, settled/2),
-		c(idle, true, 0),
+		c(stateLingering, true, 0),
+		c(stateIdle, false, 2*freshPeriod),
+		c(stateIdle, false, freshPeriod),
+		c(stateIdle, true, 2*settledAfter),
+		c(stateIdle, true, settledAfter),
+		c(stateReading, false, 2*freshPeriod),
+		c(stateIdle, true, settledAfter/2),
+		c(stateIdle, true, 0),
 	}
-	gone := c(lingering, true, time.Hour)
-	gone.gone = true
-	s := &Server{conns: map[*conn]struct{}{c(busy, true, time.Hour): {}, c(idle, false, 0): {}, c(reading, true, 0): {}, gone: {}}}
+	gone := c(stateLingering, true, time.Hour)
+	gone.evicted = true
+	s := &Server{conns: map[*conn]struct{}{c(stateBusy, true, time.Hour): {}, c(stateIdle, false, 0): {}, c(stateReading, true, 0): {}, gone: {}}}
 	for _, c := range order {
 		s.conns[c] = struct{}{}
 	}
 	for i, want := range order {
-		got := s.victim(now)
+		got := s.evictionCandidateLocked(now)
 		if got != want {
 			t.Fatalf("place %d: %+v, want %+v", i, got, want)
 		}
 		delete(s.conns, got)
 	}
-	if got := s.victim(now); got != nil {
+	if got := s.evictionCandidateLocked(now); got != nil {
 		t.Errorf("then %+v", got)
 	}
 }
@@ -96,8 +96,8 @@
 // connecting. How long that takes is what the constants say; that it happens
 // is shown on a socket.
 func TestNobodyHoldsAConnectionWithoutAsking(t *testing.T) {
-	if firstTimeout < settled || firstTimeout >= 3*time.Second || readTimeout >= 3*time.Second {
-		t.Errorf("waits %v for a request to begin and %v for its end", firstTimeout, readTimeout)
+	if firstRequestTimeout < settledAfter || firstRequestTimeout >= 3*time.Second || requestTimeout >= 3*time.Second {
+		t.Errorf("waits %v for a request to begin and %v for its end", firstRequestTimeout, requestTimeout)
 	}
 	s, err := Listen("127.0.0.1:0", 64, false, new(buffer.Pool))
 	if err != nil {
@@ -134,7 +134,7 @@
 	})
 }
 
-// prompt serves each invocation at once.
+// prompt serves each request at once.
 type prompt struct{ names PoolClasses }
 
 func (p prompt) Classes() *PoolClasses                        { return &p.names }
@@ -152,7 +152,7 @@
 func (prompt) ClientLeft(uint64) bool { return false }
 func (prompt) Expire(uint64)          {}
 
-// After the word to stop, consumers go on with the connections that they have:
+// After the word to stop, clients go on with the connections that they have:
 // until another proxy is back there may be nobody else. Then they are told.
 func TestKeptConnectionsAreServedAfterTheWordToStop(t *testing.T) {
 	s, err := Listen("127.0.0.1:0", 64, false, new(buffer.Pool))
@@ -181,11 +181,11 @@
 	}
 	told := time.Now()
 	stop()
-	for s.left(time.Hour) == time.Hour && time.Since(told) < killedLater { // until the word is there, and past the grace
+	for s.limitRemaining(time.Hour) == time.Hour && time.Since(told) < killGrace { // until the word is there, and past the grace
 		runtime.Gosched()
 	}
 	resp := ask("2")
-	switch late := time.Since(told) >= s.killed/2; { // on a busy machine: nothing is promised
+	switch late := time.Since(told) >= s.killDelay/2; { // on a busy machine: nothing is promised
 	case resp == nil && !late:
 		t.Error("after the word to stop there is no answer")
 	case resp != nil && (resp.StatusCode != 200 || resp.Close && !late):
@@ -197,9 +197,9 @@
 	if err := <-over; err != nil {
 		t.Error(err)
 	}
-	for _, tc := range []struct{ since, want time.Duration }{{0, time.Hour}, {time.Second, s.killed - killMargin - time.Second}} {
-		s.stopped = time.Now().Add(-tc.since)
-		if got := s.left(time.Hour); got > tc.want || got < tc.want-10*time.Second {
+	for _, tc := range []struct{ since, want time.Duration }{{0, time.Hour}, {time.Second, s.killDelay - killMargin - time.Second}} {
+		s.stoppedAt = time.Now().Add(-tc.since)
+		if got := s.limitRemaining(time.Hour); got > tc.want || got < tc.want-10*time.Second {
 			t.Errorf("%v after the word to stop an invocation may take %v, want %v", tc.since, got, tc.want)
 		}
 	}
@@ -221,8 +221,8 @@
 }
 func (torn) ClientLeft(uint64) bool { return true } // and books its end
 
-// An upload that breaks off is booked as an invocation's end where it was taken; the
-// front, which tells the consumer, must not book it too.
+// An upload that breaks off is booked as an request's end where it was taken; the
+// front, which tells the client, must not book it too.
 func TestBrokenUploadIsBookedOnce(t *testing.T) {
 	s, err := Listen("127.0.0.1:0", 16, false, new(buffer.Pool))
 	if err != nil {
