--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -423,7 +423,7 @@
 		if a.PreviousStatus == 0 {
 			was = "unknown"
 		}
-		if f.share != nil && (r.Status == membership.Left || a.PreviousStatus != 0 && a.Reason == "started anew") {
+		if f.share != nil && (r.Status == membership.Left || a.PreviousStatus != 0 && a.Reason == membership.ReasonRestarted) {
 			epoch := r.Epoch
 			if r.Status != membership.Left {
 				epoch--
--- a/fleet/membership/explore_test.go
+++ b/fleet/membership/explore_test.go
@@ -12,31 +12,31 @@
 	"ryerill/lab/modelcheck/mutant"
 )
 
-// trio is three members, each with a clock of its own, and the messages that are on
-// their way. Whatever order messages come in, whoever's time passes first, one
-// restart, one departure: all of it is a move.
+// trio is three members, each with a clock of its own, and the messages in transit.
+// Whatever the order in which messages arrive and clocks advance, with one restart, one
+// departure and one forgotten member: all of it is a move.
 type trio struct {
-	members  []*List
-	now      []time.Duration
-	way      []letter
-	restarts int
-	departs  int
-	forgot   bool
-	torn     bool // cut is cut off from the others
-	cut      int
-	broken   error
+	members     []*List
+	now         []time.Duration
+	transit     []packet
+	restarts    int
+	departures  int
+	forgotten   bool
+	partitioned bool // isolated has no connection to the others
+	isolated    int
+	broken      error
 }
 
-type letter struct {
+type packet struct {
 	from, to int
-	what     EventKind
-	msg      *Message
+	event    EventKind // at the receiver
+	message  *Message
 	exchange uint64
 }
 
 const (
-	mostLetters = 3 // on their way; of more the oldest are lost
-	mostEpochs  = 1 // restarts
+	maxInTransit = 3 // packets; of more the oldest are lost
+	maxRestarts  = 1
 )
 
 func name(i int) string { return string(rune('a' + i)) }
@@ -46,230 +46,288 @@
 	for i := range 3 {
 		s.members = append(s.members, s.member(i, 1))
 	}
-	for i := range s.members { // they know each other already
+	for i, l := range s.members { // they know each other already
 		for j := range s.members {
 			if i != j {
-				r := s.members[j].self
-				s.members[i].learn(&r, "")
-				s.members[i].others[name(j)].heard = 0
+				record := s.members[j].self
+				l.learn(&record, "")
+				l.members.byName[name(j)].lastHeard = 0
 			}
 		}
-		s.members[i].queue, s.members[i].joined = nil, true
-		s.members[i].out = nil
+		l.gossiper.updates.entries = nil
+		l.joined = true
+		l.actions = nil
 		s.handle(i, Event{Kind: Start})
-		s.members[i].queue = nil
+		l.gossiper.updates.entries = nil
 	}
-	s.way = nil
+	s.transit = nil
 	return s
 }
 
 func (s *trio) member(i int, epoch uint64) *List {
-	c := Config{Name: name(i), Epoch: epoch, Seed: 7, Tags: Tags{Address: name(i), Phase: Serving}}
+	cfg := Config{Name: name(i), Epoch: epoch, Seed: 7, Tags: Tags{Address: name(i), Phase: Serving}}
 	if i == 0 || epoch > 1 { // the others know each other, and must find each other again by that
-		c.Seeds = []string{name((i + 1) % 3)}
+		cfg.Seeds = []string{name((i + 1) % 3)}
 	}
-	return New(c)
+	return New(cfg)
 }
 
 // handle hands an event over and checks what must hold at every step.
-func (s *trio) handle(i int, ev Event) {
-	m := s.members[i]
-	before := map[string]Record{}
-	doubts := map[string]doubt{}
-	for n, p := range m.others {
-		before[n] = p.Record
-		if p.doubt != nil {
-			doubts[n] = *p.doubt
+func (s *trio) handle(i int, event Event) {
+	l := s.members[i]
+	before := snapshotOf(l)
+	suspectedSelf := event.Kind == MessageReceived && slices.ContainsFunc(event.Message.Updates, func(r Record) bool {
+		return r.Name == l.self.Name && r.Epoch == l.self.Epoch && r.Status != Alive && r.Status != Left &&
+			r.Incarnation >= l.self.Incarnation
+	})
+	for _, action := range l.Handle(s.now[i], event, nil) {
+		s.carryOut(i, &event, &action)
+	}
+	s.checkSelf(l, &before, suspectedSelf)
+	for name, m := range l.members.byName {
+		s.checkMember(l, name, m, &before)
+		if event.Kind == Tick {
+			s.checkDeclaredDead(l, name, m, &before, s.now[i])
 		}
+		s.checkTable(l, name, m)
 	}
-	self := m.self
-	accused := ev.Kind == MessageReceived && slices.ContainsFunc(ev.Message.Updates, func(r Record) bool {
-		return r.Name == m.self.Name && r.Epoch == m.self.Epoch && r.Status != Alive && r.Status != Left && r.Incarnation >= m.self.Incarnation
-	})
-	for _, a := range m.Handle(s.now[i], ev, nil) {
-		to := slices.IndexFunc(s.members, func(o *List) bool { return o.self.Tags.Address == a.Address })
-		switch a.Kind {
-		case Send:
-			s.post(letter{from: i, to: to, what: MessageReceived, msg: a.Message})
-		case StartSync:
-			s.post(letter{from: i, to: to, what: SyncRequested, msg: a.Message, exchange: a.Exchange})
-		case Reply:
-			if ev.Kind == SyncRequested {
-				to = slices.IndexFunc(s.members, func(o *List) bool { return o.self.Name == ev.Message.From.Name })
-				s.post(letter{from: i, to: to, what: SyncAnswered, msg: a.Message, exchange: ev.Exchange})
-			} else {
-				to = slices.IndexFunc(s.members, func(o *List) bool { return o.self.Name == ev.Message.From.Name })
-				s.post(letter{from: i, to: to, what: SyncFinished, msg: a.Message})
-			}
+	digest := l.self.hash()
+	for _, m := range l.members.byName {
+		digest ^= m.hash()
+	}
+	if digest != l.view.value {
+		s.fail("%s: its digest is not that of what it knows", l.self.Name)
+	}
+}
+
+// snapshot is what a member knew before an event.
+type snapshot struct {
+	self       Record
+	records    map[string]Record
+	suspicions map[string]suspicion
+}
+
+func snapshotOf(l *List) snapshot {
+	before := snapshot{self: l.self, records: map[string]Record{}, suspicions: map[string]suspicion{}}
+	for name, m := range l.members.byName {
+		before.records[name] = m.Record
+		if m.suspicion != nil {
+			before.suspicions[name] = *m.suspicion
 		}
 	}
-	fail := func(format string, args ...any) {
-		if s.broken == nil {
-			s.broken = fmt.Errorf(format, args...)
+	return before
+}
+
+func (s *trio) carryOut(from int, event *Event, action *Action) {
+	switch action.Kind {
+	case Send:
+		s.post(packet{from: from, to: s.at(action.Address), event: MessageReceived, message: action.Message})
+	case StartSync:
+		s.post(packet{from: from, to: s.at(action.Address), event: SyncRequested, message: action.Message, exchange: action.Exchange})
+	case Reply:
+		to := slices.IndexFunc(s.members, func(l *List) bool { return l.self.Name == event.Message.From.Name })
+		if event.Kind == SyncRequested {
+			s.post(packet{from: from, to: to, event: SyncAnswered, message: action.Message, exchange: event.Exchange})
+		} else {
+			s.post(packet{from: from, to: to, event: SyncFinished, message: action.Message})
 		}
 	}
-	if m.self.Epoch == self.Epoch && m.self.Incarnation < self.Incarnation || m.self.Epoch < self.Epoch {
-		fail("%s: its own count went back", m.self.Name)
+}
+
+// at returns the index of the member of an address; -1 if there is none.
+func (s *trio) at(address string) int {
+	return slices.IndexFunc(s.members, func(l *List) bool { return l.self.Tags.Address == address })
+}
+
+// fail keeps the first violation.
+func (s *trio) fail(format string, args ...any) {
+	if s.broken == nil {
+		s.broken = fmt.Errorf(format, args...)
 	}
-	if accused && m.self.Incarnation <= self.Incarnation && m.self.Epoch == self.Epoch && !m.displaced && self.Status != Left {
-		fail("%s was accused and did not refute", m.self.Name)
+}
+
+func (s *trio) checkSelf(l *List, before *snapshot, suspected bool) {
+	self := &before.self
+	if l.self.Epoch == self.Epoch && l.self.Incarnation < self.Incarnation || l.self.Epoch < self.Epoch {
+		s.fail("%s: its own incarnation went back", l.self.Name)
 	}
-	for n, p := range m.others {
-		b, known := before[n]
-		if known && b.Newer(p.State) {
-			fail("%s: what it holds of %s went back from %v to %v", m.self.Name, n, b.State, p.State)
-		}
-		of := s.members[n[0]-'a'].self
-		if p.Epoch > of.Epoch || p.Epoch == of.Epoch && p.Incarnation > of.Incarnation {
-			fail("%s holds %s for %v, which it never said: it is %v", m.self.Name, n, p.State, of.State)
-		}
-		if known && b.Status == Left && p.Status != Left && p.Epoch == b.Epoch {
-			fail("%s: %s is back in the life that it had left", m.self.Name, n)
-		}
-		if p.Status == Left && p.Epoch == of.Epoch && of.Status != Left && !s.forgot {
-			fail("%s holds %s for gone, which it never said", m.self.Name, n)
-		}
-		if known && p.Status == Dead && b.Status != Dead && p.ReportedBy == m.self.Name && ev.Kind == Tick {
-			d, doubted := doubts[n]
-			if !doubted || s.now[i]-d.began < d.least {
-				fail("%s buried %s without a doubt that lasted long enough", m.self.Name, n)
-			}
-		}
-		if (p.doubt != nil) != (p.Status == Suspect) {
-			fail("%s: %s is %v, and doubted: %v", m.self.Name, n, p.Status, p.doubt != nil)
-		}
-		at := slices.Index(m.ring, p)
-		if (at >= 0) != (p.Status == Alive || p.Status == Suspect) || at >= 0 && p.place != at {
-			fail("%s: %s is %v, and at %d of the ring", m.self.Name, n, p.Status, at)
-		}
+	refuted := l.self.Incarnation > self.Incarnation || l.self.Epoch != self.Epoch
+	if suspected && !refuted && !l.displaced && self.Status != Left {
+		s.fail("%s was suspected and did not refute", l.self.Name)
 	}
-	digest := m.self.hash()
-	for _, p := range m.others {
-		digest ^= p.hash()
+}
+
+func (s *trio) checkMember(l *List, name string, m *member, before *snapshot) {
+	old, known := before.records[name]
+	if known && old.Newer(m.State) {
+		s.fail("%s: its record of %s went back from %v to %v", l.self.Name, name, old.State, m.State)
+	}
+	actual := s.members[name[0]-'a'].self
+	if m.Epoch > actual.Epoch || m.Epoch == actual.Epoch && m.Incarnation > actual.Incarnation {
+		s.fail("%s holds %s for %v, which it never announced: it is %v", l.self.Name, name, m.State, actual.State)
 	}
-	if digest != m.digest {
-		fail("%s: its digest is not that of what it holds", m.self.Name)
+	if known && old.Status == Left && m.Status != Left && m.Epoch == old.Epoch {
+		s.fail("%s: %s is back in the epoch that it had left", l.self.Name, name)
+	}
+	if m.Status == Left && m.Epoch == actual.Epoch && actual.Status != Left && !s.forgotten {
+		s.fail("%s holds %s for left, which it never announced", l.self.Name, name)
 	}
 }
 
-func (s *trio) post(l letter) {
-	if l.to < 0 || l.to == l.from || s.torn && (l.from == s.cut) != (l.to == s.cut) {
+// checkDeclaredDead checks a member that l itself may have declared dead at a tick.
+func (s *trio) checkDeclaredDead(l *List, name string, m *member, before *snapshot, now time.Duration) {
+	old, known := before.records[name]
+	if !known || m.Status != Dead || old.Status == Dead || m.ReportedBy != l.self.Name {
 		return
 	}
-	if s.way = append(s.way, l); len(s.way) > mostLetters {
-		s.way = s.way[1:]
+	suspicion, suspected := before.suspicions[name]
+	if !suspected || now-suspicion.startedAt < suspicion.min {
+		s.fail("%s declared %s dead without a suspicion that lasted long enough", l.self.Name, name)
 	}
 }
 
-// Moves: each letter comes or is lost, each member's time passes until it is due,
-// one is started anew, one departs.
-func (s *trio) Moves() (out []string) {
-	for i, l := range s.way {
-		out = append(out, fmt.Sprintf("%d comes: %s to %s %v", i, name(l.from), name(l.to), l.msg.Kind), fmt.Sprintf("%d is lost", i))
+func (s *trio) checkTable(l *List, name string, m *member) {
+	if (m.suspicion != nil) != (m.Status == Suspect) {
+		s.fail("%s: %s is %v, and suspected: %v", l.self.Name, name, m.Status, m.suspicion != nil)
+	}
+	index := slices.Index(l.members.reachable, m)
+	if (index >= 0) != (m.Status == Alive || m.Status == Suspect) || index >= 0 && m.index != index {
+		s.fail("%s: %s is %v, and at %d of the reachable", l.self.Name, name, m.Status, index)
+	}
+}
+
+func (s *trio) post(p packet) {
+	if p.to < 0 || p.to == p.from || s.partitioned && (p.from == s.isolated) != (p.to == s.isolated) {
+		return
+	}
+	s.transit = append(s.transit, p)
+	if len(s.transit) > maxInTransit {
+		s.transit = s.transit[1:]
+	}
+}
+
+// Moves returns the possible moves: each packet arrives or is lost, each member's time
+// passes until its next tick, one restarts, one leaves, one is forgotten.
+func (s *trio) Moves() (moves []string) {
+	for i, p := range s.transit {
+		moves = append(moves, fmt.Sprintf("%d arrives: %s to %s %v", i, name(p.from), name(p.to), p.message.Kind),
+			fmt.Sprintf("%d is lost", i))
 	}
 	for i := range s.members {
-		out = append(out, "time passes at "+name(i))
+		moves = append(moves, "time passes at "+name(i))
 	}
-	if s.restarts < mostEpochs {
-		out = append(out, "c starts anew")
+	if s.restarts < maxRestarts {
+		moves = append(moves, "c restarts")
 	}
-	if s.departs == 0 {
-		out = append(out, "b departs")
+	if s.departures == 0 {
+		moves = append(moves, "b leaves")
 	}
 	if s.forgettable() {
-		out = append(out, "a is told that c is gone")
+		moves = append(moves, "an operator has a forget c")
 	}
-	return out
+	return moves
 }
 
-// forgettable tells whether a person may say at a that c is gone.
-func (s *trio) forgettable() bool { return !s.forgot && s.members[0].others["c"].Status == Dead }
+// forgettable reports whether an operator may have a forget c.
+func (s *trio) forgettable() bool {
+	return !s.forgotten && s.members[0].members.byName["c"].Status == Dead
+}
 
+// Do makes a move.
 func (s *trio) Do(move int) error {
 	if s.forgettable() && move == len(s.Moves())-1 {
-		s.forgot = true
+		s.forgotten = true
 		s.handle(0, Event{Kind: Forget, Name: "c"})
 		return s.broken
 	}
-	if move < 2*len(s.way) {
-		l := s.way[move/2]
-		s.way = slices.Delete(slices.Clone(s.way), move/2, move/2+1)
+	if move < 2*len(s.transit) {
+		p := s.transit[move/2]
+		s.transit = slices.Delete(slices.Clone(s.transit), move/2, move/2+1)
 		if move%2 == 0 {
-			s.handle(l.to, Event{Kind: l.what, Message: l.msg, Exchange: l.exchange})
+			s.deliver(p)
 		}
 		return s.broken
 	}
-	switch move -= 2 * len(s.way); {
+	switch move -= 2 * len(s.transit); {
 	case move < 3:
 		if due := s.members[move].NextTick(); due < never {
 			s.now[move] = max(s.now[move]+time.Millisecond, due)
 		}
 		s.handle(move, Event{Kind: Tick})
-	case s.restarts < mostEpochs && move == 3:
+	case s.restarts < maxRestarts && move == 3:
 		s.restarts++
 		s.members[2] = s.member(2, 2)
 		s.handle(2, Event{Kind: Start})
 	default:
-		s.departs++
+		s.departures++
 		s.handle(1, Event{Kind: Leave})
 	}
 	return s.broken
 }
 
-// Key is what may matter later: what each holds, doubts and waits, and the letters,
-// with times as far as they lie ahead.
+func (s *trio) deliver(p packet) {
+	s.handle(p.to, Event{Kind: p.event, Message: p.message, Exchange: p.exchange})
+}
+
+// Key is what may matter later: what each member knows, suspects and waits for, and the
+// packets, with times as far as they lie ahead.
 func (s *trio) Key() string {
 	var b strings.Builder
-	for i, m := range s.members {
-		fmt.Fprint(&b, m.self.State, m.health, m.displaced, m.swapWith, len(m.disputes), m.cursor)
-		left := func(at time.Duration) time.Duration { return max(at-s.now[i], -1) / (10 * time.Millisecond) }
-		if m.probe != nil {
-			fmt.Fprint(&b, "p", m.probe.p.Name, left(m.probe.end), left(m.probe.second), m.probe.nacks)
-		}
-		for j := range 3 {
-			if p := m.others[name(j)]; p != nil {
-				fmt.Fprint(&b, p.State, p.ReportedBy, p.disputed, p.wrong)
-				if p.doubt != nil {
-					fmt.Fprint(&b, "d", p.doubt.by, left(p.doubt.end()))
-				}
-			}
-		}
-		for _, n := range m.queue {
-			fmt.Fprint(&b, n.State, n.times)
-		}
+	for i, l := range s.members {
+		s.writeKey(&b, i, l)
 	}
-	for _, l := range s.way {
-		fmt.Fprint(&b, l.from, l.to, l.what, l.msg.Kind, l.msg.Target)
-		for _, r := range l.msg.Updates {
+	for _, p := range s.transit {
+		fmt.Fprint(&b, p.from, p.to, p.event, p.message.Kind, p.message.Target)
+		for _, r := range p.message.Updates {
 			fmt.Fprint(&b, r.State)
 		}
 	}
-	fmt.Fprint(&b, s.restarts, s.departs, s.forgot)
+	fmt.Fprint(&b, s.restarts, s.departures, s.forgotten)
 	return b.String()
 }
 
-// step lets all letters come, and then time pass for all alike until somebody is due.
+func (s *trio) writeKey(b *strings.Builder, i int, l *List) {
+	fmt.Fprint(b, l.self.State, l.prober.health.score, l.displaced, l.syncer.candidate, len(l.gossiper.disputes), l.members.nextInRound)
+	ahead := func(at time.Duration) time.Duration { return max(at-s.now[i], -1) / (10 * time.Millisecond) }
+	if p := l.prober.current; p != nil {
+		fmt.Fprint(b, "p", p.target.Name, ahead(p.endsAt), ahead(p.indirectAt), p.nacks)
+	}
+	for j := range 3 {
+		if m := l.members.byName[name(j)]; m != nil {
+			fmt.Fprint(b, m.State, m.ReportedBy, m.deathDisputed, m.falseSuspicions)
+			if m.suspicion != nil {
+				fmt.Fprint(b, "d", m.suspicion.reporters, ahead(m.suspicion.timeoutAt()))
+			}
+		}
+	}
+	for _, update := range l.gossiper.updates.entries {
+		fmt.Fprint(b, update.State, update.transmits)
+	}
+}
+
+// step delivers all packets, and then lets time pass for all alike until a tick is due.
 func (s *trio) step() {
-	for len(s.way) > 0 {
-		l := s.way[0]
-		if s.way = s.way[1:]; s.members[l.to].self.Status != Left {
-			s.handle(l.to, Event{Kind: l.what, Message: l.msg, Exchange: l.exchange})
+	for len(s.transit) > 0 {
+		p := s.transit[0]
+		s.transit = s.transit[1:]
+		if s.members[p.to].self.Status != Left {
+			s.deliver(p)
 		}
 	}
-	first, at := never, 0
-	for i, m := range s.members {
-		if ahead := m.NextTick() - s.now[i]; m.NextTick() < never && m.self.Status != Left && ahead < first {
-			first, at = ahead, i
+	first, next := never, 0
+	for i, l := range s.members {
+		if ahead := l.NextTick() - s.now[i]; l.NextTick() < never && l.self.Status != Left && ahead < first {
+			first, next = ahead, i
 		}
 	}
 	for i := range s.now {
 		s.now[i] += max(first, time.Millisecond)
 	}
-	s.handle(at, Event{Kind: Tick})
+	s.handle(next, Event{Kind: Tick})
 }
 
-// settle lets everything come and time pass for all alike, and tells whether all
-// that are there then hold the same.
+// settle delivers everything while time passes for all alike, and returns an error unless
+// all that are there then know the same.
 func (s *trio) settle() error {
 	for range 4000 {
 		s.step()
@@ -278,44 +336,46 @@
 		return s.broken
 	}
 	digest := uint64(0)
-	for _, m := range s.members {
-		if m.self.Status == Left || m.displaced {
+	for _, l := range s.members {
+		if l.self.Status == Left || l.displaced {
 			continue
 		}
-		if digest != 0 && m.digest != digest {
+		if digest != 0 && l.view.value != digest {
 			return errors.New("the views stay different")
 		}
-		digest = m.digest
-		for _, o := range s.members {
-			if p := m.others[o.self.Name]; o != m && o.self.Status != Left && (p == nil || p.Status != Alive) {
-				return fmt.Errorf("%s holds %s for %v in the end", m.self.Name, o.self.Name, p)
+		digest = l.view.value
+		for _, other := range s.members {
+			m := l.members.byName[other.self.Name]
+			if other != l && other.self.Status != Left && (m == nil || m.Status != Alive) {
+				return fmt.Errorf("%s holds %s for %v in the end", l.self.Name, other.self.Name, m)
 			}
 		}
 	}
 	return nil
 }
 
-// Of three members, whatever is lost, late or out of order: what one holds never
-// goes back, nobody holds of another what it never said, who is accused refutes,
-// nobody is buried without a doubt that lasted.
+// Of three members, whatever is lost, late or out of order: a record never goes back, nobody
+// holds of another what it never announced, who is suspected refutes, nobody is declared dead
+// without a suspicion that lasted.
 func TestExploreTrio(t *testing.T) {
-	b := modelcheck.Bounds{Depth: 6, States: 200_000}
+	bounds := modelcheck.Bounds{Depth: 6, States: 200_000}
 	if testing.Short() {
-		b.Depth = 4
+		bounds.Depth = 4
 	}
-	res := modelcheck.Explore(newTrio, b)
-	t.Log(res)
-	if res.Err != nil || !res.Complete {
-		t.Error(res)
+	explored := modelcheck.Explore(newTrio, bounds)
+	t.Log(explored)
+	if explored.Err != nil || !explored.Complete {
+		t.Error(explored)
 	}
-	if res = modelcheck.Walk(newTrio, 1, 300, 120); res.Err != nil {
-		t.Error(res)
+	walked := modelcheck.Walk(newTrio, 1, 300, 120)
+	if walked.Err != nil {
+		t.Error(walked)
 	}
-	t.Log("walks:", res)
+	t.Log("walks:", walked)
 }
 
-// From wherever a walk leads, once messages come again all hold the same, and each
-// that is there for alive.
+// From wherever a walk leads, once messages arrive again all views become equal, with each
+// member that runs alive.
 func TestTrioSettles(t *testing.T) {
 	for seed := range uint64(40) {
 		var last *trio
@@ -326,37 +386,57 @@
 	}
 }
 
-// Cut off until each side holds the other for dead, the three find each other again.
-func TestTornTrioSettles(t *testing.T) {
-	for cut := range 3 {
+// After a partition that lasts until each side holds the other for dead, the three find each
+// other again.
+func TestPartitionedTrioSettles(t *testing.T) {
+	for isolated := range 3 {
 		s := newTrio().(*trio)
-		s.torn, s.cut, s.way = true, cut, nil
+		s.partitioned = true
+		s.isolated = isolated
+		s.transit = nil
 		for s.now[0] < 30*time.Second {
 			s.step()
 		}
-		s.torn = false
-		if _, _, dead := s.members[cut].Count(); dead != 2 {
-			t.Errorf("%s holds %d for dead", name(cut), dead)
+		s.partitioned = false
+		if _, _, dead := s.members[isolated].Count(); dead != 2 {
+			t.Errorf("%s holds %d for dead", name(isolated), dead)
 		}
 		if err := s.settle(); err != nil {
-			t.Errorf("%s cut off: %v", name(cut), err)
+			t.Errorf("%s isolated: %v", name(isolated), err)
 		}
 	}
 }
 
 func TestMutantsAreFound(t *testing.T) {
 	mutant.Find(t, "Trio", []mutant.Mutant{
-		{Name: "refutation left out", File: "member.go", From: "	case r.Status != Alive && r.Incarnation >= m.self.Incarnation:", To: "	case false:"},
-		{Name: "incarnation not raised", File: "member.go", From: "		m.restate(r.Incarnation+1, nil)\n	case r.Incarnation", To: "		m.restate(r.Incarnation, nil)\n	case r.Incarnation"},
-		{Name: "old news taken", File: "member.go", From: "	case !r.Newer(p.State):\n", To: "	case !r.Newer(p.State) && r.Incarnation == p.Incarnation:\n"},
-		{Name: "suspicion of an older count overrides", File: "record.go", From: "	case h.Incarnation != o.Incarnation:\n		return h.Incarnation > o.Incarnation\n", To: ""},
-		{Name: "epochs not compared", File: "record.go", From: "	case h.Epoch != o.Epoch:\n		return h.Epoch > o.Epoch\n", To: ""},
-		{Name: "leaving is not final", File: "record.go", From: "	case (h.Status == Left) != (o.Status == Left):\n		return h.Status == Left\n", To: ""},
-		{Name: "buried at once", File: "member.go", From: "		if end > m.now {\n", To: "		if end > m.now+d.most {\n"},
-		{Name: "doubt kept after a refutation", File: "member.go", From: "	if p.doubt != nil {\n		m.undoubt(p)\n	}\n", To: ""},
-		{Name: "digest forgets the old record", File: "member.go", From: "	if was != 0 {\n		m.turn(before.State)\n	}\n", To: ""},
-		{Name: "the dead stay in the ring", File: "member.go", From: "	if from == to {\n		return\n	}", To: "	if from == to || p.Status == Dead {\n		return\n	}"},
-		{Name: "another's count is raised for it", File: "member.go", From: "	r.Status, r.Tags, r.ReportedBy = Suspect, nil, m.self.Name\n", To: "	r.Status, r.Tags, r.ReportedBy, r.Incarnation = Suspect, nil, m.self.Name, r.Incarnation+1\n"},
-		{Name: "the lost are never sought", File: "member.go", From: "len(m.lost) > 0 && m.rng.Float64() <", To: "len(m.lost) > 0 && 2*m.rng.Float64() < 0*"},
+		{Name: "refutation left out", File: "learn.go",
+			From: "	case record.Status != Alive && record.Incarnation >= l.self.Incarnation:",
+			To:   "	case false:"},
+		{Name: "incarnation not raised", File: "learn.go",
+			From: "		l.raiseIncarnation(record.Incarnation+1, nil)\n	case record.Incarnation",
+			To:   "		l.raiseIncarnation(record.Incarnation, nil)\n	case record.Incarnation"},
+		{Name: "stale update taken", File: "learn.go",
+			From: "	case !record.Newer(m.State):\n",
+			To:   "	case !record.Newer(m.State) && record.Incarnation == m.Incarnation:\n"},
+		{Name: "suspicion of an older incarnation overrides", File: "record.go",
+			From: "	case s.Incarnation != other.Incarnation:\n		return s.Incarnation > other.Incarnation\n", To: ""},
+		{Name: "epochs not compared", File: "record.go",
+			From: "	case s.Epoch != other.Epoch:\n		return s.Epoch > other.Epoch\n", To: ""},
+		{Name: "leaving is not final", File: "record.go",
+			From: "	case (s.Status == Left) != (other.Status == Left):\n		return s.Status == Left\n", To: ""},
+		{Name: "declared dead at once", File: "suspicion.go",
+			From: "	if end > l.now {\n", To: "	if end > l.now+s.max {\n"},
+		{Name: "suspicion kept after a refutation", File: "learn.go",
+			From: "	if m.suspicion != nil {\n		l.suspects.remove(m)\n	}\n", To: ""},
+		{Name: "digest keeps the old record", File: "learn.go",
+			From: "	if previous != 0 {\n		l.view.toggle(l.now, before.State)\n	}\n", To: ""},
+		{Name: "the dead stay reachable", File: "member_table.go",
+			From: "	if from == to {\n		return\n	}",
+			To:   "	if from == to || m.Status == Dead {\n		return\n	}"},
+		{Name: "another's incarnation is raised for it", File: "prober.go",
+			From: "	record.Status = Suspect\n",
+			To:   "	record.Status = Suspect\n	record.Incarnation++\n"},
+		{Name: "the dead are never pinged again", File: "reconnect.go",
+			From: "len(lost) > 0 && l.rng.Float64() <", To: "len(lost) > 0 && 2*l.rng.Float64() < 0*"},
 	})
 }
--- /dev/null
+++ b/fleet/membership/receive.go
@@ -0,0 +1,118 @@
+package membership
+
+import "time"
+
+// displacedGrace is how long a process may go on beside the one that replaces it
+// until that is reported.
+const displacedGrace = 10 * time.Second
+
+// receive takes in a datagram that came from an address.
+func (l *List) receive(message *Message, address string) {
+	if l.displaced || message == nil || message.From.Name == "" {
+		return
+	}
+	if message.From.Name == l.self.Name && message.From.Epoch == l.self.Epoch {
+		return
+	}
+	for i := range message.Updates {
+		l.learn(&message.Updates[i], "")
+	}
+	sender := l.sender(&message.From, address)
+	if sender == nil || l.displaced {
+		return
+	}
+	if message.ReplicaSetDigest != 0 && message.From.Epoch == sender.Epoch {
+		sender.replicaSetDigest = message.ReplicaSetDigest
+	}
+	if message.Kind < Gossip { // gossip is sent while views differ in any case
+		l.compareDigest(sender, message.Digest)
+	}
+	switch message.Kind {
+	case Ping:
+		l.receivePing(sender, message)
+	case Ack:
+		l.receiveAck(sender, message)
+	case PingReq:
+		l.relayPing(sender, message.Target, message.Seq)
+	case Nack:
+		l.prober.nacked(message.Seq)
+	}
+}
+
+func (l *List) receivePing(sender *member, ping *Message) {
+	if ping.Target != "" && ping.Target != l.self.Name {
+		return // for a member that had this address before
+	}
+	ack := newAck(ping.Seq, sender.Name)
+	if ping.Target == "" || ping.mentions(l.self.Name) {
+		ack.Updates = append(ack.Updates, l.self)
+	}
+	if sender.Status != Alive { // it runs, and may refute
+		ack.Updates = append(ack.Updates, sender.withoutTags())
+	}
+	l.sendToMember(sender, ack)
+}
+
+func (l *List) receiveAck(sender *member, ack *Message) {
+	if relayed, ok := l.relays.take(ack.Seq); ok {
+		if requester := l.members.byName[relayed.requester]; requester != nil {
+			l.sendToMember(requester, newRelayedAck(relayed.seq, sender.State))
+		}
+		return
+	}
+	if ack.Target == l.self.Name {
+		l.prober.acknowledgedDirectly(l.now, sender, ack.Seq)
+	} else {
+		l.prober.acknowledgedIndirectly(ack.Target, ack.Seq)
+	}
+}
+
+// compareDigest compares the digest of m's view with this member's.
+func (l *List) compareDigest(m *member, digest uint64) {
+	if !l.view.matches(digest) {
+		l.syncer.differs(m)
+		return
+	}
+	l.joined = true // as after a synchronization
+	l.syncer.agrees(m.Name)
+	if l.view.matchesInARow >= matchesToDropQueue {
+		l.gossiper.updates.keepSuspicions() // they are not part of the digest
+	}
+}
+
+// sender takes note that a member sent something, and returns it: nil if it is not
+// known, or is a process that a later one of its name replaced.
+func (l *List) sender(state *State, address string) *member {
+	if state.Name == l.self.Name {
+		l.learnAboutSelf(&Record{State: *state})
+		return nil
+	}
+	m := l.members.byName[state.Name]
+	if m == nil {
+		return nil
+	}
+	if state.Epoch < m.Epoch {
+		l.nameConflict(m, address)
+		return nil
+	}
+	m.lastHeard = l.now
+	if state.Newer(m.State) && state.Status == Alive {
+		l.learn(&Record{State: *state}, "")
+	}
+	if m.Epoch != state.Epoch {
+		return nil
+	}
+	return m
+}
+
+// nameConflict takes note that a process sent from an address that m, a later one
+// of its name, has replaced; it is sent m's record, from which it learns that.
+func (l *List) nameConflict(m *member, address string) {
+	l.Stats.NameConflicts++
+	if l.now-m.statusSince > displacedGrace && m.Status == Alive {
+		l.emit(Action{Kind: NameConflict, Record: m.Record})
+	}
+	if address != "" && address != m.Tags.Address {
+		l.sendTo("", address, newGossip(m.Record))
+	}
+}
--- /dev/null
+++ b/fleet/membership/sync.go
@@ -0,0 +1,244 @@
+package membership
+
+import (
+	"slices"
+	"strings"
+	"time"
+)
+
+const (
+	quietView      = 600 * time.Millisecond  // a view that has not changed for so long is synchronized if it differs
+	maxUnquietView = 1500 * time.Millisecond // and one that goes on changing is after so long
+	syncBacklog    = 64                      // queued updates from which gossip would take seconds
+	syncGap        = 500 * time.Millisecond  // between synchronizations that this member starts,
+	membersPerGap  = 1000.0                  // and as many times that as there are multiples of so many members
+	syncTimeout    = 5 * time.Second         // a synchronization that has not ended by then is given up
+)
+
+// syncer keeps push/pull synchronizations of whole views: at most one that was
+// started here is under way.
+type syncer struct {
+	candidate     string // name of a member whose digest differs; empty if there is none
+	current       uint64 // identifies the synchronization under way; 0 if there is none
+	endsAt        time.Duration
+	started       uint64 // synchronizations started
+	lastStartedAt time.Duration
+	nextAt        time.Duration // not before then
+}
+
+// startAt is when a synchronization with the candidate is due: once the view is
+// quiet, or has gone on changing for long, or at once where more has changed than
+// gossip carries, as after a partition.
+func (s *syncer) startAt(viewChangedAt time.Duration, queuedUpdates int) time.Duration {
+	if queuedUpdates >= syncBacklog {
+		return s.nextAt
+	}
+	return max(s.nextAt, min(viewChangedAt+quietView, s.lastStartedAt+maxUnquietView))
+}
+
+// dueAt is when the next step is due.
+func (s *syncer) dueAt(viewChangedAt time.Duration, queuedUpdates int) time.Duration {
+	switch {
+	case s.current != 0:
+		return s.endsAt
+	case s.candidate != "":
+		return s.startAt(viewChangedAt, queuedUpdates)
+	}
+	return never
+}
+
+// differs takes in that m's digest differs from this member's.
+func (s *syncer) differs(m *member) {
+	if m.Status == Alive {
+		s.candidate = m.Name
+	}
+}
+
+// agrees takes in that the digest of a member is the same.
+func (s *syncer) agrees(name string) {
+	if s.candidate == name {
+		s.candidate = ""
+	}
+}
+
+// start begins a synchronization, in a fleet of so many reachable members.
+func (s *syncer) start(now time.Duration, reachable int, rng *random) {
+	s.started++
+	s.current = s.started
+	s.endsAt = now + syncTimeout
+	s.lastStartedAt = now
+	gap := time.Duration(max(1, float64(reachable)/membersPerGap) * float64(syncGap))
+	s.nextAt = now + gap + rng.duration(gap)
+}
+
+// end ends the synchronization under way, if it is the given one.
+func (s *syncer) end(id uint64) (ended bool) {
+	if id != s.current {
+		return false
+	}
+	s.current = 0
+	return true
+}
+
+// abort gives up the synchronization under way.
+func (s *syncer) abort() { s.current = 0 }
+
+// runSync gives up a synchronization that took too long and starts one that is due.
+func (l *List) runSync() {
+	s := &l.syncer
+	if s.current != 0 && l.now >= s.endsAt {
+		s.abort()
+	}
+	due := s.current == 0 && s.candidate != "" && l.now >= s.startAt(l.view.changedAt, len(l.gossiper.updates.entries))
+	if !due {
+		return
+	}
+	if m := l.members.byName[s.candidate]; m != nil {
+		l.startSync(m.Name, m.Tags.Address)
+	}
+	s.candidate = ""
+}
+
+// startSync starts a synchronization with the member at an address; name is empty
+// if it is a seed's.
+func (l *List) startSync(name, address string) {
+	l.Stats.Exchanges++
+	l.syncer.start(l.now, len(l.members.reachable), &l.rng)
+	request := &Message{Kind: SyncRequest, Target: name, Updates: l.viewWithoutTags()}
+	l.stamp(request)
+	l.emit(Action{Kind: StartSync, Name: name, Address: address, Message: request, Exchange: l.syncer.current})
+}
+
+// viewWithoutTags returns all records without tags, save this member's own.
+func (l *List) viewWithoutTags() []Record {
+	view := make([]Record, 0, len(l.members.byName)+1)
+	view = append(view, l.self)
+	for _, m := range l.members.byName {
+		view = append(view, m.withoutTags())
+	}
+	sortByName(view)
+	return view
+}
+
+func sortByName(records []Record) {
+	slices.SortFunc(records, func(a, b Record) int { return strings.Compare(a.Name, b.Name) })
+}
+
+// syncRequested answers a synchronization that another member started: with the
+// records that are newer here, and the names of those that are requested.
+func (l *List) syncRequested(request *Message, exchange uint64) {
+	if l.displaced || request == nil {
+		return
+	}
+	response := &Message{Kind: SyncResponse, Target: request.From.Name}
+	l.stamp(response)
+	named := make(map[string]bool, len(request.Updates))
+	for i := range request.Updates {
+		record := &request.Updates[i]
+		named[record.Name] = true
+		l.compareRecord(record, response)
+	}
+	if !named[l.self.Name] {
+		response.Updates = append(response.Updates, l.self)
+	}
+	for name, m := range l.members.byName {
+		if !named[name] && m.Status != Left {
+			response.Updates = append(response.Updates, m.Record)
+		}
+	}
+	sortByName(response.Updates)
+	l.synchronized(&request.From)
+	l.emit(Action{Kind: Reply, Message: response, Exchange: exchange})
+}
+
+// compareRecord takes in one record of a request, or adds to the response what its
+// sender lacks.
+func (l *List) compareRecord(record *Record, response *Message) {
+	if record.Name == l.self.Name {
+		if record.State != l.self.State {
+			l.learnAboutSelf(record)
+			response.Updates = append(response.Updates, l.self)
+		}
+		return
+	}
+	m := l.members.byName[record.Name]
+	switch {
+	case m == nil || record.Newer(m.State) && !record.sameTags(m.State):
+		if record.Tags != nil {
+			l.learnFromView(record)
+		} else if record.Status != Left {
+			response.Requested = append(response.Requested, record.Name)
+		}
+	case record.Newer(m.State):
+		l.learnFromView(record)
+	case m.Newer(record.State):
+		newer := m.Record
+		if m.sameTags(record.State) {
+			newer.Tags = nil
+		}
+		response.Updates = append(response.Updates, newer)
+	}
+}
+
+// syncAnswered ends a synchronization that was started here, and sends the records
+// that the other member requested.
+func (l *List) syncAnswered(response *Message, exchange uint64) {
+	if l.displaced || response == nil || !l.syncer.end(exchange) {
+		return
+	}
+	l.learnView(response)
+	l.synchronized(&response.From)
+	if l.displaced {
+		return
+	}
+	final := &Message{Kind: SyncFinal, Target: response.From.Name}
+	l.stamp(final)
+	for _, name := range response.Requested {
+		if m := l.members.byName[name]; m != nil && m.Tags != nil {
+			final.Updates = append(final.Updates, m.Record)
+		} else if name == l.self.Name {
+			final.Updates = append(final.Updates, l.self)
+		}
+	}
+	l.emit(Action{Kind: Reply, Message: final, Exchange: exchange})
+}
+
+// syncFinished takes in the records that this member requested.
+func (l *List) syncFinished(final *Message) {
+	if l.displaced || final == nil {
+		return
+	}
+	l.learnView(final)
+}
+
+// synchronized takes note that views were exchanged with another member. A seed's
+// address may turn out to be this member's own.
+func (l *List) synchronized(from *State) {
+	if from.Name != l.self.Name {
+		l.joined = true
+	}
+}
+
+func (l *List) learnView(message *Message) {
+	for i := range message.Updates {
+		l.learnFromView(&message.Updates[i])
+	}
+}
+
+// learnFromView takes in a record of another member's whole view. One that the other
+// holds for dead and this member does not gets the chance to refute: after a
+// partition each side holds the other one for dead, and neither is believed.
+func (l *List) learnFromView(record *Record) {
+	m := l.members.byName[record.Name]
+	if m != nil && record.valid() && disputable(m, record) {
+		l.disputeDeath(m, record)
+		return
+	}
+	l.learn(record, "")
+}
+
+// disputable reports whether record declares m dead in a way that m can still refute.
+func disputable(m *member, record *Record) bool {
+	current := record.Epoch == m.Epoch && record.Incarnation >= m.Incarnation
+	return current && record.Status == Dead && m.Status.reachable()
+}
