--- /dev/null
+++ b/fleet/placement/replica_set.go
@@ -0,0 +1,57 @@
+package placement
+
+import (
+	"ryerill/fleet/membership"
+	"ryerill/internal/seedrand"
+)
+
+// replicaSet is the set of all replicas that may run, and whether this one is
+// confirmed as one of them.
+type replicaSet struct {
+	digest    uint64
+	confirmed bool
+}
+
+// update takes in the members. The replica is confirmed once all others announce the
+// same set: from then on nobody drops it from theirs unless it leaves. A later process
+// of its name takes the confirmation over.
+func (r *replicaSet) update(snapshot *Snapshot) {
+	before := r.digest
+	r.digest = setDigest(snapshot.Members)
+	if snapshot.Displaced {
+		r.confirmed = false
+		return
+	}
+	if before == r.digest && snapshot.Joined && r.announcedByAll(snapshot.Members) {
+		r.confirmed = true
+	}
+}
+
+// announcedByAll reports whether all others that may run announced the same set.
+func (r *replicaSet) announcedByAll(members []membership.MemberInfo) bool {
+	for i := range members {
+		m := &members[i]
+		if !m.Self && m.Status != membership.Left && m.ReplicaSetDigest != r.digest {
+			return false
+		}
+	}
+	return true
+}
+
+// setDigest is a digest of the names and pools of the members that may run.
+func setDigest(members []membership.MemberInfo) (digest uint64) {
+	for i := range members {
+		m := &members[i]
+		if m.Status == membership.Left {
+			continue
+		}
+		hash := seedrand.Spread(m.Name)
+		if m.Tags != nil {
+			for _, name := range m.Tags.Pools {
+				hash = hash*31 + seedrand.Spread(name)
+			}
+		}
+		digest ^= hash
+	}
+	return digest
+}
