--- /dev/null
+++ b/fleet/codec/codec.go
@@ -0,0 +1,117 @@
+package codec
+
+import (
+	"crypto/hmac"
+	"crypto/sha256"
+	"encoding/binary"
+	"fmt"
+
+	"ryerill/fleet/membership"
+)
+
+// Version is the version of the layout of a frame.
+const Version = 1
+
+// Bounds of a frame.
+const (
+	MaxDatagram    = 1200    // bytes: under the least MTU that is met in practice
+	MaxSyncMessage = 2 << 20 // bytes of one message of a connection: a view of 8,192 members
+)
+
+// The layout of a frame: where its parts are, in bytes.
+const (
+	versionAt  = 0
+	fleetAt    = 1
+	fleetSize  = 4
+	keyAt      = fleetAt + fleetSize
+	numberAt   = keyAt + 1
+	headerSize = numberAt + 8
+	codeSize   = 16
+)
+
+// Codec encodes and decodes the frames of one fleet. It is not safe for concurrent use.
+type Codec struct {
+	fleet   string
+	fleetID [fleetSize]byte
+	keys    keyRing
+	number  uint64 // of the latest frame that was encoded
+	wire    wireCodec
+	replays replayFilter
+}
+
+// New returns a codec. The first key signs, all are accepted.
+func New(fleet string, keys [][]byte) (*Codec, error) {
+	ring, err := newKeyRing(keys)
+	if err != nil {
+		return nil, err
+	}
+	wire, err := newWireCodec()
+	if err != nil {
+		return nil, err
+	}
+	sum := sha256.Sum256([]byte(fleet))
+	return &Codec{
+		fleet:   fleet,
+		fleetID: [fleetSize]byte(sum[:fleetSize]),
+		keys:    ring,
+		wire:    wire,
+		replays: replayFilter{windows: map[string]*replayWindow{}},
+	}, nil
+}
+
+// SetKeys replaces the keys. After an error the former ones stay.
+func (c *Codec) SetKeys(keys [][]byte) error {
+	ring, err := newKeyRing(keys)
+	if err != nil {
+		return err
+	}
+	c.keys = ring
+	return nil
+}
+
+// Encode returns the frame of a message.
+func (c *Codec) Encode(m *membership.Message) ([]byte, error) {
+	body, err := c.wire.encodeMessage(m)
+	if err != nil {
+		return nil, err
+	}
+	c.number++
+	frame := make([]byte, headerSize, headerSize+len(body)+codeSize)
+	frame[versionAt] = Version
+	copy(frame[fleetAt:], c.fleetID[:])
+	frame[keyAt] = c.keys.signing
+	binary.BigEndian.PutUint64(frame[numberAt:], c.number)
+	frame = append(frame, body...)
+	return append(frame, authenticationCode(c.keys.byID[c.keys.signing], c.fleet, frame)...), nil
+}
+
+// Decode returns the message of a frame of at most maxSize bytes. An error wraps one of
+// Errors.
+func (c *Codec) Decode(frame []byte, maxSize int) (*membership.Message, error) {
+	switch {
+	case len(frame) > maxSize:
+		return nil, ErrLarge
+	case len(frame) < headerSize+codeSize:
+		return nil, ErrMalformed
+	case frame[versionAt] != Version:
+		return nil, ErrVersion
+	case [fleetSize]byte(frame[fleetAt:keyAt]) != c.fleetID:
+		return nil, ErrFleet
+	}
+	key, known := c.keys.byID[frame[keyAt]]
+	if !known {
+		return nil, ErrKey
+	}
+	codeAt := len(frame) - codeSize
+	if !hmac.Equal(frame[codeAt:], authenticationCode(key, c.fleet, frame[:codeAt])) {
+		return nil, ErrAuthentication
+	}
+	m, err := c.wire.decodeMessage(frame[headerSize:codeAt])
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
+	}
+	if !c.replays.firstUse(m.From.Name, m.From.Epoch, binary.BigEndian.Uint64(frame[numberAt:])) {
+		return nil, ErrReplayed
+	}
+	return m, nil
+}
--- a/fleet/codec/level.go
+++ b/fleet/codec/level.go
@@ -2,21 +2,25 @@
 
 package codec
 
-// What copies say to each other has a level, which grows with each field or kind that
-// others have to understand for a fleet to work. A copy tells the least and the most
-// that it speaks; what no two of a fleet have in common is refused before a rollout's
-// first stage.
+import "github.com/fxamacker/cbor/v2"
+
+// The level of the protocol between replicas grows with each field or kind of message
+// that others must understand for a fleet to work. A replica announces the lowest and
+// the highest level that it understands. A rollout that would leave two replicas without
+// a common level is refused before its first stage.
 const (
 	MinLevel = 1
 	MaxLevel = 1
 )
 
-// UnknownTags is what this build says of itself that Level 1 does not know.
+// UnknownTags are the encoded tags of this build that level 1 does not know.
 const UnknownTags = ""
 
-// VersionSuffix tells this build's version from others that are made of one tree.
+// VersionSuffix distinguishes the version of this build from others of the same source.
 const VersionSuffix = ""
 
-// later is the message as it is written. The build of a later level, which tests
-// play beside this one, adds to it.
-func later(w *wireMessage) any { return w }
+// marshalMessage encodes a message. The build of a later level, which tests run beside
+// this one, adds a field.
+func marshalMessage(enc cbor.EncMode, message *wireMessage) ([]byte, error) {
+	return enc.Marshal(message)
+}
--- /dev/null
+++ b/fleet/codec/replay.go
@@ -0,0 +1,71 @@
+package codec
+
+const (
+	// maxSenders bounds the windows that are kept; beyond it all are dropped, and what was received before
+	// may count once more.
+	maxSenders = 16384
+
+	wordBits    = 64
+	windowWords = 4
+	windowSpan  = windowWords * wordBits // numbers
+)
+
+// replayFilter tells frames that were received before from new ones, by sender.
+type replayFilter struct {
+	windows map[string]*replayWindow
+}
+
+// firstUse reports whether a number of a sender's epoch was not used before, and takes
+// note that it is now.
+func (f *replayFilter) firstUse(sender string, epoch, number uint64) bool {
+	w := f.windows[sender]
+	if w == nil {
+		if len(f.windows) >= maxSenders {
+			clear(f.windows)
+		}
+		w = &replayWindow{epoch: epoch}
+		f.windows[sender] = w
+	}
+	if epoch < w.epoch {
+		return true // of an earlier process: membership finds that out, and answers it
+	}
+	if epoch > w.epoch {
+		*w = replayWindow{epoch: epoch}
+	}
+	return w.firstUse(number)
+}
+
+// replayWindow holds which numbers of one epoch of a sender were used. Those that are
+// older than its span count as used.
+type replayWindow struct {
+	epoch   uint64
+	highest uint64
+	used    [windowWords]uint64 // a bit for each number of the span up to highest, at the number modulo the span
+}
+
+func (w *replayWindow) firstUse(number uint64) bool {
+	switch {
+	case number >= w.highest+windowSpan:
+		w.used = [windowWords]uint64{}
+		w.highest = number
+	case number > w.highest:
+		for w.highest < number {
+			w.highest++
+			word, bit := position(w.highest)
+			w.used[word] &^= bit
+		}
+	case w.highest-number >= windowSpan:
+		return false
+	}
+	word, bit := position(number)
+	if w.used[word]&bit != 0 {
+		return false
+	}
+	w.used[word] |= bit
+	return true
+}
+
+// position returns the word and the bit of a number in a window.
+func position(number uint64) (word int, bit uint64) {
+	return int(number % windowSpan / wordBits), 1 << (number % wordBits)
+}
