--- a/fleet/compatibility_test.go
+++ b/fleet/compatibility_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// zeros names the fields below v that hold nothing.
+// zeros returns the names of the fields below v that are zero.
 func zeros(v reflect.Value, path string) (names []string) {
 	switch {
 	case v.Kind() == reflect.Struct && v.Type() != reflect.TypeFor[time.Time]():
@@ -101,9 +101,9 @@
 	return names
 }
 
-// What programs read at the management endpoint, and what a replica keeps on its disk, is read whole and written to the letter.
+// What programs read at the management endpoint, and what a replica persists, is read whole and written to the letter.
 func TestRecordedJSONIsReadAndWrittenAlike(t *testing.T) {
-	for name, value := range map[string]any{"memory": new(memory), "status": new(Status), "shared": new(SharedStatus), "rollout": new(RolloutStatus)} {
+	for name, value := range map[string]any{"memory": new(persistedState), "status": new(Status), "shared": new(SharedStatus), "rollout": new(RolloutStatus)} {
 		t.Run(name, func(t *testing.T) {
 			want := recorded(t, name+".json", func() []byte {
 				n := 0
@@ -125,13 +125,13 @@
 	}
 }
 
-// The line before what is kept: its form, and the checksum.
-func TestRecordedFileIsUnpacked(t *testing.T) {
+// The line before the persisted state: its form, and the checksum.
+func TestRecordedFileIsUnsealed(t *testing.T) {
 	const want = "ryerill-fleet 1 b7b41276360564d4\n1"
-	if text := pack([]byte("1")); string(text) != want {
-		t.Errorf("packed %q, was %q", text, want)
+	if text := seal([]byte("1")); string(text) != want {
+		t.Errorf("sealed %q, was %q", text, want)
 	}
-	if text, err := unpack([]byte(want)); err != nil || string(text) != "1" {
-		t.Errorf("unpacked %q, %v", text, err)
+	if text, err := unseal([]byte(want)); err != nil || string(text) != "1" {
+		t.Errorf("unsealed %q, %v", text, err)
 	}
 }
--- /dev/null
+++ b/fleet/rollout_host.go
@@ -0,0 +1,334 @@
+package fleet
+
+import (
+	"context"
+	"errors"
+	"runtime/metrics"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"ryerill/fleet/membership"
+	"ryerill/fleet/rollout"
+)
+
+const (
+	rolloutInterval  = 100 * time.Millisecond
+	reportInterval   = time.Second
+	fetchRetry       = 500 * time.Millisecond // after a state could not be fetched
+	fencingTokenBits = 24                     // shift of the fencing token in a persisted version
+)
+
+// ChangeFunc changes this replica to target, as a rollout of the kind orders: to text if
+// that is not empty, or back to what it had. It is called in a goroutine of its own, and
+// returns why it could not.
+type ChangeFunc func(kind rollout.Kind, target string, text []byte, back bool) error
+
+// PoolActivity is what this replica did in one pool since the start, for the comparison
+// of changed and unchanged replicas.
+type PoolActivity struct {
+	Pool            string
+	OfferedWeight   float64 // priority weight of the requests
+	ServedWeight    float64 // priority weight of those that were answered in time
+	Responses       float64
+	ResponseSeconds float64 // that the responses took together
+	Requests        float64 // that ended
+	Attempts        float64 // that ended
+}
+
+// DesiredVersion is the version that the operator's own tools are to bring about here.
+type DesiredVersion struct {
+	Plan        string `json:"plan"`
+	Target      string `json:"target"`
+	RollingBack bool   `json:"back"`
+}
+
+// refusal is why a replica could not take the version of a plan.
+type refusal struct{ plan, reason string }
+
+// rolloutVersion orders the states of a rollout.
+type rolloutVersion struct{ fencingToken, version uint64 }
+
+func versionOf(s *rollout.State) rolloutVersion {
+	return rolloutVersion{fencingToken: s.FencingToken, version: s.Version}
+}
+
+// rolloutHost is this replica's side of rollouts. The fleet's mutex guards it.
+type rolloutHost struct {
+	participant *rollout.Participant
+	change      ChangeFunc
+	activity    func() []PoolActivity
+	reported    map[string]PoolActivity // by pool, at the latest report
+	interval    uint64                  // number of the latest report
+	refusals    map[string]refusal      // by replica, the other ones
+	ownRefusal  refusal
+	desired     DesiredVersion
+
+	fetching      bool
+	fetchFailedAt time.Time // zero after a success
+	fetched       []byte    // the state of fetchedAt as it was received: it may hold more than this program knows
+	fetchedAt     rolloutVersion
+
+	persistedVersion uint64
+}
+
+// EnableRollouts has this replica take part in rollouts. It must be called before Run.
+func (f *Fleet) EnableRollouts(change ChangeFunc, activity func() []PoolActivity) {
+	f.rollouts = &rolloutHost{
+		participant: rollout.New(f.cfg.Name, f.now()),
+		change:      change,
+		activity:    activity,
+		reported:    map[string]PoolActivity{},
+		refusals:    map[string]refusal{},
+	}
+	if f.restored.Rollout != nil {
+		f.rollouts.participant.Restore(*f.restored.Rollout)
+	}
+}
+
+// persistedState returns the state for the state file; nil before the first plan.
+func (h *rolloutHost) persistedState() *rollout.State {
+	state := h.participant.State()
+	if state.FencingToken == 0 {
+		return nil
+	}
+	return &state
+}
+
+// changedSincePersisted reports whether the state has another version than when this was
+// called last.
+func (h *rolloutHost) changedSincePersisted() bool {
+	state := h.participant.State()
+	version := state.FencingToken<<fencingTokenBits | state.Version
+	if version == h.persistedVersion {
+		return false
+	}
+	h.persistedVersion = version
+	return true
+}
+
+// replica returns a member as a rollout sees it.
+func (h *rolloutHost) replica(m *membership.MemberInfo, plan *rollout.Plan) rollout.Replica {
+	replica := rollout.Replica{
+		Name:     m.Name,
+		Zone:     m.Tags.Zone,
+		Alive:    m.Self || m.Status == membership.Alive || m.Status == membership.Suspect,
+		Ready:    m.Tags.Phase == membership.Serving,
+		Version:  m.Tags.SettingsHash,
+		Epoch:    m.Epoch,
+		MinLevel: m.Tags.MinLevel,
+		MaxLevel: m.Tags.MaxLevel,
+	}
+	if plan.Kind == rollout.Program {
+		replica.Version = m.Tags.ProgramVersion
+	}
+	refused := h.refusals[m.Name]
+	if m.Self {
+		refused = h.ownRefusal
+	}
+	if refused.plan == plan.ID && replica.Version != plan.Target {
+		replica.RefusedReason = refused.reason
+	}
+	return replica
+}
+
+// replicas returns all replicas that may run. The mutex is held.
+func (f *Fleet) replicas() (all []rollout.Replica) {
+	state := f.rollouts.participant.State()
+	for _, m := range f.list.Members() {
+		if m.Status != membership.Left && m.Tags != nil {
+			all = append(all, f.rollouts.replica(&m, &state.Plan))
+		}
+	}
+	return all
+}
+
+// runRollouts drives rollouts until ctx ends.
+func (f *Fleet) runRollouts(ctx context.Context) {
+	ticker := time.NewTicker(rolloutInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+			f.tickRollouts()
+		}
+	}
+}
+
+func (f *Fleet) tickRollouts() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	h := f.rollouts
+	f.executeRollout(h.participant.Tick(f.now(), f.replicas(), nil))
+	if interval := uint64(time.Now().UnixNano() / int64(reportInterval)); interval != h.interval {
+		h.interval = interval
+		f.reportActivity()
+	}
+	f.persistRollout()
+}
+
+// persistRollout has the state persisted if it has changed. The mutex is held.
+func (f *Fleet) persistRollout() {
+	if !f.stateFile.enabled() || f.persisted.writing || f.departed {
+		return
+	}
+	if f.rollouts.changedSincePersisted() {
+		f.persistReplicaSet()
+	}
+}
+
+// executeRollout carries out the actions of a rollout. The mutex is held.
+func (f *Fleet) executeRollout(actions []rollout.Action) {
+	for _, action := range actions {
+		switch action.Kind {
+		case rollout.Send:
+			f.sendRollout(action.To, action.Message)
+		case rollout.LogLine:
+			f.log.Info("fleet rollout progressed", "reason", action.Line)
+		case rollout.Apply:
+			f.applyVersion(action)
+		}
+	}
+}
+
+// applyVersion has this replica changed as a rollout orders. The mutex is held.
+func (f *Fleet) applyVersion(action rollout.Action) {
+	h := f.rollouts
+	f.log.Info("fleet rollout changes this replica", "plan", action.Plan, "target", action.Target,
+		"rolling_back", action.RollBack)
+	h.desired = DesiredVersion{Plan: action.Plan, Target: action.Target, RollingBack: action.RollBack}
+	kind := h.participant.State().Plan.Kind
+	f.goroutines.Go(func() {
+		err := h.change(kind, action.Target, action.Settings, action.RollBack)
+		if err == nil {
+			return
+		}
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		f.log.Error("this replica can't apply the fleet rollout", "plan", action.Plan, "err", err)
+		h.ownRefusal = refusal{plan: action.Plan, reason: err.Error()}
+	})
+}
+
+// RolloutRefused takes note that the operator's own tools could not bring about the
+// desired version of a plan.
+func (f *Fleet) RolloutRefused(plan, reason string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.rollouts != nil {
+		f.rollouts.ownRefusal = refusal{plan: plan, reason: reason}
+	}
+}
+
+// sendRollout sends a message. Of a state only the version is sent: who has an older one
+// fetches it. The mutex is held.
+func (f *Fleet) sendRollout(to string, message rollout.Message) {
+	if message.State != nil {
+		message.State = &rollout.State{FencingToken: message.State.FencingToken, Version: message.State.Version}
+	}
+	payload, err := cbor.Marshal(message)
+	if err != nil {
+		f.transport.count(func(stats *Stats) { stats.Unsent++ })
+		return
+	}
+	f.sendToReplica(to, membership.Rollout, payload)
+}
+
+// receiveRollout takes in a datagram. The mutex is held.
+func (f *Fleet) receiveRollout(datagram *membership.Message) {
+	if f.rollouts == nil || !f.fromCurrentProcess(datagram) {
+		return
+	}
+	sender := datagram.From.Name
+	var message rollout.Message
+	if err := cbor.Unmarshal(datagram.Payload, &message); err != nil || message.From != sender {
+		f.transport.count(func(stats *Stats) { stats.Invalid[faultRollout]++ })
+		return
+	}
+	if message.Kind == rollout.StateUpdate {
+		f.fetchIfNewer(sender, message.State)
+		return
+	}
+	report := message.Report
+	if message.Kind == rollout.ReportUpdate && report != nil && report.Name == sender && report.RefusedReason != "" {
+		f.rollouts.refusals[sender] = refusal{plan: report.Plan, reason: report.RefusedReason}
+	}
+	f.executeRollout(f.rollouts.participant.Handle(f.now(), message, nil))
+}
+
+// memoryMB returns how many MB this process holds of the system; 0 if that is not known.
+func memoryMB() float64 {
+	samples := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
+	metrics.Read(samples)
+	for _, sample := range samples {
+		if sample.Value.Kind() != metrics.KindUint64 {
+			return 0
+		}
+	}
+	const bytesPerMB = 1 << 20
+	return float64(samples[0].Value.Uint64()-samples[1].Value.Uint64()) / bytesPerMB
+}
+
+// reportActivity reports to the leader what this replica did in the last interval, while a
+// rollout changes or observes replicas. The mutex is held.
+func (f *Fleet) reportActivity() {
+	h := f.rollouts
+	state := h.participant.State()
+	memory := 0.0
+	if state.Phase == rollout.Observing {
+		memory = memoryMB()
+	}
+	underWay := state.Phase == rollout.Observing || state.Phase == rollout.Changing
+	for _, activity := range h.activity() {
+		before := h.reported[activity.Pool]
+		h.reported[activity.Pool] = activity
+		if !underWay || state.Leader == "" {
+			continue
+		}
+		report := rollout.Report{
+			Name:            f.cfg.Name,
+			Zone:            f.cfg.Zone,
+			Pool:            activity.Pool,
+			Interval:        h.interval,
+			OfferedWeight:   activity.OfferedWeight - before.OfferedWeight,
+			ServedWeight:    activity.ServedWeight - before.ServedWeight,
+			Responses:       activity.Responses - before.Responses,
+			ResponseSeconds: activity.ResponseSeconds - before.ResponseSeconds,
+			Requests:        activity.Requests - before.Requests,
+			Attempts:        activity.Attempts - before.Attempts,
+			Memory:          memory,
+			Plan:            h.ownRefusal.plan,
+			RefusedReason:   h.ownRefusal.reason,
+		}
+		message := rollout.Message{Kind: rollout.ReportUpdate, From: f.cfg.Name, Report: &report}
+		if state.Leader == f.cfg.Name {
+			f.executeRollout(h.participant.Handle(f.now(), message, nil))
+		} else {
+			f.sendRollout(state.Leader, message)
+		}
+	}
+}
+
+var errNoRollouts = errors.New("this proxy takes no part in rollouts now")
+
+// StartRollout starts a plan.
+func (f *Fleet) StartRollout(plan rollout.Plan) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.rollouts == nil || f.departed {
+		return errNoRollouts
+	}
+	return f.rollouts.participant.Start(f.now(), plan)
+}
+
+// RolloutCommand passes an operator's command on to the rollout.
+func (f *Fleet) RolloutCommand(command string) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.rollouts == nil || f.departed {
+		return errNoRollouts
+	}
+	return f.rollouts.participant.Command(f.now(), command)
+}
--- /dev/null
+++ b/fleet/statesync_host.go
@@ -0,0 +1,285 @@
+package fleet
+
+import (
+	"context"
+	"math"
+	"time"
+
+	"ryerill/fleet/counter"
+	"ryerill/fleet/membership"
+	"ryerill/fleet/outlier"
+	"ryerill/fleet/placement"
+	"ryerill/fleet/quota"
+	"ryerill/fleet/statesync"
+)
+
+// AttemptResult is how an attempt of this replica ended.
+type AttemptResult struct {
+	Endpoint        outlier.Endpoint
+	Outcome         outlier.Outcome
+	RelativeLatency float64
+}
+
+// Observations are what the proxy did since the last ones, unless a field is described
+// otherwise.
+type Observations struct {
+	Quotas    map[string]float64             // the whole quotas, in units a second
+	Demand    map[string]float64             // units of them that were asked for
+	Counters  map[counter.Key]counter.Counts // since the start
+	Attempts  []AttemptResult
+	Endpoints map[string][]outlier.Endpoint // the present ones, by pool
+}
+
+// Directives are what follows for the proxy.
+type Directives struct {
+	QuotaFractions map[string]QuotaFraction
+	Ejected        map[string][]uint64 // by pool, the endpoints that this replica is not to attempt now
+}
+
+// QuotaFraction is the fraction of a quota that this replica may spend for some time, and
+// the fraction that it may spend after that.
+type QuotaFraction struct {
+	Current, Fallback float64
+	ValidFor          time.Duration
+}
+
+// Subject is the proxy, as the host observes and directs it. Its methods must not block
+// for long.
+type Subject interface {
+	Observe() Observations
+	Apply(Directives)
+}
+
+// maxFractionAge bounds how long a quota fraction holds without another directive.
+const maxFractionAge = time.Second
+
+// SetSubject sets the proxy that is observed and directed. It must be called before Run.
+func (f *Fleet) SetSubject(subject Subject) { f.subject = subject }
+
+// stateSyncHost hosts the state that replicas share. The fleet's mutex guards it.
+type stateSyncHost struct {
+	sharing *SharingConfig
+	syncer  *statesync.Syncer
+}
+
+// newStateSyncHost returns nil if no state is shared.
+func (f *Fleet) newStateSyncHost() (*stateSyncHost, error) {
+	sharing := f.cfg.Sharing
+	if sharing == nil {
+		return nil, nil
+	}
+	epoch := f.list.Self().Epoch
+	syncer, err := statesync.New(statesync.Config{
+		Name:  f.cfg.Name,
+		Zone:  f.cfg.Zone,
+		Epoch: epoch,
+		Seed:  f.cfg.Seed ^ epoch,
+		// Only a replica that announced that it leaves has lent nothing for certain: one without a state file
+		// may start for the first time, or have lost its disk.
+		LostState:      !f.restored.Left,
+		Quotas:         sharing.Quotas,
+		Counters:       sharing.Counters,
+		Evidence:       sharing.Evidence,
+		BytesPerSecond: sharing.BytesPerSecond,
+	}, f.now())
+	if err != nil {
+		return nil, err
+	}
+	return &stateSyncHost{sharing: sharing, syncer: syncer}, nil
+}
+
+// record takes in what the proxy did, apart from its quotas.
+func (h *stateSyncHost) record(now time.Duration, observed *Observations) {
+	for name, units := range observed.Demand {
+		h.syncer.Quotas.AddDemand(now, name, units)
+	}
+	for key, counts := range observed.Counters {
+		h.syncer.Counters.Record(now, key, counts)
+	}
+	for _, attempt := range observed.Attempts {
+		h.syncer.Outliers.RecordOutcome(now, attempt.Endpoint, attempt.Outcome, attempt.RelativeLatency)
+	}
+}
+
+// setLimits takes in the whole quotas, in units a second.
+func (h *stateSyncHost) setLimits(now time.Duration, quotas map[string]float64) {
+	var limits []quota.Limit
+	for name, total := range quotas {
+		limits = append(limits, quota.Limit{Name: name, Kind: quota.Rate, Total: total})
+	}
+	h.syncer.Quotas.SetLimits(now, limits)
+}
+
+// quotaFractions returns the fractions that this replica may spend.
+func (h *stateSyncHost) quotaFractions(now time.Duration) map[string]QuotaFraction {
+	fractions := map[string]QuotaFraction{}
+	for _, status := range h.syncer.Quotas.Status(now) {
+		fraction := QuotaFraction{
+			Current:  status.Rate / status.Total,
+			Fallback: max(status.Guaranteed-status.Lent, 0) / status.Total,
+			ValidFor: maxFractionAge,
+		}
+		for _, loan := range status.Loans {
+			if !loan.Lent && loan.ExpiresIn > 0 {
+				fraction.ValidFor = min(fraction.ValidFor, loan.ExpiresIn)
+			}
+		}
+		fractions[status.Name] = fraction
+	}
+	return fractions
+}
+
+// ejected returns, by pool, the outliers that it is not this replica's turn to probe.
+func (h *stateSyncHost) ejected(
+	now time.Duration, endpoints map[string][]outlier.Endpoint, zones int, tracker *placement.Tracker,
+) map[string][]uint64 {
+	ejected := map[string][]uint64{}
+	clock := time.Duration(time.Now().UnixNano())
+	for pool, all := range endpoints {
+		position := tracker.Position(pool)
+		for _, verdict := range h.syncer.Outliers.Evaluate(now, all, zones) {
+			if !outlier.ShouldProbe(verdict.Endpoint, clock, position.Index, position.Of) {
+				ejected[pool] = append(ejected[pool], verdict.Endpoint)
+			}
+		}
+	}
+	return ejected
+}
+
+// runStateSync observes and directs the proxy until ctx ends.
+func (f *Fleet) runStateSync(ctx context.Context) {
+	ticker := time.NewTicker(statesync.Interval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		if f.subject == nil {
+			continue
+		}
+		observed := f.subject.Observe()
+		f.subject.Apply(f.syncState(&observed))
+	}
+}
+
+// syncState takes in what the proxy did, sends what is due to other replicas, and returns
+// what follows for the proxy.
+func (f *Fleet) syncState(observed *Observations) Directives {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.ended || f.departed {
+		return Directives{}
+	}
+	now := f.now()
+	host := f.stateSync
+	host.setLimits(now, observed.Quotas)
+	f.updateQuotaReplicas()
+	host.record(now, observed)
+	peers, zones := f.peers()
+	f.sendStateSync(host.syncer.Tick(now, peers))
+	var directives Directives
+	if host.sharing.Quotas {
+		directives.QuotaFractions = host.quotaFractions(now)
+	}
+	if host.sharing.Evidence {
+		directives.Ejected = host.ejected(now, observed.Endpoints, zones, f.positions.tracker)
+	}
+	return directives
+}
+
+// peers returns the other replicas that are reachable, and the number of zones that any
+// replica that may run is in. The mutex is held.
+func (f *Fleet) peers() (peers []statesync.Peer, zones int) {
+	known := map[string]bool{f.cfg.Zone: true}
+	for _, m := range f.list.Members() {
+		if m.Self || m.Status == membership.Left || m.Tags == nil {
+			continue
+		}
+		known[m.Tags.Zone] = true
+		if m.Status != membership.Dead {
+			peers = append(peers, statesync.Peer{Name: m.Name, Zone: m.Tags.Zone})
+		}
+	}
+	return peers, len(known)
+}
+
+// updateQuotaReplicas sets the number of replicas that quotas are divided among. The
+// mutex is held.
+func (f *Fleet) updateQuotaReplicas() {
+	if f.stateSync == nil {
+		return
+	}
+	replicas, confirmed := f.positions.maxQuotaReplicas()
+	if !confirmed || f.tags.Phase == membership.Leaving { // who leaves lends nothing more
+		replicas = 0
+	}
+	var alive []string
+	for _, m := range f.list.Members() {
+		if !m.Self && m.Status == membership.Alive {
+			alive = append(alive, m.Name)
+		}
+	}
+	f.stateSync.syncer.Quotas.SetReplicaCount(f.now(), replicas, alive)
+}
+
+// loansFit reports whether what is lent fits the division of quotas that holds now. The
+// mutex is held.
+func (f *Fleet) loansFit() bool {
+	if f.stateSync == nil {
+		return true
+	}
+	replicas, _ := f.positions.maxQuotaReplicas()
+	return f.stateSync.syncer.Quotas.FitsWithin(f.now(), max(replicas, 1))
+}
+
+// awaitLoans waits until what this replica has lent is returned: once it announces that
+// it leaves, others divide quotas without it.
+func (f *Fleet) awaitLoans() {
+	if f.stateSync == nil {
+		return
+	}
+	const longest = quota.Lease * 11 / 10 // leases end by then, by any clock
+	for end := time.Now().Add(longest); time.Now().Before(end); time.Sleep(statesync.Interval / 2) {
+		if f.loansReturned() {
+			return
+		}
+	}
+}
+
+func (f *Fleet) loansReturned() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.tags.Phase = membership.Leaving
+	f.updateQuotaReplicas()
+	return f.abandoned || f.stateSync.syncer.Quotas.FitsWithin(f.now(), math.MaxInt)
+}
+
+// expireSharedState forgets the state of a process that has ended. The mutex is held.
+func (f *Fleet) expireSharedState(changed *membership.Action) {
+	if f.stateSync == nil {
+		return
+	}
+	record := &changed.Record
+	switch {
+	case record.Status == membership.Left:
+		f.stateSync.syncer.ExpireReplica(record.Name, record.Epoch)
+	case changed.PreviousStatus != 0 && changed.Reason == membership.ReasonRestarted:
+		f.stateSync.syncer.ExpireReplica(record.Name, record.Epoch-1)
+	}
+}
+
+// sendStateSync sends packets to their replicas. The mutex is held.
+func (f *Fleet) sendStateSync(packets []statesync.Outgoing) {
+	for _, packet := range packets {
+		f.sendToReplica(packet.To, membership.StateSync, packet.Payload)
+	}
+}
+
+// receiveStateSync takes in a packet. The mutex is held.
+func (f *Fleet) receiveStateSync(message *membership.Message) {
+	if f.stateSync != nil && f.fromCurrentProcess(message) {
+		f.sendStateSync(f.stateSync.syncer.Receive(f.now(), message.From.Name, message.Payload))
+	}
+}
--- a/fleet/status.go
+++ b/fleet/status.go
@@ -2,12 +2,14 @@
 
 import (
 	"fmt"
+	"time"
 
 	"ryerill/fleet/membership"
 	"ryerill/fleet/placement"
 )
 
-// Status is what the door tells of the fleet. Ages are in milliseconds; -1 is never.
+// Status is what the management endpoint shows of the fleet. Ages are in milliseconds;
+// -1 stands for never.
 type Status struct {
 	Fleet         string                    `json:"fleet"`
 	Name          string                    `json:"name"`
@@ -16,9 +18,9 @@
 	Displaced     bool                      `json:"displaced"`
 	Partitioned   bool                      `json:"likely_cut_off"`
 	PartitionedMS int64                     `json:"cut_off_ms,omitempty"`
-	StaleMS       int64                     `json:"stale_ms"` // since when nobody was heard; 0 while somebody is
+	StaleMS       int64                     `json:"stale_ms"` // since when no message arrived; 0 while they do
 	Health        int                       `json:"health"`   // 0 is good, 8 is worst
-	Digest        string                    `json:"digest"`   // equal where the same is known of all
+	Digest        string                    `json:"digest"`   // equal where the same is known about all members
 	RTTMicros     int64                     `json:"rtt_us"`
 	Pools         map[string]PositionStatus `json:"pools"`
 	Members       []MemberStatus            `json:"members"`
@@ -27,7 +29,7 @@
 	UptimeMS      int64                     `json:"uptime_ms"`
 }
 
-// PositionStatus is this copy's place among those of a pool.
+// PositionStatus is this replica's position among those of a pool.
 type PositionStatus struct {
 	Index         int     `json:"number"`
 	Of            int     `json:"of"`
@@ -38,7 +40,7 @@
 	StaleMS       int64   `json:"stale_ms"`
 }
 
-// MemberStatus is what is known of one copy.
+// MemberStatus is what is known about one replica.
 type MemberStatus struct {
 	Name        string   `json:"name"`
 	Status      string   `json:"status"`
@@ -52,60 +54,88 @@
 	Settings    string   `json:"settings"`
 	Epoch       uint64   `json:"epoch"`
 	Incarnation uint32   `json:"count"`
-	SinceMS     int64    `json:"since_ms"`        // how long it has been of this status
-	HeardMS     int64    `json:"heard_ms"`        // how long ago it spoke to this copy itself
-	Levels      [2]uint8 `json:"speaks"`          // least and most level
-	UnknownTags string   `json:"later,omitempty"` // what it says that this program does not know, in hexadecimal
+	SinceMS     int64    `json:"since_ms"`        // how long it has had this status
+	HeardMS     int64    `json:"heard_ms"`        // how long ago its latest own message arrived
+	Levels      [2]uint8 `json:"speaks"`          // lowest and highest protocol level
+	UnknownTags string   `json:"later,omitempty"` // what it announces that this program does not know, in hexadecimal
 	SuspectedBy []string `json:"accused_by,omitempty"`
 	ReportedBy  string   `json:"by,omitempty"`
 }
 
-// Status tells how things stand.
+// Status returns the status of the fleet, as this replica sees it.
 func (f *Fleet) Status() Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	self := f.member.Self()
-	cut, since := f.view.Partitioned()
-	s := Status{Fleet: f.cfg.Fleet, Name: f.cfg.Name, Epoch: self.Epoch, Incarnation: self.Incarnation, Displaced: f.member.Displaced(), Partitioned: cut,
-		Health: f.member.LocalHealth(), Digest: hex(f.member.Digest()), RTTMicros: f.member.RTT().Microseconds(), Pools: map[string]PositionStatus{},
-		Frames: f.figures, Detector: f.member.Stats, UptimeMS: now.Milliseconds()}
-	if cut {
-		s.PartitionedMS = (now - since).Milliseconds()
+	self := f.list.Self()
+	partitioned, since := f.positions.tracker.Partitioned()
+	status := Status{
+		Fleet:       f.cfg.Fleet,
+		Name:        f.cfg.Name,
+		Epoch:       self.Epoch,
+		Incarnation: self.Incarnation,
+		Displaced:   f.list.Displaced(),
+		Partitioned: partitioned,
+		Health:      f.list.LocalHealth(),
+		Digest:      fmt.Sprintf("%016x", f.list.Digest()),
+		RTTMicros:   f.list.RTT().Microseconds(),
+		Pools:       map[string]PositionStatus{},
+		Frames:      f.transport.statistics(),
+		Detector:    f.list.Stats,
+		UptimeMS:    now.Milliseconds(),
 	}
-	s.Frames.Invalid = map[string]uint64{}
-	for k, n := range f.figures.Invalid {
-		s.Frames.Invalid[k] = n
+	if partitioned {
+		status.PartitionedMS = (now - since).Milliseconds()
 	}
-	for _, name := range f.view.Pools() {
-		p := f.view.Position(name)
-		s.Pools[name] = placeOf(p)
-		s.StaleMS = max(s.StaleMS, p.StaleFor.Milliseconds())
+	for _, name := range f.positions.tracker.Pools() {
+		position := positionStatus(f.positions.tracker.Position(name))
+		status.Pools[name] = position
+		status.StaleMS = max(status.StaleMS, position.StaleMS)
 	}
-	for _, m := range f.member.Members() {
-		one := MemberStatus{Name: m.Name, Status: m.Status.String(), Self: m.Self, Epoch: m.Epoch, Incarnation: m.Incarnation, SinceMS: (now - m.StatusSince).Milliseconds(),
-			HeardMS: -1, SuspectedBy: m.SuspectedBy, ReportedBy: m.ReportedBy}
-		if m.LastHeard >= 0 {
-			one.HeardMS = (now - m.LastHeard).Milliseconds()
-		}
-		if t := m.Tags; t != nil {
-			one.Phase, one.Address, one.Zone, one.Tier, one.Pools, one.Program, one.Settings = t.Phase.String(), t.Address, t.Zone, t.Tier, t.Pools, t.ProgramVersion, t.SettingsHash
-			one.Levels, one.UnknownTags = [2]uint8{t.MinLevel, t.MaxLevel}, fmt.Sprintf("%x", t.Unknown)
-		}
-		s.Members = append(s.Members, one)
+	for _, m := range f.list.Members() {
+		status.Members = append(status.Members, memberStatus(&m, now))
 	}
-	return s
+	return status
 }
 
-func placeOf(p placement.Position) PositionStatus {
-	return PositionStatus{Index: p.Index, Of: p.Of, QuotaReplicas: p.QuotaReplicas, QuotaFraction: p.QuotaFraction(), Alive: p.Alive, Unreachable: p.Unreachable, StaleMS: p.StaleFor.Milliseconds()}
+func positionStatus(p placement.Position) PositionStatus {
+	return PositionStatus{
+		Index:         p.Index,
+		Of:            p.Of,
+		QuotaReplicas: p.QuotaReplicas,
+		QuotaFraction: p.QuotaFraction(),
+		Alive:         p.Alive,
+		Unreachable:   p.Unreachable,
+		StaleMS:       p.StaleFor.Milliseconds(),
+	}
 }
 
-func hex(n uint64) string {
-	const digits = "0123456789abcdef"
-	var b [16]byte
-	for i := range b {
-		b[i] = digits[n>>(60-4*i)&15]
+func memberStatus(m *membership.MemberInfo, now time.Duration) MemberStatus {
+	status := MemberStatus{
+		Name:        m.Name,
+		Status:      m.Status.String(),
+		Self:        m.Self,
+		Epoch:       m.Epoch,
+		Incarnation: m.Incarnation,
+		SinceMS:     (now - m.StatusSince).Milliseconds(),
+		HeardMS:     -1,
+		SuspectedBy: m.SuspectedBy,
+		ReportedBy:  m.ReportedBy,
+	}
+	if m.LastHeard >= 0 {
+		status.HeardMS = (now - m.LastHeard).Milliseconds()
+	}
+	if m.Tags == nil {
+		return status
 	}
-	return string(b[:])
+	status.Phase = m.Tags.Phase.String()
+	status.Address = m.Tags.Address
+	status.Zone = m.Tags.Zone
+	status.Tier = m.Tags.Tier
+	status.Pools = m.Tags.Pools
+	status.Program = m.Tags.ProgramVersion
+	status.Settings = m.Tags.SettingsHash
+	status.Levels = [2]uint8{m.Tags.MinLevel, m.Tags.MaxLevel}
+	status.UnknownTags = fmt.Sprintf("%x", m.Tags.Unknown)
+	return status
 }
--- a/lab/processes/copies_test.go
+++ b/lab/processes/copies_test.go
@@ -216,7 +216,7 @@
 		time.Sleep(3 * time.Second)
 		c.Signal(syscall.SIGCONT)
 		t.Log("back after", until(t, 10*time.Second, "it to be back", f.agree))
-		if log := c.Log()[before:]; !strings.Contains(log, "stood still") || strings.Contains(log, "is=dead") {
+		if log := c.Log()[before:]; !strings.Contains(log, "stood still") || strings.Contains(log, "status=dead") {
 			t.Errorf("it accuses others, or did not notice:\n%s", log)
 		}
 	})
