--- a/fleet/codec/compatibility_test.go
+++ b/fleet/codec/compatibility_test.go
@@ -14,26 +14,26 @@
 	"ryerill/fleet/membership"
 )
 
-// kinds are messages as members send them, in the order of their kinds.
-func kinds() []*membership.Message {
-	head := membership.State{Name: "c1", Epoch: 1_700_000_000_000, Incarnation: 7, Status: membership.Alive, TagsIncarnation: 5}
+// recordedMessages are messages as members send them, in the order of their kinds.
+func recordedMessages() []*membership.Message {
+	state := membership.State{Name: "c1", Epoch: 1_700_000_000_000, Incarnation: 7, Status: membership.Alive, TagsIncarnation: 5}
 	other := membership.Record{State: membership.State{Name: "c2", Epoch: 1_700_000_000_001, Incarnation: 3, Status: membership.Suspect, TagsIncarnation: 2}, ReportedBy: "c1"}
 	whole := membership.Record{State: membership.State{Name: "c3", Epoch: 1_700_000_000_002, Incarnation: 9, Status: membership.Left, TagsIncarnation: 9}, ReportedBy: "c3",
 		Tags: &membership.Tags{Address: "127.0.0.1:7400", Zone: "z1", Tier: 2, Pools: []string{"main", "more"}, ProgramVersion: "v1", SettingsHash: "0123456789abcdef", Phase: membership.Leaving,
 			MinLevel: 1, MaxLevel: 1, Unknown: "\xa1\x18\x64\x65later"}}
 	return []*membership.Message{
-		{Kind: membership.Ping, Seq: 1, From: head, Target: "c2", Digest: 0x1122334455667788, ReplicaSetDigest: 0x99, Updates: []membership.Record{other}},
-		{Kind: membership.Ack, Seq: 1, From: head, Target: "c2", Digest: 1, Updates: []membership.Record{whole}},
-		{Kind: membership.PingReq, Seq: 2, From: head, Target: "c3"},
-		{Kind: membership.Nack, Seq: 2, From: head},
-		{Kind: membership.Gossip, From: head, Updates: []membership.Record{other, whole}},
-		{Kind: membership.SyncRequest, From: head, Digest: 2, Updates: []membership.Record{{State: other.State}, {State: whole.State}}},
-		{Kind: membership.SyncResponse, From: head, Updates: []membership.Record{whole}, Requested: []string{"c2", "c4"}},
-		{Kind: membership.SyncFinal, From: head, Updates: []membership.Record{whole, other}},
-		{Kind: membership.StateSync, From: head, Target: "c2", Digest: 3, ReplicaSetDigest: 4, Payload: []byte("what is shared")},
-		{Kind: membership.Rollout, From: head, Target: "c2", Digest: 3, ReplicaSetDigest: 4, Payload: []byte("of a rollout")},
-		{Kind: membership.RolloutFetch, From: head},
-		{Kind: membership.RolloutState, From: head, Payload: []byte("a state")},
+		{Kind: membership.Ping, Seq: 1, From: state, Target: "c2", Digest: 0x1122334455667788, ReplicaSetDigest: 0x99, Updates: []membership.Record{other}},
+		{Kind: membership.Ack, Seq: 1, From: state, Target: "c2", Digest: 1, Updates: []membership.Record{whole}},
+		{Kind: membership.PingReq, Seq: 2, From: state, Target: "c3"},
+		{Kind: membership.Nack, Seq: 2, From: state},
+		{Kind: membership.Gossip, From: state, Updates: []membership.Record{other, whole}},
+		{Kind: membership.SyncRequest, From: state, Digest: 2, Updates: []membership.Record{{State: other.State}, {State: whole.State}}},
+		{Kind: membership.SyncResponse, From: state, Updates: []membership.Record{whole}, Requested: []string{"c2", "c4"}},
+		{Kind: membership.SyncFinal, From: state, Updates: []membership.Record{whole, other}},
+		{Kind: membership.StateSync, From: state, Target: "c2", Digest: 3, ReplicaSetDigest: 4, Payload: []byte("what is shared")},
+		{Kind: membership.Rollout, From: state, Target: "c2", Digest: 3, ReplicaSetDigest: 4, Payload: []byte("of a rollout")},
+		{Kind: membership.RolloutFetch, From: state},
+		{Kind: membership.RolloutState, From: state, Payload: []byte("a state")},
 	}
 }
 
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	var now bytes.Buffer
-	for _, m := range kinds() {
+	for _, m := range recordedMessages() {
 		text, err := writer.Encode(m)
 		if err != nil {
 			t.Fatal(err)
@@ -71,10 +71,10 @@
 		t.Fatal(err)
 	}
 	lines := bytes.Split(bytes.TrimSpace(want), []byte("\n"))
-	if len(lines) != len(kinds()) {
+	if len(lines) != len(recordedMessages()) {
 		t.Fatalf("%d frames", len(lines))
 	}
-	for i, m := range kinds() {
+	for i, m := range recordedMessages() {
 		text, err := hex.DecodeString(string(lines[i]))
 		if err != nil {
 			t.Fatal(err)
@@ -89,7 +89,7 @@
 	}
 }
 
-// The levels and the names of faults are told to other programs and to operators.
+// Other programs and operators read the levels and the names of faults.
 func TestRecordedLevelsAndFaults(t *testing.T) {
 	if Version != 1 || MinLevel != 1 || MaxLevel != 1 || MaxDatagram != 1200 {
 		t.Errorf("version %d, levels %d to %d, datagrams of %d bytes", Version, MinLevel, MaxLevel, MaxDatagram)
