--- a/architecture_test.go
+++ b/architecture_test.go
@@ -12,19 +12,60 @@
 	"testing"
 )
 
-// pure are the packages that decide: no clock, socket, file, goroutine or
-// global. Time and events come to them as arguments.
-var pure = []string{"balancer", "fairshare", "route", "override", "drain", "lab/servermodel", "lab/load", "lab/invariant", "lab/metrics", "lab/baseline",
-	"internal/seedrand", "fleet/membership", "fleet/placement", "fleet/codec", "fleet/quota", "fleet/counter", "fleet/outlier", "fleet/statesync", "fleet/rollout", "lab/faultnet", "lab/membershipsim", "lab/rolloutsim"}
+// floors are the layers of the program, lowest first: a package imports only packages of the floors below its own, and
+// on the floors that say so packages of the same floor.
+var floors = []struct {
+	name     string
+	packages []string // "lab/..." is all below lab
+	siblings bool     // packages of this floor may import each other
+}{
+	{"helpers", []string{"internal/buffer", "internal/framing", "internal/http1", "internal/logging", "internal/seedrand",
+		"internal/socket", "internal/yamlfile"}, false},
+	{"decisions", []string{"balancer", "route", "fairshare", "drain", "fleet/membership", "fleet/quota", "fleet/counter",
+		"fleet/outlier", "fleet/rollout"}, false},
+	{"decisions on those", []string{"override", "fleet/codec", "fleet/placement", "fleet/statesync"}, false},
+	{"messages, lists, files", []string{"message", "discovery", "fleet", "internal/overridestore", "internal/handover"}, false},
+	{"connections", []string{"downstream", "upstream", "admin"}, false},
+	{"configuration", []string{"config"}, false},
+	{"proxy", []string{"proxy"}, false},
+	{"rollout agent", []string{"cli/rolloutagent"}, false},
+	{"command line", []string{"cli", "simadapter"}, false},
+	{"laboratory", []string{"lab/..."}, true},
+	{"programs", []string{"cmd/proxy", "cmd/proxy-lab", "cmd/simulator-adapter"}, false},
+}
 
-// impure are what a pure package must not import, and functions that it must not call.
+// floorOf returns the index of a package's floor, or -1.
+func floorOf(dir string) int {
+	for i, floor := range floors {
+		for _, p := range floor.packages {
+			below, isTree := strings.CutSuffix(p, "/...")
+			if p == dir || isTree && strings.HasPrefix(dir, below+"/") {
+				return i
+			}
+		}
+	}
+	return -1
+}
+
+// pure are the packages that decide: no clock, socket, file, goroutine or global. Time and events are arguments.
+var pure = []string{"balancer", "fairshare", "route", "override", "drain", "internal/seedrand",
+	"fleet/membership", "fleet/placement", "fleet/codec", "fleet/quota", "fleet/counter", "fleet/outlier",
+	"fleet/statesync", "fleet/rollout",
+	"lab/servermodel", "lab/load", "lab/invariant", "lab/metrics", "lab/baseline", "lab/faultnet",
+	"lab/membershipsim", "lab/rolloutsim"}
+
+// impure are the packages that a pure one must not import, and impureCalls the functions that it must not use.
 var (
-	impure      = []string{"net", "net/http", "os", "os/exec", "os/signal", "syscall", "sync", "runtime", "log", "log/slog", "math/rand", "io/ioutil"}
-	impureCalls = []string{"time.Now", "time.Since", "time.Until", "time.Sleep", "time.After", "time.AfterFunc", "time.NewTimer", "time.NewTicker", "time.Tick"}
+	impure = []string{"net", "net/http", "os", "os/exec", "os/signal", "syscall", "sync", "runtime", "log", "log/slog",
+		"math/rand", "io/ioutil"}
+	impureCalls = []string{"time.Now", "time.Since", "time.Until", "time.Sleep", "time.After", "time.AfterFunc",
+		"time.NewTimer", "time.NewTicker", "time.Tick"}
 )
 
-// strangers must not import each other: what they share lies in invocation.
-var strangers = [][2]string{{"downstream", "upstream"}, {"upstream", "downstream"}, {"message", "downstream"}, {"message", "upstream"}}
+// strangers are pairs of packages of which the first must not import the second: what they share lies in message.
+var strangers = [][2]string{
+	{"downstream", "upstream"}, {"upstream", "downstream"}, {"message", "downstream"}, {"message", "upstream"},
+}
 
 type source struct {
 	dir     string
@@ -96,6 +137,25 @@
 	}
 }
 
+func TestEachFloorImportsOnlyThoseBelow(t *testing.T) {
+	for _, s := range sources(t) {
+		own := floorOf(s.dir)
+		if own < 0 {
+			t.Errorf("%s stands on no floor: add it to floors", s.dir)
+			continue
+		}
+		for _, i := range s.imports {
+			dir, ours := strings.CutPrefix(i, "ryerill/")
+			if !ours {
+				continue
+			}
+			if other := floorOf(dir); other > own || other == own && !floors[own].siblings {
+				t.Errorf("%s (%s) imports %s", s.dir, floors[own].name, dir)
+			}
+		}
+	}
+}
+
 func TestWhoMayImportWhom(t *testing.T) {
 	for _, s := range sources(t) {
 		for _, i := range s.imports {
@@ -111,11 +171,13 @@
 	}
 }
 
-// serving are the packages of the process that serves. The platform refuses it other
-// programs and copies that the kernel makes between sockets; one to io.Discard is none.
+// serving are the packages of the process that serves. The platform refuses it other programs and copies that the kernel
+// makes between sockets; a copy to io.Discard is none.
 var serving = []string{"balancer", "fairshare", "config", "downstream", "discovery", "drain", "internal/buffer", "cli",
-	"internal/framing", "internal/http1", "internal/logging", "internal/socket", "internal/overridestore", "internal/handover", "message", "admin", "upstream", "proxy", "route", "override",
-	"fleet", "internal/seedrand", "fleet/membership", "fleet/placement", "fleet/codec", "fleet/quota", "fleet/counter", "fleet/outlier", "fleet/statesync", "fleet/rollout"}
+	"internal/framing", "internal/http1", "internal/logging", "internal/socket", "internal/overridestore",
+	"internal/handover", "message", "admin", "upstream", "proxy", "route", "override", "fleet", "internal/seedrand",
+	"fleet/membership", "fleet/placement", "fleet/codec", "fleet/quota", "fleet/counter", "fleet/outlier",
+	"fleet/statesync", "fleet/rollout"}
 
 func TestNothingThatServesForksOrSplices(t *testing.T) {
 	refused := []string{"os.StartProcess", "syscall.ForkExec", "syscall.Sendfile", "unix.Sendfile", "unix.Splice", "syscall.Splice", "net.ListenUnix", "net.DialUnix"}
