--- a/cmd/proxy/upgrade_test.go
+++ b/cmd/proxy/upgrade_test.go
@@ -48,7 +48,7 @@
 		}
 		p.ended <- p.Wait()
 	}()
-	_, p.door, _ = strings.Cut(p.says(t, "operators' door"), "at=")
+	_, p.door, _ = strings.Cut(p.says(t, "management endpoint listening"), "address=")
 	p.door, _, _ = strings.Cut(p.door, " ")
 	return p
 }
@@ -262,7 +262,7 @@
 	if err := os.WriteFile(onlyWord(t, scratch), []byte("{\"format\":"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	first.says(t, "passed over")
+	first.says(t, "override file malformed")
 	if status, _ := first.call(t, "GET", "readiness", ""); status != 503 {
 		t.Errorf("a torn file ended the drain: %d", status)
 	}
--- a/proxy/core.go
+++ b/proxy/core.go
@@ -1,159 +1,195 @@
 package proxy
 
 import (
-	"context"
-	"fmt"
 	"log/slog"
+	"reflect"
 	"sync"
 	"time"
 
 	"ryerill/balancer"
 	"ryerill/config"
-	"ryerill/discovery"
 	"ryerill/downstream"
-	"ryerill/message"
+	"ryerill/internal/buffer"
 	"ryerill/override"
 	"ryerill/upstream"
 )
 
-// clock is Unix time at its start plus the monotonic time since. It never goes
-// back, and it shares its scale with the starts of providers in the list.
-type clock struct{ start time.Time }
-
-func (c clock) now() time.Duration {
-	return time.Duration(c.start.UnixNano()) + time.Since(c.start)
-}
-
-// core stands between sockets and decisions and knows no protocol: it turns
-// what happens into Events and carries out the Actions it gets back.
+// core is a pool. It stands between sockets and decisions and knows no protocol: what
+// happens becomes events, the Balancer decides them, and the core executes the actions.
 //
 // One mutex guards the Balancer and all that belongs to its decisions. Actions
-// are carried out in order before it is released, so none of them may block.
+// are executed in order before it is released, so none of them may block.
+// Methods whose names end in Locked are called with the mutex held.
 type core struct {
-	log       *slog.Logger
-	clock     clock
-	names     downstream.PoolClasses
-	rooms     *rooms
-	pool      *upstream.Pool
-	directory *discovery.Client // nil where the configuration lists the providers
-	end       context.CancelFunc
-	figures   *figures
-	tallies   []*tally // by class
-	booked    *booked  // for the fleet; nil where nothing is shared
+	log           *slog.Logger // names the pool
+	name          string
+	clock         clock
+	classes       downstream.PoolClasses
+	resources     *poolResources
+	connections   *upstream.Pool
+	counters      *counters
+	classCounters []*classCounters // by class
+	discovery     discoveryWatch
 
-	mu        sync.Mutex
+	mu sync.Mutex
+	// The fields below are guarded by mu.
 	cfg       config.Pool
 	settings  config.Settings
-	balancer  *balancer.Balancer
-	queue     []balancer.Event // happenings that wait for their turn
-	busy      bool             // the queue is being worked off
-	actions   []balancer.Action
-	newest    balancer.RequestID
-	open      map[balancer.RequestID]*entry
-	providers map[balancer.EndpointID]*target
-	version   uint64                   // of the latest list
-	seen      map[string]struct{}      // names that are listed or were
-	word      override.Set             // what staff have ordered
-	heard     chan struct{}            // closed once the directory has told its list, or there is none
-	timers    map[*time.Timer]struct{} // that the Balancer has set
-	leaving   bool                     // nothing new comes
-	ended     bool                     // and nothing is open any more
-	closed    bool
-	empty     chan struct{}
+	decisions decisionLoop
+	requests  requestTable
+	endpoints endpointTable
+	overrides override.Set
+	timers    timerSet
+	activity  *activity // for the fleet; nil where nothing is shared
 }
 
-// entry is an invocation that has not been answered or has invoker calls out.
-type entry struct {
-	id    balancer.RequestID
-	inv   *message.Request
-	until time.Time // the consumer gives up
-	calls []*call
-	out   int  // calls out
-	done  bool // answered, or nobody waits for it
-	taken bool // its last byte is in
-	guard *time.Timer
+// coreConfig is what a pool is made of, beside its own configuration.
+type coreConfig struct {
+	seed      uint64
+	resources *poolResources
+	buffers   *buffer.Pool
+	log       *slog.Logger
+	clock     clock
+	counters  *counters
+	overrides override.Set
+	// refetch has discovery asked for the whole list, whatever is known: the known list of a
+	// second process of a proxy may be as old as the first one.
+	refetch bool
+	shared  bool // activity is recorded for the fleet
 }
 
-// happen tells the Balancer of an event and carries out what it answers.
-// Happenings that arise on the way have their turn afterwards.
-func (c *core) happen(ev balancer.Event) {
-	c.queue = append(c.queue, ev)
-	if c.busy {
-		return
+// newCore starts a pool: its Balancer, its connections, its discovery.
+func newCore(cfg config.Pool, parts coreConfig) *core {
+	settings := cfg.Settings
+	budget := &parts.resources.sockets
+	connectTimeout := settings.Balancer.Limits.ConnectTimeout
+	log := parts.log.With("pool", cfg.Name)
+	c := &core{
+		log:         log,
+		name:        cfg.Name,
+		clock:       parts.clock,
+		cfg:         cfg,
+		settings:    settings,
+		resources:   parts.resources,
+		connections: upstream.NewPool(budget, settings.IdleClose, connectTimeout, parts.buffers),
+		counters:    parts.counters,
+		decisions: decisionLoop{
+			log:      log,
+			clock:    parts.clock,
+			balancer: balancer.New(settings.Balancer, parts.seed),
+		},
+		requests:  newRequestTable(),
+		endpoints: newEndpointTable(),
+		overrides: parts.overrides,
+		timers:    timerSet{pending: make(map[*time.Timer]struct{})},
+		discovery: newDiscoveryWatch(),
+	}
+	c.connections.SetBodyBudget(&parts.resources.bodies)
+	trim := c.connections.TrimIdle
+	parts.resources.trimIdle.Store(&trim)
+	if parts.shared {
+		c.activity = newActivity(&settings.Balancer)
+	}
+	c.setClasses()
+	if cfg.CountsDiscoverySocket {
+		c.resources.sockets.used.Add(1) // of its guarantee: no other pool can have it
 	}
-	c.busy = true
-	for i := 0; i < len(c.queue); i++ {
-		c.decide(c.queue[i])
-		for j := range c.actions {
-			c.carryOut(&c.actions[j])
-		}
+	kind := balancer.ListFull // the configuration's own list is all there is
+	known := cfg.KnownEndpoints
+	if cfg.Discovery != "" {
+		kind = balancer.ListCached
+		known.Snapshot = known.Snapshot && !parts.refetch // else the first call waits until there is something newer
 	}
-	clear(c.queue)
-	c.queue, c.busy = c.queue[:0], false
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.discovery.start(&cfg, known, parts.buffers, c)
+	c.applyListLocked(kind, cfg.KnownEndpoints)
+	return c
 }
 
-// decide asks the Balancer. Should the decision code break down over one
-// event, the others still deserve an answer: an invocation that it could not
-// decide fails at once, and what else is owed is answered when its time is over.
-func (c *core) decide(ev balancer.Event) {
-	defer func() {
-		if p := recover(); p != nil {
-			c.log.Error("the decision code broke down", "panic", fmt.Sprint(p), "event", ev.Kind)
-			c.actions = c.actions[:0]
-			if ev.Kind == balancer.RequestArrived {
-				c.actions = append(c.actions, balancer.Action{Kind: balancer.Fail, Request: ev.Request})
-			}
-		}
-	}()
-	c.actions = c.balancer.Handle(c.clock.now(), ev, c.actions[:0])
+// setClasses takes the classes and tenants from the settings.
+func (c *core) setClasses() {
+	for _, class := range c.settings.Balancer.Classes {
+		c.classCounters = append(c.classCounters, c.counters.class(class.Name))
+		c.classes.Classes = append(c.classes.Classes, class.Name)
+		c.classes.Deadlines = append(c.classes.Deadlines, class.Deadline)
+		c.classes.Effects = append(c.classes.Effects, class.Effect)
+	}
+	for _, tenant := range c.settings.Balancer.Tenants {
+		c.classes.Tenants = append(c.classes.Tenants, tenant.Name)
+	}
+	c.classes.AnyPath = c.settings.AnyPath
+}
+
+// Classes implements [downstream.Service].
+func (c *core) Classes() *downstream.PoolClasses { return &c.classes }
+
+// ReserveBody implements [downstream.Service].
+func (c *core) ReserveBody(bytes int) (give func(), ok bool) {
+	if !c.resources.bodies.Take(bytes) {
+		return nil, false
+	}
+	return func() { c.resources.bodies.Give(bytes) }, true
+}
+
+// adjustable reports whether the pool can take a new configuration over with all that
+// it has learnt: what it decides by is the same but for what may be adjusted.
+func (c *core) adjustable(cfg config.Pool) bool {
+	old, next := c.settings, cfg.Settings
+	old.Balancer.Limits = balancer.Limits{}
+	next.Balancer.Limits = balancer.Limits{}
+	old.IdleClose = 0
+	next.IdleClose = 0
+	return reflect.DeepEqual(old, next) &&
+		(c.cfg.Discovery == "") == (cfg.Discovery == "") &&
+		c.cfg.CountsDiscoverySocket == cfg.CountsDiscoverySocket
+}
+
+// adjust takes over a configuration for which the pool is adjustable. No open request
+// is disturbed.
+func (c *core) adjust(cfg config.Pool) {
+	limits := cfg.Settings.Balancer.Limits
+	c.connections.SetTimeouts(cfg.Settings.IdleClose, limits.ConnectTimeout)
+	c.discovery.setAddress(cfg.Discovery)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if limits != c.settings.Balancer.Limits {
+		c.decisions.balancer.SetLimits(limits)
+	}
+	relisted := !reflect.DeepEqual(c.cfg.KnownEndpoints.Endpoints, cfg.KnownEndpoints.Endpoints)
+	if c.discovery.client == nil && relisted {
+		c.applyListLocked(balancer.ListFull, cfg.KnownEndpoints)
+	}
+	c.settings.Balancer.Limits = limits
+	c.settings.IdleClose = cfg.Settings.IdleClose
+	c.cfg = cfg
 }
 
-// carryOut does what one action says.
-func (c *core) carryOut(a *balancer.Action) {
-	switch a.Kind {
-	case balancer.Send:
-		c.route(a)
-	case balancer.Shed:
-		c.relay(c.open[a.Request], message.Result{Kind: message.Shed, RetryAfter: a.Wait})
-	case balancer.Fail:
-		c.relay(c.open[a.Request], message.Result{Kind: message.Failed})
-	case balancer.Cancel:
-		if e := c.open[a.Request]; e != nil && a.Attempt < len(e.calls) {
-			e.calls[a.Attempt].Cancel()
-		}
-	case balancer.SetTimer:
-		c.remind(a.Wait, a.Token)
-	case balancer.CloseIdle:
-		go c.pool.CloseIdle(uint64(a.Endpoint))
-	case balancer.Subscribe:
-		if c.directory != nil {
-			c.directory.Subscribe(a.Enabled)
-		}
-	case balancer.FetchEndpoints:
-		if c.directory != nil {
-			c.directory.Fetch()
-		}
-	case balancer.Log:
-		c.log.Info("balancer", "says", a.Text)
-	default: // neither probes nor messages to peers exist on sockets
-		c.log.Warn("action that cannot be carried out", "kind", fmt.Sprint(a.Kind))
+// drain ends a pool that no route leads to any more, once all its requests have their results,
+// after the timeout at the latest. What its attempts still hold then they
+// give back at their own deadlines.
+func (c *core) drain(timeout time.Duration) {
+	c.mu.Lock()
+	c.requests.drain()
+	c.mu.Unlock()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	select {
+	case <-c.requests.drained:
+	case <-timer.C:
+		c.log.Warn("pool did not drain in time", "timeout", timeout)
 	}
+	c.close()
 }
 
-// remind tells the Balancer of a timer once it is due, unless the pool has
-// ended by then.
-func (c *core) remind(wait time.Duration, token uint32) {
-	if c.closed {
-		return
+// close ends the pool's discovery, timers and idle connections.
+func (c *core) close() {
+	c.discovery.stop()
+	c.connections.Close()
+	if c.cfg.CountsDiscoverySocket {
+		c.resources.sockets.Give(1)
 	}
-	var t *time.Timer
-	t = time.AfterFunc(wait, func() {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		if _, set := c.timers[t]; set {
-			delete(c.timers, t)
-			c.happen(balancer.Event{Kind: balancer.TimerFired, Token: token})
-		}
-	})
-	c.timers[t] = struct{}{} // the mutex is held: the timer's own call waits for it
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.timers.stop()
 }
--- a/proxy/crossings_test.go
+++ b/proxy/crossings_test.go
@@ -103,15 +103,14 @@
 	for _, class := range []string{"read", "pay"} {
 		for _, leavesFirst := range []bool{true, false} {
 			t.Run(fmt.Sprint(class, ", leaves first ", leavesFirst), func(t *testing.T) {
-				var s *scene
-				s = newScene(t, class, func(cfg *config.Config) { cfg.Pools[0].Settings.Balancer.Limits.AllowCancel = false })
+				s := newScene(t, class, func(cfg *config.Config) { cfg.Pools[0].Settings.Balancer.Limits.AllowCancel = false })
 				defer s.end()
 				s.write(s.text("hang", ""))
 				s.await()
 				c := s.core()
 				if leavesFirst {
 					s.c.Close()
-					until(t, "it has left", func() bool { return s.p.figures.inflight.Load() == 0 })
+					until(t, "it has left", func() bool { return s.p.counters.inFlight.Load() == 0 })
 				}
 				for _, b := range s.peers {
 					b.Close() // no other attempt can be made
--- /dev/null
+++ b/proxy/discovery.go
@@ -0,0 +1,84 @@
+package proxy
+
+import (
+	"context"
+	"sync"
+
+	"ryerill/balancer"
+	"ryerill/config"
+	"ryerill/discovery"
+	"ryerill/internal/buffer"
+)
+
+// discoveryWatch is the watch of a pool's endpoint list. Where the configuration
+// lists the endpoints there is no client.
+type discoveryWatch struct {
+	client *discovery.Client
+	stop   context.CancelFunc
+
+	// listed is closed once discovery has answered, or there is none.
+	listed     chan struct{}
+	markListed func() // closes it, once
+}
+
+func newDiscoveryWatch() discoveryWatch {
+	listed := make(chan struct{})
+	return discoveryWatch{
+		stop:       func() {},
+		listed:     listed,
+		markListed: sync.OnceFunc(func() { close(listed) }),
+	}
+}
+
+// start opens the client that a pool's configuration asks for. It watches the list until stop.
+func (w *discoveryWatch) start(cfg *config.Pool, known discovery.EndpointList, buffers *buffer.Pool, c *core) {
+	if cfg.Discovery == "" {
+		w.markListed()
+		return
+	}
+	life, stop := context.WithCancel(context.Background()) // until the pool's last response
+	w.stop = stop
+	if cfg.Settings.PushedDiscovery {
+		w.client = discovery.NewAgentClient(life, cfg.Discovery, known, buffers, c)
+	} else {
+		w.client = discovery.NewClient(life, cfg.Discovery, known, buffers, c)
+	}
+}
+
+func (w *discoveryWatch) subscribe(enabled bool) {
+	if w.client != nil {
+		w.client.Subscribe(enabled)
+	}
+}
+
+func (w *discoveryWatch) fetch() {
+	if w.client != nil {
+		w.client.Fetch()
+	}
+}
+
+func (w *discoveryWatch) setAddress(address string) {
+	if w.client != nil {
+		w.client.SetAddress(address)
+	}
+}
+
+// EndpointsListed implements [discovery.Listener].
+func (c *core) EndpointsListed(list discovery.EndpointList) {
+	kind := balancer.ListChanges
+	if list.Snapshot {
+		kind = balancer.ListFull
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.applyListLocked(kind, list)
+	c.discovery.markListed()
+}
+
+// ListingFailed implements [discovery.Listener].
+func (c *core) ListingFailed(err error) {
+	c.log.Warn("endpoint list not received", "err", err)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.dispatchLocked(balancer.Event{Kind: balancer.EndpointListUpdated, ListKind: balancer.ListFailed})
+}
--- /dev/null
+++ b/proxy/endpoints.go
@@ -0,0 +1,209 @@
+package proxy
+
+import (
+	"cmp"
+	"hash/fnv"
+	"io"
+	"slices"
+	"sync/atomic"
+	"time"
+
+	"ryerill/balancer"
+	"ryerill/discovery"
+	"ryerill/override"
+)
+
+// maxNames bounds the endpoint names that a pool remembers as once listed,
+// beyond those that are.
+const maxNames = 4096
+
+// listedEndpoint is an endpoint of the list.
+type listedEndpoint struct {
+	id      balancer.EndpointID
+	name    string
+	address string            // constant: an endpoint with another address is another one
+	listed  balancer.Endpoint // as the list has it
+	current balancer.Endpoint // the same under the overrides, as the Balancer has it
+
+	// ready says that requests may be sent: by the list and by the overrides. Attempts look
+	// at it without the pool's mutex.
+	ready atomic.Bool
+}
+
+// override lays overrides over what the list says.
+func (e *listedEndpoint) override(overrides override.Set) {
+	e.current = overrides.Apply(e.name, e.listed)
+	e.ready.Store(e.current.State == balancer.Ready)
+}
+
+// endpointTable holds the endpoints of a pool. Its owner's mutex guards it.
+type endpointTable struct {
+	byID        map[balancer.EndpointID]*listedEndpoint
+	listVersion uint64
+	names       map[string]struct{} // that are listed or were
+}
+
+func newEndpointTable() endpointTable {
+	return endpointTable{byID: make(map[balancer.EndpointID]*listedEndpoint), names: make(map[string]struct{})}
+}
+
+// addName remembers a name that is listed. At the bound those that are not listed any
+// more are forgotten, which must be rare, however many are listed.
+func (t *endpointTable) addName(name string) {
+	if len(t.names) >= maxNames+2*len(t.byID) {
+		clear(t.names)
+		for _, e := range t.byID {
+			t.names[e.name] = struct{}{}
+		}
+	}
+	t.names[name] = struct{}{}
+}
+
+// suspend has nothing sent to any endpoint until it is listed again.
+func (t *endpointTable) suspend() {
+	for _, e := range t.byID {
+		e.ready.Store(false)
+	}
+}
+
+// get returns the endpoint of a name at an address, a new one if there is none. An
+// attempt on its way to an address that the name had before is not sent: it would
+// reach whoever has that address now. An empty address is any.
+func (t *endpointTable) get(name, address string) *listedEndpoint {
+	id := endpointID(name)
+	e := t.byID[id]
+	if e != nil && address != "" && e.address != address {
+		e.ready.Store(false)
+		e = nil
+	}
+	if e == nil {
+		e = &listedEndpoint{id: id, name: name, address: address}
+		t.byID[id] = e
+	}
+	return e
+}
+
+// remove forgets endpoints that are gone, and returns their ids: new ones come under new ids
+// all day. Listed has those of the list, with false for those that it states to be gone;
+// unless it is of changes alone, all others are gone too.
+func (t *endpointTable) remove(listed map[balancer.EndpointID]bool, changes bool) (gone []uint64) {
+	for id := range t.byID {
+		present, named := listed[id]
+		if !present && (named || !changes) {
+			delete(t.byID, id)
+			gone = append(gone, uint64(id))
+		}
+	}
+	return gone
+}
+
+// endpointID is a stable hash of an endpoint's name: the same in every proxy,
+// since the decisions of several proxies rank endpoints by it.
+func endpointID(name string) balancer.EndpointID {
+	h := fnv.New64a()
+	_, _ = io.WriteString(h, name) // a hash takes everything
+	return balancer.EndpointID(h.Sum64())
+}
+
+// indexOf returns the index of a name in names. Names that are not there get
+// numbers of their own beyond it, so that no two of them count as one.
+func indexOf(names []string, name string) int {
+	if i := slices.Index(names, name); i >= 0 {
+		return i
+	}
+	h := fnv.New32a()
+	_, _ = io.WriteString(h, name) // a hash takes everything
+	return len(names) + int(h.Sum32()>>1)
+}
+
+var endpointStates = map[string]balancer.EndpointState{
+	discovery.Ready:       balancer.Ready,
+	discovery.Terminating: balancer.Draining,
+	discovery.Gone:        balancer.Gone,
+}
+
+// applyListLocked takes over what is known of the endpoints. Those that are gone are
+// forgotten with their idle connections.
+func (c *core) applyListLocked(kind balancer.ListKind, list discovery.EndpointList) {
+	changes := kind == balancer.ListChanges
+	if !changes {
+		c.endpoints.suspend()
+	}
+	update := make([]balancer.Endpoint, 0, len(list.Endpoints))
+	listed := make(map[balancer.EndpointID]bool, len(list.Endpoints))
+	for i := range list.Endpoints {
+		entry := &list.Endpoints[i]
+		e := c.endpoints.get(entry.Name, entry.Address)
+		listed[e.id] = entry.Status != discovery.Gone
+		e.listed = balancer.Endpoint{
+			ID:        e.id,
+			State:     endpointStates[entry.Status],
+			Cell:      entry.Group,
+			Weight:    entry.Weight,
+			Zone:      indexOf(c.settings.Zones, entry.Zone),
+			Kind:      indexOf(c.settings.Kinds, entry.Type),
+			StartedAt: time.Duration(entry.SinceMS) * time.Millisecond,
+		}
+		c.endpoints.addName(entry.Name)
+		e.override(c.overrides)
+		update = append(update, e.current)
+	}
+	c.endpoints.listVersion = list.Index
+	c.dispatchLocked(balancer.Event{
+		Kind:      balancer.EndpointListUpdated,
+		ListKind:  kind,
+		Version:   list.Index,
+		Endpoints: update,
+	})
+	if gone := c.endpoints.remove(listed, changes); len(gone) > 0 {
+		go c.connections.CloseIdle(gone...)
+	}
+}
+
+// setOverrides lays new overrides over the list. From here on nothing is sent to
+// endpoints that are down.
+func (c *core) setOverrides(overrides override.Set) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.overrides = overrides
+	var update []balancer.Endpoint
+	for _, e := range c.endpoints.byID {
+		previous := e.current
+		e.override(overrides)
+		if e.current == previous {
+			continue
+		}
+		update = append(update, e.current)
+		if e.current.State != balancer.Ready {
+			go c.connections.CloseIdle(uint64(e.id)) // it may be restarted now
+		}
+	}
+	if len(update) == 0 {
+		return
+	}
+	slices.SortFunc(update, func(a, b balancer.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
+	c.dispatchLocked(balancer.Event{
+		Kind:      balancer.EndpointListUpdated,
+		ListKind:  balancer.ListChanges,
+		Version:   c.endpoints.listVersion,
+		Endpoints: update,
+	})
+}
+
+// hasListed reports whether the pool's list has a name, or had it since its start.
+func (c *core) hasListed(name string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_, listed := c.endpoints.names[name]
+	return listed
+}
+
+// addAvoided adds the names of the listed endpoints, with true for those that the pool
+// sends nothing to now.
+func (c *core) addAvoided(avoided map[string]bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for id, e := range c.endpoints.byID {
+		avoided[e.name] = avoided[e.name] || c.decisions.balancer.Avoids(id)
+	}
+}
--- a/proxy/staff_test.go
+++ b/proxy/management_test.go
@@ -25,7 +25,7 @@
 // order makes one call at a door and returns the status and what it says.
 func order(t *testing.T, p *Proxy, method, path, body string) (int, string) {
 	t.Helper()
-	return dial(t, p.Door()).ask(fmt.Sprintf("%s /ops/%s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body))
+	return dial(t, p.AdminAddress()).ask(fmt.Sprintf("%s /ops/%s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body))
 }
 
 func figuresOf(t *testing.T, p *Proxy) (s admin.Stats) {
@@ -183,11 +183,11 @@
 		dial(t, p.Address()).ask(request("read", 15000))
 		return a.requests.Load() > before
 	})
-	c := p.cores()[0]
+	c := p.activePools()[0]
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t2 := c.providers[serverID("a")]; t2.told.StartedAt <= t2.listed.server.StartedAt || t2.told.State != 1 {
-		t.Errorf("back as %+v", t2.told)
+	if t2 := c.endpoints.byID[endpointID("a")]; t2.current.StartedAt <= t2.listed.StartedAt || t2.current.State != 1 {
+		t.Errorf("back as %+v", t2.current)
 	}
 }
 
@@ -320,7 +320,7 @@
 		refused += int64(status-200) / 303
 		return status == 200
 	})
-	next.Listeners = []config.Listener{{Name: "other", Address: p.Door()}} // is taken
+	next.Listeners = []config.Listener{{Name: "other", Address: p.AdminAddress()}} // is taken
 	if err := p.Reload(next); err == nil {
 		t.Error("a listener at the door's address was taken over")
 	}
@@ -335,26 +335,26 @@
 // listed, so it must be rare however many these are: each entry of a list of 7,000
 // once cost it.
 func TestManyNamesAreSeldomForgotten(t *testing.T) {
-	c := &core{seen: map[string]struct{}{}, providers: map[balancer.EndpointID]*target{}}
+	endpoints := newEndpointTable()
 	forgotten := 0
 	const listed = 7000
 	for i := range 3 * listed {
 		name := fmt.Sprint("s", i)
-		c.providers[balancer.EndpointID(i)] = &target{listed: listing{name: name}}
-		delete(c.providers, balancer.EndpointID(i-listed))
-		c.seen["mark"] = struct{}{}
-		c.see(name)
-		if _, there := c.seen["mark"]; !there {
+		endpoints.byID[balancer.EndpointID(i)] = &listedEndpoint{name: name}
+		delete(endpoints.byID, balancer.EndpointID(i-listed))
+		endpoints.names["mark"] = struct{}{}
+		endpoints.addName(name)
+		if _, there := endpoints.names["mark"]; !there {
 			forgotten++
 		}
-		if len(c.seen) > mostSeen+2*listed+2 {
-			t.Fatalf("%d names are remembered", len(c.seen))
+		if len(endpoints.names) > maxNames+2*listed+2 {
+			t.Fatalf("%d names are remembered", len(endpoints.names))
 		}
 	}
 	if forgotten > 3 {
 		t.Errorf("forgotten %d times in %d names", forgotten, 3*listed)
 	}
-	if _, there := c.seen[fmt.Sprint("s", 3*listed-1)]; !there {
+	if _, there := endpoints.names[fmt.Sprint("s", 3*listed-1)]; !there {
 		t.Error("the newest is forgotten")
 	}
 }
--- a/proxy/pools_test.go
+++ b/proxy/pools_test.go
@@ -130,7 +130,7 @@
 	core := func(name string) *core {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return p.pools[name]
+		return p.pools.active[name]
 	}
 	before, going := core("b"), core("a")
 	without := head + "routes: [{path: /read/b, pool: b, name: rb}]\npools:\n" + poolOf("b", b, ", limits: {attempts: 5}")
@@ -148,7 +148,7 @@
 		t.Error("a pool of which only limits changed was replaced")
 	}
 	select {
-	case <-going.empty:
+	case <-going.requests.drained:
 		t.Error("the pool ended with an invocation open")
 	default:
 	}
@@ -157,7 +157,7 @@
 	if err != nil || resp.StatusCode != 200 {
 		t.Fatalf("what was open at the reload: %v, %v", resp, err)
 	}
-	await(t, going.empty, "the pool that is gone has drained")
+	await(t, going.requests.drained, "the pool that is gone has drained")
 	// Other classes make it another pool.
 	if err := p.Reload(parsed(t, strings.Replace(without, "deadline: 20s, effect: safe", "deadline: 19s, effect: safe", 1))); err != nil {
 		t.Fatal(err)
@@ -273,9 +273,9 @@
 	end()
 	a.CloseAll()
 	b.CloseAll()
-	for name, r := range p.machine.pools {
-		for k := range kinds {
-			if n := kinds[k].gauge(r).used.Load(); n != 0 {
+	for name, r := range p.resources.pools {
+		for k := range resourceKinds {
+			if n := resourceKinds[k].budget(r).used.Load(); n != 0 {
 				t.Errorf("pool %s still uses %d of kind %d", name, n, k)
 			}
 		}
@@ -306,9 +306,9 @@
 		}
 	}
 	p.mu.Lock()
-	r := p.pools["hangs"].rooms
+	r := p.pools.active["hangs"].resources
 	p.mu.Unlock()
-	if total := p.machine.total.Sockets; r.sockets.used.Load() > int64(total-4) {
+	if total := p.resources.total.Sockets; r.sockets.used.Load() > int64(total-4) {
 		t.Errorf("the hanging pool holds %d sockets of %d, 4 are another's", r.sockets.used.Load(), total)
 	}
 }
@@ -371,12 +371,12 @@
 // another has had what it is guaranteed.
 func TestWorkIsDivided(t *testing.T) {
 	total := config.Shares{Sockets: 100, Bodies: 1 << 20, Open: 100, Work: 2000}
-	m := newMachine(total)
+	m := newResources(total)
 	pools := []config.Pool{{Name: "calm", Weight: 1, Guarantee: config.Shares{Sockets: 10, Work: 500}}, {Name: "flood", Weight: 1, Guarantee: config.Shares{Sockets: 10, Work: 500}}}
 	if !m.claim(pools) {
 		t.Fatal("claims that fit are refused")
 	}
-	calm, flood := m.rooms("calm"), m.rooms("flood")
+	calm, flood := m.pool("calm"), m.pool("flood")
 	for span := range 10 {
 		taken, served := 0, 0
 		for range 500 {
@@ -395,7 +395,7 @@
 		if span > 2 && taken < 70 {
 			t.Errorf("span %d: the flood may take only %d of what is left", span, taken)
 		}
-		m.step()
+		m.rebalance()
 	}
 }
 
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -1,10 +1,10 @@
 // Package proxy is a balancing proxy that a program can embed: [New] makes one
 // from a configuration and [Proxy.Run] runs it.
 //
-// A request comes in at a listener, and a route leads it to a pool. There its
-// invocation passes a chain of stages, each in a file of its own: take in, admit,
-// route, send, relay, book. They stand round a core that knows no protocol. What
-// is decided is decided by the Balancer of the root package, one for each pool.
+// A request comes in at a listener, and the router finds its pool. There it
+// is accepted and goes through attempts to its result (request.go, attempt.go). A
+// pool is a core that knows no protocol: what happens becomes events, package
+// balancer decides them, and the core executes the actions (decisions.go).
 package proxy
 
 import (
@@ -12,78 +12,60 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"ryerill/admin"
 	"ryerill/config"
-	"ryerill/downstream"
 	"ryerill/fleet"
 	"ryerill/fleet/rollout"
 	"ryerill/internal/buffer"
 	"ryerill/internal/handover"
 	"ryerill/internal/overridestore"
 	"ryerill/override"
-	"ryerill/route"
 )
 
-// front is a protocol before the pools: it brings invocations in and carries
-// their answers out.
-type front interface {
-	// Serve hands invocations over until ctx ends and all of them have been answered.
-	Serve(ctx context.Context, services downstream.Router) error
-	Address() string
-	SetMaxConnections(connections int)
-	// Drain empties the front, counted from since, or ends that if it is zero.
-	Drain(since time.Time)
-	Close()
-}
+// Reasons why the proxy is not ready. Their texts are the management endpoint's responses.
+var (
+	errStarting = errors.New("not ready: it has no list of backends yet, or does not listen")
+	errEnding   = errors.New("not ready: it ends")
+	errDraining = errors.New("not ready: it drains, until POST /ops/drain/stop")
+)
 
-// Proxy balances invocations over the providers of its pools.
+// Proxy balances requests over the endpoints of its pools. Its exported methods
+// may be called concurrently unless they say otherwise.
+//
+// Methods whose names end in Locked are called with the mutex held. It is taken before
+// that of any pool, of the fleet's member or of the resources.
 type Proxy struct {
-	log     *slog.Logger
-	buffers *buffer.Pool
-	clock   clock
-	machine *machine
-	present atomic.Pointer[services] // what fronts find their way by
+	name      string
+	version   string // of the program
+	log       *slog.Logger
+	buffers   *buffer.Pool
+	resources *resources // of the machine
+	counters  counters
+	router    atomic.Pointer[router] // set by Run
+	admin     *admin.Server          // nil is none
+	store     *overridestore.Store
+	processes processes
+	fleet     *fleetMember // nil is none
+	rollouts  rollouts
+	leaving   sync.WaitGroup // pools and listeners that end
+	failed    chan error     // the first error of a listener
 
-	reloading sync.Mutex // one reload at a time
-
-	mu      sync.Mutex
-	cfg     config.Config
-	fronts  []*listener
-	pools   map[string]*core // nil until Run
-	leaving sync.WaitGroup   // pools and fronts that end
-	life    context.Context  // of Run; nil before
-	ending  bool             // Run waits for the last answers: nothing new begins
-	ready   bool             // it has lists and listens
-	word    override.Set     // what staff have ordered
-	parting map[*core]struct{}
-	failed  chan error
-
-	figures  figures
-	door     *admin.Server // nil is none
-	kept     *overridestore.Store
-	siblings *handover.Registry
-	second   bool // another process of this proxy was there first
-	lives    int  // processes of this proxy, and this one
-	state    handover.State
-	teach    sync.Once
-	taught   chan struct{} // closed once another process has told what it has learnt
-	onShare  func(part float64)
-	side     *side  // in the fleet; nil is none
-	program  string // its version
-	changer  fleet.ChangeFunc
-	plan     func(text []byte) (rollout.Plan, error)
-}
+	reloading sync.Mutex // held by a reload from its beginning to its end
 
-// listener is a front at its address.
-type listener struct {
-	config.Listener
-	front front
-	stop  context.CancelFunc
+	mu sync.Mutex
+	// The fields below are guarded by mu.
+	cfg       config.Config
+	clock     clock // set by Run
+	listeners []*listener
+	pools     poolSet
+	overrides override.Set
+	life      context.Context // of Run; nil before
+	ready     bool            // it has lists and listens
+	ending    bool            // Run waits for the last results: nothing new begins
 }
 
 // Option changes how a proxy is made.
@@ -93,198 +75,162 @@
 // slog's default.
 func WithLogger(log *slog.Logger) Option { return func(p *Proxy) { p.log = log } }
 
-// WithProcessShare makes the proxy tell what part of the machine's memory is its own:
-// less than 1 while another process of the same proxy lives. share must not block.
-func WithProcessShare(share func(part float64)) Option { return func(p *Proxy) { p.onShare = share } }
+// WithProcessShare makes the proxy report which part of the machine's memory is its own:
+// less than 1 while another process of the same proxy lives. The function must not block.
+func WithProcessShare(share func(part float64)) Option {
+	return func(p *Proxy) { p.processes.onShare = share }
+}
 
-// WithProgram tells the version of the program, which the fleet is told.
-func WithProgram(version string) Option { return func(p *Proxy) { p.program = version } }
+// WithProgram states the version of the program, which the fleet publishes.
+func WithProgram(version string) Option { return func(p *Proxy) { p.version = version } }
 
 // WithRollouts has the proxy take part in its fleet's rollouts: change brings settings
-// about here, plan reads one that a person hands over.
-func WithRollouts(change fleet.ChangeFunc, plan func(text []byte) (rollout.Plan, error)) Option {
-	return func(p *Proxy) { p.changer, p.plan = change, plan }
+// into force here, parsePlan reads a plan that a person hands over.
+func WithRollouts(change fleet.ChangeFunc, parsePlan func(text []byte) (rollout.Plan, error)) Option {
+	return func(p *Proxy) { p.rollouts = rollouts{change: change, parsePlan: parsePlan} }
 }
 
-// New returns a proxy that listens already; consumers wait until Run. One that
+// New returns a proxy that listens already; clients wait until Run. One that
 // finds another process of the same proxy listens in Run, when it is ready to serve.
+// An address that can't be listened at is a [config.AddressError].
 func New(cfg config.Config, options ...Option) (*Proxy, error) {
-	p := &Proxy{cfg: cfg, log: slog.Default(), buffers: new(buffer.Pool), failed: make(chan error, 1),
-		machine: newMachine(cfg.Shared()), parting: make(map[*core]struct{}), lives: 1, state: handover.Starting, taught: make(chan struct{}), onShare: func(float64) {}}
+	p := &Proxy{
+		name:      cfg.Name,
+		cfg:       cfg,
+		log:       slog.Default(),
+		buffers:   new(buffer.Pool),
+		resources: newResources(cfg.Shared()),
+		pools:     poolSet{draining: make(map[*core]struct{})},
+		processes: newProcesses(),
+		failed:    make(chan error, 1),
+	}
 	for _, option := range options {
 		option(p)
 	}
 	if len(cfg.Listeners) == 0 || len(cfg.Pools) == 0 {
 		return nil, fmt.Errorf("proxy %s: a listener or a pool is missing", cfg.Name)
 	}
+	p.openShared()
+	if err := p.open(); err != nil {
+		p.Close()
+		return nil, err
+	}
+	return p, nil
+}
+
+// openShared opens what the processes of this proxy share: overrides and their registry. Without
+// either the proxy serves all the same.
+func (p *Proxy) openShared() {
 	path := ""
-	if cfg.Admin != "" {
-		if path = overridestore.Path(cfg.SharedDir, cfg.Name, cfg.Listeners[0].Address); path == "" {
-			p.log.Warn("what staff order lasts only as long as this process", "reason", config.EnvTempDir+" is not set")
+	if p.cfg.Admin != "" {
+		path = overridestore.Path(p.cfg.SharedDir, p.name, p.cfg.Listeners[0].Address)
+		if path == "" {
+			p.log.Warn("overrides last only as long as this process", "reason", config.EnvTempDir+" is not set")
 		}
 	}
-	p.kept = overridestore.Open(path, p.log, p.obey)
-	p.word = p.kept.Current()
+	p.store = overridestore.Open(path, p.log, p.setOverrides)
+	p.overrides = p.store.Current()
 	var err error
-	if p.siblings, err = handover.Register(path, p.log); err != nil { // serving goes before being known
-		p.log.Warn("an upgrade will not find this process", "error", err)
+	p.processes.registry, err = handover.Register(path, p.log)
+	if err != nil {
+		p.log.Warn("an upgrade will not find this process", "err", err)
 	}
-	if cfg.Admin != "" {
-		if p.door, err = admin.Listen(cfg.Admin); err != nil {
-			p.door = nil
-			p.Close()
-			return nil, fmt.Errorf("proxy %s: %w", cfg.Name, &config.AddressError{Key: "mgmt", Value: cfg.Admin, Err: err})
+}
+
+// open opens the proxy's addresses, as far as this process is to have them now.
+func (p *Proxy) open() error {
+	if p.cfg.Admin != "" {
+		server, err := admin.Listen(p.cfg.Admin)
+		if err != nil {
+			address := &config.AddressError{Key: "mgmt", Value: p.cfg.Admin, Err: err}
+			return fmt.Errorf("proxy %s: %w", p.name, address)
 		}
+		p.admin = server
 	}
-	others := p.siblings.Others()
-	if p.second = len(others) > 0; !p.second {
-		if err := p.open(cfg); err != nil {
-			p.Close()
-			return nil, err
+	others := p.processes.registry.Others()
+	p.processes.second = len(others) > 0
+	if !p.processes.second {
+		p.mu.Lock()
+		err := p.openListenersLocked(p.cfg)
+		p.mu.Unlock()
+		if err != nil {
+			return err
 		}
 	}
 	if err := p.joinFleet(); err != nil {
-		p.Close()
-		return nil, fmt.Errorf("proxy %s: %w", cfg.Name, err)
-	}
-	p.divide(others)
-	return p, nil
-}
-
-// open listens for consumers.
-func (p *Proxy) open(cfg config.Config) error {
-	for _, l := range cfg.Listeners {
-		f, err := p.listen(l, len(cfg.Listeners))
-		if err != nil {
-			return fmt.Errorf("proxy %s: %w", cfg.Name, err)
-		}
-		p.fronts = append(p.fronts, f)
+		return fmt.Errorf("proxy %s: %w", p.name, err)
 	}
+	p.setProcesses(others)
 	return nil
 }
 
-// connections is how many each of so many listeners may hold.
-func (p *Proxy) connections(listeners int) int {
-	return p.cfg.Connections() / 2 / p.lives / max(listeners, 1)
-}
-
-func (p *Proxy) listen(l config.Listener, listeners int) (*listener, error) {
-	// With a door comes a second process beside this one at an upgrade.
-	s, err := downstream.Listen(l.Address, p.connections(listeners), p.cfg.Admin != "", p.buffers)
-	if err != nil {
-		return nil, fmt.Errorf("listener %s: %w", l.Name, err)
-	}
-	return &listener{Listener: l, front: s}, nil
-}
-
 // Close ends a proxy that never ran.
 func (p *Proxy) Close() {
-	p.siblings.Deregister()
+	p.processes.registry.Deregister()
 	if host := p.fleetHost(); host != nil {
 		host.Close()
 	}
-	if p.door != nil {
-		p.door.Close()
+	if p.admin != nil {
+		p.admin.Close()
 	}
-	for _, l := range p.fronts {
-		l.front.Close()
+	for _, l := range p.listeners {
+		l.server.Close()
 	}
 }
 
-// Door returns the address of the operators' door, or "" if there is none.
-func (p *Proxy) Door() string {
-	if p.door == nil {
+// AdminAddress returns the address of the management endpoint, or "" if there is none.
+func (p *Proxy) AdminAddress() string {
+	if p.admin == nil {
 		return ""
 	}
-	return p.door.Address()
+	return p.admin.Address()
 }
 
-// Address returns the address that consumers reach the first listener at, or ""
-// while it does not listen.
-func (p *Proxy) Address() string {
+// Readiness implements [admin.Controller]. A drain is no reason against a second process while
+// the first one lives: it is ready to take over what that has, the drain among it.
+func (p *Proxy) Readiness() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.fronts) == 0 {
-		return ""
+	takesOver := p.processes.second && p.processes.count > 1
+	switch {
+	case !p.ready:
+		return errStarting
+	case p.life.Err() != nil:
+		return errEnding
+	case p.overrides.DrainSince != 0 && !takesOver:
+		return errDraining
 	}
-	return p.fronts[0].front.Address()
-}
-
-// AddressOf returns the address of a listener, or "" if there is none of that name.
-func (p *Proxy) AddressOf(name string) string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, l := range p.fronts {
-		if l.Name == name {
-			return l.front.Address()
-		}
-	}
-	return ""
-}
-
-// Find returns the way of a request by the present routes.
-func (p *Proxy) Find(req *http.Request, class string) (downstream.Route, error) {
-	return p.present.Load().Find(req, class)
+	return nil
 }
 
-// MaxDeadline is the longest deadline of the present pools.
-func (p *Proxy) MaxDeadline() time.Duration { return p.present.Load().MaxDeadline() }
-
-// Run serves until ctx ends and all that was taken in has been answered.
+// Run serves until ctx ends and all that was accepted has its result. It is called once.
 func (p *Proxy) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	p.mu.Lock()
-	p.clock = clock{time.Now()}
-	p.life = ctx
-	cfg := p.cfg
-	p.pools = map[string]*core{}
-	if !p.machine.claim(cfg.Pools) {
-		p.mu.Unlock()
-		return fmt.Errorf("proxy %s: the pools' guarantees exceed what the machine has", cfg.Name)
-	}
-	for i, pool := range cfg.Pools {
-		p.pools[pool.Name] = newCore(pool, cfg.Seed+uint64(i), p.machine.rooms(pool.Name), p.buffers, p.log, p.clock, &p.figures, p.word, p.second, p.shares())
-	}
-	now, problems := newServices(cfg.Routes, p.pools)
-	if now == nil {
-		p.mu.Unlock()
-		return fmt.Errorf("proxy %s: %w", cfg.Name, fatal(problems))
+	if err := p.startPools(ctx); err != nil {
+		return fmt.Errorf("proxy %s: %w", p.name, err)
 	}
-	p.present.Store(now)
-	p.mu.Unlock()
-	side, end := context.WithCancel(context.WithoutCancel(ctx))
+	divides := p.dividesResources()
+	// What runs beside the requests goes on until the last has its result.
+	background, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
-	if p.door != nil {
-		p.log.Info("operators' door", "at", p.door.Address(), "beside another", p.second)
-		go p.door.Serve(side, p)
-		go p.kept.Watch(side)
-		go p.siblings.Watch(side, p.divide)
-		defer p.siblings.Deregister()
+	if p.admin != nil {
+		p.runAdmin(background)
+		defer p.processes.registry.Deregister()
 	}
 	p.runFleet()
 	defer p.leaveFleet()
-	if p.second {
-		p.await(ctx)
-	}
-	p.mu.Lock()
-	if p.second && ctx.Err() == nil {
-		if err := p.open(p.cfg); err != nil {
-			p.mu.Unlock()
-			p.Close()
-			return err
-		}
+	if p.processes.second {
+		p.awaitHandover(ctx)
 	}
-	for _, l := range p.fronts {
-		p.serve(l)
-		l.front.Drain(p.drainsSince())
+	if err := p.startListeners(ctx); err != nil {
+		p.Close()
+		return err
 	}
-	p.ready = true
-	p.mu.Unlock()
-	p.say(handover.Serving)
-	p.sayPhase()
-	if len(cfg.Pools) > 1 || cfg.Pools[0].Settings.AnyPath {
-		go p.machine.run(side)
+	p.setState(handover.Serving)
+	p.announcePhase()
+	if divides {
+		go p.resources.run(background)
 	}
 	var err error
 	select {
@@ -292,49 +238,81 @@
 	case err = <-p.failed:
 	}
 	stop()
-	p.say(handover.Leaving)
-	p.mu.Lock()
-	p.ending = true
-	p.mu.Unlock()
-	if p.sayPhase(); p.succeeded() {
-		p.leaveFleet() // the other takes its address over
+	p.finish()
+	if err != nil {
+		return fmt.Errorf("proxy %s: %w", p.name, err)
 	}
-	p.leaving.Wait()
+	return nil
+}
+
+// startPools starts the pools and the router that leads to them.
+func (p *Proxy) startPools(ctx context.Context) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, c := range p.pools {
-		c.close()
+	p.clock = clock{time.Now()}
+	p.life = ctx
+	p.pools.active = map[string]*core{}
+	if !p.resources.claim(p.cfg.Pools) {
+		return errGuarantees
 	}
+	for i, pool := range p.cfg.Pools {
+		p.pools.active[pool.Name] = p.newPoolLocked(pool, i, p.processes.second)
+	}
+	router, err := newRouter(p.cfg.Routes, p.pools.active)
 	if err != nil {
-		return fmt.Errorf("proxy %s: %w", cfg.Name, err)
+		return err
 	}
+	p.router.Store(router)
 	return nil
 }
 
-// serve starts a front. The mutex is held.
-func (p *Proxy) serve(l *listener) {
-	ctx, stop := context.WithCancel(p.life)
-	l.stop = stop
-	p.leaving.Add(1)
-	p.log.Info("serving", "name", p.cfg.Name, "listener", l.Name, "pools", len(p.cfg.Pools), "address", l.front.Address())
-	go func() {
-		defer p.leaving.Done()
-		defer stop()
-		if err := l.front.Serve(ctx, p); err != nil {
-			select {
-			case p.failed <- err:
-			default:
-			}
-		}
-	}()
+// runAdmin starts the management endpoint, and what passes orders and states between the processes of
+// this proxy.
+func (p *Proxy) runAdmin(ctx context.Context) {
+	p.log.Info("management endpoint listening", "address", p.admin.Address(), "second_process", p.processes.second)
+	go p.admin.Serve(ctx, p)
+	go p.store.Watch(ctx)
+	go p.processes.registry.Watch(ctx, p.setProcesses)
 }
 
-// fatal is the first problem of a table that can't be used.
-func fatal(problems []route.Problem) error {
-	for _, problem := range problems {
-		if problem.Fatal() {
-			return problem
+// startListeners begins to serve clients.
+func (p *Proxy) startListeners(ctx context.Context) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.processes.second && ctx.Err() == nil {
+		if err := p.openListenersLocked(p.cfg); err != nil {
+			return err
 		}
 	}
-	return errors.New("the routes are at fault")
+	for _, l := range p.listeners {
+		p.serveLocked(l)
+	}
+	p.ready = true
+	return nil
+}
+
+// dividesResources reports whether resources may ever have to be divided among pools: the
+// platform's form of configuration has one pool, and its reloads add none.
+func (p *Proxy) dividesResources() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.cfg.Pools) > 1 || p.cfg.Pools[0].Settings.AnyPath
+}
+
+// finish waits until all that was accepted has its result, and ends the pools.
+func (p *Proxy) finish() {
+	p.setState(handover.Leaving)
+	p.mu.Lock()
+	p.ending = true
+	p.mu.Unlock()
+	p.announcePhase()
+	if p.processes.successor() {
+		p.leaveFleet() // the other process takes its address over
+	}
+	p.leaving.Wait()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, c := range p.pools.active {
+		c.close()
+	}
 }
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -344,10 +344,11 @@
 // answers what it takes in.
 func TestBreakdownOfDecisionsIsAnswered(t *testing.T) {
 	t.Parallel()
-	c := &core{log: slog.New(slog.DiscardHandler), clock: clock{time.Now()}, open: make(map[balancer.RequestID]*entry), rooms: &rooms{},
-		figures: &figures{}, tallies: []*tally{{}}}
-	c.rooms.open.allowed.Store(2)
-	c.rooms.work.allowed.Store(2)
+	log := slog.New(slog.DiscardHandler)
+	c := &core{log: log, decisions: decisionLoop{log: log}, requests: newRequestTable(), resources: &poolResources{},
+		counters: &counters{}, classCounters: []*classCounters{{}}}
+	c.resources.openRequests.allowed.Store(2)
+	c.resources.work.allowed.Store(2)
 	answers := make(chan message.Result, 2)
 	for range 2 {
 		c.Accept(&message.Request{ReceivedAt: time.Now(), Remaining: time.Hour, Reply: func(a message.Result) { answers <- a },
@@ -358,8 +359,8 @@
 			t.Errorf("answered %+v", a)
 		}
 	}
-	if len(c.open) != 0 {
-		t.Errorf("%d invocations are still open", len(c.open))
+	if len(c.requests.open) != 0 {
+		t.Errorf("%d invocations are still open", len(c.requests.open))
 	}
 }
 
@@ -502,18 +503,17 @@
 // that are gone are forgotten, or the proxy grows until it is killed.
 func TestProvidersThatAreGoneAreForgotten(t *testing.T) {
 	t.Parallel()
-	c := &core{log: slog.New(slog.DiscardHandler), clock: clock{time.Now()}, balancer: balancer.New(balancer.Config{}, 1),
-		pool:      upstream.NewPool(&(&rooms{}).sockets, time.Second, time.Second, nil),
-		providers: make(map[balancer.EndpointID]*target), seen: map[string]struct{}{}}
+	c := &core{log: slog.New(slog.DiscardHandler), decisions: decisionLoop{balancer: balancer.New(balancer.Config{}, 1)},
+		connections: upstream.NewPool(&(&poolResources{}).sockets, time.Second, time.Second, nil), endpoints: newEndpointTable()}
 	e := discovery.Endpoint{Name: "first", Address: "127.0.0.1:1", Status: discovery.Ready}
-	c.list(balancer.ListFull, discovery.EndpointList{Snapshot: true, Endpoints: []discovery.Endpoint{e}})
+	c.applyListLocked(balancer.ListFull, discovery.EndpointList{Snapshot: true, Endpoints: []discovery.Endpoint{e}})
 	for i := range 100 {
 		gone := discovery.Endpoint{Name: e.Name, Status: discovery.Gone}
 		e.Name = fmt.Sprint("s", i)
-		c.list(balancer.ListChanges, discovery.EndpointList{Index: uint64(i), Endpoints: []discovery.Endpoint{gone, e}})
+		c.applyListLocked(balancer.ListChanges, discovery.EndpointList{Index: uint64(i), Endpoints: []discovery.Endpoint{gone, e}})
 	}
-	if len(c.providers) != 1 || c.providers[serverID(e.Name)] == nil {
-		t.Errorf("%d providers are known", len(c.providers))
+	if len(c.endpoints.byID) != 1 || c.endpoints.byID[endpointID(e.Name)] == nil {
+		t.Errorf("%d providers are known", len(c.endpoints.byID))
 	}
 }
 
--- a/proxy/reload.go
+++ b/proxy/reload.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 	"strings"
@@ -9,157 +10,241 @@
 	"ryerill/config"
 )
 
-// settle is how long a reload waits for new pools' guarantees to come back from
-// those who have borrowed. Later they come as they are given back.
-const settle = time.Second
+// guaranteeTimeout is how long a reload waits for new pools' guarantees to come back from
+// those that have borrowed. Later they come as they are given back.
+const guaranteeTimeout = time.Second
+
+var (
+	errNotRunning = errors.New("not running")
+	errGuarantees = errors.New("the pools' guarantees exceed what the machine has")
+)
+
+// reload is one reload. What may fail is done first; until it is committed it changes nothing
+// that [reload.rollback] does not undo.
+type reload struct {
+	proxy   *Proxy
+	old     config.Config
+	cfg     config.Config
+	restart bool // something in cfg holds only from the next start on
+
+	maxConnections int         // of each listener
+	listeners      []*listener // of cfg
+	opened         []*listener // those among them that are new
+	claimed        bool        // the pools of cfg have their claims
+	pools          map[string]*core
+	created        []*core // those among them that are new
+	router         *router
+}
 
 // Reload takes a whole configuration over while the proxy runs: listeners,
-// routes, pools and their limits. What can fail is done first, and then nothing
-// has changed. Invocations end in the pool that they met at their start; a pool
+// routes, pools and their limits. After an error nothing has changed.
+// Requests end in the pool that they met at their start; a pool
 // that goes finishes them, and one of which only limits change keeps what it has
 // learnt. What the machine allows, the proxy's name and its seed hold from the
-// next start on.
-func (p *Proxy) Reload(cfg config.Config) (err error) {
+// next start on. It may be called concurrently.
+func (p *Proxy) Reload(cfg config.Config) error {
+	if err := p.reload(cfg); err != nil {
+		p.counters.reloadsFailed.Add(1)
+		return fmt.Errorf("proxy %s: %w", p.name, err)
+	}
+	p.counters.reloadsOK.Add(1)
+	return nil
+}
+
+func (p *Proxy) reload(cfg config.Config) (err error) {
+	p.reloading.Lock()
+	defer p.reloading.Unlock()
+	r, err := p.newReload(cfg)
+	if err != nil {
+		return err
+	}
 	defer func() {
 		if err != nil {
-			p.figures.notReloaded.Add(1)
-		} else {
-			p.figures.reloaded.Add(1)
+			r.rollback()
 		}
 	}()
-	p.reloading.Lock()
-	defer p.reloading.Unlock()
+	if err := r.openListeners(); err != nil {
+		return err
+	}
+	if err := r.claimResources(); err != nil {
+		return err
+	}
 	p.mu.Lock()
-	running := p.ready && !p.ending
+	defer p.mu.Unlock()
+	if err := r.createPoolsLocked(); err != nil {
+		return err
+	}
+	r.commitLocked()
+	return nil
+}
+
+// newReload sets what holds until the next start as it is.
+func (p *Proxy) newReload(cfg config.Config) (*reload, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if !p.ready || p.ending {
+		return nil, errNotRunning
+	}
 	old := p.cfg
-	p.mu.Unlock()
-	if !running {
-		return fmt.Errorf("proxy %s: not running", old.Name)
-	}
-	cfg.Name, cfg.Seed = old.Name, old.Seed
-	later := cfg.Limits != old.Limits
-	later = later || cfg.Admin != old.Admin
-	cfg.Limits, cfg.Admin, cfg.SharedDir = old.Limits, old.Admin, old.SharedDir
-
-	// What may fail: addresses and guarantees.
-	var fronts, opened []*listener
-	for _, l := range cfg.Listeners {
-		if i := slices.IndexFunc(p.fronts, func(f *listener) bool {
-			return f.Listener.Address == l.Address && (f.Name == l.Name || !strings.HasSuffix(l.Address, ":0")) && !slices.Contains(fronts, f)
-		}); i >= 0 {
-			fronts = append(fronts, p.fronts[i])
+	restart := cfg.Limits != old.Limits || cfg.Admin != old.Admin
+	cfg.Name = p.name
+	cfg.Seed = old.Seed
+	cfg.Limits = old.Limits
+	cfg.Admin = old.Admin
+	cfg.SharedDir = old.SharedDir
+	return &reload{
+		proxy:          p,
+		old:            old,
+		cfg:            cfg,
+		restart:        restart,
+		maxConnections: p.maxConnectionsLocked(len(cfg.Listeners)),
+		pools:          map[string]*core{},
+	}, nil
+}
+
+// openListeners keeps the listeners that there are, and opens the others.
+func (r *reload) openListeners() error {
+	for _, entry := range r.cfg.Listeners {
+		if kept := r.present(entry); kept != nil {
+			r.listeners = append(r.listeners, kept)
 			continue
 		}
-		f, err := p.listen(l, len(cfg.Listeners))
+		l, err := r.proxy.openListener(entry, r.maxConnections)
 		if err != nil {
-			for _, f := range opened {
-				f.front.Close()
-			}
-			return fmt.Errorf("proxy %s: %w", cfg.Name, err)
+			return err
 		}
-		fronts, opened = append(fronts, f), append(opened, f)
+		r.listeners = append(r.listeners, l)
+		r.opened = append(r.opened, l)
 	}
-	if !p.machine.claim(cfg.Pools) {
-		for _, f := range opened {
-			f.front.Close()
+	return nil
+}
+
+// present returns the listener that listens where a configuration says, if no other entry has it.
+// Only a reload changes the proxy's listeners while it runs, so they can be read without its mutex.
+func (r *reload) present(entry config.Listener) *listener {
+	anyPort := strings.HasSuffix(entry.Address, ":0") // each is another address: the name decides
+	i := slices.IndexFunc(r.proxy.listeners, func(l *listener) bool {
+		if l.Address != entry.Address || anyPort && l.Name != entry.Name {
+			return false
 		}
-		return fmt.Errorf("proxy %s: the pools' guarantees exceed what the machine has", cfg.Name)
+		return !slices.Contains(r.listeners, l)
+	})
+	if i < 0 {
+		return nil
+	}
+	return r.proxy.listeners[i]
+}
+
+// claimResources claims what the pools are guaranteed, and waits for that a while.
+func (r *reload) claimResources() error {
+	resources := r.proxy.resources
+	if !resources.claim(r.cfg.Pools) {
+		return errGuarantees
 	}
-	for end := time.Now().Add(settle); !p.machine.settled(cfg.Pools) && time.Now().Before(end); time.Sleep(rebalance / 4) {
-		p.machine.step()
+	r.claimed = true
+	end := time.Now().Add(guaranteeTimeout)
+	for !resources.guaranteed(r.cfg.Pools) && time.Now().Before(end) {
+		resources.rebalance()
+		time.Sleep(rebalanceInterval / 4)
 	}
+	return nil
+}
 
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	pools := map[string]*core{}
-	var gone []*core
-	kept, made := 0, 0
-	for i, pool := range cfg.Pools {
-		if c := p.pools[pool.Name]; c != nil && c.follows(pool) {
-			pools[pool.Name] = c
-			kept++
+// createPoolsLocked keeps the pools that can be adjusted, creates the others, and checks that routes lead
+// to them and that the proxy still runs.
+func (r *reload) createPoolsLocked() error {
+	p := r.proxy
+	for i, pool := range r.cfg.Pools {
+		if c := p.pools.active[pool.Name]; c != nil && c.adjustable(pool) {
+			r.pools[pool.Name] = c
 			continue
 		}
-		pools[pool.Name] = newCore(pool, cfg.Seed+uint64(i), p.machine.rooms(pool.Name), p.buffers, p.log, p.clock, &p.figures, p.word, false, p.shares())
-		made++
-	}
-	now, problems := newServices(cfg.Routes, pools)
-	if now == nil || p.ending {
-		for name, c := range pools {
-			if p.pools[name] != c {
-				c.close()
-			}
-		}
-		for _, f := range opened {
-			f.front.Close()
-		}
-		p.machine.claim(old.Pools)
-		for name := range pools {
-			if p.pools[name] == nil {
-				p.machine.left(name)
-			}
-		}
-		if p.ending {
-			return fmt.Errorf("proxy %s: not running", cfg.Name)
-		}
-		return fmt.Errorf("proxy %s: %w", cfg.Name, fatal(problems))
+		c := p.newPoolLocked(pool, i, false)
+		r.pools[pool.Name] = c
+		r.created = append(r.created, c)
 	}
+	var err error
+	r.router, err = newRouter(r.cfg.Routes, r.pools)
+	if p.ending {
+		return errNotRunning
+	}
+	return err
+}
 
-	// From here on nothing fails.
-	for _, pool := range cfg.Pools {
-		if pools[pool.Name] == p.pools[pool.Name] {
-			pools[pool.Name].adjust(pool)
-		}
+// rollback undoes all that was done before an error.
+func (r *reload) rollback() {
+	for _, c := range r.created {
+		c.close()
 	}
-	for name, c := range p.pools {
-		if pools[name] != c {
-			gone = append(gone, c)
-		}
+	for _, l := range r.opened {
+		l.server.Close()
 	}
-	p.present.Store(now)
-	p.pools, p.cfg = pools, cfg
-	for _, l := range p.fronts {
-		if !slices.Contains(fronts, l) {
-			l.stop() // it serves what it has and ends
-		}
+	if !r.claimed {
+		return
 	}
-	p.fronts = fronts
-	for _, l := range fronts {
-		if slices.Contains(opened, l) {
-			p.serve(l)
-			l.front.Drain(p.drainsSince())
-		} else {
-			l.front.SetMaxConnections(p.connections(len(fronts)))
+	r.proxy.resources.claim(r.old.Pools)
+	for name := range r.pools {
+		if !r.proxy.hasPool(name) {
+			r.proxy.resources.release(name)
 		}
 	}
-	for _, c := range gone {
-		p.leaving.Add(1)
-		p.parting[c] = struct{}{}
+}
+
+// commitLocked puts the new configuration in force. Nothing fails any more.
+func (r *reload) commitLocked() {
+	p := r.proxy
+	removed := r.replacePoolsLocked()
+	r.replaceListenersLocked()
+	for _, c := range removed {
+		p.drainPoolLocked(c)
+	}
+	if p.reloadFleet(r.old.Fleet, r.cfg.Fleet) {
+		r.restart = true
+	}
+	if p.fleet != nil {
 		go func() {
-			defer p.leaving.Done()
-			c.drain(c.cfg.Drain)
-			p.mu.Lock()
-			delete(p.parting, c)
-			p.mu.Unlock()
-			if name := c.cfg.Name; !p.has(name) { // another of its name shares its room
-				p.machine.left(name)
-			}
+			p.announcePhase()
+			p.applyPositions()
 		}()
 	}
-	if p.refleet(old, cfg) {
-		later = true
+	p.log.Info("configuration reloaded", "listeners", len(r.listeners), "routes", len(r.cfg.Routes),
+		"pools_kept", len(r.pools)-len(r.created), "pools_new", len(r.created), "pools_removed", len(removed),
+		"restart_needed", r.restart)
+}
+
+// replacePoolsLocked leads new requests to the new pools, and returns those that are active no more.
+func (r *reload) replacePoolsLocked() (removed []*core) {
+	p := r.proxy
+	for _, pool := range r.cfg.Pools {
+		if c := r.pools[pool.Name]; c == p.pools.active[pool.Name] {
+			c.adjust(pool)
+		}
 	}
-	if p.side != nil {
-		go func() { p.sayPhase(); p.place() }()
+	for name, c := range p.pools.active {
+		if r.pools[name] != c {
+			removed = append(removed, c)
+		}
 	}
-	p.log.Info("configuration reloaded", "listeners", len(fronts), "routes", len(cfg.Routes), "pools kept", kept, "pools new", made,
-		"pools gone", len(gone), "restart needed for the rest", later)
-	return nil
+	p.router.Store(r.router)
+	p.pools.active = r.pools
+	p.cfg = r.cfg
+	return removed
 }
 
-// has tells whether routes lead to a pool of a name.
-func (p *Proxy) has(name string) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.pools[name] != nil
+// replaceListenersLocked serves at the new listeners, and at others no more.
+func (r *reload) replaceListenersLocked() {
+	p := r.proxy
+	for _, l := range p.listeners {
+		if !slices.Contains(r.listeners, l) {
+			l.stop() // it serves what it has and ends
+		}
+	}
+	p.listeners = r.listeners
+	for _, l := range r.listeners {
+		if slices.Contains(r.opened, l) {
+			p.serveLocked(l)
+		} else {
+			l.server.SetMaxConnections(p.maxConnectionsLocked(len(r.listeners)))
+		}
+	}
 }
--- /dev/null
+++ b/proxy/request.go
@@ -0,0 +1,244 @@
+package proxy
+
+import (
+	"errors"
+	"io"
+	"time"
+
+	"ryerill/balancer"
+	"ryerill/config"
+	"ryerill/message"
+)
+
+// maxUpload bounds how long the rest of a request may take to come in. The
+// listener ends it long before, by the pace at which it comes.
+const maxUpload = time.Hour
+
+// retryAfterFull is when to come back to a pool that has as many requests open as it
+// may have: what is lent is divided anew many times in it.
+const retryAfterFull = 500 * time.Millisecond
+
+// noTicket is the ticket of a request that was answered at once: the Balancer's ids begin at 1.
+const noTicket = 0
+
+// openRequest is a request that has no final result yet or has attempts in flight.
+type openRequest struct {
+	*message.Request
+	id       balancer.RequestID
+	deadline time.Time // the client gives up
+	attempts []*attempt
+	inFlight int  // attempts
+	done     bool // it has its result, or nobody waits for one
+	received bool // its last byte is in
+	// expiry answers the request should no decision come in time, whatever the reason.
+	expiry *time.Timer
+}
+
+// requestTable holds the open requests of a pool. Its owner's mutex guards it.
+type requestTable struct {
+	newest   balancer.RequestID
+	open     map[balancer.RequestID]*openRequest
+	draining bool          // no new ones come
+	drained  chan struct{} // closed once it is draining and empty
+	ended    bool          // drained is closed
+}
+
+func newRequestTable() requestTable {
+	return requestTable{open: make(map[balancer.RequestID]*openRequest), drained: make(chan struct{})}
+}
+
+// add gives a request an id.
+func (t *requestTable) add(r *openRequest) {
+	t.newest++
+	r.id = t.newest
+	t.open[r.id] = r
+}
+
+// remove forgets a request, and reports false if that has happened before.
+func (t *requestTable) remove(id balancer.RequestID) bool {
+	if t.open[id] == nil {
+		return false
+	}
+	delete(t.open, id)
+	return true
+}
+
+// drain says that no new requests come.
+func (t *requestTable) drain() {
+	t.draining = true
+	t.checkDrained()
+}
+
+// checkDrained closes drained once that is due.
+func (t *requestTable) checkDrained() {
+	if t.draining && !t.ended && len(t.open) == 0 {
+		t.ended = true
+		close(t.drained)
+	}
+}
+
+// Accept implements [message.Handler].
+func (c *core) Accept(req *message.Request) (ticket uint64) {
+	if !c.resources.work.Take(1+config.Cost(req.Outgoing.Body.Len())) || !c.resources.openRequests.Take(1) {
+		req.Outgoing.Free()
+		c.classCounters[req.Class].ended(message.Shed)
+		req.Reply(message.Result{Kind: message.Shed, RetryAfter: retryAfterFull})
+		return noTicket
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := &openRequest{Request: req, deadline: req.ReceivedAt.Add(req.Remaining)}
+	c.requests.add(r)
+	if req.Outgoing.Stream == nil {
+		c.receivedLocked(r)
+	} else {
+		r.deadline = r.deadline.Add(maxUpload)
+	}
+	slack := c.settings.Balancer.Contract.AnswerSlack
+	r.expiry = time.AfterFunc(time.Until(r.deadline)+slack, func() { c.expire(r) })
+	c.activity.requestArrived(req.Class, req.Tenant)
+	c.dispatchLocked(balancer.Event{
+		Kind:        balancer.RequestArrived,
+		Request:     r.id,
+		Class:       req.Class,
+		Tenant:      req.Tenant,
+		Key:         req.Key,
+		Remaining:   max(time.Until(r.deadline), 0),
+		ClientRetry: req.ClientRetry,
+		Write:       req.Write,
+	})
+	return uint64(r.id)
+}
+
+// ClientLeft implements [message.Handler].
+func (c *core) ClientLeft(ticket uint64) (owed bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.requests.open[balancer.RequestID(ticket)]
+	if r == nil || r.done {
+		return false
+	}
+	c.abandonLocked(r)
+	return true
+}
+
+// Expire implements [message.Handler].
+func (c *core) Expire(ticket uint64) {
+	c.mu.Lock()
+	r := c.requests.open[balancer.RequestID(ticket)]
+	c.mu.Unlock()
+	if r != nil {
+		c.expire(r)
+	}
+}
+
+// expire answers a request whose time is over.
+func (c *core) expire(r *openRequest) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if r.done {
+		return
+	}
+	c.log.Warn("request timed out without a result")
+	r.Reply(message.Result{Kind: message.TimedOut})
+	c.abandonLocked(r)
+}
+
+// abandonLocked ends a request that is owed nothing any more. Attempts that wait for a
+// connection are not sent on, also where those that run may not be cancelled.
+func (c *core) abandonLocked(r *openRequest) {
+	r.done = true
+	c.recordEnd(r, message.Failed)
+	for _, a := range r.attempts {
+		a.Withdraw()
+	}
+	c.dispatchLocked(balancer.Event{Kind: balancer.ClientLeft, Request: r.id})
+	c.releaseLocked(r)
+}
+
+// replyLocked gives a request its final result, unless it has had one or nobody
+// waits for it. It reports whether it did.
+func (c *core) replyLocked(r *openRequest, result message.Result) bool {
+	if r == nil || r.done {
+		return false
+	}
+	r.done = true
+	if result.Kind == message.Failed && !time.Now().Before(r.deadline) {
+		result.Kind = message.TimedOut
+	}
+	if result.Response != nil && result.Response.Stream != nil {
+		c.endWithStream(r, result.Response)
+	} else {
+		c.recordEnd(r, result.Kind)
+	}
+	r.Reply(result)
+	c.releaseLocked(r)
+	return true
+}
+
+// receivedLocked records that a request's last byte is in.
+func (c *core) receivedLocked(r *openRequest) {
+	if !r.received {
+		r.received = true
+		c.counters.inFlight.Add(1)
+	}
+}
+
+// recordEnd counts the one end of a request. The mutex is held, but where a response has
+// passed through.
+func (c *core) recordEnd(r *openRequest, kind message.ResultKind) {
+	if r.received {
+		c.counters.inFlight.Add(-1)
+	}
+	c.classCounters[r.Class].ended(kind)
+	if c.activity != nil {
+		class := &c.settings.Balancer.Classes[r.Class]
+		c.activity.requestEnded(class, kind == message.Served, time.Since(r.ReceivedAt))
+	}
+}
+
+// releaseLocked forgets a request that has its result and no attempt in flight.
+func (c *core) releaseLocked(r *openRequest) {
+	if !r.done {
+		return
+	}
+	r.expiry.Stop()
+	if r.inFlight > 0 || !c.requests.remove(r.id) {
+		return
+	}
+	r.Outgoing.Free()
+	c.resources.openRequests.Give(1)
+	c.requests.checkDrained()
+}
+
+// trackedStream is the rest of a response as it is passed on.
+type trackedStream struct {
+	io.ReadCloser
+	bytes int
+	whole bool // its end has been passed on
+}
+
+func (s *trackedStream) Read(p []byte) (int, error) {
+	n, err := s.ReadCloser.Read(p)
+	s.bytes += n
+	s.whole = errors.Is(err, io.EOF)
+	return n, err
+}
+
+// endWithStream counts a request whose response has begun to pass through at the response's end.
+func (c *core) endWithStream(r *openRequest, response *message.Response) {
+	stream := &trackedStream{ReadCloser: response.Stream}
+	response.Stream = stream
+	onFree := response.OnFree
+	response.OnFree = func() {
+		if onFree != nil {
+			onFree()
+		}
+		c.resources.work.used.Add(int64(config.Cost(stream.bytes)))
+		kind := message.Failed
+		if stream.whole {
+			kind = message.Served
+		}
+		c.recordEnd(r, kind)
+	}
+}
--- a/proxy/stages_test.go
+++ b/proxy/stages_test.go
@@ -114,7 +114,7 @@
 func (s *scene) core() *core {
 	s.p.mu.Lock()
 	defer s.p.mu.Unlock()
-	return s.p.pools["main"]
+	return s.p.pools.active["main"]
 }
 
 // inFlight is what the Balancer counts.
@@ -122,7 +122,7 @@
 	c := s.core()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, n := c.balancer.Concurrency()
+	_, n := c.decisions.balancer.Concurrency()
 	return n
 }
 
@@ -188,7 +188,7 @@
 			s.ms = ms
 			s.write(s.text("serve", "&k=1"))
 			until(s.t, "two taken", func() bool { // or the second refused, as its turn would come too late
-				return s.p.figures.inflight.Load() == 2 || s.p.Stats().Requests["turn"].Shed > 0
+				return s.p.counters.inFlight.Load() == 2 || s.p.Stats().Requests["turn"].Shed > 0
 			})
 		}},
 	{name: "connecting", classes: []string{"read", "burn"}, taken: true, lost: true,
@@ -205,8 +205,8 @@
 				c := s.core()
 				c.mu.Lock()
 				defer c.mu.Unlock()
-				for _, e := range c.open {
-					return e.inv.Outgoing.Stream != nil && e.inv.Outgoing.Stream.Consumed()
+				for _, e := range c.requests.open {
+					return e.Outgoing.Stream != nil && e.Outgoing.Stream.Consumed()
 				}
 				return false
 			})
@@ -253,7 +253,7 @@
 	c := s.core()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, t := range c.providers {
+	for _, t := range c.endpoints.byID {
 		t.address = s.deaf.Addr().String()
 	}
 }
@@ -281,10 +281,10 @@
 	{"nothing", func(*scene, *stage) {}, goesOn},
 	{"consumer leaves",
 		func(s *scene, st *stage) {
-			before := s.p.figures.inflight.Load()
+			before := s.p.counters.inFlight.Load()
 			s.c.Close()
 			if st.taken && !st.begun { // its end is booked with the call still out
-				until(s.t, "it is booked", func() bool { return s.p.figures.inflight.Load() < before })
+				until(s.t, "it is booked", func() bool { return s.p.counters.inFlight.Load() < before })
 			}
 		},
 		func(*stage, string) []int { return []int{0, -1} }},
@@ -400,14 +400,14 @@
 	s.t.Helper()
 	now := s.core()
 	held := func() string {
-		now.pool.TrimIdle(1 << 20) // its idle connections and those of a pool that was replaced
+		now.connections.TrimIdle(1 << 20) // its idle connections and those of a pool that was replaced
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		_, inFlight := c.balancer.Concurrency()
-		r := c.rooms
-		c.pool.TrimIdle(1 << 20)
-		return fmt.Sprint("open ", len(c.open), ", in flight ", inFlight, ", inflight figure ", s.p.figures.inflight.Load(),
-			", bodies ", r.bodies.used.Load(), ", room ", r.open.used.Load(), ", sockets ", r.sockets.used.Load(), ", queue ", len(c.queue))
+		_, inFlight := c.decisions.balancer.Concurrency()
+		r := c.resources
+		c.connections.TrimIdle(1 << 20)
+		return fmt.Sprint("open ", len(c.requests.open), ", in flight ", inFlight, ", inflight figure ", s.p.counters.inFlight.Load(),
+			", bodies ", r.bodies.used.Load(), ", room ", r.openRequests.used.Load(), ", sockets ", r.sockets.used.Load(), ", queue ", len(c.decisions.queue))
 	}
 	const none = "open 0, in flight 0, inflight figure 0, bodies 0, room 0, sockets 0, queue 0"
 	end, left := time.Now().Add(patience), held()
@@ -608,7 +608,7 @@
 		s.release = make(chan struct{})
 		s.mu.Unlock()
 		ended += fit + 2
-		until(t, "room again", func() bool { return s.core().rooms.bodies.used.Load() == 0 })
+		until(t, "room again", func() bool { return s.core().resources.bodies.used.Load() == 0 })
 		if code, _ := dial(t, s.p.Address()).ask(large("serve")); code != http.StatusOK {
 			t.Errorf("with room again: %d", code)
 		}
--- /dev/null
+++ b/proxy/statesync.go
@@ -0,0 +1,153 @@
+package proxy
+
+import (
+	"ryerill/balancer"
+	"ryerill/fleet"
+	"ryerill/fleet/counter"
+	"ryerill/fleet/outlier"
+)
+
+// Observe implements [fleet.Subject].
+func (p *Proxy) Observe() fleet.Observations {
+	observed := fleet.Observations{
+		Quotas:    map[string]float64{},
+		Demand:    map[string]float64{},
+		Counters:  map[counter.Key]counter.Counts{},
+		Endpoints: map[string][]outlier.Endpoint{},
+	}
+	for _, c := range p.activePools() {
+		c.observe(&observed)
+	}
+	return observed
+}
+
+// Apply implements [fleet.Subject].
+func (p *Proxy) Apply(directives fleet.Directives) {
+	for _, c := range p.activePools() {
+		c.apply(&directives)
+	}
+}
+
+// poolActivity is what each pool did since its start.
+func (p *Proxy) poolActivity() (all []fleet.PoolActivity) {
+	for _, c := range p.activePools() {
+		if total, recorded := c.totalActivity(); recorded {
+			all = append(all, total)
+		}
+	}
+	return all
+}
+
+// totalActivity is what the pool did since its start, if that is recorded.
+func (c *core) totalActivity() (total fleet.PoolActivity, recorded bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.activity == nil {
+		return fleet.PoolActivity{}, false
+	}
+	total = c.activity.total
+	total.Pool = c.name
+	return total, true
+}
+
+// observe adds what the pool recorded since the last observation, and begins anew.
+func (c *core) observe(observed *fleet.Observations) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.activity == nil {
+		return
+	}
+	c.observeDemandLocked(observed)
+	c.observeCountersLocked(observed)
+	c.observeAttemptsLocked(observed)
+	for id, e := range c.endpoints.byID {
+		if e.ready.Load() {
+			observed.Endpoints[c.name] = append(observed.Endpoints[c.name], observedEndpoint(id, e))
+		}
+	}
+}
+
+func (c *core) observeDemandLocked(observed *fleet.Observations) {
+	for i, tenant := range c.settings.Balancer.Tenants {
+		if tenant.Quota > 0 {
+			name := quotaName(c.name, tenant.Name)
+			observed.Quotas[name] = tenant.Quota
+			observed.Demand[name] += c.activity.demand[i]
+		}
+		c.activity.demand[i] = 0
+	}
+}
+
+func (c *core) observeCountersLocked(observed *fleet.Observations) {
+	for i, counts := range c.classCounters {
+		key := counter.Key{Pool: c.name, Class: c.classes.Classes[i]}
+		n := observed.Counters[key]
+		n.Arrivals = c.activity.arrivals[i]
+		n.Served = uint64(counts.served.Load())
+		n.Refused = uint64(counts.shed.Load())
+		n.Failed = uint64(counts.failed.Load())
+		observed.Counters[key] = n
+	}
+	key := counter.Key{Pool: c.name}
+	n := observed.Counters[key]
+	_, inFlight := c.decisions.balancer.Concurrency()
+	n.InFlight = int64(inFlight)
+	observed.Counters[key] = n
+}
+
+func (c *core) observeAttemptsLocked(observed *fleet.Observations) {
+	for _, result := range c.activity.results {
+		e := c.endpoints.byID[result.endpoint]
+		if e == nil {
+			continue
+		}
+		outcome, evidence := evidenceOf(result.outcome)
+		if !evidence {
+			continue
+		}
+		observed.Attempts = append(observed.Attempts, fleet.AttemptResult{
+			Endpoint:        observedEndpoint(result.endpoint, e),
+			Outcome:         outcome,
+			RelativeLatency: c.decisions.balancer.RelativeLatency(result.endpoint),
+		})
+	}
+	c.activity.results = c.activity.results[:0]
+}
+
+func observedEndpoint(id balancer.EndpointID, e *listedEndpoint) outlier.Endpoint {
+	return outlier.Endpoint{ID: uint64(id), StartedAt: int64(e.current.StartedAt)}
+}
+
+// quotaName is the name under which replicas share a tenant's quota in a pool.
+func quotaName(pool, tenant string) string { return pool + "/" + tenant }
+
+// apply has the pool act on what follows from what the replicas share.
+func (c *core) apply(directives *fleet.Directives) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for i, tenant := range c.settings.Balancer.Tenants {
+		if quota, stated := directives.QuotaFractions[quotaName(c.name, tenant.Name)]; stated {
+			c.decisions.balancer.SetQuota(i, quota.Current, quota.Fallback, quota.ValidFor)
+		}
+	}
+	for _, id := range directives.Ejected[c.name] {
+		e := c.endpoints.byID[balancer.EndpointID(id)]
+		if e != nil && e.ready.Load() { // never one that the own list does not have
+			c.decisions.balancer.Penalize(e.id)
+		}
+	}
+}
+
+// evidenceOf returns what an attempt's outcome says of its endpoint, if anything: one that was cancelled
+// or never sent says nothing.
+func evidenceOf(outcome balancer.Outcome) (evidence outlier.Outcome, says bool) {
+	switch outcome {
+	case balancer.OK:
+		return outlier.Succeeded, true
+	case balancer.Timeout, balancer.ConnectFailed, balancer.Reset:
+		return outlier.TimedOut, true
+	case balancer.Error, balancer.Rejected:
+		return outlier.Failed, true
+	}
+	return outlier.Succeeded, false
+}
--- a/proxy/stream_test.go
+++ b/proxy/stream_test.go
@@ -268,10 +268,10 @@
 		c.Close()
 	}
 	until(t, "all have ended", func() bool {
-		core := p.cores()[0]
+		core := p.activePools()[0]
 		core.mu.Lock()
 		defer core.mu.Unlock()
-		return len(core.open) == 0
+		return len(core.requests.open) == 0
 	})
 	if s := figuresOf(t, p); s.EndpointsDown != 0 || s.InFlight != 0 {
 		t.Errorf("%+v", s)
