--- a/proxy/crossings_test.go
+++ b/proxy/departures_test.go
@@ -18,13 +18,13 @@
 // leavesAfter is how long after its client has left a request may still be sent on.
 const leavesAfter = 300 * time.Millisecond
 
-// hearOut has the machine that heard nobody take what stands in its queue and what
-// comes then. It returns the bytes that came on each connection.
-func (s *scene) hearOut() <-chan string {
+// acceptStalled accepts the connections in the stalled listener's queue and those that
+// come then. It returns the bytes that arrive on each.
+func (s *scene) acceptStalled() <-chan string {
 	got := make(chan string, 64)
 	go func() {
 		for {
-			c, err := s.deaf.Accept()
+			c, err := s.stalled.Accept()
 			if err != nil {
 				return
 			}
@@ -70,35 +70,35 @@
 func leaveWaiting(t *testing.T, class string, leave func(net.Conn), cancel bool, more int) {
 	s := newScene(t, class, func(cfg *config.Config) {
 		l := &cfg.Pools[0].Settings.Balancer.Limits
-		l.AllowCancel, l.ConnectTimeout = cancel, patience
+		l.AllowCancel, l.ConnectTimeout = cancel, testTimeout
 	})
-	s.deafen()
+	s.stallDials()
 	s.write(s.text("serve", "") + strings.Repeat("x", more))
-	until(t, "a call out", func() bool { return s.inFlight() == 1 })
+	until(t, "an attempt in flight", func() bool { return s.inFlight() == 1 })
 	left := time.Now()
 	leave(s.c.Conn)
 	until(t, "its end", func() bool { return s.inFlight() == 0 })
 	if took := time.Since(left); took > leavesAfter {
 		t.Errorf("it could be sent on for %v", took)
 	}
-	heard := s.hearOut()
-	after, err := net.Dial("tcp", s.deaf.Addr().String())
+	received := s.acceptStalled()
+	after, err := net.Dial("tcp", s.stalled.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	io.WriteString(after, "after")
-	if first := <-heard; first != "after" {
+	if first := <-received; first != "after" {
 		t.Errorf("sent on: %q", first)
 	}
 	after.Close()
 	s.c.Close()
-	s.quiet(s.core(), 1)
-	s.rules()
+	s.awaitReleased(s.core(), 1)
+	s.checkRules()
 	s.end()
 }
 
-// A client that leaves between an attempt's end and its repeat gets none: the answer of
-// the first and the client's end are brought in both orders.
+// A client that leaves between an attempt's end and the next causes no other attempt: the response of
+// the first and the client's end come in both orders.
 func TestWhoLeavesBeforeARepeat(t *testing.T) {
 	for _, class := range []string{"read", "pay"} {
 		for _, leavesFirst := range []bool{true, false} {
@@ -124,7 +124,7 @@
 					}
 					s.c.Close()
 				}
-				s.quiet(c, 1)
+				s.awaitReleased(c, 1)
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				for id, all := range s.ledger {
@@ -137,43 +137,43 @@
 	}
 }
 
-// An address may pass to another provider while a call is on its way to it, at once or
-// after its provider was gone for a while: the call is not made there, but elsewhere.
+// An address may pass to another endpoint while an attempt is connecting to it, at once or
+// after its endpoint was gone for a while: the attempt is not made there, but elsewhere.
 func TestAnAddressThatPassesOnDuringADial(t *testing.T) {
 	for i, class := range []string{"read", "pay", "burn", "read", "burn"} {
 		gone := i >= 3
 		t.Run(fmt.Sprint(class, ", gone ", gone), func(t *testing.T) {
 			t.Parallel()
-			s := newScene(t, class, func(cfg *config.Config) { cfg.Pools[0].Settings.Balancer.Limits.ConnectTimeout = patience })
+			s := newScene(t, class, func(cfg *config.Config) { cfg.Pools[0].Settings.Balancer.Limits.ConnectTimeout = testTimeout })
 			defer s.end()
 			var list []discovery.Endpoint
 			for i, name := range []string{"s1", "s2", "t1", "cold"} {
 				list = append(list, s.peers[i].endpoint(name, []int{1, 1, 2, 1}[i]))
 			}
-			s.deafen()
+			s.stallDials()
 			c := s.core()
-			for _, e := range list { // as a list would have told it
-				e.Address = s.deaf.Addr().String()
+			for _, e := range list { // as a list would have stated it
+				e.Address = s.stalled.Addr().String()
 				c.EndpointsListed(discovery.EndpointList{Index: 1, Endpoints: []discovery.Endpoint{e}})
 			}
 			s.write(s.text("serve", ""))
-			until(t, "a call out", func() bool { return s.inFlight() == 1 })
+			until(t, "an attempt in flight", func() bool { return s.inFlight() == 1 })
 			if gone {
 				c.EndpointsListed(discovery.EndpointList{Index: 2, Snapshot: true})
 			}
 			c.EndpointsListed(discovery.EndpointList{Index: 3, Snapshot: true, Endpoints: list})
-			heard := s.hearOut() // whoever has the address now
+			received := s.acceptStalled() // the one that has the address now
 			if got := s.answer(); got != http.StatusOK {
 				t.Errorf("answered %d", got)
 			}
 			select {
-			case text := <-heard:
-				t.Errorf("sent to who has the address now: %q", text)
+			case text := <-received:
+				t.Errorf("sent to the endpoint that has the address now: %q", text)
 			default:
 			}
 			s.c.Close()
-			s.quiet(c, 1)
-			s.rules()
+			s.awaitReleased(c, 1)
+			s.checkRules()
 		})
 	}
 }
--- a/proxy/pools_test.go
+++ b/proxy/pools_test.go
@@ -27,7 +27,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	over := make(chan error)
 	go func() { over <- p.Run(ctx) }()
-	// Its first answer says that it runs: a reload needs that.
+	// Its first response shows that it runs: a reload needs that.
 	if resp := dial(t, p.Address()).send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"); resp.StatusCode != 200 {
 		t.Fatal(resp.Status)
 	}
@@ -59,13 +59,13 @@
   - {name: pay, deadline: 20s, effect: keyed, memory: 10s}
 `
 
-// poolOf writes a pool of one provider.
+// poolOf writes a pool of one endpoint.
 func poolOf(name string, b *backend, more string) string {
 	return fmt.Sprintf("  - {name: %s, limits: {connect_timeout: 5s}, providers: [{name: %s-1, address: %q}]%s}\n", name, name, b.Addr().String(), more)
 }
 
-// tells answers with a name and the target that arrived.
-func tells(name string) func(net.Conn, *http.Request) {
+// respondsWithTarget answers with a name and the target that arrived.
+func respondsWithTarget(name string) func(net.Conn, *http.Request) {
 	return func(c net.Conn, r *http.Request) {
 		text := name + " " + r.RequestURI
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
@@ -80,7 +80,7 @@
 
 func TestRoutesLeadToPools(t *testing.T) {
 	t.Parallel()
-	a, b := newBackend(t, tells("a")), newBackend(t, tells("b"))
+	a, b := newBackend(t, respondsWithTarget("a")), newBackend(t, respondsWithTarget("b"))
 	p, _ := pooled(t, "listeners: [{name: main, address: '127.0.0.1:0'}]\n"+classes+`
 routes:
   - {name: shops, host: app.svc, path: /shops/*, pool: a, rewrite: /v2, class: read}
@@ -108,17 +108,17 @@
 	}
 }
 
-// What a request met at its start is what it ends with, and what a reload takes
-// away finishes; what it leaves alone goes on with all that it has learnt.
+// A request ends in the pool that it met at its start, and a pool that a reload removes
+// finishes its requests; one that it leaves alone goes on with all that it has learnt.
 func TestReloadOfPools(t *testing.T) {
 	t.Parallel()
 	arrived, release := make(chan struct{}, 8), make(chan struct{})
 	slow := newBackend(t, func(c net.Conn, r *http.Request) {
 		arrived <- struct{}{}
 		<-release
-		tells("slow")(c, r)
+		respondsWithTarget("slow")(c, r)
 	})
-	b := newBackend(t, tells("b"))
+	b := newBackend(t, respondsWithTarget("b"))
 	head := "listeners: [{name: main, address: '127.0.0.1:0'}]\n" + classes
 	with := head + "routes: [{path: /read/a, pool: a, name: ra}, {path: /read/b, pool: b, name: rb}]\npools:\n" + poolOf("a", slow, "") + poolOf("b", b, "")
 	p, _ := pooled(t, with)
@@ -126,7 +126,7 @@
 	if _, err := io.WriteString(c, get("x", "/read/a", "")); err != nil {
 		t.Fatal(err)
 	}
-	await(t, arrived, "the request at its provider")
+	await(t, arrived, "the request at its endpoint")
 	core := func(name string) *core {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -149,13 +149,13 @@
 	}
 	select {
 	case <-going.requests.drained:
-		t.Error("the pool ended with an invocation open")
+		t.Error("the pool ended with a request open")
 	default:
 	}
 	close(release)
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil || resp.StatusCode != 200 {
-		t.Fatalf("what was open at the reload: %v, %v", resp, err)
+		t.Fatalf("the request that was open at the reload: %v, %v", resp, err)
 	}
 	await(t, going.requests.drained, "the pool that is gone has drained")
 	// Other classes make it another pool.
@@ -170,9 +170,41 @@
 	}
 }
 
+// A reload that fails after its pools were created and had their claims takes all of that back:
+// the old pools serve on, and hold what they held.
+func TestFailedReloadIsRolledBack(t *testing.T) {
+	t.Parallel()
+	a, b := newBackend(t, respondsWithTarget("a")), newBackend(t, respondsWithTarget("b"))
+	head := "listeners: [{name: main, address: '127.0.0.1:0'}]\n" + classes
+	p, _ := pooled(t, head+"routes: [{path: /read/*, pool: a, name: ra}]\npools:\n"+poolOf("a", a, ", guarantee: {sockets: 4}"))
+	p.resources.mu.Lock()
+	before := p.resources.claims
+	p.resources.mu.Unlock()
+	old := p.activePools()[0]
+	next := parsed(t, head+"routes: [{path: /read/*, pool: b, name: rb}]\npools:\n"+poolOf("b", b, ", guarantee: {sockets: 4}"))
+	next.Listeners = append(next.Listeners, config.Listener{Name: "more", Address: "127.0.0.1:0"})
+	next.Routes = append(next.Routes, next.Routes[0]) // two routes alike can't be used
+	if err := p.Reload(next); err == nil {
+		t.Fatal("routes that can't be used were taken over")
+	}
+	if now := p.activePools(); len(now) != 1 || now[0] != old || p.AddressOf("more") != "" {
+		t.Errorf("%d pools, the additional listener at %q", len(now), p.AddressOf("more"))
+	}
+	if status, body := dial(t, p.Address()).ask(get("x", "/read/7", "")); status != 200 || body != "a /read/7" {
+		t.Errorf("afterwards: %d %q", status, body)
+	}
+	p.resources.rebalance()
+	p.resources.mu.Lock()
+	defer p.resources.mu.Unlock()
+	r := p.resources
+	if len(r.claims) != len(before) || r.claims[0].Name != "a" || len(r.leaving) != 0 || !r.alone {
+		t.Errorf("claims of %d pools, %d leaving, alone %v", len(r.claims), len(r.leaving), r.alone)
+	}
+}
+
 func TestReloadOfListeners(t *testing.T) {
 	t.Parallel()
-	b := newBackend(t, tells("b"))
+	b := newBackend(t, respondsWithTarget("b"))
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -211,7 +243,7 @@
 // A hundred reloads under load: nothing is lost, and nothing is left over.
 func TestReloadStorm(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	a, b := newBackend(t, tells("a")), newBackend(t, tells("b"))
+	a, b := newBackend(t, respondsWithTarget("a")), newBackend(t, respondsWithTarget("b"))
 	defer a.Close()
 	defer b.Close()
 	head := "listeners: [{name: main, address: '127.0.0.1:0'}]\n" + classes
@@ -227,7 +259,7 @@
 	p, end := pooled(t, head+"routes: [{path: /read/*, pool: b, name: rb}]\npools:\n"+poolOf("b", b, ""))
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
-	var served, refused atomic.Int64
+	var served, shed atomic.Int64
 	for n := range 4 {
 		c := dial(t, p.Address())
 		clients.Add(1)
@@ -253,7 +285,7 @@
 				case 200:
 					served.Add(1)
 				case 503:
-					refused.Add(1)
+					shed.Add(1)
 				default:
 					t.Errorf("answered %s", resp.Status)
 				}
@@ -267,8 +299,8 @@
 	}
 	close(stop)
 	clients.Wait()
-	if served.Load() == 0 || refused.Load() > served.Load()/2 {
-		t.Errorf("%d served, %d refused", served.Load(), refused.Load())
+	if served.Load() == 0 || shed.Load() > served.Load()/2 {
+		t.Errorf("%d served, %d shed", served.Load(), shed.Load())
 	}
 	end()
 	a.CloseAll()
@@ -282,19 +314,19 @@
 	}
 }
 
-// A pool whose providers hang holds all that it may, and not what another is owed.
+// A pool whose endpoints hang uses all that it may, and not what another is guaranteed.
 func TestAPoolThatHangsHoldsNoOthers(t *testing.T) {
 	t.Parallel()
 	hold := make(chan struct{})
 	hangs := newBackend(t, func(net.Conn, *http.Request) { <-hold })
 	t.Cleanup(func() { close(hold) })
-	calm := newBackend(t, tells("calm"))
+	calm := newBackend(t, respondsWithTarget("calm"))
 	p, _ := pooled(t, "machine: {sockets: 96}\nlisteners: [{name: main, address: '127.0.0.1:0'}]\n"+classes+`
 routes: [{name: h, path: /read/hang, pool: hangs}, {name: c, path: /read/calm, pool: calm}]
 pools:
-`+strings.Replace(poolOf("hangs", hangs, ", copies: 1, guarantee: {sockets: 4}"), "[{", "["+manyProviders(hangs, 40)+"{", 1)+
+`+strings.Replace(poolOf("hangs", hangs, ", copies: 1, guarantee: {sockets: 4}"), "[{", "["+manyEndpoints(hangs, 40)+"{", 1)+
 		poolOf("calm", calm, ", guarantee: {sockets: 4}"))
-	for range 24 { // all of the consumers' connections but a few
+	for range 24 { // all of the clients' connections but a few
 		c := dial(t, p.Address())
 		if _, err := io.WriteString(c, get("x", "/read/hang", "")); err != nil {
 			t.Fatal(err)
@@ -313,7 +345,7 @@
 	}
 }
 
-func manyProviders(b *backend, n int) string {
+func manyEndpoints(b *backend, n int) string {
 	var s strings.Builder
 	for i := range n {
 		fmt.Fprintf(&s, "{name: more-%d, address: %q}, ", i, b.Addr().String())
@@ -321,8 +353,8 @@
 	return s.String()
 }
 
-// A pool whose directory is silent and one that sends 60 KiB answers as fast as
-// it can leave a calm one alone.
+// A pool whose discovery is silent and one whose endpoints send 60 KiB responses as fast as
+// they can don't disturb a calm one.
 func TestPoolsStandApart(t *testing.T) {
 	t.Parallel()
 	mute, err := net.Listen("tcp", "127.0.0.1:0")
@@ -331,7 +363,7 @@
 	}
 	defer mute.Close()
 	big := "HTTP/1.1 200 OK\r\nContent-Length: 61440\r\n\r\n" + strings.Repeat("x", 60<<10)
-	large, calm, lost := newBackend(t, says(big)), newBackend(t, tells("calm")), newBackend(t, tells("lost"))
+	large, calm, lost := newBackend(t, responds(big)), newBackend(t, respondsWithTarget("calm")), newBackend(t, respondsWithTarget("lost"))
 	p, _ := pooled(t, "listeners: [{name: main, address: '127.0.0.1:0'}]\n"+classes+`
 routes: [{name: l, path: /read/large, pool: large}, {name: c, path: /read/calm, pool: calm}, {name: s, path: /read/lost, pool: lost}]
 pools:
@@ -357,7 +389,7 @@
 	}
 	c := dial(t, p.Address())
 	for range 200 {
-		for _, name := range []string{"calm", "lost"} { // what is known of a pool whose directory is silent holds
+		for _, name := range []string{"calm", "lost"} { // the endpoints known of a pool whose discovery is silent hold
 			if status, body := c.ask(get("x", "/read/"+name, "")); status != 200 || body != name+" /read/"+name {
 				t.Fatalf("%s: %d %q", name, status, body)
 			}
@@ -367,43 +399,11 @@
 	clients.Wait()
 }
 
-// Work a second is divided: a flood is refused beyond its part, and not before
-// another has had what it is guaranteed.
-func TestWorkIsDivided(t *testing.T) {
-	total := config.Shares{Sockets: 100, Bodies: 1 << 20, Open: 100, Work: 2000}
-	m := newResources(total)
-	pools := []config.Pool{{Name: "calm", Weight: 1, Guarantee: config.Shares{Sockets: 10, Work: 500}}, {Name: "flood", Weight: 1, Guarantee: config.Shares{Sockets: 10, Work: 500}}}
-	if !m.claim(pools) {
-		t.Fatal("claims that fit are refused")
-	}
-	calm, flood := m.pool("calm"), m.pool("flood")
-	for span := range 10 {
-		taken, served := 0, 0
-		for range 500 {
-			if flood.work.Take(1) {
-				taken++
-			}
-		}
-		for range 25 {
-			if calm.work.Take(1) {
-				served++
-			}
-		}
-		if most := 2000 / 20; taken+served > most || served != 25 {
-			t.Fatalf("span %d: the flood took %d and the calm pool %d of %d", span, taken, served, most)
-		}
-		if span > 2 && taken < 70 {
-			t.Errorf("span %d: the flood may take only %d of what is left", span, taken)
-		}
-		m.rebalance()
-	}
-}
-
-// Five hundred pools of ten providers start and serve where 192 MB and 1,024
-// descriptors are; what does not fit is refused by the configuration.
+// Five hundred pools of ten endpoints start and serve within 192 MB and 1,024
+// descriptors; what does not fit the configuration rejects.
 func TestManyPools(t *testing.T) {
 	t.Parallel()
-	b := newBackend(t, tells("b"))
+	b := newBackend(t, respondsWithTarget("b"))
 	write := func(n int) string {
 		var s strings.Builder
 		s.WriteString("machine: {memory_mb: 192, sockets: 1024}\nlisteners: [{name: main, address: '127.0.0.1:0'}]\n" + classes + "routes:\n")
@@ -412,7 +412,7 @@
 		}
 		s.WriteString("pools:\n")
 		for i := range n {
-			fmt.Fprintf(&s, "  - {name: p%d, providers: [%s]}\n", i, strings.TrimSuffix(manyProviders(b, 10), ", "))
+			fmt.Fprintf(&s, "  - {name: p%d, providers: [%s]}\n", i, strings.TrimSuffix(manyEndpoints(b, 10), ", "))
 		}
 		return s.String()
 	}
@@ -428,7 +428,7 @@
 	}
 }
 
-// BenchmarkPools shows what it costs to find a way among many pools: compare 1 with 100.
+// BenchmarkPools shows what it costs to route among many pools: compare 1 with 100.
 func BenchmarkPools(b *testing.B) {
 	for _, n := range []int{1, 100} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/proxy/stages_test.go
+++ b/proxy/stages_test.go
@@ -19,13 +19,13 @@
 	"ryerill/discovery"
 )
 
-// seen is a request as a provider got it whole.
+// seen is a request that an endpoint received whole.
 type seen struct {
-	provider string
+	endpoint string
 	at       time.Time
 }
 
-// scene is one proxy before two providers of one group, one of another, and one
+// scene is one proxy before two endpoints of one group, one of another, and one
 // that is cold, and one request that is brought to a stage there.
 type scene struct {
 	t       *testing.T
@@ -33,19 +33,19 @@
 	stop    func()
 	c       *client
 	class   string
-	ms      int // the consumer waits so long
+	ms      int // the client waits so long
 	arrived chan string
-	release chan struct{} // providers that hang go on
-	free    func()        // lets providers go on
-	deaf    net.Listener  // connects to nobody
+	release chan struct{} // endpoints that hang go on
+	free    func()        // lets endpoints go on
+	stalled net.Listener  // accepts no connection
 
 	mu     sync.Mutex
 	ledger map[string][]seen    // by Req-Id
-	out    map[string]time.Time // providers taken out
+	down   map[string]time.Time // by name: when an endpoint was taken down
 	peers  []*backend
 }
 
-// behaviours of the providers, by what the path of a request says.
+// behave is what an endpoint does with a request, by the request's query.
 func (s *scene) behave(name string) func(net.Conn, *http.Request) {
 	return func(c net.Conn, r *http.Request) {
 		id := r.Header.Get("Req-Id")
@@ -73,7 +73,7 @@
 
 func newScene(t *testing.T, class string, change func(*config.Config)) *scene {
 	s := &scene{t: t, class: class, ms: 15_000, arrived: make(chan string, 64), release: make(chan struct{}),
-		ledger: map[string][]seen{}, out: map[string]time.Time{}}
+		ledger: map[string][]seen{}, down: map[string]time.Time{}}
 	s.free = sync.OnceFunc(func() { close(s.release) })
 	var known []discovery.Endpoint
 	for i, name := range []string{"s1", "s2", "t1", "cold"} {
@@ -86,11 +86,11 @@
 		known = append(known, e)
 	}
 	s.p, s.stop = runUntil(t, func(cfg *config.Config) {
-		door(t.TempDir())(cfg)
+		managed(t.TempDir())(cfg)
 		b := &cfg.Pools[0].Settings.Balancer
 		b.Limits.ConnectTimeout = 400 * time.Millisecond
 		b.Classes = append(b.Classes, b.Classes[0])
-		b.Classes[3].Name, b.Classes[3].OrderedByKey = "turn", true
+		b.Classes[3].Name, b.Classes[3].OrderedByKey = "ordered", true
 		if change != nil {
 			change(cfg)
 		}
@@ -106,8 +106,8 @@
 	for _, b := range s.peers {
 		b.CloseAll()
 	}
-	if s.deaf != nil {
-		s.deaf.Close()
+	if s.stalled != nil {
+		s.stalled.Close()
 	}
 }
 
@@ -117,7 +117,7 @@
 	return s.p.pools.active["main"]
 }
 
-// inFlight is what the Balancer counts.
+// inFlight is how many attempts the Balancer counts.
 func (s *scene) inFlight() int {
 	c := s.core()
 	c.mu.Lock()
@@ -126,11 +126,11 @@
 	return n
 }
 
-// text is a request that the providers meet in some way.
+// text is a request to which the endpoints respond in some way.
 func (s *scene) text(how, more string) string {
 	text := request(s.class, s.ms)
-	if s.class == "turn" {
-		text = strings.Replace(request("read", s.ms), "read", "turn", 2)
+	if s.class == "ordered" {
+		text = strings.Replace(request("read", s.ms), "read", "ordered", 2)
 	}
 	return strings.Replace(text, "?q=%20x", "?how="+how+more, 1)
 }
@@ -142,25 +142,25 @@
 	}
 }
 
-// await waits until a request is at a provider that holds it.
+// await waits until a request is at an endpoint that delays its response.
 func (s *scene) await() {
 	s.t.Helper()
 	select {
 	case <-s.arrived:
-	case <-time.After(patience):
-		s.t.Fatal("no provider gets the request")
+	case <-time.After(testTimeout):
+		s.t.Fatal("no endpoint gets the request")
 	}
 }
 
-// a stage that a request can be at.
+// stage is one that a request can be in.
 type stage struct {
 	name    string
 	classes []string
 	reach   func(*scene)
-	rest    func(*scene) // what is still to come from the consumer; nil is nothing
-	taken   bool         // an answer is owed
-	lost    bool         // by itself it comes to nothing
-	begun   bool         // the answer has
+	rest    func(*scene) // what is still to come from the client; nil is nothing
+	taken   bool         // accepted: a result is owed
+	lost    bool         // without a fault it fails
+	begun   bool         // the response has begun
 }
 
 const uploadSize = 256 << 10
@@ -177,7 +177,7 @@
 			s.write(text[:len(text)-2])
 		},
 		rest: func(s *scene) { s.write("lo") }},
-	{name: "waiting its turn by key", classes: []string{"turn"}, taken: true,
+	{name: "queued by key", classes: []string{"ordered"}, taken: true,
 		reach: func(s *scene) {
 			first, ms := dial(s.t, s.p.Address()), s.ms
 			s.ms = 15_000
@@ -187,21 +187,21 @@
 			s.await()
 			s.ms = ms
 			s.write(s.text("serve", "&k=1"))
-			until(s.t, "two taken", func() bool { // or the second refused, as its turn would come too late
-				return s.p.counters.inFlight.Load() == 2 || s.p.Stats().Requests["turn"].Shed > 0
+			until(s.t, "two accepted", func() bool { // or the second is shed, as it would have to wait too long
+				return s.p.counters.inFlight.Load() == 2 || s.p.Stats().Requests["ordered"].Shed > 0
 			})
 		}},
 	{name: "connecting", classes: []string{"read", "burn"}, taken: true, lost: true,
 		reach: func(s *scene) {
-			s.deafen()
+			s.stallDials()
 			s.write(s.text("serve", ""))
-			until(s.t, "a call out", func() bool { return s.inFlight() == 1 })
+			until(s.t, "an attempt in flight", func() bool { return s.inFlight() == 1 })
 		}},
 	{name: "request half written", classes: []string{"burn"}, taken: false,
 		reach: func(s *scene) {
 			text := strings.Replace(s.text("serve", ""), "Content-Length: 5\r\n\r\nhello", fmt.Sprintf("Content-Length: %d\r\n\r\n", uploadSize), 1)
 			s.write(text + strings.Repeat("y", uploadSize/2))
-			until(s.t, "its beginning at the provider", func() bool {
+			until(s.t, "its beginning at the endpoint", func() bool {
 				c := s.core()
 				c.mu.Lock()
 				defer c.mu.Unlock()
@@ -214,9 +214,9 @@
 		rest: func(s *scene) { s.write(strings.Repeat("y", uploadSize/2)) }},
 	{name: "sent and waiting", classes: []string{"read", "pay", "burn"}, taken: true,
 		reach: func(s *scene) { s.write(s.text("hang", "")); s.await() }},
-	{name: "sent again", classes: []string{"read", "pay"}, taken: true,
+	{name: "retried", classes: []string{"read", "pay"}, taken: true,
 		reach: func(s *scene) { s.write(s.text("again", "")); s.await() }},
-	{name: "answer half relayed", classes: []string{"read", "burn"}, taken: true, begun: true,
+	{name: "response half passed on", classes: []string{"read", "burn"}, taken: true, begun: true,
 		reach: func(s *scene) {
 			s.write(s.text("half", ""))
 			s.await()
@@ -226,9 +226,9 @@
 		}},
 }
 
-// deafen makes all providers ones whose machine takes no new connection: its
-// queue is full and nobody hears it out.
-func (s *scene) deafen() {
+// stallDials gives all endpoints an address at which no connection is established: the
+// listener's queue is full and it doesn't accept.
+func (s *scene) stallDials() {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err == nil {
 		err = syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
@@ -239,14 +239,14 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	f := os.NewFile(uintptr(fd), "deaf")
-	if s.deaf, err = net.FileListener(f); err != nil {
+	f := os.NewFile(uintptr(fd), "stalled")
+	if s.stalled, err = net.FileListener(f); err != nil {
 		s.t.Fatal(err)
 	}
 	f.Close()
-	s.t.Cleanup(func() { s.deaf.Close() })
+	s.t.Cleanup(func() { s.stalled.Close() })
 	for range 2 { // fill the queue
-		if c, err := net.DialTimeout("tcp", s.deaf.Addr().String(), 50*time.Millisecond); err == nil {
+		if c, err := net.DialTimeout("tcp", s.stalled.Addr().String(), 50*time.Millisecond); err == nil {
 			s.t.Cleanup(func() { c.Close() })
 		}
 	}
@@ -254,12 +254,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, t := range c.endpoints.byID {
-		t.address = s.deaf.Addr().String()
+		t.address = s.stalled.Addr().String()
 	}
 }
 
-// a fault that meets a request at a stage. What the consumer gets then is one of
-// the statuses; 0 is nothing, -1 an answer that can be told to be torn.
+// fault is one that a request meets in a stage. What the client gets then is one of
+// the statuses; 0 is nothing, -1 a response that shows that it is torn.
 type fault struct {
 	name  string
 	apply func(*scene, *stage)
@@ -268,7 +268,7 @@
 
 var (
 	failures = []int{http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout}
-	// goesOn is what becomes of a request that the fault does not concern.
+	// goesOn is the result of a request that the fault does not concern.
 	goesOn = func(st *stage, _ string) []int {
 		if st.lost {
 			return failures
@@ -279,26 +279,26 @@
 
 var faults = []fault{
 	{"nothing", func(*scene, *stage) {}, goesOn},
-	{"consumer leaves",
+	{"client leaves",
 		func(s *scene, st *stage) {
 			before := s.p.counters.inFlight.Load()
 			s.c.Close()
-			if st.taken && !st.begun { // its end is booked with the call still out
-				until(s.t, "it is booked", func() bool { return s.p.counters.inFlight.Load() < before })
+			if st.taken && !st.begun { // its end is recorded with its attempt still in flight
+				until(s.t, "it is recorded", func() bool { return s.p.counters.inFlight.Load() < before })
 			}
 		},
 		func(*stage, string) []int { return []int{0, -1} }},
-	{"time is over", nil, // see below: the deadline is told with the request
+	{"time is over", nil, // see below: the deadline is stated with the request
 		func(st *stage, _ string) []int {
 			switch {
 			case st.begun: // what has begun goes on
 				return []int{http.StatusOK}
-			case !st.taken: // by its own pace: what has half come was never sent whole
+			case !st.taken: // by its own pace: what has half arrived was never sent whole
 				return []int{http.StatusRequestTimeout, http.StatusServiceUnavailable}
 			}
 			return failures
 		}},
-	{"provider breaks off",
+	{"endpoint breaks off",
 		func(s *scene, _ *stage) {
 			for _, b := range s.peers {
 				b.CloseAll()
@@ -310,18 +310,18 @@
 			}
 			return failures
 		}},
-	{"provider taken out",
+	{"endpoint taken down",
 		func(s *scene, _ *stage) {
 			for _, name := range []string{"s1", "s2", "t1", "cold"} {
 				if err := s.p.TakeDown(name); err != nil {
 					s.t.Error(err)
 				}
-				s.out[name] = time.Now()
+				s.down[name] = time.Now()
 			}
 		},
 		func(st *stage, class string) []int {
-			if !st.taken && st.name != "request half written" || st.name == "waiting its turn by key" {
-				return failures // nobody is left to send it to
+			if !st.taken && st.name != "request half written" || st.name == "queued by key" {
+				return failures // no endpoint is left to send it to
 			}
 			return goesOn(st, class)
 		}},
@@ -353,7 +353,7 @@
 		goesOn},
 }
 
-// answer reads what the consumer gets: its status, 0 for nothing, -1 for torn.
+// answer reads what the client gets: its status, 0 for nothing, -1 for torn.
 func (s *scene) answer() int {
 	resp, err := http.ReadResponse(s.c.r, nil)
 	if err != nil {
@@ -368,22 +368,22 @@
 	return resp.StatusCode
 }
 
-// rules checks what the providers have seen against the rules on repeats, on
-// drains and on cold providers.
-func (s *scene) rules() {
+// checkRules checks what the endpoints have seen against the rules on retries, on
+// drains and on endpoints that warm up.
+func (s *scene) checkRules() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	cold := 0
 	for id, all := range s.ledger {
 		cells := map[string]bool{}
 		for _, one := range all {
-			cells[one.provider[:1]] = true
-			if one.provider == "cold" {
+			cells[one.endpoint[:1]] = true
+			if one.endpoint == "cold" {
 				cold++
 				cells["s"], cells["c"] = true, false
 			}
-			if at, is := s.out[one.provider]; is && one.at.Sub(at) > time.Second {
-				s.t.Errorf("%s went to %s %v after it was taken out", id, one.provider, one.at.Sub(at))
+			if at, is := s.down[one.endpoint]; is && one.at.Sub(at) > time.Second {
+				s.t.Errorf("%s went to %s %v after it was taken down", id, one.endpoint, one.at.Sub(at))
 			}
 		}
 		if s.class == "burn" && len(all) > 1 || len(all) > 3 || s.class == "pay" && cells["s"] && cells["t"] {
@@ -391,12 +391,12 @@
 		}
 	}
 	if cold > 1 {
-		s.t.Errorf("%d requests to a provider that has just started", cold)
+		s.t.Errorf("%d requests to an endpoint that has just started", cold)
 	}
 }
 
-// quiet waits until all is back where it was: seats, ids, rooms, timers.
-func (s *scene) quiet(c *core, ended int64) {
+// awaitReleased waits until all that requests hold is released: slots, ids, budgets, timers.
+func (s *scene) awaitReleased(c *core, ended int64) {
 	s.t.Helper()
 	now := s.core()
 	held := func() string {
@@ -407,10 +407,10 @@
 		r := c.resources
 		c.connections.TrimIdle(1 << 20)
 		return fmt.Sprint("open ", len(c.requests.open), ", in flight ", inFlight, ", inflight figure ", s.p.counters.inFlight.Load(),
-			", bodies ", r.bodies.used.Load(), ", room ", r.openRequests.used.Load(), ", sockets ", r.sockets.used.Load(), ", queue ", len(c.decisions.queue))
+			", bodies ", r.bodies.used.Load(), ", open budget ", r.openRequests.used.Load(), ", sockets ", r.sockets.used.Load(), ", queue ", len(c.decisions.queue))
 	}
-	const none = "open 0, in flight 0, inflight figure 0, bodies 0, room 0, sockets 0, queue 0"
-	end, left := time.Now().Add(patience), held()
+	const none = "open 0, in flight 0, inflight figure 0, bodies 0, open budget 0, sockets 0, queue 0"
+	end, left := time.Now().Add(testTimeout), held()
 	for ; left != none && time.Now().Before(end); left = held() {
 		time.Sleep(time.Millisecond)
 	}
@@ -422,7 +422,7 @@
 		total += calls.Served + calls.Shed + calls.Failed
 	}
 	if total != ended {
-		s.t.Errorf("%d invocations are booked as ended, %d did", total, ended)
+		s.t.Errorf("%d requests are recorded as ended, %d did", total, ended)
 	}
 }
 
@@ -435,8 +435,8 @@
 	return len(all)
 }
 
-// Each fault at each stage: one final answer in time, no repeat against its class,
-// nothing to who is out, and nothing left of it.
+// Each fault at each stage: one final result in time, no retry against its class,
+// nothing to an endpoint that is down, and nothing left over.
 func TestFaultsAtStages(t *testing.T) {
 	for i := range stages {
 		for j := range faults {
@@ -476,11 +476,11 @@
 	}
 	s.free()
 	if wants := f.wants(st, class); !slices.Contains(wants, got) {
-		t.Errorf("the consumer got %d, want one of %v", got, wants)
+		t.Errorf("the client got %d, want one of %v", got, wants)
 	}
 	s.c.Close()
 	ended := int64(1)
-	if st.name == "waiting its turn by key" {
+	if st.name == "queued by key" {
 		ended++
 	}
 	if !st.taken && f.name == "consumer leaves" && st.name != "request half written" {
@@ -488,8 +488,8 @@
 	} else if st.name == "head half read" && got == http.StatusRequestTimeout {
 		ended = 0 // nobody knows of which class
 	}
-	s.quiet(pool, ended)
-	s.rules()
+	s.awaitReleased(pool, ended)
+	s.checkRules()
 	if f.name == "drain" {
 		if err := s.p.StopDrain(); err != nil {
 			t.Error(err)
@@ -499,11 +499,11 @@
 	if err := goleak.Find(leaks); err != nil {
 		t.Error(err)
 	}
-	until(t, "descriptors back where they were", func() bool { return descriptors(t) <= before+3 }) // of the deaf machine's queue
+	until(t, "descriptors back where they were", func() bool { return descriptors(t) <= before+3 }) // of the stalled listener's queue
 }
 
-// Whatever comes at the same moment, each call's end is booked once.
-func TestRacesAtACallsEnd(t *testing.T) {
+// Whatever comes at the same moment, each attempt's end is recorded once.
+func TestRacesAtAnAttemptsEnd(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
 	const rounds, warm = 25, 100
 	for _, tc := range []struct {
@@ -516,11 +516,11 @@
 		{"time-out against answer", 100, "hang", nil},
 		{"cancel against time-out", 100, "hang", func(s *scene) { s.c.Close() }},
 		{"time-out against connect", 1, "serve", func(*scene) {}},
-		{"provider out against answer", 15_000, "hang", func(s *scene) { s.p.TakeDown("s1"); s.p.Restore("s1") }},
+		{"endpoint down against answer", 15_000, "hang", func(s *scene) { s.p.TakeDown("s1"); s.p.Restore("s1") }},
 	} {
 		s := newScene(t, "read", nil)
 		pool := s.core()
-		for range warm { // so that short deadlines are not hopeless
+		for range warm { // so that short deadlines are not shed at once
 			s.write(s.text("serve", ""))
 			s.answer()
 		}
@@ -536,7 +536,7 @@
 			if tc.how == "hang" {
 				select {
 				case <-s.arrived:
-				case <-time.After(time.Duration(tc.ms) * time.Millisecond): // refused, or over before it was sent
+				case <-time.After(time.Duration(tc.ms) * time.Millisecond): // shed, or timed out before it was sent
 				}
 			}
 			if tc.ms == 100 { // both come as the time is over
@@ -551,8 +551,8 @@
 			s.answer()
 			s.c.Close()
 		}
-		s.quiet(pool, rounds+warm)
-		s.rules()
+		s.awaitReleased(pool, rounds+warm)
+		s.checkRules()
 		s.end()
 	}
 	if err := goleak.Find(leaks); err != nil {
@@ -560,8 +560,8 @@
 	}
 }
 
-// Bodies may take so much memory and no more. Whoever is beyond it is told at once
-// to come back, requests without a body go on, and with room again all is as before.
+// Bodies may take so much memory and no more. A request beyond it is shed at once with
+// Retry-After, those without a body go on, and with memory free again all is as before.
 func TestBodiesRunOutAndComeBack(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
 	s := newScene(t, "pay", func(cfg *config.Config) { cfg.Limits.Memory = 1 << 20 }) // a quarter of it for bodies
@@ -584,10 +584,10 @@
 		began := time.Now()
 		resp := dial(t, s.p.Address()).send(large("serve"))
 		if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
-			t.Errorf("beyond the room: %s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
+			t.Errorf("beyond the memory: %s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
 		}
 		if took := time.Since(began); took > 2*time.Second {
-			t.Errorf("told after %v", took)
+			t.Errorf("answered after %v", took)
 		}
 		if code, _ := dial(t, s.p.Address()).ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"); code != http.StatusOK {
 			t.Errorf("/ready: %d", code)
@@ -600,7 +600,7 @@
 		close(s.release)
 		for _, c := range held {
 			if resp, err := http.ReadResponse(c.r, nil); err != nil || resp.StatusCode != http.StatusOK {
-				t.Errorf("what was taken: %v, %v", resp, err)
+				t.Errorf("what was accepted: %v, %v", resp, err)
 			}
 			c.Close()
 		}
@@ -608,33 +608,33 @@
 		s.release = make(chan struct{})
 		s.mu.Unlock()
 		ended += fit + 2
-		until(t, "room again", func() bool { return s.core().resources.bodies.used.Load() == 0 })
+		until(t, "memory free again", func() bool { return s.core().resources.bodies.used.Load() == 0 })
 		if code, _ := dial(t, s.p.Address()).ask(large("serve")); code != http.StatusOK {
-			t.Errorf("with room again: %d", code)
+			t.Errorf("with memory free again: %d", code)
 		}
 		ended++
 	}
-	s.quiet(s.core(), ended)
-	s.rules()
+	s.awaitReleased(s.core(), ended)
+	s.checkRules()
 	s.end()
 	if err := goleak.Find(leaks); err != nil {
 		t.Error(err)
 	}
 }
 
-// A consumer that leaves while its call waits for a connection ends the wait, not
-// only the call: its seat and descriptor are free long before the dial's own end.
+// A client that leaves while its attempt waits for a connection ends the wait, not
+// only the attempt: its slot and descriptor are free long before the dial's own end.
 func TestCancelEndsTheDial(t *testing.T) {
-	s := newScene(t, "read", func(cfg *config.Config) { cfg.Pools[0].Settings.Balancer.Limits.ConnectTimeout = patience })
+	s := newScene(t, "read", func(cfg *config.Config) { cfg.Pools[0].Settings.Balancer.Limits.ConnectTimeout = testTimeout })
 	defer s.end()
-	s.deafen()
+	s.stallDials()
 	s.write(s.text("serve", ""))
-	until(t, "a call out", func() bool { return s.inFlight() == 1 })
+	until(t, "an attempt in flight", func() bool { return s.inFlight() == 1 })
 	began := time.Now()
 	s.c.Close()
 	until(t, "its end", func() bool { return s.inFlight() == 0 })
-	if took := time.Since(began); took > patience/2 {
+	if took := time.Since(began); took > testTimeout/2 {
 		t.Errorf("the dial ended after %v", took)
 	}
-	s.quiet(s.core(), 1)
+	s.awaitReleased(s.core(), 1)
 }
--- a/proxy/stream_test.go
+++ b/proxy/stream_test.go
@@ -29,8 +29,8 @@
 
 const long = 3 << 20
 
-// A long answer passes through as it comes, whatever delimits it: its beginning is
-// there before the provider has given the rest.
+// A long response passes through as it comes, whatever delimits it: its beginning
+// arrives before the endpoint has sent the rest.
 func TestLongAnswersPassThrough(t *testing.T) {
 	t.Parallel()
 	body := pattern(long)
@@ -89,7 +89,7 @@
 	}
 }
 
-// A long answer that breaks off is never taken for a whole one, and fails in the figures.
+// A long response that breaks off is never taken for a whole one, and counts as failed.
 func TestBrokenLongAnswersShow(t *testing.T) {
 	t.Parallel()
 	body := string(pattern(200_000))
@@ -98,8 +98,8 @@
 		{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\n", len(body), body), "1.1"},
 		{"chunks, to 1.0", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\n", len(body), body), "1.0"},
 	} {
-		b := newBackend(t, saysAndCloses(tc.text))
-		p := run(t, door(""), b.endpoint("s1", 1))
+		b := newBackend(t, respondsAndCloses(tc.text))
+		p := run(t, managed(""), b.endpoint("s1", 1))
 		resp := dial(t, p.Address()).send(strings.Replace(request("burn", 15000), "HTTP/1.1", "HTTP/"+tc.version, 1))
 		got, err := io.ReadAll(resp.Body)
 		if err == nil || len(got) > len(body) {
@@ -108,7 +108,7 @@
 		if tc.version == "1.0" && !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("%s: ended with %v", tc.name, err)
 		}
-		until(t, "it counts as failed", func() bool { s := figuresOf(t, p); return s.Requests["burn"].Failed == 1 && s.InFlight == 0 })
+		until(t, "it counts as failed", func() bool { s := statsOf(t, p); return s.Requests["burn"].Failed == 1 && s.InFlight == 0 })
 	}
 }
 
@@ -125,7 +125,7 @@
 
 func (plain) Close() error { return nil }
 
-// raw is a provider that is handed the connection itself, behind the head.
+// raw is an endpoint whose behaviour reads the body from the connection itself.
 func raw(t *testing.T, behave func(c net.Conn, r *bufio.Reader, req *http.Request)) *backend {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -158,7 +158,7 @@
 }
 
 // A long request passes through as it comes and arrives as it was; its time
-// begins with its last byte, so that a slow consumer doesn't spend the provider's.
+// begins with its last byte, so that a slow client doesn't spend the endpoint's.
 func TestLongRequestsPassThrough(t *testing.T) {
 	t.Parallel()
 	body := pattern(long)
@@ -175,14 +175,14 @@
 				io.WriteString(c, okay)
 			}
 		})
-		p := run(t, door(""), b.endpoint("s1", 1))
+		p := run(t, managed(""), b.endpoint("s1", 1))
 		c := dial(t, p.Address())
 		head, frame := upload(long, chunked)
 		io.WriteString(c, head)
 		w := frame(c)
 		w.Write(body[:100_000])
-		await(t, begun, "the provider has the beginning")
-		if s := figuresOf(t, p); s.Attempts != 0 || s.InFlight != 0 {
+		await(t, begun, "the endpoint has the beginning")
+		if s := statsOf(t, p); s.Attempts != 0 || s.InFlight != 0 {
 			t.Errorf("before its last byte: %+v", s)
 		}
 		w.Write(body[100_000:])
@@ -196,14 +196,14 @@
 		if status, _ := c.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
 			t.Errorf("afterwards: %d", status)
 		}
-		if s := figuresOf(t, p); s.Attempts != 1 || s.InFlight != 0 || s.Requests["pay"].Served != 1 {
+		if s := statsOf(t, p); s.Attempts != 1 || s.InFlight != 0 || s.Requests["pay"].Served != 1 {
 			t.Errorf("then: %+v", s)
 		}
 	}
 }
 
-// What can't be sent again isn't: a long request goes out once, is answered by
-// what is known of it, and an early answer ends its upload.
+// A long request can't be retried: it is sent once, is answered by
+// what is known of it, and an early response ends its upload.
 func TestLongRequestsGoOutOnce(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -214,7 +214,7 @@
 		{"the provider breaks in the middle", func(c net.Conn, _ *bufio.Reader, req *http.Request) {
 			io.ReadFull(req.Body, make([]byte, 1<<20))
 			c.Close()
-		}, 503}, // its last byte never was out
+		}, 503}, // its last byte was never sent
 		{"declined in the middle", func(c net.Conn, _ *bufio.Reader, req *http.Request) {
 			io.ReadFull(req.Body, make([]byte, 1<<20))
 			io.WriteString(c, "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
@@ -232,11 +232,11 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			one, two := raw(t, tc.behave), raw(t, tc.behave)
-			p := run(t, door(""), one.endpoint("s1", 1), two.endpoint("s2", 1))
+			p := run(t, managed(""), one.endpoint("s1", 1), two.endpoint("s2", 1))
 			c := dial(t, p.Address())
 			const size = 60 << 20 // more than all sockets on the way hold
 			head, _ := upload(size, false)
-			go func() { // who is answered early may find its writing ended
+			go func() { // after an early response writing may fail
 				io.WriteString(c, head)
 				c.Write(make([]byte, size))
 			}()
@@ -247,19 +247,19 @@
 			if n := one.requests.Load() + two.requests.Load(); n != 1 {
 				t.Errorf("sent %d times", n)
 			}
-			if s := figuresOf(t, p); s.InFlight != 0 {
+			if s := statsOf(t, p); s.InFlight != 0 {
 				t.Errorf("%+v", s)
 			}
 		})
 	}
 }
 
-// A consumer that leaves in the middle of its request is no fault of the
-// provider's, and one that stops is told.
+// A client that leaves in the middle of its request is no failure of the
+// endpoint's, and one that stops sending gets a response.
 func TestTornUploads(t *testing.T) {
 	t.Parallel()
 	b := raw(t, func(c net.Conn, _ *bufio.Reader, req *http.Request) { io.Copy(io.Discard, req.Body) })
-	p := run(t, door(""), b.endpoint("s1", 1))
+	p := run(t, managed(""), b.endpoint("s1", 1))
 	for range 20 {
 		c := dial(t, p.Address())
 		head, _ := upload(long, false)
@@ -273,7 +273,7 @@
 		defer core.mu.Unlock()
 		return len(core.requests.open) == 0
 	})
-	if s := figuresOf(t, p); s.EndpointsDown != 0 || s.InFlight != 0 {
+	if s := statsOf(t, p); s.EndpointsDown != 0 || s.InFlight != 0 {
 		t.Errorf("%+v", s)
 	}
 	slow := dial(t, p.Address())
@@ -284,8 +284,8 @@
 	}
 }
 
-// A consumer that doesn't read keeps nobody waiting: the proxy stops reading from
-// its provider, and others are served.
+// A client that doesn't read delays no other: the proxy stops reading from
+// its endpoint, and others are served.
 func TestSlowReadersHoldUpNobody(t *testing.T) {
 	t.Parallel()
 	const size = 64 << 20 // more than all sockets on the way hold
@@ -314,7 +314,7 @@
 	}
 	for range cap(wrote) {
 		if n := <-wrote; n >= size {
-			t.Error("the whole answer was taken from the provider, though nobody reads it")
+			t.Error("the whole answer was taken from the endpoint, though nobody reads it")
 		}
 	}
 }
