--- a/admin/message.go
+++ b/admin/message.go
@@ -40,6 +40,7 @@
 	allow  string // see response
 }
 
+// Error returns the text of the response.
 func (e *statusError) Error() string { return e.text }
 
 func (e *statusError) response() response {
--- a/fairshare/fairshare_test.go
+++ b/fairshare/fairshare_test.go
@@ -83,7 +83,7 @@
 		}
 		claims := draw()
 		if !ledger.Set(claims) {
-			t.Fatal("claims within the total are refused")
+			t.Fatal("claims within the total are rejected")
 		}
 		used, allowed := map[string]int{}, ledger.Step(nil)
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -218,6 +218,7 @@
 	whole bool // its end has been passed on
 }
 
+// Read implements [io.Reader].
 func (s *trackedStream) Read(p []byte) (int, error) {
 	n, err := s.ReadCloser.Read(p)
 	s.bytes += n
--- a/proxy/request_test.go
+++ b/proxy/request_test.go
@@ -14,7 +14,7 @@
 	}
 	empty := newRequestTable()
 	if empty.checkDrained(); drained(&empty) {
-		t.Error("drained without being told to")
+		t.Error("drained without being asked to")
 	}
 	if empty.drain(); !drained(&empty) {
 		t.Error("an empty table is not drained")
--- a/proxy/stages_test.go
+++ b/proxy/stages_test.go
@@ -453,17 +453,17 @@
 	s := newScene(t, class, nil)
 	began := time.Now()
 	if f.apply == nil && st.taken {
-		s.ms = 1000 // less would be refused at once, as hopeless
+		s.ms = 1000 // less would be shed at once
 	}
 	st.reach(s)
 	pool := s.core()
 	var got int
 	if f.apply != nil {
 		f.apply(s, st)
-		if st.rest != nil && f.name != "consumer leaves" {
+		if st.rest != nil && f.name != "client leaves" {
 			st.rest(s)
 		}
-		if f.name != "provider breaks off" {
+		if f.name != "endpoint breaks off" {
 			s.free()
 		}
 	} else if st.begun {
@@ -483,7 +483,7 @@
 	if st.name == "queued by key" {
 		ended++
 	}
-	if !st.taken && f.name == "consumer leaves" && st.name != "request half written" {
+	if !st.taken && f.name == "client leaves" && st.name != "request half written" {
 		ended = 0 // it was none yet
 	} else if st.name == "head half read" && got == http.StatusRequestTimeout {
 		ended = 0 // nobody knows of which class
--- a/proxy/stream_test.go
+++ b/proxy/stream_test.go
@@ -211,7 +211,7 @@
 		behave func(c net.Conn, r *bufio.Reader, req *http.Request)
 		want   int
 	}{
-		{"the provider breaks in the middle", func(c net.Conn, _ *bufio.Reader, req *http.Request) {
+		{"the endpoint breaks in the middle", func(c net.Conn, _ *bufio.Reader, req *http.Request) {
 			io.ReadFull(req.Body, make([]byte, 1<<20))
 			c.Close()
 		}, 503}, // its last byte was never sent
