--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -34,8 +34,8 @@
 		return
 	}
 	deadline := r.deadline
-	if action.Wait > 0 {
-		if end := time.Now().Add(action.Wait); end.Before(deadline) {
+	if action.Timeout > 0 {
+		if end := time.Now().Add(action.Timeout); end.Before(deadline) {
 			deadline = end
 		}
 	}
--- a/proxy/decisions.go
+++ b/proxy/decisions.go
@@ -91,7 +91,8 @@
 	case balancer.Send:
 		c.startAttemptLocked(action)
 	case balancer.Shed:
-		c.replyLocked(c.requests.open[action.Request], message.Result{Kind: message.Shed, RetryAfter: action.Wait})
+		result := message.Result{Kind: message.Shed, RetryAfter: action.RetryAfter}
+		c.replyLocked(c.requests.open[action.Request], result)
 	case balancer.Fail:
 		c.replyLocked(c.requests.open[action.Request], message.Result{Kind: message.Failed})
 	case balancer.Cancel:
@@ -99,7 +100,7 @@
 			r.attempts[action.Attempt].Cancel()
 		}
 	case balancer.SetTimer:
-		c.scheduleTimerLocked(action.Wait, action.Token)
+		c.scheduleTimerLocked(action.Delay, action.Token)
 	case balancer.CloseIdle:
 		go c.connections.CloseIdle(uint64(action.Endpoint))
 	case balancer.Subscribe:
