--- /dev/null
+++ b/fleet/quota/borrower.go
@@ -0,0 +1,148 @@
+package quota
+
+import (
+	"slices"
+	"time"
+)
+
+// denialBackoff is how long a lender that had nothing isn't asked again.
+const denialBackoff = Lease / 4
+
+// borrow renews, returns and requests loans of one limit by its demand.
+func (m *Manager) borrow(account *account) {
+	shortfall := m.shortfall(account)
+	m.renewLoans(account, shortfall)
+	m.returnLoans(account, -shortfall)
+	if m.now >= account.nextRequestAt {
+		account.nextRequestAt = m.now + requestInterval
+		m.requestLoans(account, shortfall)
+	}
+}
+
+// shortfall is how much more this replica would use than it may; negative if it may spend more than it would use.
+func (m *Manager) shortfall(account *account) float64 {
+	wanted := min(account.demand.rate(m.now)*demandHeadroom, account.Total)
+	if account.Kind == Amount {
+		return wanted - account.balance
+	}
+	return wanted - m.spendableRate(account)
+}
+
+// renewLoans requests loans again before they end, as far as they are still needed.
+func (m *Manager) renewLoans(account *account, shortfall float64) {
+	for i := range account.borrowed {
+		loan := &account.borrowed[i]
+		needed := shortfall + loan.amount
+		if needed <= 0 || m.now < loan.renewAt || len(account.pending) >= maxPendingRequests {
+			continue
+		}
+		loan.renewAt = loan.expiresAt
+		m.request(account, loan.lender, min(loan.amount, needed), loan.seq)
+	}
+}
+
+// returnLoans returns loans of which nothing is needed, the latest first. The credit ends before the lender is
+// notified.
+func (m *Manager) returnLoans(account *account, surplus float64) {
+	for i := len(account.borrowed) - 1; i >= 0; i-- {
+		loan := account.borrowed[i]
+		if loan.amount > surplus || account.hasPendingRenewal(loan.seq) {
+			continue
+		}
+		surplus -= loan.amount
+		account.borrowed = slices.Delete(account.borrowed, i, i+1)
+		m.send(loan.lender, Message{Return: true, Request: m.requestID(loan.seq), Quota: account.Name})
+	}
+}
+
+// requestLoans asks several peers at once, chosen at random, each for all that is missing. Each is expected to grant
+// half of what it may lend.
+func (m *Manager) requestLoans(account *account, shortfall float64) {
+	guaranteed := account.Total / float64(m.replicaCount)
+	expectedGrant := MaxLentFraction * guaranteed / 2
+	for _, pending := range account.pending {
+		if pending.renews == noRenewal {
+			shortfall -= expectedGrant
+		}
+	}
+	for range 2 * maxPendingRequests {
+		if shortfall <= minLoanFraction*guaranteed || len(account.pending) >= maxPendingRequests {
+			return
+		}
+		lender := m.peers[m.random.Uint64()%uint64(len(m.peers))]
+		if m.now < account.retryAt[lender] || account.hasPendingTo(lender) {
+			continue
+		}
+		existing := account.findBorrowed(lender)
+		m.request(account, lender, shortfall+existing.amount, existing.seq)
+		shortfall -= expectedGrant
+	}
+}
+
+// request asks a lender for an amount. renews is the request whose loan it replaces, or noRenewal.
+func (m *Manager) request(account *account, lender string, amount float64, renews uint64) {
+	if len(account.borrowed) >= maxLoans || !(amount > 0) {
+		return
+	}
+	m.lastSeq++
+	m.Stats.Requests++
+	account.pending = append(account.pending, pendingRequest{
+		seq:    m.lastSeq,
+		renews: renews,
+		lender: lender,
+		sentAt: m.now,
+	})
+	m.send(lender, Message{Request: m.requestID(m.lastSeq), Quota: account.Name, Amount: amount, Renews: renews})
+}
+
+func (m *Manager) requestID(seq uint64) RequestID {
+	return RequestID{Replica: m.name, Epoch: m.epoch, Seq: seq}
+}
+
+// handleGrant takes a grant in, if it answers a pending request of this process.
+func (m *Manager) handleGrant(grant *Message) {
+	if grant.Request.Replica != m.name || grant.Request.Epoch != m.epoch {
+		m.Stats.Late++ // for a previous process: the lender has counted it, and it is forfeited here
+		return
+	}
+	account := m.accounts[grant.Quota]
+	request, found := account.takePending(grant.Request.Seq, grant.From)
+	if !found {
+		m.Stats.Late++
+		return
+	}
+	expiresAt := creditEnd(request.sentAt)
+	switch {
+	case grant.Amount == 0:
+		m.Stats.Denials++
+		account.deferRequestsTo(grant.From, m.now+denialBackoff)
+	case account.Kind == Amount:
+		account.assign(account.balance + grant.Amount)
+	case m.now >= expiresAt:
+		m.Stats.Late++
+	default:
+		account.addBorrowed(request, grant.Amount, expiresAt)
+	}
+}
+
+// deferRequestsTo has a lender not be asked until a time.
+func (a *account) deferRequestsTo(lender string, until time.Duration) {
+	a.retryAt[lender] = until
+	if len(a.retryAt) > maxLoans {
+		clear(a.retryAt)
+	}
+}
+
+// addBorrowed records the loan that a request was granted, in place of the one that it renews.
+func (a *account) addBorrowed(request pendingRequest, amount float64, expiresAt time.Duration) {
+	a.borrowed = slices.DeleteFunc(a.borrowed, func(l borrowedLoan) bool {
+		return request.renews != noRenewal && l.lender == request.lender && l.seq == request.renews
+	})
+	a.borrowed = append(a.borrowed, borrowedLoan{
+		lender:    request.lender,
+		seq:       request.seq,
+		amount:    amount,
+		expiresAt: expiresAt,
+		renewAt:   request.sentAt + time.Duration(renewAfterFraction*float64(Lease)),
+	})
+}
--- /dev/null
+++ b/fleet/quota/message.go
@@ -0,0 +1,87 @@
+package quota
+
+import (
+	"slices"
+	"time"
+)
+
+// RequestID identifies a request for a loan for good: it is answered once, however often it arrives.
+type RequestID struct {
+	Replica string `json:"Name"` // the borrower
+	Epoch   uint64 `json:"Epoch"`
+	Seq     uint64 `json:"Seq"`
+}
+
+// Message is what replicas send each other: a request for a loan, a grant, or the return of a loan. A grant of 0 is a
+// denial.
+type Message struct {
+	Grant   bool      `json:"Grant"`
+	Return  bool      `json:"Back"` // of the loan that Request was granted
+	Request RequestID `json:"Key"`
+	From    string    `json:"From"`  // the lender, in a grant
+	Epoch   uint64    `json:"Epoch"` // of the lender, in a grant
+	Quota   string    `json:"Budget"`
+	Amount  float64   `json:"Amount"`
+	Renews  uint64    `json:"Renews"` // Seq of the request whose loan is to be renewed, or noRenewal
+}
+
+// noRenewal in a request asks for a new loan: sequence numbers start at 1.
+const noRenewal = 0
+
+// valid tells whether a message is well-formed. Nobody requests or grants for another.
+func (m *Message) valid(sender string) bool {
+	if !(m.Amount >= 0) || m.Amount > maxUnits || m.Request.Replica == "" {
+		return false
+	}
+	if m.Grant {
+		return m.From == sender
+	}
+	return m.Request.Replica == sender
+}
+
+// Action is a message that the host is to send.
+type Action struct {
+	To      string
+	Message Message
+}
+
+// pendingRequest is one that this replica has sent and that has no answer yet.
+type pendingRequest struct {
+	seq    uint64
+	renews uint64 // the request whose loan it renews, or noRenewal
+	lender string
+	sentAt time.Duration
+}
+
+// answerLog keeps answers, so that a request that arrives again gets the same one.
+type answerLog struct {
+	entries []answer
+}
+
+type answer struct {
+	message    Message
+	answeredAt time.Duration
+}
+
+func (l *answerLog) find(request RequestID) (Message, bool) {
+	for i := range l.entries {
+		if l.entries[i].message.Request == request {
+			return l.entries[i].message, true
+		}
+	}
+	return Message{}, false
+}
+
+func (l *answerLog) full() bool { return len(l.entries) >= maxAnswers }
+
+func (l *answerLog) add(now time.Duration, message Message) {
+	if !l.full() {
+		l.entries = append(l.entries, answer{message: message, answeredAt: now})
+	}
+}
+
+// expire drops answers to requests that are too old to count when they arrive again.
+func (l *answerLog) expire(now time.Duration) {
+	retention := 2 * withMaxDrift(Lease)
+	l.entries = slices.DeleteFunc(l.entries, func(a answer) bool { return now-a.answeredAt >= retention })
+}
