--- /dev/null
+++ b/fleet/counter/estimate.go
@@ -0,0 +1,96 @@
+package counter
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+const (
+	maxRateGrowth = 2.0 // factor by which a rate may have grown since the latest update, in bounds
+	staleAfter    = 10 * time.Second
+)
+
+// Value is a sum over all replicas and how far it can be trusted.
+type Value struct {
+	Estimate float64
+	Lower    float64 // bounds of the true value
+	Upper    float64
+	Age      time.Duration // of the oldest counts in it
+	Replicas int           // that it covers
+	Stale    bool          // some counts in it are too old to rely on
+}
+
+// Sum adds up over all replicas what pick returns for the counts of matching keys. A nil match takes all keys.
+func (s *Set) Sum(now time.Duration, match func(Key) bool, pick func(Counts) float64) Value {
+	s.advance(now)
+	total := func(counts map[Key]Counts) float64 {
+		sum := 0.0
+		for key, c := range counts {
+			if match == nil || match(key) {
+				sum += pick(c)
+			}
+		}
+		return sum
+	}
+	local := total(s.own)
+	value := Value{Estimate: local, Lower: local, Upper: local, Replicas: 1}
+	for _, e := range s.replicas.entries {
+		value.add(s.now, e, total)
+	}
+	for _, e := range s.zones.entries {
+		value.add(s.now, e, total)
+	}
+	return value
+}
+
+// add adds the counts of one sender.
+func (v *Value) add(now time.Duration, e *entry, total func(map[Key]Counts) float64) {
+	count := total(e.Counts)
+	age := now - e.validAt
+	rate := 0.0
+	if e.previous != nil && e.validAt > e.previousAt {
+		rate = math.Abs(count-total(e.previous)) / (e.validAt - e.previousAt).Seconds()
+	} else if age > 0 {
+		rate = count // unknown: as much again in a second
+	}
+	margin := maxRateGrowth * rate * age.Seconds()
+	v.Estimate += count
+	v.Lower += max(count-margin, 0)
+	v.Upper += count + margin
+	v.Age = max(v.Age, age)
+	v.Stale = v.Stale || age > staleAfter
+	v.Replicas += max(e.Members, 1)
+}
+
+// Source describes what is known from one sender.
+type Source struct {
+	Name    string
+	Zone    string // if set, the counts are sums over Members replicas of it
+	Members int
+	Age     time.Duration
+	Counts  map[Key]Counts
+}
+
+// Sources describes all senders, this replica among them, sorted by zone and name.
+func (s *Set) Sources(now time.Duration) []Source {
+	s.advance(now)
+	all := []Source{{Name: s.name, Members: 1, Counts: s.own}}
+	for _, e := range s.replicas.entries {
+		all = append(all, Source{Name: e.Name, Members: 1, Age: s.now - e.validAt, Counts: e.Counts})
+	}
+	for zone, e := range s.zones.entries {
+		all = append(all, Source{
+			Name:    e.Name,
+			Zone:    zone,
+			Members: e.Members,
+			Age:     s.now - e.validAt,
+			Counts:  e.Counts,
+		})
+	}
+	slices.SortFunc(all, func(a, b Source) int {
+		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Name, b.Name))
+	})
+	return all
+}
--- /dev/null
+++ b/fleet/counter/update.go
@@ -0,0 +1,140 @@
+package counter
+
+import (
+	"maps"
+	"time"
+)
+
+// Key names what is counted apart.
+type Key struct {
+	Pool   string
+	Class  string
+	Tenant string
+}
+
+// overflowKey is where counts go beyond MaxKeys keys.
+var overflowKey = Key{Pool: "(other)"}
+
+// Counts are those of one key. All but InFlight only grow while a process lives.
+type Counts struct {
+	Arrivals uint64
+	Served   uint64
+	Refused  uint64
+	Failed   uint64
+	InFlight int64
+}
+
+// Bounds of counts that can be true.
+const (
+	maxCount    = 1 << 56
+	maxInFlight = 1 << 32
+	maxAgeMS    = 1e9
+)
+
+// merge takes newer counts of the same process in. Messages may overtake each other, so counts that only grow never
+// fall.
+func (c *Counts) merge(other Counts) {
+	c.Arrivals = max(c.Arrivals, other.Arrivals)
+	c.Served = max(c.Served, other.Served)
+	c.Refused = max(c.Refused, other.Refused)
+	c.Failed = max(c.Failed, other.Failed)
+	c.InFlight = other.InFlight
+}
+
+func (c *Counts) add(other Counts) {
+	c.Arrivals += other.Arrivals
+	c.Served += other.Served
+	c.Refused += other.Refused
+	c.Failed += other.Failed
+	c.InFlight += other.InFlight
+}
+
+func (c *Counts) valid() bool {
+	return c.Arrivals < maxCount && c.Served < maxCount && c.Refused < maxCount && c.Failed < maxCount &&
+		c.InFlight >= 0 && c.InFlight < maxInFlight
+}
+
+// Update is what one replica sends about itself, or about its zone.
+type Update struct {
+	Name    string // of the sender
+	Epoch   uint64 // of the sender's process
+	Version uint64 // grows with each update that the process sends
+	Zone    string // if set, Counts are sums over Members replicas of it
+	Members int
+	AgeMS   int64 // of the oldest counts in it, in milliseconds, when it was sent
+	Counts  map[Key]Counts
+}
+
+func (u *Update) age() time.Duration { return time.Duration(u.AgeMS) * time.Millisecond }
+
+func (u *Update) valid() bool {
+	if u.Name == "" || len(u.Counts) > MaxKeys+1 || u.AgeMS < 0 || u.AgeMS > maxAgeMS || u.Members < 0 {
+		return false
+	}
+	for _, counts := range u.Counts {
+		if !counts.valid() {
+			return false
+		}
+	}
+	return true
+}
+
+// addMember adds the counts of one replica to the sums of a zone.
+func (u *Update) addMember(counts map[Key]Counts) {
+	u.Members++
+	for key, c := range counts {
+		if _, known := u.Counts[key]; !known && len(u.Counts) >= MaxKeys {
+			key = overflowKey
+		}
+		sum := u.Counts[key]
+		sum.add(c)
+		u.Counts[key] = sum
+	}
+}
+
+// entry is the latest update of a replica or zone, and the counts before it, which tell the rate.
+type entry struct {
+	Update
+	validAt    time.Duration // when it was received, less its age
+	previous   map[Key]Counts
+	previousAt time.Duration
+}
+
+// supersededBy tells whether an update that was valid at a time replaces this one. Of two senders for a zone the one
+// with the younger counts holds.
+func (e *entry) supersededBy(update *Update, validAt time.Duration) bool {
+	switch {
+	case e.Name != update.Name:
+		return validAt > e.validAt
+	case e.Epoch != update.Epoch:
+		return update.Epoch > e.Epoch
+	default:
+		return update.Version > e.Version
+	}
+}
+
+func (e *entry) replace(update Update, validAt time.Duration) {
+	if e.Name == update.Name && e.Epoch == update.Epoch {
+		e.previous = e.Counts
+		e.previousAt = e.validAt
+		if update.Zone == "" {
+			update.Counts = mergeCounts(e.Counts, update.Counts)
+		}
+	} else {
+		e.previous = nil
+	}
+	e.Update = update
+	e.validAt = validAt
+}
+
+// mergeCounts returns the counts of one process from an older and a newer update.
+func mergeCounts(older, newer map[Key]Counts) map[Key]Counts {
+	merged := make(map[Key]Counts, len(newer))
+	maps.Copy(merged, older)
+	for key, counts := range newer {
+		sum := merged[key]
+		sum.merge(counts)
+		merged[key] = sum
+	}
+	return merged
+}
