--- /dev/null
+++ b/fleet/outlier/evaluate.go
@@ -0,0 +1,166 @@
+package outlier
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"ryerill/internal/seedrand"
+)
+
+// Parameters of verdicts.
+const (
+	// MaxEjectedFraction is the greatest fraction of a pool's endpoints that may be ejected by evidence of others.
+	MaxEjectedFraction = 0.3
+
+	maxReporterWeight = 2.0             // attempts that one reporter counts for at most: none decides alone
+	minTotalWeight    = 4.0             // attempts that all reporters must count for
+	minReporters      = 2               // whose evidence must be against the endpoint
+	minZones          = 2               // they must be in, or in the reader's own, if there are several
+	maxFaultyFraction = 0.34            // of a pool: a reporter to which more looks faulty is faulty itself
+	probeSlot         = 2 * time.Second // in which one replica of all may probe an ejected endpoint
+	minWeight         = 1e-9            // to divide by
+)
+
+// Verdict names an endpoint that is to be ejected.
+type Verdict struct {
+	Endpoint  uint64
+	Reporters []string // replicas with evidence against it, sorted
+	Zones     []string // of the reporters, sorted
+}
+
+// Evaluate returns the endpoints of a pool that are to be ejected, those with most evidence first. zones is the number
+// of zones with replicas. What replicas of one zone alone have seen counts in that zone only: a partition between zones
+// looks like faulty endpoints from one side.
+func (d *Detector) Evaluate(now time.Duration, endpoints []Endpoint, zones int) []Verdict {
+	d.advance(now)
+	d.expireReceived()
+	faulty := d.faultyByReporter(endpoints)
+	maxFaulty := max(maxFaultyFraction*float64(len(endpoints)), 1)
+	believed := func(reporter string) bool { return float64(faulty[reporter]) <= maxFaulty }
+
+	var candidates []assessment
+	for _, endpoint := range endpoints {
+		candidate := d.assess(endpoint, believed)
+		if candidate.isFaulty(d.zone, zones) {
+			candidates = append(candidates, candidate)
+		}
+	}
+	slices.SortStableFunc(candidates, func(a, b assessment) int { return cmp.Compare(b.weight, a.weight) })
+	maxEjected := int(MaxEjectedFraction * float64(len(endpoints)))
+	var verdicts []Verdict
+	for _, candidate := range candidates[:min(len(candidates), maxEjected)] {
+		verdicts = append(verdicts, candidate.Verdict)
+	}
+	return verdicts
+}
+
+// expireReceived drops evidence that is too old to count.
+func (d *Detector) expireReceived() {
+	for id, all := range d.received {
+		maps.DeleteFunc(all, func(_ string, r *report) bool { return d.now-r.validAt > maxEvidenceAge })
+		if len(all) == 0 {
+			delete(d.received, id)
+		}
+	}
+}
+
+// faultyByReporter counts the endpoints of a pool that look faulty to each reporter, this replica among them. One to
+// which much of the pool looks faulty tells of itself, or of what all endpoints share.
+func (d *Detector) faultyByReporter(endpoints []Endpoint) map[string]int {
+	startedAt := make(map[uint64]int64, len(endpoints))
+	for _, endpoint := range endpoints {
+		startedAt[endpoint.ID] = endpoint.StartedAt
+	}
+	faulty := map[string]int{}
+	for id, all := range d.received {
+		start, listed := startedAt[id]
+		if !listed {
+			continue
+		}
+		for reporter, report := range all {
+			if report.StartedAt == start && report.isAgainst(report.remainingAttempts(d.now)) {
+				faulty[reporter]++
+			}
+		}
+	}
+	for _, endpoint := range endpoints {
+		if d.localFaulty(endpoint) {
+			faulty[d.name]++
+		}
+	}
+	return faulty
+}
+
+// assessment sums up the evidence on one endpoint, weighted by attempts.
+type assessment struct {
+	Verdict
+	weight          float64
+	failureRate     float64 // sums of weighted rates
+	peerFailureRate float64
+	relativeLatency float64
+}
+
+// assess sums up the evidence on an endpoint of those reporters that are believed.
+func (d *Detector) assess(endpoint Endpoint, believed func(reporter string) bool) assessment {
+	sum := assessment{Verdict: Verdict{Endpoint: endpoint.ID}}
+	all := d.received[endpoint.ID]
+	for _, reporter := range slices.Sorted(maps.Keys(all)) {
+		report := all[reporter]
+		if report.StartedAt == endpoint.StartedAt && believed(reporter) {
+			sum.add(&report.Evidence, report.remainingAttempts(d.now))
+		}
+	}
+	local := d.local[endpoint.ID]
+	if local != nil && local.startedAt == endpoint.StartedAt && believed(d.name) {
+		evidence := local.evidence()
+		evidence.Reporter = d.name
+		evidence.Zone = d.zone
+		sum.add(&evidence, local.remainingAttempts(d.now))
+	}
+	slices.Sort(sum.Reporters)
+	slices.Sort(sum.Zones)
+	return sum
+}
+
+// add adds evidence that still counts for a number of attempts.
+func (a *assessment) add(evidence *Evidence, attempts float64) {
+	if attempts <= 0 || evidence.Attempts <= 0 {
+		return
+	}
+	weight := min(attempts, maxReporterWeight)
+	a.weight += weight
+	a.failureRate += weight * (evidence.Errors + evidence.Timeouts) / evidence.Attempts
+	a.peerFailureRate += weight * evidence.PeerErrorRate
+	a.relativeLatency += weight * evidence.RelativeLatency
+	if !evidence.isAgainst(max(attempts, minAttempts)) {
+		return
+	}
+	a.Reporters = append(a.Reporters, evidence.Reporter)
+	if !slices.Contains(a.Zones, evidence.Zone) {
+		a.Zones = append(a.Zones, evidence.Zone)
+	}
+}
+
+// isFaulty tells whether the evidence is enough for a reader in a zone, one of a number of zones.
+func (a *assessment) isFaulty(readerZone string, zones int) bool {
+	if a.weight < minTotalWeight || len(a.Reporters) < minReporters {
+		return false
+	}
+	seenInReaderZone := len(a.Zones) == 1 && a.Zones[0] == readerZone
+	if zones >= minZones && len(a.Zones) < minZones && !seenInReaderZone {
+		return false
+	}
+	divisor := max(a.weight, minWeight)
+	return exceedsThresholds(a.failureRate/divisor, a.peerFailureRate/divisor, a.relativeLatency/divisor)
+}
+
+// ShouldProbe tells whether this replica, of an index among a number of replicas, may probe an ejected endpoint now.
+// One replica at a time does, so that the probes of all are as many as one replica's. clock is a time that all
+// replicas have about alike; a difference costs a probe.
+func ShouldProbe(endpoint uint64, clock time.Duration, index, replicaCount int) bool {
+	slot := uint64(clock / probeSlot)
+	chosen := seedrand.Mix(endpoint^seedrand.Mix(slot)) % uint64(max(replicaCount, 1))
+	return int(chosen) == index
+}
