--- /dev/null
+++ b/fleet/statesync/syncer.go
@@ -0,0 +1,298 @@
+// Package statesync spreads what replicas share (messages about quotas, counters and evidence on endpoints) by
+// anti-entropy within a budget of bytes: new and urgent items go first, and differences rather than whole tables. It is
+// pure: an event and its time go in, packets for the host to send come out.
+package statesync
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"ryerill/fleet/counter"
+	"ryerill/fleet/outlier"
+	"ryerill/fleet/quota"
+	"ryerill/internal/seedrand"
+)
+
+const (
+	// Interval is the time between ticks.
+	Interval = 200 * time.Millisecond
+	// DefaultBytesPerSecond is what a replica sends at most on average, if its configuration doesn't say.
+	DefaultBytesPerSecond = 1500
+
+	fanout             = 3 // peers that are sent queued items at each tick
+	evidenceInterval   = 200 * time.Millisecond
+	minCounterInterval = time.Second
+	zoneSumInterval    = 2 * time.Second
+	counterFraction    = 0.5 // of the byte budget is for counters, which would take all of it in a large fleet
+)
+
+// Config says what a replica shares, and as whom.
+type Config struct {
+	Name           string
+	Zone           string
+	Epoch          uint64 // of this process
+	Seed           uint64 // of the random choice of peers
+	LostState      bool   // this replica restarted and doesn't know what quota it had lent
+	Quotas         bool   // share quotas,
+	Counters       bool   // counters
+	Evidence       bool   // and evidence on endpoints
+	BytesPerSecond int    // 0 is DefaultBytesPerSecond
+}
+
+// Peer is another replica that is alive.
+type Peer struct {
+	Name string
+	Zone string
+}
+
+// Outgoing is an encoded packet for a peer.
+type Outgoing struct {
+	To      string
+	Payload []byte
+}
+
+// Stats count packets since the start.
+type Stats struct {
+	PacketsIn  uint64 `json:"PacketsIn"`
+	PacketsOut uint64 `json:"PacketsOut"`
+	BytesIn    uint64 `json:"BytesIn"`
+	BytesOut   uint64 `json:"BytesOut"`
+	Invalid    uint64 `json:"Bad"`    // packets that couldn't be decoded
+	Unsent     uint64 `json:"Unsent"` // packets that couldn't be encoded
+}
+
+// Syncer is one replica's side. It is not safe for concurrent use.
+type Syncer struct {
+	// Quotas, Counters and Outliers hold the shared state. The host may use them between calls.
+	Quotas   *quota.Manager
+	Counters *counter.Set
+	Outliers *outlier.Detector
+	// Stats count packets.
+	Stats Stats
+
+	config Config
+	random seedrand.Source
+	decode cbor.DecMode
+	now    time.Duration
+	peers  []Peer
+	queue  queue
+	budget byteBudget
+
+	nextCountersAt time.Duration
+	nextZoneSumAt  time.Duration
+	nextEvidenceAt time.Duration
+}
+
+// New returns a replica's side.
+func New(config Config, now time.Duration) (*Syncer, error) {
+	if config.BytesPerSecond <= 0 {
+		config.BytesPerSecond = DefaultBytesPerSecond
+	}
+	decode, err := newDecoder()
+	if err != nil {
+		return nil, err
+	}
+	return &Syncer{
+		Quotas:   quota.New(config.Name, config.Epoch, config.Seed, config.LostState, now),
+		Counters: counter.New(config.Name, config.Zone, config.Epoch),
+		Outliers: outlier.New(config.Name, config.Zone, config.Epoch),
+		config:   config,
+		random:   seedrand.Source(config.Seed),
+		decode:   decode,
+		now:      now,
+		budget:   byteBudget{perSecond: float64(config.BytesPerSecond), updatedAt: now},
+	}, nil
+}
+
+// Tick returns the packets that are due to peers. Messages about quotas go to those that they are for, queued items to
+// some peers chosen at random.
+func (s *Syncer) Tick(now time.Duration, peers []Peer) []Outgoing {
+	s.advance(now)
+	s.peers = peers
+	s.budget.refill(s.now)
+	quotaPackets := s.quotaPackets()
+	s.queueCounters()
+	s.queueEvidence()
+
+	var out []Outgoing
+	for _, to := range slices.Sorted(maps.Keys(quotaPackets)) {
+		out = s.send(out, to, quotaPackets[to])
+	}
+	for range min(fanout, len(peers)) {
+		if s.queue.empty() || s.budget.exhausted() {
+			break
+		}
+		peer := peers[s.random.Uint64()%uint64(len(peers))]
+		if packet := s.queue.pack(s.now, s.config.Zone, peer, len(peers)); packet != nil {
+			out = s.send(out, peer.Name, packet)
+		}
+	}
+	return out
+}
+
+// Receive takes a packet from a peer in and returns the answers.
+func (s *Syncer) Receive(now time.Duration, from string, payload []byte) []Outgoing {
+	s.advance(now)
+	s.Stats.PacketsIn++
+	s.Stats.BytesIn += uint64(len(payload))
+	var packet Packet
+	if err := s.decode.Unmarshal(payload, &packet); err != nil {
+		s.Stats.Invalid++
+		return nil
+	}
+	var out []Outgoing
+	if s.config.Quotas {
+		out = s.receiveQuotas(from, packet.Quotas)
+	}
+	if s.config.Counters {
+		for i := range packet.Counters {
+			s.receiveCounters(&packet.Counters[i])
+		}
+	}
+	if s.config.Evidence {
+		for i := range packet.Evidence {
+			s.receiveEvidence(&packet.Evidence[i])
+		}
+	}
+	return out
+}
+
+// ExpireReplica drops what a replica counted in epochs up to the one given, and its evidence: it left, or restarted.
+func (s *Syncer) ExpireReplica(name string, epoch uint64) {
+	s.Counters.Expire(name, epoch)
+	s.Outliers.ForgetReporter(name)
+	s.queue.dropCounters(name, epoch)
+}
+
+func (s *Syncer) advance(now time.Duration) { s.now = max(s.now, now) }
+
+// quotaPackets returns the messages about quotas that are due, by receiver.
+func (s *Syncer) quotaPackets() map[string]*Packet {
+	packets := map[string]*Packet{}
+	if !s.config.Quotas {
+		return packets
+	}
+	for _, action := range s.Quotas.Tick(s.now, nil) {
+		packet := packets[action.To]
+		if packet == nil {
+			packet = &Packet{}
+			packets[action.To] = packet
+		}
+		packet.Quotas = append(packet.Quotas, action.Message)
+	}
+	return packets
+}
+
+// queueCounters queues this replica's counters, and the sums of its zone if it is the sender for it. In a larger zone
+// the counters go less often: those of all its replicas share the budget.
+func (s *Syncer) queueCounters() {
+	if !s.config.Counters {
+		return
+	}
+	var zonePeers []string
+	sendsForZone := true
+	for _, peer := range s.peers {
+		if peer.Zone == s.config.Zone {
+			zonePeers = append(zonePeers, peer.Name)
+			sendsForZone = sendsForZone && s.config.Name < peer.Name
+		}
+	}
+	if s.now >= s.nextCountersAt {
+		item := newCounterItem(s.now, s.Counters.LocalUpdate(s.now))
+		bytesPerSecond := counterFraction * float64(s.config.BytesPerSecond)
+		interval := time.Duration(float64(len(zonePeers)*item.size) / bytesPerSecond * float64(time.Second))
+		s.nextCountersAt = s.now + max(interval, minCounterInterval)
+		s.queue.put(item)
+	}
+	otherZones := len(zonePeers) < len(s.peers)
+	if sendsForZone && otherZones && s.now >= s.nextZoneSumAt {
+		s.nextZoneSumAt = s.now + zoneSumInterval
+		s.queue.put(newCounterItem(s.now, s.Counters.ZoneUpdate(s.now, zonePeers)))
+	}
+}
+
+func (s *Syncer) queueEvidence() {
+	if !s.config.Evidence || s.now < s.nextEvidenceAt {
+		return
+	}
+	s.nextEvidenceAt = s.now + evidenceInterval
+	for _, evidence := range s.Outliers.PendingEvidence(s.now) {
+		s.queue.put(newEvidenceItem(s.now, evidence))
+	}
+}
+
+// receiveQuotas takes messages about quotas in and returns the answers to their sender.
+func (s *Syncer) receiveQuotas(from string, messages []quota.Message) []Outgoing {
+	var answer Packet
+	for _, message := range messages {
+		for _, action := range s.Quotas.Handle(s.now, from, message, nil) {
+			if action.To == from {
+				answer.Quotas = append(answer.Quotas, action.Message)
+			}
+		}
+	}
+	if len(answer.Quotas) == 0 {
+		return nil
+	}
+	return s.send(nil, from, &answer)
+}
+
+// receiveCounters takes counters in, and queues them for others if they are new.
+func (s *Syncer) receiveCounters(received *aged[wireCounters]) {
+	update := received.Item.update(received.AgeMS)
+	if s.Counters.Merge(s.now, update) {
+		item := newCounterItem(s.now, update)
+		item.sent = 1 // by its sender
+		s.queue.put(item)
+	}
+}
+
+// receiveEvidence takes evidence in, and queues it for others if it is new and few reporters are known.
+func (s *Syncer) receiveEvidence(received *aged[outlier.Evidence]) {
+	evidence := received.Item
+	age := received.age()
+	if !s.Outliers.Merge(s.now, evidence, age) {
+		return
+	}
+	if s.Outliers.ReporterCount(evidence.Endpoint) > outlier.MaxForwardedReporters {
+		return
+	}
+	item := newEvidenceItem(s.now-age, evidence)
+	item.sent = 1 // by its sender
+	s.queue.put(item)
+}
+
+// send encodes a packet and appends it to out.
+func (s *Syncer) send(out []Outgoing, to string, packet *Packet) []Outgoing {
+	payload, err := cbor.Marshal(packet)
+	if err != nil {
+		s.Stats.Unsent++
+		return out
+	}
+	s.budget.spend(len(payload))
+	s.Stats.PacketsOut++
+	s.Stats.BytesOut += uint64(len(payload))
+	return append(out, Outgoing{To: to, Payload: payload})
+}
+
+// byteBudget limits the bytes sent on average. What is urgent is sent in any case and paid later.
+type byteBudget struct {
+	perSecond float64
+	available float64
+	updatedAt time.Duration
+}
+
+const budgetBurstSeconds = 4 // that unused budget accumulates for
+
+func (b *byteBudget) refill(now time.Duration) {
+	b.available += b.perSecond * (now - b.updatedAt).Seconds()
+	b.available = min(b.available, budgetBurstSeconds*b.perSecond)
+	b.updatedAt = now
+}
+
+func (b *byteBudget) spend(bytes int) { b.available -= float64(bytes) }
+
+func (b *byteBudget) exhausted() bool { return b.available <= 0 }
--- a/fleet/statesync/share_test.go
+++ b/fleet/statesync/syncer_test.go
@@ -14,24 +14,24 @@
 	"ryerill/fleet/quota"
 )
 
-// crowd is a number of copies that hear each other, with a part of the packets lost.
-type crowd struct {
-	all   []*Syncer
-	peers [][]Peer
-	now   time.Duration
-	rng   *rand.Rand
-	loss  float64
+// cluster is a number of replicas that send each other packets, a fraction of which is lost.
+type cluster struct {
+	syncers []*Syncer
+	peers   [][]Peer
+	now     time.Duration
+	rng     *rand.Rand
+	loss    float64
 }
 
-func newCrowd(t testing.TB, n, zones int, budget int) *crowd {
+func newCluster(t testing.TB, n, zones int, budget int) *cluster {
 	t.Helper()
-	c := &crowd{rng: rand.New(rand.NewPCG(1, uint64(n)))}
+	c := &cluster{rng: rand.New(rand.NewPCG(1, uint64(n)))}
 	for i := range n {
 		s, err := New(Config{Name: fmt.Sprintf("c%04d", i), Zone: fmt.Sprint("z", i%zones), Epoch: 1, Seed: uint64(i), Quotas: true, Counters: true, Evidence: true, BytesPerSecond: budget}, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.all = append(c.all, s)
+		c.syncers = append(c.syncers, s)
 	}
 	for i := range n {
 		var peers []Peer
@@ -45,33 +45,32 @@
 	return c
 }
 
-func (c *crowd) deliver(from int, out []Outgoing) {
+func (c *cluster) deliver(from int, out []Outgoing) {
 	for _, o := range out {
 		var to int
 		if fmt.Sscanf(o.To, "c%d", &to); c.rng.Float64() >= c.loss {
-			c.deliver(to, c.all[to].Receive(c.now, fmt.Sprintf("c%04d", from), o.Payload))
+			c.deliver(to, c.syncers[to].Receive(c.now, fmt.Sprintf("c%04d", from), o.Payload))
 		}
 	}
 }
 
-// play plays a time; each is done by every copy at each look.
-func (c *crowd) play(d time.Duration, each func(i int, s *Syncer)) {
+// play runs for a time; each is called for every replica before each tick.
+func (c *cluster) play(d time.Duration, each func(i int, s *Syncer)) {
 	for end := c.now + d; c.now < end; c.now += Interval {
-		for i, s := range c.all {
+		for i, s := range c.syncers {
 			each(i, s)
 			c.deliver(i, s.Tick(c.now, c.peers[i]))
 		}
 	}
 }
 
-// What one copy counts and what several see reaches all, a fifth of the packets lost,
-// within the budget of bytes, at any size. Of a large zone a few counts take longer: the
-// value says of how many copies it is.
-func TestNewsReachesAllWithinItsBytes(t *testing.T) {
+// What one replica counts and what several see reaches all, with a fifth of the packets lost, within the byte budget,
+// at any fleet size. Some counts of a large zone take longer: the value says how many replicas it covers.
+func TestUpdatesReachAllWithinTheByteBudget(t *testing.T) {
 	for _, n := range []int{3, 30, 120} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
-			c := newCrowd(t, n, 3, 0)
+			c := newCluster(t, n, 3, 0)
 			c.loss = 0.2
 			bad := outlier.Endpoint{ID: 77, StartedAt: 5}
 			key := counter.Key{Pool: "main", Class: "read"}
@@ -85,24 +84,24 @@
 					s.Outliers.RecordOutcome(c.now, bad, outlier.TimedOut, 0)
 				}
 			})
-			for i, s := range c.all {
-				if voices := s.Outliers.ReporterCount(bad.ID); voices < 2 {
-					t.Errorf("copy %d of %d has heard %d on a server that three see hang", i, n, voices)
+			for i, s := range c.syncers {
+				if reporters := s.Outliers.ReporterCount(bad.ID); reporters < 2 {
+					t.Errorf("replica %d of %d has evidence of %d on an endpoint that three see hang", i, n, reporters)
 				}
 				if v := s.Counters.Sum(c.now, nil, func(c counter.Counts) float64 { return float64(c.Arrivals) }); v.Estimate < float64(95*n) || v.Estimate != float64(100*v.Replicas) {
-					t.Errorf("copy %d of %d counts %v arrivals of %d, of %d copies", i, n, v.Estimate, 100*n, v.Replicas)
+					t.Errorf("replica %d of %d counts %v arrivals of %d, of %d replicas", i, n, v.Estimate, 100*n, v.Replicas)
 				}
-				if rate := float64(s.Stats.BytesOut) / span.Seconds(); rate > 1.1*DefaultBudget {
-					t.Errorf("copy %d of %d sends %.0f bytes a second", i, n, rate)
+				if rate := float64(s.Stats.BytesOut) / span.Seconds(); rate > 1.1*DefaultBytesPerSecond {
+					t.Errorf("replica %d of %d sends %.0f bytes a second", i, n, rate)
 				}
 			}
 		})
 	}
 }
 
-// What a thousand members say of ten thousand servers is held within a bound.
+// What a thousand replicas report on ten thousand endpoints is kept within a bound.
 func TestMemoryIsBounded(t *testing.T) {
-	const members, servers, most = 1000, 10_000, 96 << 20
+	const members, endpoints, maxHeld = 1000, 10_000, 96 << 20
 	heap := func() uint64 {
 		var m runtime.MemStats
 		runtime.GC()
@@ -114,11 +113,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var budgets []quota.Limit
+	var limits []quota.Limit
 	for i := range 16 {
-		budgets = append(budgets, quota.Limit{Name: fmt.Sprint("pool/", i), Total: 1000})
+		limits = append(limits, quota.Limit{Name: fmt.Sprint("pool/", i), Total: 1000})
 	}
-	s.Quotas.SetLimits(0, budgets)
+	s.Quotas.SetLimits(0, limits)
 	for i := range members {
 		item := counter.Update{Name: fmt.Sprintf("c%04d", i), Epoch: 1, Version: 1, Counts: map[counter.Key]counter.Counts{}}
 		for k := range 20 {
@@ -126,23 +125,23 @@
 		}
 		s.Counters.Merge(0, item)
 	}
-	for server := range uint64(servers) {
-		s.Outliers.RecordOutcome(0, outlier.Endpoint{ID: server, StartedAt: 1}, outlier.Failed, 1)
-		for voice := range 10 {
-			s.Outliers.Merge(0, outlier.Evidence{Reporter: fmt.Sprintf("c%04d", (int(server)*7+voice)%members), Epoch: 1, Version: 1, Zone: "z1", Endpoint: server, StartedAt: 1, Attempts: 3, Errors: 3}, 0)
+	for endpoint := range uint64(endpoints) {
+		s.Outliers.RecordOutcome(0, outlier.Endpoint{ID: endpoint, StartedAt: 1}, outlier.Failed, 1)
+		for reporter := range 10 {
+			s.Outliers.Merge(0, outlier.Evidence{Reporter: fmt.Sprintf("c%04d", (int(endpoint)*7+reporter)%members), Epoch: 1, Version: 1, Zone: "z1", Endpoint: endpoint, StartedAt: 1, Attempts: 3, Errors: 3}, 0)
 		}
 	}
 	held := heap() - before
-	t.Logf("%d members, %d servers with 10 voices each: %.1f MB", members, servers, float64(held)/(1<<20))
-	if held > most {
+	t.Logf("%d replicas, %d endpoints with 10 reporters each: %.1f MB", members, endpoints, float64(held)/(1<<20))
+	if held > maxHeld {
 		t.Errorf("%d bytes are held", held)
 	}
 	runtime.KeepAlive(s)
 }
 
-// A packet of a later program is read as far as it is known; what is torn is counted.
-func TestStrangePacketsBreakNothing(t *testing.T) {
-	c := newCrowd(t, 2, 1, 0)
+// A packet of a later program is read as far as it is known; truncated ones are counted as invalid.
+func TestUnknownAndTruncatedPackets(t *testing.T) {
+	c := newCluster(t, 2, 1, 0)
 	c.play(3*time.Second, func(_ int, s *Syncer) {
 		s.Counters.Record(c.now, counter.Key{Pool: "main"}, counter.Counts{Arrivals: 7})
 	})
@@ -150,9 +149,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := c.all[0]
+	s := c.syncers[0]
 	if s.Receive(c.now, "c0001", text); s.Stats.Invalid != 0 {
-		t.Error("a later program's packet is taken for torn")
+		t.Error("a later program's packet counts as invalid")
 	}
 	if v := s.Counters.Sum(c.now, nil, func(c counter.Counts) float64 { return float64(c.Arrivals) }); v.Estimate != 16 {
 		t.Errorf("%v arrivals, want 16", v.Estimate)
@@ -161,11 +160,11 @@
 		s.Receive(c.now, "c0001", text[:i])
 	}
 	if s.Stats.Invalid < uint64(len(text))-2 {
-		t.Errorf("%d of %d torn packets are counted", s.Stats.Invalid, len(text))
+		t.Errorf("%d of %d truncated packets are counted", s.Stats.Invalid, len(text))
 	}
 }
 
-func FuzzHear(f *testing.F) {
+func FuzzReceive(f *testing.F) {
 	s, err := New(Config{Name: "a", Zone: "z", Epoch: 1, Quotas: true, Counters: true, Evidence: true}, 0)
 	if err != nil {
 		f.Fatal(err)
