--- /dev/null
+++ b/fleet/rollout/application.go
@@ -0,0 +1,109 @@
+package rollout
+
+import "time"
+
+// settleTime is how long after its start a replica is certain to know which others are alive.
+const settleTime = 5 * time.Second
+
+// order is what a replica was ordered to change to.
+type order struct {
+	plan   string
+	target string // empty for the version before the plan
+}
+
+// application is how this replica carries out orders.
+type application struct {
+	latest    order // zero if there was none
+	completed bool  // this replica has since reached the ordered version
+}
+
+// handleOrder carries out an order of the leader.
+func (p *Participant) handleOrder(message *Message) {
+	if !p.election.acceptsOrder(message, p.env.now) {
+		return
+	}
+	p.election.highestToken = message.FencingToken
+	if p.state.Plan.ID != message.Plan {
+		return // its plan isn't known here yet: the order will be repeated
+	}
+	p.apply(message.Target, message.RollBack)
+}
+
+// apply has this replica change as the plan orders: once for each order, and once more if it had reached the
+// ordered version and an operator has since changed it by hand.
+func (p *Participant) apply(target string, rollBack bool) {
+	plan := &p.state.Plan
+	ordered := order{plan: plan.ID, target: target}
+	changedByHand := p.application.completed && !p.holdsOrdered()
+	if p.application.latest == ordered && !changedByHand {
+		return
+	}
+	p.application = application{latest: ordered}
+	p.env.actions = append(p.env.actions, Action{
+		Kind:     Apply,
+		Plan:     plan.ID,
+		Target:   target,
+		RollBack: rollBack,
+		Settings: plan.Settings,
+	})
+}
+
+// holdsOrdered tells whether this replica has the version that it was last ordered to change to.
+func (p *Participant) holdsOrdered() bool {
+	self := p.env.replicas.find(p.env.name)
+	latest := p.application.latest
+	if self == nil || latest == (order{}) || latest.plan != p.state.Plan.ID {
+		return false
+	}
+	if latest.target == "" {
+		return self.Version != p.state.Plan.Target
+	}
+	return self.Version == latest.target
+}
+
+// conform has a replica that was away change to the outcome of the plan. As many may be back at once, they take turns
+// by name, with no more unavailable than the plan allows.
+func (p *Participant) conform() {
+	state := &p.state
+	self := p.env.replicas.find(p.env.name)
+	if self == nil || state.Plan.ID == "" || self.RefusedReason != "" || !state.isOutdated(self) {
+		return
+	}
+	if !p.env.replicas.hasQuorum() || p.env.now-p.startedAt < settleTime {
+		return
+	}
+	switch {
+	case p.unavailableBeforeSelf() >= state.Plan.MaxUnavailable:
+	case state.Phase == Done:
+		p.apply(state.Plan.Target, false)
+	default:
+		p.apply("", true)
+	}
+}
+
+// unavailableBeforeSelf counts the peers that aren't ready, and those that are to conform before this replica.
+func (p *Participant) unavailableBeforeSelf() int {
+	count := 0
+	for i := range p.env.replicas {
+		peer := &p.env.replicas[i]
+		if !peer.Alive || peer.RefusedReason != "" || peer.Name == p.env.name {
+			continue
+		}
+		if !peer.Ready || peer.Name < p.env.name && p.state.isOutdated(peer) {
+			count++
+		}
+	}
+	return count
+}
+
+// isOutdated tells whether a replica doesn't have the version that the plan ended with.
+func (s *State) isOutdated(replica *Replica) bool {
+	switch s.Phase {
+	case Done:
+		return s.Plan.Kind == Settings && replica.Version != s.Plan.Target
+	case RolledBack:
+		return replica.Version == s.Plan.Target
+	default:
+		return false
+	}
+}
--- /dev/null
+++ b/fleet/rollout/evaluator.go
@@ -0,0 +1,242 @@
+package rollout
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+const (
+	maxPoints              = 600
+	maxHighMemoryIntervals = 5  // in a row: what a change allocates at its start is released
+	minMemoryExcess        = 16 // MB: less doesn't matter
+)
+
+// Assessment is what is known about a stage.
+type Assessment uint8
+
+// The assessments.
+const (
+	Undecided Assessment = iota
+	Passed
+	Regressed
+)
+
+// Point is what one interval came to, over all zones, for tables and charts.
+type Point struct {
+	Interval         uint64  `json:"Span"`
+	BaselineGoodput  float64 `json:"Old"` // of unchanged replicas
+	ChangedGoodput   float64 `json:"Changed"`
+	BaselineLatency  float64 `json:"OldTook"` // mean, in seconds
+	ChangedLatency   float64 `json:"Took"`
+	BaselineAttempts float64 `json:"OldTries"` // for each request
+	ChangedAttempts  float64 `json:"Tries"`
+	BaselineMemory   float64 `json:"OldMemory"` // MB, the largest
+	ChangedMemory    float64 `json:"Memory"`
+	Evidence         float64 `json:"Evidence"` // of lower goodput, as a log of likelihood
+	UpperBound       float64 `json:"Up"`       // of Evidence, from which the stage has regressed
+	LowerBound       float64 `json:"Down"`     // of Evidence, from which it has passed
+}
+
+// Evaluator compares replicas that were changed with the others, over the same interval, zone and pool. It is a
+// sequential probability ratio test (Wald, 1945) of no cost against the cost that the guardrails name.
+type Evaluator struct {
+	guardrails Guardrails
+	changed    map[string]bool
+	baseline   *Baseline // nil if there is none
+
+	open           map[cell]*comparison
+	newestInterval uint64
+	latestReports  map[reporterPool]uint64 // interval of the latest report
+
+	goodput             float64 // evidence before uncertainty
+	uncertainty         float64 // variance of differences in the baseline, against that of the comparisons
+	latency             float64 // evidence
+	attempts            float64 // evidence
+	highMemoryIntervals int     // in a row
+	comparedIntervals   int
+	points              []Point
+}
+
+// reporterPool is what a replica reports on.
+type reporterPool struct {
+	replica string
+	pool    string
+}
+
+// NewEvaluator returns one for replicas that were changed. baseline tells how they differed before; nil if it isn't
+// known.
+func NewEvaluator(guardrails Guardrails, changed []string, baseline *Baseline) *Evaluator {
+	guardrails.complete()
+	evaluator := &Evaluator{
+		guardrails:    guardrails,
+		baseline:      baseline,
+		changed:       map[string]bool{},
+		open:          map[cell]*comparison{},
+		latestReports: map[reporterPool]uint64{},
+	}
+	for _, name := range changed {
+		evaluator.changed[name] = true
+	}
+	return evaluator
+}
+
+// AddReport takes a report of any replica in. Invalid, late and repeated ones are ignored.
+func (e *Evaluator) AddReport(_ time.Duration, report Report) {
+	if !report.valid() || report.Interval+closingDelay < e.newestInterval || len(e.open) >= maxOpenCells {
+		return
+	}
+	reporter := reporterPool{replica: report.Name, pool: report.Pool}
+	if e.latestReports[reporter] >= report.Interval {
+		return
+	}
+	e.latestReports[reporter] = report.Interval
+	key := report.cell()
+	if e.open[key] == nil {
+		e.open[key] = &comparison{}
+	}
+	side := &e.open[key].baseline
+	if e.changed[report.Name] {
+		side = &e.open[key].changed
+	}
+	difference, variance := e.baseline.Difference(report.Name)
+	side.add(&report, difference, variance)
+	if report.Interval > e.newestInterval {
+		e.newestInterval = report.Interval
+		e.closeIntervals()
+	}
+}
+
+// Assess tells what is known, and why.
+func (e *Evaluator) Assess(time.Duration) (Assessment, string) {
+	upper, lower := e.guardrails.bounds()
+	goodput := e.evidence()
+	switch {
+	case goodput >= upper:
+		return Regressed, fmt.Sprintf("goodput is lower than that of unchanged copies by %.3g or so "+
+			"(evidence %.1f of %.1f)", e.guardrails.Goodput, goodput, upper)
+	case e.latency >= upper:
+		return Regressed, fmt.Sprintf("answers are slower than those of unchanged copies by %.0f%% or so "+
+			"(evidence %.1f of %.1f)", 100*e.guardrails.Latency, e.latency, upper)
+	case e.attempts >= upper:
+		return Regressed, fmt.Sprintf("requests take more calls to providers than at unchanged copies, "+
+			"by %.0f%% or so (evidence %.1f of %.1f)", 100*e.guardrails.Attempts, e.attempts, upper)
+	case e.highMemoryIntervals >= maxHighMemoryIntervals:
+		return Regressed, fmt.Sprintf("copies hold more memory than any unchanged one, by over %.0f%%, for %d spans",
+			100*e.guardrails.Memory, e.highMemoryIntervals)
+	case goodput <= lower:
+		return Passed, fmt.Sprintf("no lower goodput over %d spans (evidence %.1f of %.1f)",
+			e.comparedIntervals, goodput, lower)
+	}
+	return Undecided, fmt.Sprintf("evidence %.1f, between %.1f and %.1f, over %d spans",
+		goodput, lower, upper, e.comparedIntervals)
+}
+
+// evidence is the log of how much more likely the loss of goodput is than none. However long it is observed, how
+// replicas differed before is known only so well.
+func (e *Evaluator) evidence() float64 { return e.goodput / (1 + e.uncertainty) }
+
+// closeIntervals compares the intervals that are over: in each zone that has both changed and unchanged replicas, or,
+// if no zone of a pool has, over all zones.
+func (e *Evaluator) closeIntervals() {
+	compared := map[uint64]bool{}
+	totals := map[cell]*comparison{} // over all zones
+	zonesCompared := map[cell]bool{} // by cell of totals
+	for _, key := range sortedCells(e.open) {
+		zone := e.open[key]
+		if key.interval+closingDelay > e.newestInterval {
+			continue
+		}
+		delete(e.open, key)
+		allZones := cell{pool: key.pool, interval: key.interval}
+		if totals[allZones] == nil {
+			totals[allZones] = &comparison{}
+		}
+		totals[allZones].baseline.join(&zone.baseline)
+		totals[allZones].changed.join(&zone.changed)
+		if zone.isMeaningful() {
+			zonesCompared[allZones] = true
+			compared[key.interval] = true
+			e.compare(zone)
+		}
+	}
+	for _, key := range sortedCells(totals) {
+		total := totals[key]
+		e.compareMemory(total)
+		e.addPoint(key.interval, total)
+		if !zonesCompared[key] && total.isMeaningful() {
+			compared[key.interval] = true
+			e.compare(total)
+		}
+	}
+	e.comparedIntervals += len(compared)
+}
+
+// compare adds the evidence of one comparison.
+func (e *Evaluator) compare(c *comparison) {
+	evidence, uncertainty := c.goodputEvidence(e.guardrails.Goodput)
+	counted := clampEvidence(evidence)
+	e.goodput += counted
+	if evidence != 0 {
+		e.uncertainty += uncertainty * counted / evidence // as much of it as counts
+	}
+	latency := growthEvidence(c.baseline.latency(), c.changed.latency(), e.guardrails.Latency)
+	e.latency += clampEvidence(latency)
+	attempts := growthEvidence(c.baseline.attemptRate(), c.changed.attemptRate(), e.guardrails.Attempts)
+	e.attempts += clampEvidence(attempts)
+}
+
+// compareMemory counts the intervals in a row in which the median memory of changed replicas exceeds that of any
+// unchanged one.
+func (e *Evaluator) compareMemory(c *comparison) {
+	if len(c.baseline.memory) == 0 || len(c.changed.memory) == 0 {
+		return
+	}
+	slices.Sort(c.changed.memory)
+	median := c.changed.memory[(len(c.changed.memory)-1)/2]
+	baseline := slices.Max(c.baseline.memory)
+	if median > baseline*(1+e.guardrails.Memory) && median > baseline+minMemoryExcess {
+		e.highMemoryIntervals++
+	} else {
+		e.highMemoryIntervals = 0
+	}
+}
+
+// addPoint records what an interval came to, for the first pool by name that has both changed and unchanged replicas.
+func (e *Evaluator) addPoint(interval uint64, c *comparison) {
+	baseline := &c.baseline
+	changed := &c.changed
+	if baseline.offered <= 0 || changed.offered <= 0 {
+		return
+	}
+	if count := len(e.points); count > 0 && e.points[count-1].Interval == interval {
+		return
+	}
+	upper, lower := e.guardrails.bounds()
+	e.points = append(e.points, Point{
+		Interval:         interval,
+		BaselineGoodput:  quotient(baseline.served, baseline.offered),
+		ChangedGoodput:   quotient(changed.served, changed.offered),
+		BaselineLatency:  quotient(baseline.responseSeconds, baseline.responses),
+		ChangedLatency:   quotient(changed.responseSeconds, changed.responses),
+		BaselineAttempts: quotient(baseline.attempts, baseline.requests),
+		ChangedAttempts:  quotient(changed.attempts, changed.requests),
+		BaselineMemory:   largest(baseline.memory),
+		ChangedMemory:    largest(changed.memory),
+		Evidence:         e.evidence(),
+		UpperBound:       upper,
+		LowerBound:       lower,
+	})
+	if len(e.points) > maxPoints {
+		e.points = e.points[1:]
+	}
+}
+
+// largest is 0 if there are no values.
+func largest(values []float64) float64 {
+	result := 0.0
+	for _, value := range values {
+		result = max(result, value)
+	}
+	return result
+}
--- a/fleet/rollout/judge_test.go
+++ b/fleet/rollout/evaluator_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// What changed copies cost beside goodput is found within a soak, and what lay so before
-// is not: a table of what two of twelve copies report, before and after they were changed.
-func TestJudgeSpeaksForAReason(t *testing.T) {
+// What changed replicas cost is detected within an observation, and differences that were there earlier are not: a
+// table of what two of twelve replicas report, earlier and since they were changed.
+func TestEvaluatorFindsRegressions(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		change  func(r *Report, changed bool)
@@ -19,7 +19,7 @@
 		why     string
 	}{
 		{"nothing", func(*Report, bool) {}, Passed, "no lower goodput"},
-		{"more calls for each request", func(r *Report, changed bool) {
+		{"more attempts for each request", func(r *Report, changed bool) {
 			if changed {
 				r.Attempts *= 1.6
 			}
@@ -49,12 +49,12 @@
 				r.ServedWeight *= 0.9
 			}
 		}, Regressed, "goodput is lower"},
-		{"goodput that was as low before", func(r *Report, _ bool) {
+		{"goodput that was as low earlier", func(r *Report, _ bool) {
 			if r.Name == "c00" || r.Name == "c05" {
 				r.ServedWeight *= 0.85
 			}
 		}, Passed, ""},
-		{"figures that can't be true", func(r *Report, changed bool) {
+		{"invalid reports", func(r *Report, changed bool) {
 			if changed {
 				r.ServedWeight = -1
 			}
@@ -62,54 +62,54 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(1, 2))
-			before := NewBaseline()
-			j := (*Evaluator)(nil)
+			baseline := NewBaseline()
+			evaluator := (*Evaluator)(nil)
 			for span := uint64(1); span < 100; span++ {
 				if span == 40 {
-					j = NewEvaluator(Guardrails{}, []string{"c00", "c01"}, before)
+					evaluator = NewEvaluator(Guardrails{}, []string{"c00", "c01"}, baseline)
 				}
 				for i := range 12 {
 					asked := 40 + 10*rng.Float64()
 					r := Report{Name: fmt.Sprintf("c%02d", i), Zone: fmt.Sprint("z", i%2), Pool: "main", Interval: span, OfferedWeight: asked, ServedWeight: asked * (0.96 + 0.02*rng.Float64()),
 						Responses: asked, ResponseSeconds: asked * 0.02 * (0.9 + 0.2*rng.Float64()), Requests: asked, Attempts: asked * (1 + 0.1*rng.Float64()), Memory: 60 + 10*rng.Float64()}
-					changed := j != nil && i < 2
+					changed := evaluator != nil && i < 2
 					tc.change(&r, changed)
-					if j != nil {
-						j.AddReport(0, r)
+					if evaluator != nil {
+						evaluator.AddReport(0, r)
 					}
 					if !changed {
-						before.AddReport(r)
+						baseline.AddReport(r)
 					}
 				}
-				if j == nil {
+				if evaluator == nil {
 					continue
 				}
-				if v, why := j.Assess(0); v == Regressed {
+				if v, why := evaluator.Assess(0); v == Regressed {
 					if tc.verdict != Regressed || !strings.Contains(why, tc.why) {
 						t.Errorf("after %d spans: %s", span-40, why)
 					}
 					return
 				}
 			}
-			if v, why := j.Assess(0); v != tc.verdict {
+			if v, why := evaluator.Assess(0); v != tc.verdict {
 				t.Errorf("%v: %s", v, why)
 			}
 		})
 	}
 }
 
-// A program that some copy could not hear is refused before anything begins.
+// A program that speaks no protocol level of some replica is refused when the plan starts.
 func TestLevelsHaveToMeet(t *testing.T) {
 	for _, tc := range []struct {
-		least, most, copyLeast, copyMost uint8
-		taken                            bool
+		minLevel, maxLevel, otherMin, otherMax uint8
+		accepted                               bool
 	}{{0, 0, 1, 1, true}, {1, 2, 1, 1, true}, {1, 2, 2, 3, true}, {2, 3, 1, 1, false}, {1, 1, 2, 3, false}, {1, 1, 0, 0, true}, {3, 2, 1, 9, false}} {
 		r := New("a", 0)
-		r.Tick(time.Second, []Replica{{Name: "a", Alive: true, MinLevel: tc.least, MaxLevel: tc.most}, {Name: "b", Alive: true, MinLevel: tc.copyLeast, MaxLevel: tc.copyMost}}, nil)
-		p := Plan{ID: "p", Kind: Program, Target: "v2", MinLevel: tc.least, MaxLevel: tc.most}
+		r.Tick(time.Second, []Replica{{Name: "a", Alive: true, MinLevel: tc.minLevel, MaxLevel: tc.maxLevel}, {Name: "b", Alive: true, MinLevel: tc.otherMin, MaxLevel: tc.otherMax}}, nil)
+		p := Plan{ID: "p", Kind: Program, Target: "v2", MinLevel: tc.minLevel, MaxLevel: tc.maxLevel}
 		p.Complete()
 		err := r.Start(time.Second, p)
-		if key := (*KeyError)(nil); (err == nil) != tc.taken || err != nil && (!errors.As(err, &key) || key.Key != "speaks") {
+		if key := (*KeyError)(nil); (err == nil) != tc.accepted || err != nil && (!errors.As(err, &key) || key.Key != "speaks") {
 			t.Errorf("%+v: %v", tc, err)
 		}
 	}
--- /dev/null
+++ b/fleet/rollout/participant.go
@@ -0,0 +1,236 @@
+// Package rollout carries a change of settings or of the program through a fleet in stages, and stops it or rolls it
+// back when a stage regresses. It is pure: an event and its time go in, actions for the host come out.
+//
+// One replica at a time is the leader. It holds a lease by the votes of a quorum, under a fencing token that only
+// grows; a replica accepts orders only from the leader that it voted for, under a token not below the highest it has
+// seen. The plan, its stage and its history are replicated to all, so that any replica can continue when the leader
+// is gone.
+package rollout
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+// Participant is one replica's side of rollouts. It is not safe for concurrent use.
+type Participant struct {
+	env         environment
+	startedAt   time.Duration
+	state       State
+	election    election
+	replication replication
+	application application
+	stages      stageController
+}
+
+// New returns a replica's side.
+func New(name string, now time.Duration) *Participant {
+	return &Participant{
+		env:       environment{name: name, now: now},
+		startedAt: now,
+		election:  newElection(now),
+		stages:    newStageController(),
+	}
+}
+
+// State is the plan's progress as far as it is known here.
+func (p *Participant) State() State { return p.state }
+
+// IsLeader tells whether this replica holds the lease.
+func (p *Participant) IsLeader() bool { return p.election.isLeader(p.env.now) }
+
+// CandidateReason describes this replica's part in the election, to find out why there is no leader.
+func (p *Participant) CandidateReason() string {
+	e := &p.election
+	return fmt.Sprintf("fencing token %d seen, own %d, vote for %q for %v, next candidacy in %v, %d of %d alive",
+		e.highestToken, e.token, e.vote.candidate, max(e.vote.until-p.env.now, 0), e.nextCampaignAt-p.env.now,
+		p.env.replicas.aliveCount(), len(p.env.replicas))
+}
+
+// Evidence is what the leader knows about the stage that is observed, in words and by interval. On other replicas it is
+// empty, unless there can't be a leader.
+func (p *Participant) Evidence() (words string, points []Point) {
+	switch {
+	case !p.state.Phase.Ended() && !p.env.replicas.hasQuorum():
+		return fmt.Sprintf("nobody can lead: %d of %d copies are in sight, and most have to be",
+			p.env.replicas.aliveCount(), len(p.env.replicas)), nil
+	case !p.IsLeader():
+		return "", nil
+	case p.state.Phase == Changing && len(p.state.Selected) == 0:
+		return "how copies differ while all are alike is being watched", nil
+	case p.stages.evaluator == nil:
+		return "", nil
+	}
+	_, words = p.stages.evaluator.Assess(p.env.now)
+	return words, slices.Clone(p.stages.evaluator.points)
+}
+
+// Restore takes in the state that was persisted before a restart.
+func (p *Participant) Restore(state State) {
+	if state.Newer(&p.state) {
+		p.state = state
+		p.election.sawToken(state.FencingToken)
+	}
+}
+
+// Start starts a completed plan. It returns a KeyError for an invalid plan, and a PlanStateError while another is
+// active.
+func (p *Participant) Start(now time.Duration, plan Plan) error {
+	p.env.advance(now)
+	if err := plan.Check(); err != nil {
+		return err
+	}
+	if !p.state.Phase.Ended() {
+		return &PlanStateError{p.state.Plan.ID, p.state.Phase}
+	}
+	if err := p.env.replicas.checkLevels(&plan); err != nil {
+		return err
+	}
+	p.state = State{
+		Plan:         plan,
+		FencingToken: p.election.nextToken(),
+		Version:      1,
+		Phase:        Changing,
+		History:      []string{"taken by " + p.env.name},
+	}
+	p.election.nextCampaignAt = p.env.now
+	p.stages.resetStatistics()
+	return nil
+}
+
+// Commands of an operator.
+const (
+	commandPause  = "pause"
+	commandResume = "resume"
+	commandAbort  = "abort"
+	commandBack   = "back"
+)
+
+// Reasons that a command gives.
+const (
+	byOperator      = "a person said so"
+	abortByOperator = "aborted by a person"
+)
+
+// Command carries out a command of an operator: pause, resume, abort or back. It returns a PlanStateError if no plan is
+// active.
+func (p *Participant) Command(now time.Duration, command string) error {
+	p.env.advance(now)
+	state := &p.state
+	if state.Phase.Ended() {
+		return &PlanStateError{state.Plan.ID, state.Phase}
+	}
+	switch command {
+	case commandPause:
+		if state.Phase != Paused {
+			p.transition(Paused, byOperator)
+		}
+	case commandResume:
+		if state.Phase == Paused || state.Phase == Stopped {
+			p.stages.evaluator = nil
+			p.transition(Changing, byOperator)
+		}
+	case commandAbort:
+		if state.Plan.RollBack && len(state.Selected) > 0 {
+			p.transition(RollingBack, abortByOperator)
+		} else {
+			p.transition(Aborted, abortByOperator)
+		}
+	case commandBack:
+		p.transition(RollingBack, byOperator)
+	}
+	// The state with a new token supersedes that of any leader.
+	state.FencingToken = p.election.nextToken()
+	state.Version = 1
+	state.Leader = ""
+	p.election.resign()
+	p.broadcast()
+	return nil
+}
+
+// Tick does what is due and returns the actions, appended to out. replicas are all of the fleet, this one included.
+func (p *Participant) Tick(now time.Duration, replicas []Replica, out []Action) []Action {
+	previous := p.env.now
+	p.env.advance(now)
+	p.env.actions = append(out, p.env.actions...)
+	p.env.replicas = replicas
+	p.application.completed = p.application.completed || p.holdsOrdered()
+	if p.state.Phase.Ended() {
+		p.election.token = 0
+		p.conform()
+	} else {
+		p.state.Age += p.env.now - previous
+		p.lead()
+	}
+	p.remind()
+	return p.env.takeActions()
+}
+
+// Handle takes a message in and returns the actions that follow, appended to out.
+func (p *Participant) Handle(now time.Duration, message Message, out []Action) []Action {
+	p.env.advance(now)
+	p.env.actions = append(out, p.env.actions...)
+	switch message.Kind {
+	case VoteRequest:
+		p.election.handleVoteRequest(&p.env, &message)
+	case VoteGranted:
+		p.election.handleVote(&p.env, &message)
+	case PreVoteRequest:
+		p.election.handlePreVoteRequest(&p.env, &message)
+	case PreVoteGranted:
+		if p.election.handlePreVote(&message) && !p.state.Phase.Ended() {
+			p.election.campaignIfElectable(&p.env)
+		}
+	case StateUpdate:
+		p.handleState(&message)
+	case ChangeOrder:
+		p.handleOrder(&message)
+	case ReportUpdate:
+		if message.Report != nil && p.IsLeader() {
+			p.stages.addReport(p.env.now, message.Report, p.state.Selected)
+		}
+	}
+	return p.env.takeActions()
+}
+
+// lead becomes a candidate, keeps the lease and, as leader, takes the plan on.
+func (p *Participant) lead() {
+	if p.election.token == 0 {
+		p.election.considerCampaign(&p.env)
+		return
+	}
+	if p.election.superseded() {
+		p.stages.evaluator = nil
+	}
+	p.election.maintain(&p.env)
+	if !p.IsLeader() {
+		return
+	}
+	if p.state.FencingToken != p.election.token {
+		p.takeOver()
+	}
+	version := p.state.Version
+	if p.env.now >= p.election.ordersFrom {
+		p.advanceStage()
+	}
+	if p.state.Version != version || p.env.now >= p.replication.nextBroadcastAt {
+		p.replication.nextBroadcastAt = p.env.now + renewInterval
+		p.broadcast()
+	}
+}
+
+// takeOver continues the plan as its new leader.
+func (p *Participant) takeOver() {
+	p.state.FencingToken = p.election.token
+	p.state.Version++
+	p.state.Leader = p.env.name
+	p.state.History = append(p.state.History, "led by "+p.env.name)
+	p.stages.resetStatistics() // they may be of another plan
+}
+
+// transition enters a phase, and logs and records why.
+func (p *Participant) transition(phase Phase, reason string) {
+	p.state.transition(phase, reason)
+	p.env.log("plan " + p.state.Plan.ID + ": " + phase.String() + ": " + reason)
+}
--- /dev/null
+++ b/fleet/rollout/replication.go
@@ -0,0 +1,51 @@
+package rollout
+
+import "time"
+
+const reminderInterval = 2 * time.Second
+
+// replication is how the state reaches all replicas: the leader sends it to all, and every replica now and then to one
+// that may have been away.
+type replication struct {
+	nextBroadcastAt time.Duration
+	nextReminderAt  time.Duration
+	reminders       int // sent: peers take turns
+}
+
+// stateUpdate returns the state as it is now, as a message.
+func (p *Participant) stateUpdate() Message {
+	state := p.state
+	return Message{Kind: StateUpdate, FencingToken: state.FencingToken, State: &state}
+}
+
+// broadcast sends the state to all peers that are alive.
+func (p *Participant) broadcast() { p.env.sendToPeers(p.stateUpdate()) }
+
+// remind sends the state to the next peer in turn.
+func (p *Participant) remind() {
+	replicas := p.env.replicas
+	if p.state.FencingToken == 0 || p.env.now < p.replication.nextReminderAt || len(replicas) < 2 {
+		return
+	}
+	p.replication.nextReminderAt = p.env.now + reminderInterval
+	p.replication.reminders++
+	for i := range replicas {
+		peer := &replicas[(p.replication.reminders+i)%len(replicas)]
+		if peer.Alive && peer.Name != p.env.name {
+			p.env.send(peer.Name, p.stateUpdate())
+			return
+		}
+	}
+}
+
+// handleState takes the state of another replica in if it is valid and newer.
+func (p *Participant) handleState(update *Message) {
+	if update.State == nil || update.State.FencingToken != update.FencingToken || update.State.Plan.Check() != nil {
+		return
+	}
+	if update.State.Newer(&p.state) {
+		p.state = *update.State
+		p.election.nextCampaignAt = 0
+	}
+	p.election.sawToken(update.FencingToken)
+}
--- /dev/null
+++ b/fleet/rollout/stages.go
@@ -0,0 +1,311 @@
+package rollout
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+// orderRetryInterval is how long an order may be without effect before it is repeated: it may be lost.
+const orderRetryInterval = time.Second
+
+// stageController is what the leader knows about the replicas that it changes and observes.
+type stageController struct {
+	orderedAt map[string]time.Duration // by replica that was ordered to change and hasn't yet
+	epochs    map[string]uint64        // by replica that has changed: its process then
+	baseline  *Baseline
+	evaluator *Evaluator // of the stage that is observed; nil if there is none
+}
+
+func newStageController() stageController {
+	return stageController{
+		orderedAt: map[string]time.Duration{},
+		epochs:    map[string]uint64{},
+		baseline:  NewBaseline(),
+	}
+}
+
+func (c *stageController) resetStatistics() {
+	c.evaluator = nil
+	c.baseline = NewBaseline()
+}
+
+// addReport adds a report to the statistics of the stage, and to the baseline if its replica isn't selected.
+func (c *stageController) addReport(now time.Duration, report *Report, selected []string) {
+	if c.evaluator != nil {
+		c.evaluator.AddReport(now, *report)
+	}
+	if !slices.Contains(selected, report.Name) {
+		c.baseline.AddReport(*report)
+	}
+}
+
+// unavailable counts the replicas that don't serve, whatever the reason, and those that were ordered to change and have
+// not reached the version yet.
+func (c *stageController) unavailable(all replicas, changed func(*Replica) bool) int {
+	count := 0
+	for i := range all {
+		replica := &all[i]
+		_, ordered := c.orderedAt[replica.Name]
+		if !replica.Alive || !replica.Ready || ordered && !changed(replica) {
+			count++
+		}
+	}
+	return count
+}
+
+// advanceStage takes the plan one step on. This replica is the leader.
+func (p *Participant) advanceStage() {
+	state := &p.state
+	if state.Age > state.Plan.ExpiresAfter && state.Phase != RollingBack && state.Phase != Observing {
+		p.transition(Expired, "it was not through in time")
+		return
+	}
+	switch state.Phase {
+	case Changing:
+		p.change()
+	case Observing:
+		p.observe()
+	case RollingBack:
+		p.rollBack()
+	}
+}
+
+// change has the replicas of the stage change, with no more unavailable at once than the plan allows.
+func (p *Participant) change() {
+	state := &p.state
+	if len(state.Selected) == 0 && !p.baselineObserved() {
+		return
+	}
+	p.selectReplicas()
+	changed := 0
+	pending := 0
+	for _, name := range state.Selected {
+		progress, failure := p.changeReplica(name)
+		switch progress {
+		case changeFailed:
+			p.failStage(name, failure)
+			return
+		case changePending:
+			pending++
+		case changeDone:
+			changed++
+		}
+	}
+	switch {
+	case pending > 0:
+	case changed > 0:
+		clear(p.stages.orderedAt)
+		p.startObservation()
+		p.transition(Observing, fmt.Sprintf("stage %d: %d of %d copies hold it",
+			state.Stage+1, len(state.Selected), len(p.env.replicas)))
+	case state.Age > state.Plan.ExpiresAfter/2:
+		p.transition(Stopped, "none of the copies of this stage is there")
+	}
+}
+
+// baselineObserved tells whether it is known well enough how replicas differ while all are unchanged.
+func (p *Participant) baselineObserved() bool {
+	plan := &p.state.Plan
+	end := p.election.ordersFrom + plan.Baseline
+	if p.env.now < end {
+		return false
+	}
+	return p.env.now >= end+plan.ExtraObservation ||
+		p.stages.baseline.Sufficient(plan.Guardrails, p.firstToChange())
+}
+
+// firstToChange is the replica that is changed first; empty if none is alive.
+func (p *Participant) firstToChange() string {
+	for _, replica := range p.env.replicas.inChangeOrder(p.state.Plan.ID) {
+		if replica.Alive {
+			return replica.Name
+		}
+	}
+	return ""
+}
+
+// selectReplicas adds the replicas of the stage. One that isn't alive is passed over until it is back.
+func (p *Participant) selectReplicas() {
+	state := &p.state
+	size := state.Plan.Size(state.Stage, len(p.env.replicas), p.env.replicas.zoneCount())
+	if len(state.Selected) >= size {
+		return
+	}
+	for _, replica := range p.env.replicas.inChangeOrder(state.Plan.ID) {
+		if len(state.Selected) < size && replica.Alive && !slices.Contains(state.Selected, replica.Name) {
+			state.Selected = append(state.Selected, replica.Name)
+			state.Version++
+		}
+	}
+}
+
+// changeProgress is how far a selected replica is.
+type changeProgress uint8
+
+const (
+	changeAbsent changeProgress = iota // not alive, and not ordered to change
+	changePending
+	changeDone
+	changeFailed
+)
+
+// changeReplica takes the change of a selected replica one step on. If that has failed, it says why.
+func (p *Participant) changeReplica(name string) (progress changeProgress, failure string) {
+	plan := &p.state.Plan
+	replica := p.env.replicas.find(name)
+	orderedAt, ordered := p.stages.orderedAt[name]
+	overdue := ordered && p.env.now-orderedAt > plan.ReadyTimeout
+	done := func(r *Replica) bool { return r.Version == plan.Target && r.Ready }
+	switch {
+	case replica == nil || !replica.Alive:
+		if overdue {
+			return changeFailed, "went away when it was changed and did not come back"
+		}
+		if ordered {
+			return changePending, ""
+		}
+		return changeAbsent, ""
+	case replica.RefusedReason != "":
+		return changeFailed, "could not take it: " + replica.RefusedReason
+	case done(replica):
+		p.stages.epochs[name] = replica.Epoch
+		delete(p.stages.orderedAt, name)
+		return changeDone, ""
+	case overdue:
+		return changeFailed, fmt.Sprintf("is not ready with it after %v", plan.ReadyTimeout)
+	case ordered:
+		if p.env.now-orderedAt > orderRetryInterval {
+			p.sendOrder(name, plan.Target, false)
+		}
+	case p.stages.unavailable(p.env.replicas, done) < plan.MaxUnavailable:
+		p.stages.orderedAt[name] = p.env.now
+		p.order(name, plan.Target, false)
+	}
+	return changePending, ""
+}
+
+// order has a replica, which may be this one, change.
+func (p *Participant) order(name, target string, rollBack bool) {
+	if name == p.env.name {
+		p.apply(target, rollBack)
+		return
+	}
+	p.sendOrder(name, target, rollBack)
+}
+
+func (p *Participant) sendOrder(name, target string, rollBack bool) {
+	p.env.send(name, Message{
+		Kind:         ChangeOrder,
+		FencingToken: p.election.token,
+		Plan:         p.state.Plan.ID,
+		Target:       target,
+		RollBack:     rollBack,
+	})
+}
+
+// startObservation starts the observation of the stage with new statistics.
+func (p *Participant) startObservation() {
+	p.stages.evaluator = NewEvaluator(p.state.Plan.Guardrails, p.state.Selected, p.stages.baseline)
+	p.state.ObservationStart = p.state.Age
+}
+
+// observe compares the changed replicas with the others, and ends the stage once that decides.
+func (p *Participant) observe() {
+	state := &p.state
+	if p.stages.evaluator == nil { // under another leader: it starts again
+		p.startObservation()
+	}
+	for _, name := range state.Selected {
+		if p.observeReplica(name) {
+			return
+		}
+	}
+	observed := state.Age - state.ObservationStart
+	assessment, reason := p.stages.evaluator.Assess(p.env.now)
+	nothingToCompare := p.env.replicas.aliveWithout(state.Selected) == 0
+	switch {
+	case assessment == Regressed:
+		p.failStage("", reason)
+	case observed < state.observation():
+	case assessment == Passed || nothingToCompare:
+		p.finishStage(reason)
+	case observed > state.observation()+state.Plan.ExtraObservation:
+		p.transition(Stopped, "too little is known to go on: "+reason)
+	}
+}
+
+// finishStage goes on to the next stage, or ends the plan.
+func (p *Participant) finishStage(reason string) {
+	state := &p.state
+	if state.Stage+1 >= len(state.Plan.Stages) {
+		p.transition(Done, fmt.Sprintf("%d copies hold it", len(state.Selected)))
+		return
+	}
+	state.Stage++
+	p.stages.evaluator = nil
+	p.transition(Changing, fmt.Sprintf("stage %d follows: %s", state.Stage+1, reason))
+}
+
+// observeReplica looks for a crash of a changed replica, or one that lost the change, and tells whether that ended the
+// observation.
+func (p *Participant) observeReplica(name string) bool {
+	replica := p.env.replicas.find(name)
+	if replica == nil {
+		return false
+	}
+	epoch, known := p.stages.epochs[name]
+	hasTarget := replica.Version == p.state.Plan.Target
+	switch {
+	case !known && replica.Alive:
+		p.stages.epochs[name] = replica.Epoch
+		return false
+	case known && replica.Alive && replica.Epoch != epoch && hasTarget:
+		p.failStage(name, "started anew within its soak")
+		return true
+	case known && !replica.Alive && p.deathsAreComparable():
+		if p.deathsExceedChance() {
+			p.failStage(name, "went away within its soak")
+			return true
+		}
+		return false
+	case replica.Alive && !hasTarget && replica.RefusedReason != "":
+		p.failStage(name, "went back by itself: "+replica.RefusedReason)
+		return true
+	case replica.Alive && !hasTarget:
+		p.transition(Changing, name+" does not hold it any more")
+		return true
+	default:
+		return false
+	}
+}
+
+// deathsAreComparable tells whether there are unchanged replicas to compare deaths with, and no partition hides most
+// replicas.
+func (p *Participant) deathsAreComparable() bool {
+	all := p.env.replicas
+	dead := len(all) - all.aliveCount()
+	return len(all) > len(p.state.Selected) && !all.isMajority(dead)
+}
+
+// deathsExceedChance tells whether the death of a changed replica is more than unchanged ones show at the same time.
+func (p *Participant) deathsExceedChance() bool {
+	all := p.env.replicas
+	selected := p.state.Selected
+	return deathExceedsChance(all.deadWithout(selected), len(all)-len(selected))
+}
+
+// failStage ends a stage that regresses, by a replica if one is named.
+func (p *Participant) failStage(replica, reason string) {
+	state := &p.state
+	if replica != "" {
+		reason = replica + " " + reason
+		state.Failed = append(state.Failed, replica)
+	}
+	clear(p.stages.orderedAt)
+	if state.Plan.RollBack {
+		p.transition(RollingBack, reason)
+	} else {
+		p.transition(Stopped, reason)
+	}
+}
--- /dev/null
+++ b/fleet/rollout/state.go
@@ -0,0 +1,81 @@
+package rollout
+
+import (
+	"slices"
+	"time"
+)
+
+// maxHistory is the number of entries of a plan's history that are kept: the first one and the latest.
+const maxHistory = 64
+
+// Phase is how far a plan is.
+type Phase uint8
+
+// The phases. Those from Done on are final.
+const (
+	Idle Phase = iota
+	Changing
+	Observing
+	Paused      // by an operator
+	Stopped     // until an operator decides; State.Reason says why
+	RollingBack // the changed replicas
+	Done
+	RolledBack
+	Aborted
+	Expired
+)
+
+// String names a phase as tables and logs do.
+func (p Phase) String() string {
+	names := [...]string{
+		"none", "changing", "soaking", "paused", "stopped", "going back", "done", "gone back", "aborted", "expired",
+	}
+	if int(p) >= len(names) {
+		return "unknown"
+	}
+	return names[p]
+}
+
+// Ended tells whether there is no plan, or it has ended.
+func (p Phase) Ended() bool { return p == Idle || p >= Done }
+
+// State is a plan and its progress, replicated to all. The one with the higher fencing token holds, and of one token
+// the later version.
+type State struct {
+	Plan             Plan          `json:"Plan"`
+	FencingToken     uint64        `json:"Fence"` // of the replica that wrote it
+	Version          uint64        `json:"Version"`
+	Leader           string        `json:"Leader"`
+	Phase            Phase         `json:"Phase"`
+	Stage            int           `json:"Stage"`
+	Reason           string        `json:"Reason"`
+	Selected         []string      `json:"Chosen"` // replicas that are to be changed by now, in order
+	Failed           []string      `json:"Failed"` // replicas that couldn't change, or regressed
+	History          []string      `json:"History"`
+	Age              time.Duration `json:"Age"`     // since the start of the plan
+	ObservationStart time.Duration `json:"StageAt"` // Age when the stage's observation began
+}
+
+// Newer tells whether s supersedes other.
+func (s *State) Newer(other *State) bool {
+	if s.FencingToken != other.FencingToken {
+		return s.FencingToken > other.FencingToken
+	}
+	return s.Version > other.Version
+}
+
+// transition enters a phase and records why.
+func (s *State) transition(phase Phase, reason string) {
+	s.Phase = phase
+	s.Reason = reason
+	s.Version++
+	s.History = append(s.History, phase.String()+": "+reason)
+	if len(s.History) > maxHistory {
+		s.History = slices.Delete(s.History, 1, len(s.History)-maxHistory+1)
+	}
+}
+
+// observation is how long the current stage is observed at least.
+func (s *State) observation() time.Duration {
+	return s.Plan.Stages[min(s.Stage, len(s.Plan.Stages)-1)].Observation
+}
--- /dev/null
+++ b/fleet/rollout/statistics.go
@@ -0,0 +1,207 @@
+package rollout
+
+import (
+	"math"
+
+	"gonum.org/v1/gonum/stat/distuv"
+)
+
+const (
+	maxLogEvidence = 3.0 // that one interval adds at most: a single odd second decides nothing
+	sequentialTest = 3.0 // tests that share the probability of a false alarm,
+	assumedStages  = 6.0 // in so many stages
+
+	minReplicasForSpread  = 3   // from which the differences between replicas are estimated
+	assumedOverdispersion = 1.5 // with fewer
+	overdispersionLevel   = 0.9 // quantile of chance that differences have to exceed to count
+	minRatio              = 1e-9
+)
+
+// sample sums up the reports of several replicas, changed or unchanged ones, in one interval.
+type sample struct {
+	replicas float64
+
+	offered            float64
+	served             float64
+	goodputs           []float64 // by replica, less how it differed in the baseline
+	expectedDifference float64   // weight served above others in the baseline
+	differenceVariance float64   // of expectedDifference
+
+	responses       float64
+	responseSeconds float64
+	latencies       []float64 // mean by replica
+
+	requests     float64
+	attempts     float64
+	attemptRates []float64 // attempts a request, by replica
+
+	memory []float64 // MB, by replica
+}
+
+// add adds a report of a replica that differed from others in the baseline by a mean with a variance.
+func (s *sample) add(report *Report, difference, variance float64) {
+	s.replicas++
+	s.expectedDifference += report.OfferedWeight * difference
+	s.differenceVariance += report.OfferedWeight * report.OfferedWeight * variance
+	s.offered += report.OfferedWeight
+	s.served += report.ServedWeight
+	s.responses += report.Responses
+	s.responseSeconds += report.ResponseSeconds
+	s.requests += report.Requests
+	s.attempts += report.Attempts
+	if report.OfferedWeight > 0 {
+		s.goodputs = append(s.goodputs, report.ServedWeight/report.OfferedWeight-difference)
+	}
+	if report.Responses > 0 {
+		s.latencies = append(s.latencies, report.ResponseSeconds/report.Responses)
+	}
+	if report.Requests > 0 && report.Attempts > 0 {
+		s.attemptRates = append(s.attemptRates, report.Attempts/report.Requests)
+	}
+	if report.Memory > 0 {
+		s.memory = append(s.memory, report.Memory)
+	}
+}
+
+// join adds the sums of another sample.
+func (s *sample) join(other *sample) {
+	s.replicas += other.replicas
+	s.offered += other.offered
+	s.served += other.served
+	s.goodputs = append(s.goodputs, other.goodputs...)
+	s.expectedDifference += other.expectedDifference
+	s.differenceVariance += other.differenceVariance
+	s.responses += other.responses
+	s.responseSeconds += other.responseSeconds
+	s.latencies = append(s.latencies, other.latencies...)
+	s.requests += other.requests
+	s.attempts += other.attempts
+	s.attemptRates = append(s.attemptRates, other.attemptRates...)
+	s.memory = append(s.memory, other.memory...)
+}
+
+// goodput is the fraction served, less what the baseline lets expect.
+func (s *sample) goodput() float64 { return (s.served - s.expectedDifference) / s.offered }
+
+func (s *sample) latency() ratio {
+	return ratio{sum: s.responseSeconds, count: s.responses, replicas: s.replicas, byReplica: s.latencies}
+}
+
+func (s *sample) attemptRate() ratio {
+	return ratio{sum: s.attempts, count: s.requests, replicas: s.replicas, byReplica: s.attemptRates}
+}
+
+// ratio is the mean of a value over a count of responses or requests.
+type ratio struct {
+	sum       float64
+	count     float64
+	replicas  float64
+	byReplica []float64
+}
+
+// mean is 0 if nothing was counted.
+func (r *ratio) mean() float64 { return quotient(r.sum, r.count) }
+
+func quotient(sum, count float64) float64 {
+	if count <= 0 {
+		return 0
+	}
+	return sum / count
+}
+
+// comparison holds the samples of unchanged and changed replicas in one interval.
+type comparison struct {
+	baseline sample
+	changed  sample
+}
+
+// isMeaningful tells whether both sides were offered enough.
+func (c *comparison) isMeaningful() bool {
+	return c.baseline.offered >= minOffered && c.changed.offered >= minOffered
+}
+
+// goodputEvidence is the log of how much more likely the comparison is if the change costs a loss of goodput than if
+// it costs none. Differences between unchanged replicas beyond chance widen what is allowed. uncertainty is the
+// variance of how replicas differed in the baseline, as a multiple of the comparison's own.
+func (c *comparison) goodputEvidence(loss float64) (evidence, uncertainty float64) {
+	baseline := &c.baseline
+	changed := &c.changed
+	pooled := (baseline.served + changed.served + 1) / (baseline.offered + changed.offered + 2)
+	binomial := max(pooled*(1-pooled), minBinomial)
+	offeredEach := baseline.offered / max(baseline.replicas, 1)
+	widening := max(overdispersion(baseline.goodputs, baseline.goodput(), binomial, offeredEach), 1)
+	variance := binomial * widening * (1/baseline.offered + 1/changed.offered)
+	uncertainty = (baseline.differenceVariance/(baseline.offered*baseline.offered) +
+		changed.differenceVariance/(changed.offered*changed.offered)) / variance
+	evidence = (loss/variance)*(baseline.goodput()-changed.goodput()) - loss*loss/(2*variance)
+	return evidence, uncertainty
+}
+
+// overdispersion is how much more replicas that are alike differ than by chance. Only what exceeds the 0.9 quantile of
+// chance counts.
+func overdispersion(goodputs []float64, mean, binomial, offeredEach float64) float64 {
+	if len(goodputs) < minReplicasForSpread || offeredEach <= 0 {
+		return assumedOverdispersion
+	}
+	sum := 0.0
+	for _, goodput := range goodputs {
+		sum += (goodput - mean) * (goodput - mean)
+	}
+	degrees := float64(len(goodputs) - 1)
+	observed := sum / degrees / (binomial / offeredEach)
+	return max(observed/(distuv.ChiSquared{K: degrees}.Quantile(overdispersionLevel)/degrees), 1)
+}
+
+// growthEvidence is the log of how much more likely two ratios are if the change makes them grow by a fraction than
+// if it doesn't. Single values are taken to vary about as much as their mean, replicas as they show.
+func growthEvidence(baseline, changed ratio, growth float64) float64 {
+	if baseline.count < minOffered || changed.count < minOffered || baseline.sum <= 0 || changed.mean() <= 0 {
+		return 0
+	}
+	variance := 1/baseline.count + 1/changed.count
+	if replicas := baseline.byReplica; len(replicas) >= minReplicasForSpread {
+		sum := 0.0
+		for _, value := range replicas {
+			deviation := math.Log(max(value, minRatio) / baseline.mean())
+			sum += deviation * deviation
+		}
+		betweenReplicas := sum / float64(len(replicas)-1) * (1/baseline.replicas + 1/changed.replicas)
+		variance = max(variance, betweenReplicas)
+	}
+	observed := math.Log(changed.mean() / baseline.mean())
+	cost := math.Log(1 + growth)
+	return (cost*observed - cost*cost/2) / variance
+}
+
+// bounds are the logs of likelihood between which nothing is decided (Wald, 1945). Tests that follow each other share
+// the probability of a false alarm.
+func (g *Guardrails) bounds() (upper, lower float64) {
+	falseAlarm := g.FalseAlarm / (sequentialTest * assumedStages)
+	upper = math.Log((1 - g.MissedRegression) / falseAlarm)
+	lower = math.Log(g.MissedRegression / (1 - falseAlarm))
+	return upper, lower
+}
+
+func clampEvidence(evidence float64) float64 {
+	return min(max(evidence, -maxLogEvidence), maxLogEvidence)
+}
+
+// Prior of the fraction of replicas that are dead, as counts, and the probability below which a death isn't by chance.
+const (
+	priorDead   = 0.02
+	priorAlive  = 2
+	deathChance = 0.1
+)
+
+// deathExceedsChance tells whether the death of one changed replica is more than chance, with so many dead of a
+// number of unchanged ones.
+func deathExceedsChance(deadUnchanged, unchanged int) bool {
+	if unchanged <= 0 {
+		return true
+	}
+	dead := distuv.Beta{
+		Alpha: float64(deadUnchanged) + priorDead,
+		Beta:  float64(unchanged-deadUnchanged) + priorAlive,
+	}
+	return dead.Mean() < deathChance
+}
