--- a/cli/rollout.go
+++ b/cli/rollout.go
@@ -12,263 +12,201 @@
 	"syscall"
 	"time"
 
-	"github.com/google/renameio/v2"
 	"github.com/spf13/cobra"
 
 	"ryerill/cli/rolloutagent"
 	"ryerill/config"
 	"ryerill/fleet"
 	"ryerill/fleet/rollout"
-	"ryerill/proxy"
 )
 
-const (
-	settleWithin = 8 * time.Second // new settings have to hear their directories
-	lastGood     = ".last-good"    // beside the configuration: what a rollout replaced
-)
+const defaultAgentTimeout = time.Minute
 
-// changer brings about what a rollout tells this copy: settings by the reload that
-// there is, after the check that there is. What does not hold is taken back by itself.
-func changer(getenv func(string) string, take func(config.Config) error, settled func(time.Duration) error) fleet.ChangeFunc {
-	return func(kind rollout.Kind, target string, text []byte, back bool) error {
-		if kind != rollout.Settings {
-			return nil // the operator's own means do it: see rollout agent
-		}
-		file := getenv(config.EnvFile)
-		own, err := os.ReadFile(file)
-		if err != nil {
-			return err
-		}
-		next := own
-		if back {
-			if next, err = os.ReadFile(file + lastGood); err != nil {
-				return fmt.Errorf("what it held before: %w", err)
-			}
-		} else if config.CommonHash(own) != target {
-			if next, err = config.Overlay(own, text); err != nil {
-				return err
-			}
-			if got := config.CommonHash(next); got != target {
-				return fmt.Errorf("with this copy's other settings it comes to %s and not %s: bring them in line first", got, target)
-			}
-		}
-		cfg, _, err := config.ParseFile(file, next, getenv)
-		if err != nil {
-			return fmt.Errorf("config check: %w", err)
-		}
-		if !back && config.CommonHash(own) != target {
-			if err := renameio.WriteFile(file+lastGood, own, 0o600); err != nil {
-				return err
-			}
-		}
-		if err := renameio.WriteFile(file, next, 0o600); err != nil {
-			return err
-		}
-		if err = take(cfg); err == nil {
-			err = settled(settleWithin)
-		}
-		if err == nil || back {
-			return err
-		}
-		if before, _, bad := config.ParseFile(file, own, getenv); bad == nil {
-			err = errors.Join(err, renameio.WriteFile(file, own, 0o600), take(before))
-		}
-		return fmt.Errorf("went back by itself: %w", err)
-	}
+const agentHelp = "Beside a proxy: run a command when a rollout wants another program there. " +
+	"The command gets RYERILL_PLAN, RYERILL_TARGET (the plan's version) and\n" +
+	"RYERILL_BACK (true: what was there before it is wanted) " +
+	"and is to start the second process beside the first and stop the first. Another exit status than 0,\n" +
+	"or more time than --within, is told to the fleet as a refusal. " +
+	"Where the two processes have doors of their own, --door names both,\n" +
+	"parted by a comma."
+
+// rolloutCommands are the commands that start rollouts of a fleet, steer them, and show their state.
+type rolloutCommands struct {
+	getenv func(string) string
+	stdout io.Writer
+	admin  string // flag: address of the management endpoint
+	inJSON bool   // flag
 }
 
-// planner reads a plan over this copy's own file.
-func planner(getenv func(string) string) func([]byte) (rollout.Plan, error) {
-	return func(text []byte) (rollout.Plan, error) {
-		own, err := os.ReadFile(getenv(config.EnvFile))
-		if err != nil {
-			return rollout.Plan{}, err
-		}
-		return config.ParsePlan("plan", text, own, getenv)
+func rolloutCommand(getenv func(string) string, stdout io.Writer) *cobra.Command {
+	commands := &rolloutCommands{getenv: getenv, stdout: stdout}
+	rolloutCommand := &cobra.Command{
+		Use:   "rollout",
+		Short: "Change settings or the program through a fleet, in stages",
 	}
+	flags := rolloutCommand.PersistentFlags()
+	flags.StringVar(&commands.admin, "door", "",
+		"the door of any copy, IP and port; default that of the configuration in "+config.EnvFile)
+	flags.BoolVar(&commands.inJSON, "json", false, "print what the door says, for programs")
+	rolloutCommand.AddCommand(
+		commands.plan(),
+		commands.apply(),
+		commands.show("status", "Print what a plan is at, and why", printRollout),
+		commands.show("history", "Print what has happened to it", printHistory),
+		commands.steer("pause", "Begin nothing more until resume"),
+		commands.steer("resume", "Go on after a pause or a stop"),
+		commands.steer("abort", "End the plan, going back if it says so"),
+		commands.steer("back", "Have all changed copies go back"),
+		commands.agent(),
+	)
+	return rolloutCommand
 }
 
-// rollouts has a proxy take part in its fleet's rollouts.
-func rollouts(getenv func(string) string, p **proxy.Proxy, bound func(*config.Config)) proxy.Option {
-	return proxy.WithRollouts(changer(getenv, func(cfg config.Config) error {
-		bound(&cfg)
-		return (*p).Reload(cfg)
-	}, func(within time.Duration) error { return (*p).AwaitReady(within) }), planner(getenv))
-}
+func (c *rolloutCommands) client() adminClient { return newAdminClient(c.admin, c.getenv) }
 
-// rolloutCommand hands plans to a fleet and asks how they stand.
-func rolloutCommand(getenv func(string) string, stdout io.Writer) *cobra.Command {
-	var door string
-	var inJSON bool
-	c := &cobra.Command{Use: "rollout", Short: "Change settings or the program through a fleet, in stages"}
-	c.PersistentFlags().StringVar(&door, "door", "", "the door of any copy, IP and port; default that of the configuration in "+config.EnvFile)
-	c.PersistentFlags().BoolVar(&inJSON, "json", false, "print what the door says, for programs")
-	ask := func() (fleet.RolloutStatus, error) { return askRollout(doorOf(door, getenv)) }
-	word := func(use, short string) *cobra.Command {
-		return &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-			if _, err := call(doorOf(door, getenv), "POST", "/ops/rollout/"+use, ""); err != nil {
-				return runError{err}
-			}
-			fmt.Fprintln(stdout, use, "is said")
-			return nil
-		}}
-	}
-	show := func(table func(io.Writer, *fleet.RolloutStatus)) func(*cobra.Command, []string) error {
-		return func(*cobra.Command, []string) error {
-			s, err := ask()
-			if err != nil {
-				return runError{err}
-			}
-			if inJSON {
-				return json.NewEncoder(stdout).Encode(s)
-			}
-			return tabbed(stdout, func(w io.Writer) { table(w, &s) })
-		}
-	}
-	var own string
-	plan := &cobra.Command{Use: "plan FILE", Short: "Check a plan and print its stages; nothing happens", Args: cobra.ExactArgs(1),
+// plan returns the command that checks a plan and prints its stages.
+func (c *rolloutCommands) plan() *cobra.Command {
+	var baseFile string
+	plan := &cobra.Command{
+		Use:   "plan FILE",
+		Short: "Check a plan and print its stages; nothing happens",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
 				return err
 			}
-			base, err := os.ReadFile(first(own, getenv(config.EnvFile)))
+			base, err := os.ReadFile(firstNonEmpty(baseFile, c.getenv(config.EnvFile)))
 			if err != nil {
 				return fmt.Errorf("the configuration that it is laid over: %w", err)
 			}
-			p, err := config.ParsePlan(args[0], text, base, getenv)
+			plan, err := config.ParsePlan(args[0], text, base, c.getenv)
 			if err != nil {
 				return err
 			}
-			copies, zones := 0, map[string]bool{}
-			if s, err := ask(); err == nil {
-				for _, k := range s.Replicas {
-					copies++
-					zones[k.Zone] = true
-				}
-			}
-			fmt.Fprintf(stdout, "%s: %s to %s, at most %d away at once, going back %v\n", p.ID, map[rollout.Kind]string{rollout.Settings: "settings", rollout.Program: "program"}[p.Kind], p.Target, p.MaxUnavailable, p.RollBack)
-			for i, s := range p.Stages {
-				size := "of the fleet that the door names"
-				if copies > 0 {
-					size = fmt.Sprintf("%d of %d copies", p.Size(i, copies, len(zones)), copies)
-				}
-				fmt.Fprintf(stdout, "stage %d: %s (count %d, part %g, one a zone %v), watched for %v\n", i+1, size, s.Count, s.Fraction, s.PerZone, s.Observation)
+			status, err := c.client().rollout()
+			if err != nil {
+				status = fleet.RolloutStatus{} // the size of the fleet isn't known
 			}
-			fmt.Fprintf(stdout, "stopped if goodput is %.1f points lower or answers %.0f%% slower than at unchanged copies; wrongly in %.2g of plans, missed in %.2g of stages\n",
-				100*p.Guardrails.Goodput, 100*p.Guardrails.Latency, p.Guardrails.FalseAlarm, p.Guardrails.MissedRegression)
+			printPlan(c.stdout, &plan, status.Replicas)
 			return nil
-		}}
-	plan.Flags().StringVar(&own, "over", "", "the configuration that it is laid over; default that in "+config.EnvFile)
-	within := time.Minute
-	beside := &cobra.Command{Use: "agent -- COMMAND [ARG...]", Short: "Beside a proxy: run a command when a rollout wants another program there", Args: cobra.MinimumNArgs(1),
-		Long: "Beside a proxy: run a command when a rollout wants another program there. The command gets RYERILL_PLAN, RYERILL_TARGET (the plan's version) and\n" +
-			"RYERILL_BACK (true: what was there before it is wanted) and is to start the second process beside the first and stop the first. Another exit status than 0,\n" +
-			"or more time than --within, is told to the fleet as a refusal. Where the two processes have doors of their own, --door names both,\n" +
-			"parted by a comma.",
+		},
+	}
+	plan.Flags().StringVar(&baseFile, "over", "",
+		"the configuration that it is laid over; default that in "+config.EnvFile)
+	return plan
+}
+
+// apply returns the command that starts a plan.
+func (c *rolloutCommands) apply() *cobra.Command {
+	return &cobra.Command{
+		Use:   "apply FILE",
+		Short: "Hand a plan to the fleet, which carries it on by itself",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-			defer stop()
-			// At an upgrade one process's door follows the other's: who answers is asked, and who wants something first.
-			doors := strings.Split(doorOf(door, getenv), ",")
-			return rolloutagent.Run(ctx, func() (s fleet.RolloutStatus, err error) {
-				for _, at := range doors {
-					if one, bad := askRollout(at); bad != nil {
-						err = errors.Join(err, bad)
-					} else if s.Desired.Plan == "" {
-						s = one
-					}
-				}
-				if s.Phase != "" {
-					err = nil
-				}
-				return s, err
-			}, func(path, body string) (err error) {
-				for _, at := range doors {
-					if _, bad := call(at, "POST", path, body); bad == nil {
-						return nil
-					} else {
-						err = errors.Join(err, bad)
-					}
-				}
+			text, err := os.ReadFile(args[0])
+			if err != nil {
 				return err
-			}, args, within, stdout)
-		}}
-	beside.Flags().DurationVar(&within, "within", within, "how long the command may take")
-	c.AddCommand(plan,
-		&cobra.Command{Use: "apply FILE", Short: "Hand a plan to the fleet, which carries it on by itself", Args: cobra.ExactArgs(1),
-			RunE: func(_ *cobra.Command, args []string) error {
-				text, err := os.ReadFile(args[0])
-				if err != nil {
-					return err
-				}
-				if _, err := call(doorOf(door, getenv), "POST", "/ops/rollout", string(text)); err != nil {
-					return err // the plan's own fault, or another stands
-				}
-				fmt.Fprintln(stdout, "the fleet has it; see proxy rollout status")
-				return nil
-			}},
-		&cobra.Command{Use: "status", Short: "Print what a plan is at, and why", Args: cobra.NoArgs, RunE: show(rolloutTable)},
-		&cobra.Command{Use: "history", Short: "Print what has happened to it", Args: cobra.NoArgs, RunE: show(func(w io.Writer, s *fleet.RolloutStatus) {
-			for _, line := range s.History {
-				fmt.Fprintln(w, line)
 			}
-		})},
-		word("pause", "Begin nothing more until resume"), word("resume", "Go on after a pause or a stop"), word("abort", "End the plan, going back if it says so"),
-		word("back", "Have all changed copies go back"),
-		beside,
-	)
-	return c
+			if err := c.client().post(pathRollout, string(text)); err != nil {
+				return err // the plan is invalid, or another one is active
+			}
+			fmt.Fprintln(c.stdout, "the fleet has it; see proxy rollout status")
+			return nil
+		},
+	}
 }
 
-func askRollout(door string) (fleet.RolloutStatus, error) {
-	s, _, err := askDoor[fleet.RolloutStatus](door, "/ops/rollout")
-	return s, err
+// show returns a command that prints a table of the rollout's state.
+func (c *rolloutCommands) show(use, short string, table func(io.Writer, *fleet.RolloutStatus)) *cobra.Command {
+	run := func(*cobra.Command, []string) error {
+		status, err := c.client().rollout()
+		if err != nil {
+			return runError{err}
+		}
+		if c.inJSON {
+			return json.NewEncoder(c.stdout).Encode(status)
+		}
+		return printTable(c.stdout, func(w io.Writer) { table(w, &status) })
+	}
+	return &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: run}
 }
 
-func first(a, b string) string {
-	if a != "" {
-		return a
+// steer returns a command that the proxy carries out under the same name.
+func (c *rolloutCommands) steer(use, short string) *cobra.Command {
+	run := func(*cobra.Command, []string) error {
+		if err := c.client().post(pathRollout+"/"+use, ""); err != nil {
+			return runError{err}
+		}
+		fmt.Fprintln(c.stdout, use, "is said")
+		return nil
 	}
-	return b
+	return &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: run}
 }
 
-func rolloutTable(w io.Writer, s *fleet.RolloutStatus) {
-	if s.Plan == "" {
-		fmt.Fprintln(w, "no plan was ever taken")
-		return
-	}
-	fmt.Fprintf(w, "plan\t%s: %s to %s\nphase\t%s\nwhy\t%s\nled by\t%s, number %d\ntaken\t%s ago\n", s.Plan, s.Kind, s.Target, s.Phase, s.Reason, first(s.Leader, "nobody yet"), s.FencingToken, ago(s.AgeMS))
-	if s.Evidence != "" {
-		fmt.Fprintf(w, "evidence\t%s\n", s.Evidence)
-	} else if !s.Ended && s.Leader != "" {
-		fmt.Fprintf(w, "evidence\task %s, which leads\n", s.Leader)
+// agent returns the command that runs an operator's command beside a proxy.
+func (c *rolloutCommands) agent() *cobra.Command {
+	timeout := defaultAgentTimeout
+	agent := &cobra.Command{
+		Use:   "agent -- COMMAND [ARG...]",
+		Short: "Beside a proxy: run a command when a rollout wants another program there",
+		Args:  cobra.MinimumNArgs(1),
+		Long:  agentHelp,
+		RunE: func(_ *cobra.Command, args []string) error {
+			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+			defer stop()
+			var processes agentProxy
+			for _, address := range strings.Split(adminAddress(c.admin, c.getenv), ",") {
+				processes = append(processes, adminClient{address: address})
+			}
+			agent := &rolloutagent.Agent{Proxy: processes, Command: args, Timeout: timeout, Output: c.stdout}
+			return agent.Run(ctx)
+		},
 	}
-	for i, st := range s.Stages {
-		mark := ""
-		switch {
-		case i+1 < s.Stage || s.Phase == rollout.Done.String():
-			mark = "through"
-		case i+1 == s.Stage:
-			mark = "here"
+	agent.Flags().DurationVar(&timeout, "within", timeout, "how long the command may take")
+	return agent
+}
+
+// agentProxy is the proxy beside an agent. At an upgrade it is two processes, of which one or both answer.
+type agentProxy []adminClient
+
+// Rollout returns the state of the first process that wants a version, or else of the last that answers.
+func (p agentProxy) Rollout() (fleet.RolloutStatus, error) {
+	var status fleet.RolloutStatus
+	var errs []error
+	for _, process := range p {
+		answer, err := process.rollout()
+		if err != nil {
+			errs = append(errs, err)
+		} else if status.Desired.Plan == "" {
+			status = answer
 		}
-		fmt.Fprintf(w, "stage %d\t%d copies, watched for %s\t%s\n", i+1, st.Replicas, st.Observation, mark)
 	}
-	for _, k := range s.Replicas {
-		note := ""
-		switch {
-		case k.RefusedReason != "":
-			note = "could not: " + k.RefusedReason
-		case k.Version == s.Target:
-			note = "holds it"
-		case !k.Alive:
-			note = "not there"
-		case !k.Ready:
-			note = "not ready"
+	if status.Phase != "" {
+		return status, nil
+	}
+	return status, errors.Join(errs...)
+}
+
+// RefuseRollout reports a refusal to the first process that answers.
+func (p agentProxy) RefuseRollout(plan, reason string) error {
+	var errs []error
+	for _, process := range p {
+		err := process.post(pathRolloutRefused, plan+" "+reason)
+		if err == nil {
+			return nil
 		}
-		fmt.Fprintf(w, "%s\t%s %s\t%s\n", k.Name, k.Zone, k.Version, note)
+		errs = append(errs, err)
 	}
-	if len(s.FailedReplicas) > 0 {
-		fmt.Fprintf(w, "failed at\t%s\n", strings.Join(s.FailedReplicas, ", "))
+	return errors.Join(errs...)
+}
+
+// kindNames are the kinds of change as plans and tables name them.
+var kindNames = map[rollout.Kind]string{rollout.Settings: "settings", rollout.Program: "program"}
+
+func firstNonEmpty(a, b string) string {
+	if a != "" {
+		return a
 	}
+	return b
 }
--- a/cli/rolloutagent/agent.go
+++ b/cli/rolloutagent/agent.go
@@ -1,5 +1,5 @@
-// Package rolloutagent runs the operator's own means beside a proxy, in a process of its own:
-// the proxy that serves starts no other program.
+// Package rolloutagent runs an operator's command beside a proxy when a rollout wants another program there. It is a
+// process of its own, as the proxy starts no other program.
 package rolloutagent
 
 import (
@@ -14,41 +14,78 @@
 	"ryerill/fleet"
 )
 
-// askEvery is how often an agent asks its proxy what is wanted there.
-const askEvery = 300 * time.Millisecond
+const (
+	pollInterval  = 300 * time.Millisecond
+	maxRefusals   = 20 // attempts to report a refusal: the proxy may be restarting
+	kindOfProgram = "program"
+)
+
+// Proxy is the proxy that the agent runs beside.
+type Proxy interface {
+	// Rollout returns the state of the rollout.
+	Rollout() (fleet.RolloutStatus, error)
+	// RefuseRollout reports that the proxy couldn't change as a plan ordered.
+	RefuseRollout(plan, reason string) error
+}
 
-// Run runs a command each time that a rollout wants another program beside it. It is
-// a process of its own: the proxy starts none.
-func Run(ctx context.Context, ask func() (fleet.RolloutStatus, error), tell func(path, body string) error, args []string, within time.Duration, stdout io.Writer) error {
+// Agent runs a command each time that a rollout wants another program.
+type Agent struct {
+	Proxy   Proxy
+	Command []string      // with its arguments
+	Timeout time.Duration // of a run of the command
+	Output  io.Writer     // for messages, and what the command prints
+}
+
+// Run polls the proxy until the context ends. What was wanted before it started is taken as done.
+func (a *Agent) Run(ctx context.Context) error {
 	done := fleet.DesiredVersion{}
-	if s, err := ask(); err == nil { // what was wanted before this agent began is over
-		done = s.Desired
+	if status, err := a.Proxy.Rollout(); err == nil {
+		done = status.Desired
 	}
-	tick := time.NewTicker(askEvery)
-	defer tick.Stop()
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		s, err := ask()
-		if err != nil || s.Desired == done || s.Desired.Plan == "" || s.Kind != "program" {
+		status, err := a.Proxy.Rollout()
+		if err != nil || status.Desired == done || status.Desired.Plan == "" || status.Kind != kindOfProgram {
 			continue
 		}
-		done = s.Desired
-		fmt.Fprintf(stdout, "plan %s wants %s, back %v\n", done.Plan, done.Target, done.RollingBack)
-		run, end := context.WithTimeout(ctx, within)
-		cmd := exec.CommandContext(run, args[0], args[1:]...)
-		cmd.Env = append(os.Environ(), "RYERILL_PLAN="+done.Plan, "RYERILL_TARGET="+s.Target, "RYERILL_BACK="+strconv.FormatBool(done.RollingBack))
-		cmd.Stdout, cmd.Stderr = stdout, stdout
-		err = cmd.Run()
-		end()
-		if err != nil {
-			fmt.Fprintln(stdout, "the command failed:", err)
-			for tries := 0; tries < 20 && tell("/ops/rollout/refused", done.Plan+" the command failed: "+err.Error()) != nil; tries++ {
-				time.Sleep(askEvery) // the proxy may be on its way
-			}
+		done = status.Desired
+		a.change(ctx, &status)
+	}
+}
+
+// change runs the command for the version that is wanted, and reports its failure to the proxy.
+func (a *Agent) change(ctx context.Context, status *fleet.RolloutStatus) {
+	desired := status.Desired
+	fmt.Fprintf(a.Output, "plan %s wants %s, back %v\n", desired.Plan, desired.Target, desired.RollingBack)
+	err := a.runCommand(ctx, status)
+	if err == nil {
+		return
+	}
+	fmt.Fprintln(a.Output, "the command failed:", err)
+	reason := "the command failed: " + err.Error()
+	for range maxRefusals {
+		if a.Proxy.RefuseRollout(desired.Plan, reason) == nil {
+			return
 		}
+		time.Sleep(pollInterval)
 	}
 }
+
+func (a *Agent) runCommand(ctx context.Context, status *fleet.RolloutStatus) error {
+	ctx, cancel := context.WithTimeout(ctx, a.Timeout)
+	defer cancel()
+	command := exec.CommandContext(ctx, a.Command[0], a.Command[1:]...)
+	command.Env = append(os.Environ(),
+		"RYERILL_PLAN="+status.Desired.Plan,
+		"RYERILL_TARGET="+status.Target,
+		"RYERILL_BACK="+strconv.FormatBool(status.Desired.RollingBack))
+	command.Stdout = a.Output
+	command.Stderr = a.Output
+	return command.Run()
+}
--- /dev/null
+++ b/cli/rolloutchange.go
@@ -0,0 +1,125 @@
+package cli
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"time"
+
+	"github.com/google/renameio/v2"
+
+	"ryerill/config"
+	"ryerill/fleet/rollout"
+	"ryerill/proxy"
+)
+
+const (
+	readyTimeout   = 8 * time.Second // new settings need the endpoint lists of their discovery services
+	lastGoodSuffix = ".last-good"    // of the file beside the configuration that holds what a rollout replaced
+	configFileMode = 0o600
+)
+
+// rollouts returns the option by which a proxy takes part in its fleet's rollouts. adjust changes settings before they
+// are loaded.
+func rollouts(getenv func(string) string, p **proxy.Proxy, adjust func(*config.Config)) proxy.Option {
+	changer := &settingsChanger{
+		getenv: getenv,
+		reload: func(cfg config.Config) error {
+			adjust(&cfg)
+			return (*p).Reload(cfg)
+		},
+		awaitReady: func(timeout time.Duration) error { return (*p).AwaitReady(timeout) },
+	}
+	parsePlan := func(text []byte) (rollout.Plan, error) {
+		current, err := os.ReadFile(getenv(config.EnvFile))
+		if err != nil {
+			return rollout.Plan{}, err
+		}
+		return config.ParsePlan("plan", text, current, getenv)
+	}
+	return proxy.WithRollouts(changer.change, parsePlan)
+}
+
+// settingsChanger changes this replica's settings as a rollout orders: the configuration file is replaced and reloaded.
+type settingsChanger struct {
+	getenv     func(string) string
+	reload     func(config.Config) error
+	awaitReady func(timeout time.Duration) error
+}
+
+// change takes the settings of a plan over, or rolls them back. New settings that can't be loaded are rolled back at
+// once. A change of the program is left to the operator's own means: see the command "rollout agent".
+func (c *settingsChanger) change(kind rollout.Kind, target string, settings []byte, rollBack bool) error {
+	if kind != rollout.Settings {
+		return nil
+	}
+	file := c.getenv(config.EnvFile)
+	current, err := os.ReadFile(file)
+	if err != nil {
+		return err
+	}
+	hasTarget := config.CommonHash(current) == target
+	next, err := c.nextSettings(file, current, target, settings, rollBack)
+	if err != nil {
+		return err
+	}
+	cfg, _, err := config.ParseFile(file, next, c.getenv)
+	if err != nil {
+		return fmt.Errorf("config check: %w", err)
+	}
+	if !rollBack && !hasTarget {
+		if err := renameio.WriteFile(file+lastGoodSuffix, current, configFileMode); err != nil {
+			return err
+		}
+	}
+	if err := renameio.WriteFile(file, next, configFileMode); err != nil {
+		return err
+	}
+	err = c.load(cfg)
+	if err == nil || rollBack {
+		return err
+	}
+	return fmt.Errorf("went back by itself: %w", errors.Join(err, c.restore(file, current)))
+}
+
+// nextSettings returns the contents of the configuration file after a change.
+func (c *settingsChanger) nextSettings(
+	file string, current []byte, target string, settings []byte, rollBack bool,
+) ([]byte, error) {
+	if rollBack {
+		previous, err := os.ReadFile(file + lastGoodSuffix)
+		if err != nil {
+			return nil, fmt.Errorf("what it held before: %w", err)
+		}
+		return previous, nil
+	}
+	if config.CommonHash(current) == target {
+		return current, nil
+	}
+	next, err := config.Overlay(current, settings)
+	if err != nil {
+		return nil, err
+	}
+	if hash := config.CommonHash(next); hash != target {
+		return nil, fmt.Errorf("with this copy's other settings it comes to %s and not %s: bring them in line first",
+			hash, target)
+	}
+	return next, nil
+}
+
+// load reloads the proxy and waits until it is ready.
+func (c *settingsChanger) load(cfg config.Config) error {
+	if err := c.reload(cfg); err != nil {
+		return err
+	}
+	return c.awaitReady(readyTimeout)
+}
+
+// restore puts the previous settings back, if they are valid, and reloads them.
+func (c *settingsChanger) restore(file string, previous []byte) error {
+	cfg, _, err := config.ParseFile(file, previous, c.getenv)
+	if err != nil {
+		return nil // there is nothing valid to return to: the error of the change is what counts
+	}
+	return errors.Join(renameio.WriteFile(file, previous, configFileMode), c.reload(cfg))
+}
