--- a/fleet/outlier/detector_test.go
+++ b/fleet/outlier/detector_test.go
@@ -57,22 +57,24 @@
 		{"never more than a fraction", 1, many(func(i int) Evidence { return against(fmt.Sprint("c", i/3, i%3/3*i), "z1", uint64(i%10+1), 1) }), nil},
 		{"one that isn't in the list", 1, []Evidence{against("a", "z1", 99, 1), against("b", "z1", 99, 1)}, nil},
 	} {
-		detector := New("reader", "z1", 1)
-		for _, e := range tc.given {
-			detector.Merge(0, e, 0)
-		}
-		got := detector.Evaluate(0, newPool(10), tc.zones)
-		var ids []uint64
-		for _, j := range got {
-			ids = append(ids, j.Endpoint)
-		}
-		if tc.want == nil && len(ids) > 3 || tc.want != nil && !slices.Equal(ids, tc.want) || tc.want == nil && tc.name != "never more than a fraction" && len(ids) > 0 {
-			t.Errorf("%s: %v, want %v", tc.name, ids, tc.want)
-		}
-		// Evidence ages: in the end nothing is ejected.
-		if late := detector.Evaluate(maxEvidenceAge+time.Second, newPool(10), tc.zones); len(late) > 0 {
-			t.Errorf("%s: still ejected: %v", tc.name, late)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			detector := New("reader", "z1", 1)
+			for _, e := range tc.given {
+				detector.Merge(0, e, 0)
+			}
+			got := detector.Evaluate(0, newPool(10), tc.zones)
+			var ids []uint64
+			for _, j := range got {
+				ids = append(ids, j.Endpoint)
+			}
+			if tc.want == nil && len(ids) > 3 || tc.want != nil && !slices.Equal(ids, tc.want) || tc.want == nil && tc.name != "never more than a fraction" && len(ids) > 0 {
+				t.Errorf("%v, want %v", ids, tc.want)
+			}
+			// Evidence ages: in the end nothing is ejected.
+			if late := detector.Evaluate(maxEvidenceAge+time.Second, newPool(10), tc.zones); len(late) > 0 {
+				t.Errorf("still ejected: %v", late)
+			}
+		})
 	}
 }
 
--- a/fleet/rollout/plan.go
+++ b/fleet/rollout/plan.go
@@ -92,6 +92,7 @@
 	Want  string
 }
 
+// Error names the key, its value and what is wanted.
 func (e *KeyError) Error() string {
 	return fmt.Sprintf("%s: unexpected value %q, want %s", e.Key, fmt.Sprint(e.Value), e.Want)
 }
@@ -102,6 +103,7 @@
 	Phase Phase
 }
 
+// Error names the active plan, if there is one.
 func (e *PlanStateError) Error() string {
 	if e.Phase.Ended() {
 		return "no plan stands"
