--- a/fleet/rollout/application.go
+++ b/fleet/rollout/application.go
@@ -39,7 +39,7 @@
 		return
 	}
 	p.application = application{latest: ordered}
-	p.env.actions = append(p.env.actions, Action{
+	p.env.add(Action{
 		Kind:     Apply,
 		Plan:     plan.ID,
 		Target:   target,
--- a/fleet/rollout/election.go
+++ b/fleet/rollout/election.go
@@ -87,6 +87,9 @@
 	e.leaseUntil = 0
 }
 
+// withdraw gives up the candidacy or leadership of a plan that has ended. The time of the lease stays as it is.
+func (e *election) withdraw() { e.token = 0 }
+
 // stepDown resigns and defers the next candidacy.
 func (e *election) stepDown(env *environment) {
 	e.resign()
--- a/fleet/rollout/message.go
+++ b/fleet/rollout/message.go
@@ -61,9 +61,11 @@
 
 func (e *environment) advance(now time.Duration) { e.now = max(e.now, now) }
 
+func (e *environment) add(action Action) { e.actions = append(e.actions, action) }
+
 func (e *environment) send(to string, message Message) {
 	message.From = e.name
-	e.actions = append(e.actions, Action{Kind: Send, To: to, Message: message})
+	e.add(Action{Kind: Send, To: to, Message: message})
 }
 
 // sendToPeers sends a message to all other replicas that are alive.
@@ -76,7 +78,7 @@
 }
 
 func (e *environment) log(line string) {
-	e.actions = append(e.actions, Action{Kind: LogLine, Line: line})
+	e.add(Action{Kind: LogLine, Line: line})
 }
 
 func (e *environment) takeActions() []Action {
--- a/fleet/rollout/participant.go
+++ b/fleet/rollout/participant.go
@@ -48,9 +48,9 @@
 		p.env.replicas.aliveCount(), len(p.env.replicas))
 }
 
-// Evidence is what the leader knows about the stage that is observed, in words and by interval. On other replicas it is
-// empty, unless there can't be a leader.
-func (p *Participant) Evidence() (words string, points []Point) {
+// Evidence is what the leader knows about the stage that is observed, as an explanation and by interval. On other
+// replicas it is empty, unless there can't be a leader.
+func (p *Participant) Evidence() (explanation string, points []Point) {
 	switch {
 	case !p.state.Phase.Ended() && !p.env.replicas.hasQuorum():
 		return fmt.Sprintf("nobody can lead: %d of %d copies are in sight, and most have to be",
@@ -62,8 +62,8 @@
 	case p.stages.evaluator == nil:
 		return "", nil
 	}
-	_, words = p.stages.evaluator.Assess(p.env.now)
-	return words, slices.Clone(p.stages.evaluator.points)
+	_, explanation = p.stages.evaluator.Assess(p.env.now)
+	return explanation, slices.Clone(p.stages.evaluator.points)
 }
 
 // Restore takes in the state that was persisted before a restart.
@@ -157,7 +157,7 @@
 	p.env.replicas = replicas
 	p.application.completed = p.application.completed || p.holdsOrdered()
 	if p.state.Phase.Ended() {
-		p.election.token = 0
+		p.election.withdraw()
 		p.conform()
 	} else {
 		p.state.Age += p.env.now - previous
