--- /dev/null
+++ b/fleet/quota/manager_test.go
@@ -0,0 +1,96 @@
+package quota
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// newLenderAndBorrower returns two replicas that share a rate and an amount limit of 10.
+func newLenderAndBorrower(epoch uint64) (lender, borrower *Manager) {
+	make := func(name, other string, epoch uint64) *Manager {
+		a := New(name, epoch, 1, false, 0)
+		a.SetLimits(0, []Limit{{"r", Rate, 10}, {"s", Amount, 10}})
+		a.SetReplicaCount(0, 2, []string{other})
+		return a
+	}
+	return make("l", "b", 1), make("b", "l", epoch)
+}
+
+// However long the messages take and clocks drift, a credit ends before its debit does.
+func TestCreditEndsBeforeDebit(t *testing.T) {
+	for _, pace := range []float64{1 - MaxClockDrift, 1, 1 + MaxClockDrift} {
+		for _, late := range []time.Duration{0, 100 * time.Millisecond, 490 * time.Millisecond} {
+			l, b := newLenderAndBorrower(1)
+			own := func(now time.Duration) time.Duration { return time.Duration(float64(now) * pace) }
+			drifted := func(now time.Duration) time.Duration { return time.Duration(float64(now) * (2 - pace)) }
+			b.AddDemand(own(0), "r", 100)
+			asks := b.Tick(own(0), nil)
+			grants := l.Handle(drifted(0), "b", asks[0].Message, nil)
+			b.Handle(own(late), "l", grants[0].Message, nil)
+			lent := false
+			for now := late; now < 2*Lease; now += time.Millisecond {
+				if sum := b.Rate(own(now), "r") + l.Rate(drifted(now), "r"); sum > 10.0001 {
+					t.Fatalf("pace %v, answer after %v: at %v both may spend %v of 10", pace, late, now, sum)
+				}
+				lent = lent || b.Rate(own(now), "r") > 5
+			}
+			if !lent {
+				t.Errorf("pace %v, answer after %v: nothing was lent", pace, late)
+			}
+		}
+	}
+}
+
+func TestDuplicatedAndOldMessages(t *testing.T) {
+	l, b := newLenderAndBorrower(1)
+	b.AddDemand(0, "r", 100)
+	b.AddDemand(0, "s", 100)
+	var asks, grants []Action
+	for _, a := range b.Tick(0, nil) {
+		asks = append(asks, a)
+		grants = l.Handle(0, "b", a.Message, grants)
+	}
+	rate, left := l.Rate(0, "r"), l.Left("s")
+	for _, a := range asks { // arrive again: the same answer, and no other debit
+		again := l.Handle(time.Second, "b", a.Message, nil)
+		if !slices.ContainsFunc(grants, func(g Action) bool { return g == again[0] }) {
+			t.Errorf("%+v gets another answer: %+v", a.Message, again[0].Message)
+		}
+	}
+	if l.Rate(time.Second, "r") != rate || l.Left("s") != left {
+		t.Errorf("a request that arrived twice is debited twice: %v, %v", l.Rate(time.Second, "r"), l.Left("s"))
+	}
+	// The borrower crashes. Its next process requests with the same numbers; the old grants arrive.
+	_, next := newLenderAndBorrower(2)
+	next.AddDemand(2*time.Second, "r", 100)
+	next.AddDemand(2*time.Second, "s", 100)
+	next.Tick(2*time.Second, nil)
+	for _, g := range grants {
+		next.Handle(2*time.Second, "l", g.Message, nil)
+	}
+	if next.Rate(2*time.Second, "r") > 5.001 || next.Left("s") > 5.001 {
+		t.Errorf("a grant to a previous process counts: %v, %v", next.Rate(2*time.Second, "r"), next.Left("s"))
+	}
+	for _, g := range append(grants, grants...) { // the first process counts each once
+		b.Handle(100*time.Millisecond, "l", g.Message, nil)
+	}
+	if sum := b.Rate(100*time.Millisecond, "r") + l.Rate(100*time.Millisecond, "r"); sum > 10.001 || b.Left("s")+l.Left("s") > 10.001 {
+		t.Errorf("both may spend %v and %v of 10", sum, b.Left("s")+l.Left("s"))
+	}
+	for _, bad := range []Message{{Request: RequestID{"b", 1, 99}, Quota: "r", Amount: -5}, {Request: RequestID{"x", 1, 99}, Quota: "r", Amount: 1},
+		{Request: RequestID{"b", 1, 99}, Quota: "nothing", Amount: 1}, {Grant: true, From: "y", Request: RequestID{"l", 1, 1}, Quota: "r", Amount: 1}} {
+		if out := l.Handle(time.Second, "b", bad, nil); len(out) > 0 {
+			t.Errorf("%+v is answered", bad)
+		}
+	}
+}
+
+func TestAnUnconfirmedReplicaHasNoShare(t *testing.T) {
+	a := New("a", 1, 1, false, 0)
+	a.SetLimits(0, []Limit{{"r", Rate, 10}, {"s", Amount, 10}})
+	a.SetReplicaCount(0, 0, []string{"b"})
+	if a.Rate(0, "r") != 0 || a.Left("s") != 0 {
+		t.Error(a.Rate(0, "r"), a.Left("s"))
+	}
+}
--- /dev/null
+++ b/fleet/rollout/participant_test.go
@@ -0,0 +1,176 @@
+package rollout
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"testing"
+	"time"
+)
+
+var quickPlan = Plan{Stages: []Stage{{Count: 1, Observation: 5 * time.Second}, {PerZone: true, Observation: 5 * time.Second}, {Fraction: 1, Observation: 5 * time.Second}}, MaxUnavailable: 2, RollBack: true}
+
+func TestRolloutsUnderFaults(t *testing.T) {
+	for _, tc := range []struct {
+		name string
+		plan Plan
+		cost float64
+		play func(c *fleet) func() // returns what happens at each step
+		want Phase
+		hold int // replicas with the target in the end, of 10; -1 for any
+	}{
+		{"harmless", quickPlan, 0, nil, Done, 10},
+		{"default stages", Plan{}, 0, nil, Done, 10},
+		{"it costs 20 points", quickPlan, 0.2, nil, RolledBack, 0},
+		{"it costs 5 points", quickPlan, 0.05, nil, RolledBack, 0},
+		{"it stops for an operator", Plan{Stages: quickPlan.Stages}, 0.2, nil, Stopped, 1},
+		{"it crashes replicas", quickPlan, 0, func(c *fleet) func() { c.deadly = true; return nil }, RolledBack, 1},
+		{"it crashes replicas some time after", quickPlan, 0, func(c *fleet) func() { c.deadly, c.deadlyLater = true, true; return nil }, RolledBack, 1},
+		{"the leader crashes again and again", quickPlan, 0, func(c *fleet) func() {
+			next := 5 * time.Second
+			return func() {
+				for i, h := range c.members {
+					if h.up && h.participant.IsLeader() && c.now > next && h.participant.state.Phase == Changing && h.version == old {
+						next = c.now + 12*time.Second
+						h.up = false
+					}
+					if !h.up && c.now > next-9*time.Second {
+						c.start(i)
+					}
+				}
+			}
+		}, Done, 10},
+		{"the leader is suspended and resumes with its old lease", quickPlan, 0, func(c *fleet) func() {
+			var who *member
+			return func() {
+				for _, h := range c.members {
+					if who == nil && h.up && h.participant.IsLeader() && c.now > 8*time.Second {
+						who = h
+						h.suspended = true
+					}
+				}
+				if who != nil && c.now > 20*time.Second {
+					who.suspended = false
+				}
+			}
+		}, Done, 10},
+		{"the leader is partitioned, and heals", quickPlan, 0, func(c *fleet) func() {
+			return func() {
+				for i, h := range c.members {
+					if c.healAt == 0 && c.now > 8*time.Second && h.participant.IsLeader() {
+						c.members[0], c.members[i] = c.members[i], c.members[0]
+						c.inFlight, c.partition, c.healAt = nil, 1, c.now+17*time.Second // the first by name leads at once when its vote has ended
+					}
+				}
+				if c.now > c.healAt {
+					c.partition = 0
+				}
+			}
+		}, Done, 10},
+		{"a fifth of the messages is lost, the others are delayed", quickPlan, 0, func(c *fleet) func() {
+			c.random, c.loss, c.maxDelay = rand.New(rand.NewPCG(1, 1)), 0.2, 500*time.Millisecond
+			return nil
+		}, Done, 10},
+		{"one is down during the change and returns", quickPlan, 0, func(c *fleet) func() { c.members[7].up = false; return nil }, Done, 10},
+		{"aborted during the change", quickPlan, 0, func(c *fleet) func() {
+			return func() {
+				if c.now > 14*time.Second && c.command == "" {
+					c.command = "abort"
+					c.members[9].participant.Command(c.now, "abort")
+				}
+			}
+		}, RolledBack, 0},
+		{"aborted during the rollback", quickPlan, 0.2, func(c *fleet) func() {
+			return func() {
+				if c.members[4].participant.state.Phase == RollingBack && c.command == "" {
+					c.command = "abort"
+					c.members[4].participant.Command(c.now, "abort")
+				}
+			}
+		}, RolledBack, 0},
+		{"one is reloaded by hand during the rollout", quickPlan, 0, func(c *fleet) func() {
+			done := false
+			return func() {
+				for _, h := range c.members {
+					if s := h.participant.State(); !done && h.participant.IsLeader() && s.Phase == Observing && s.Stage == 1 {
+						for _, k := range c.members {
+							if !done && k.name == s.Selected[len(s.Selected)-1] {
+								done, k.version = true, "by hand"
+							}
+						}
+					}
+				}
+			}
+		}, Done, 10},
+		{"the fleet grows during the rollout", quickPlan, 0, func(c *fleet) func() {
+			return func() {
+				if len(c.members) < 14 && c.now > time.Duration(10+len(c.members))*time.Second {
+					c.members = append(c.members, &member{name: fmt.Sprintf("c%02d", len(c.members)), version: old, previous: old})
+					c.start(len(c.members) - 1)
+				}
+			}
+		}, Done, 14},
+		{"the first that changes is partitioned at once, and heals", quickPlan, 0, func(c *fleet) func() {
+			return func() {
+				for i, h := range c.members {
+					if h.version == target && c.command == "" {
+						c.command = "cut"
+						c.members[0], c.members[i] = c.members[i], c.members[0]
+						c.inFlight, c.partition = nil, 1
+						c.healAt = c.now + 6*time.Second
+					}
+				}
+				if c.now > c.healAt {
+					c.partition = 0
+				}
+			}
+		}, Done, 10},
+		{"a majority is gone until it has expired", Plan{Stages: quickPlan.Stages, ExpiresAfter: time.Minute}, 0, func(c *fleet) func() {
+			for _, h := range c.members[3:] {
+				h.up = false // there is no leader, and the reason is given
+			}
+			return func() {
+				if reason, _ := c.members[0].participant.Evidence(); c.now > 20*time.Second && c.now < 80*time.Second && !strings.Contains(reason, "3 of 10") {
+					c.err = fmt.Errorf("the reason is missing: %q", reason)
+				}
+				for i, h := range c.members {
+					if c.now > 80*time.Second && !h.up {
+						c.start(i)
+					}
+				}
+			}
+		}, Expired, 0},
+		{"expired", Plan{Stages: quickPlan.Stages, ExpiresAfter: 15 * time.Second}, 0, nil, Expired, -1},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			t.Parallel()
+			c := newFleet(10, tc.plan)
+			var each func()
+			if tc.play != nil {
+				each = tc.play(c)
+			}
+			c.step(4 * time.Second)
+			if err := c.members[2].participant.Start(c.now, c.plan); err != nil {
+				t.Fatal(err)
+			}
+			if err := c.members[2].participant.Start(c.now, c.plan); err == nil {
+				t.Error("a second plan is accepted")
+			}
+			s := c.play(t, 15*time.Minute, tc.cost, each)
+			for i, h := range c.members { // replicas that were away return
+				if !h.up && !c.deadly {
+					c.start(i)
+				}
+			}
+			for range 300 {
+				c.step(100 * time.Millisecond)
+			}
+			if got := c.countVersion(target); s.Phase != tc.want || tc.hold >= 0 && got != tc.hold {
+				t.Errorf("%v (%s), %d have the target; want %v, %d\n%s", s.Phase, s.Reason, got, tc.want, tc.hold, strings.Join(s.History, "\n"))
+			}
+			if c.err != nil {
+				t.Error(c.err)
+			}
+		})
+	}
+}
