--- /dev/null
+++ b/cli/serve.go
@@ -0,0 +1,131 @@
+package cli
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"math"
+	"os"
+	"os/signal"
+	"runtime"
+	"runtime/debug"
+	"syscall"
+
+	"github.com/spf13/cobra"
+	"golang.org/x/sys/unix"
+
+	"ryerill/config"
+	"ryerill/internal/logging"
+	"ryerill/proxy"
+)
+
+const (
+	// The collector's goal is this fraction of the memory limit: stacks and sockets need some too.
+	heapFraction = 0.75
+	// Garbage is collected seldom while memory is plentiful.
+	gcPercent = 400
+)
+
+func serveCommand(getenv func(string) string, stderr io.Writer) *cobra.Command {
+	return &cobra.Command{
+		Use:   "serve",
+		Short: "Serve until SIGTERM, then finish what was taken; SIGHUP reloads the configuration",
+		Args:  cobra.NoArgs,
+		RunE:  func(*cobra.Command, []string) error { return serve(getenv, stderr) },
+	}
+}
+
+// serve runs the proxy until SIGTERM or SIGINT.
+func serve(getenv func(string) string, stderr io.Writer) error {
+	// Caught from the first moment on and until the process is gone: by itself the signal would end it.
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	// Whoever reads the log may go away: by itself the next line would end the process.
+	signal.Ignore(syscall.SIGPIPE)
+	cfg, warnings, err := config.Load(getenv)
+	if err != nil {
+		return err
+	}
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
+	setMemoryGoal(cfg.Limits.Memory, 1)
+	debug.SetGCPercent(gcPercent)
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	log := logging.New(stderr)
+	logWarnings(log, warnings)
+	maxDescriptors := descriptorLimit()
+	if err := limitSockets(&cfg, maxDescriptors, log); err != nil {
+		return err
+	}
+	var p *proxy.Proxy
+	limit := func(c *config.Config) { c.LimitSockets(maxDescriptors) }
+	memory := cfg.Limits.Memory
+	p, err = proxy.New(cfg, rollouts(getenv, &p, limit), proxy.WithLogger(log), proxy.WithProgram(version()),
+		proxy.WithProcessShare(func(fraction float64) { setMemoryGoal(memory, fraction) }))
+	var address *config.AddressError
+	if errors.As(err, &address) {
+		return err
+	}
+	if err != nil {
+		return runError{err}
+	}
+	go func() { // as long as the process: there is no end of hangups
+		for range hangups {
+			reload(p, getenv, maxDescriptors, log)
+		}
+	}()
+	if err := p.Run(ctx); err != nil {
+		return runError{err}
+	}
+	return nil
+}
+
+// setMemoryGoal sets the collector's goal for a process that has a fraction of the memory limit, in bytes.
+func setMemoryGoal(memory int64, fraction float64) {
+	debug.SetMemoryLimit(int64(fraction * heapFraction * float64(memory)))
+}
+
+// limitSockets lowers the configured descriptors to what the process may hold, with a warning.
+func limitSockets(cfg *config.Config, maxDescriptors int, log *slog.Logger) error {
+	stated := cfg.Limits.Sockets
+	if required := cfg.LimitSockets(maxDescriptors); required > 0 {
+		return runError{fmt.Errorf("this process may hold %d descriptors and needs %d: raise its limit (ulimit -n)",
+			maxDescriptors, required)}
+	}
+	if cfg.Limits.Sockets < stated {
+		log.Warn("fewer descriptors allowed than limits.sockets states", "stated", stated, "allowed", maxDescriptors)
+	}
+	return nil
+}
+
+// reload replaces the configuration of a running proxy by that of the file, if it is sound.
+func reload(p *proxy.Proxy, getenv func(string) string, maxDescriptors int, log *slog.Logger) {
+	cfg, warnings, err := config.Reload(getenv)
+	if err == nil {
+		cfg.LimitSockets(maxDescriptors)
+		err = p.Reload(cfg)
+	} else {
+		p.CountFailedReload()
+	}
+	if err != nil {
+		log.Error("configuration not reloaded, the old one holds", "err", err)
+	}
+	logWarnings(log, warnings)
+}
+
+func logWarnings(log *slog.Logger, warnings []string) {
+	for _, warning := range warnings {
+		log.Warn("configuration accepted with a warning", "warning", warning)
+	}
+}
+
+// descriptorLimit is how many descriptors this process may hold.
+func descriptorLimit() int {
+	var limit unix.Rlimit
+	if unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) != nil || limit.Cur > math.MaxInt32 {
+		return math.MaxInt32
+	}
+	return int(limit.Cur)
+}
