--- a/proxy/fleet.go
+++ b/proxy/fleet.go
@@ -20,7 +20,11 @@
 // the first.
 const joinInterval = 100 * time.Millisecond
 
-var errNoFleet = errors.New("this proxy is in no fleet now")
+var (
+	errNoFleet = errors.New("this proxy is in no fleet now")
+	// errFleetRemoved ends the wait for the fleet's address after a reload.
+	errFleetRemoved = errors.New("the configuration has no fleet any more")
+)
 
 // fleetMember is the proxy's membership in its fleet. Without a fleet in the configuration
 // there is none: no socket, no goroutine, no timer.
@@ -59,6 +63,9 @@
 	p.mu.Lock()
 	settings, text := p.cfg.Fleet, p.cfg.Text
 	p.mu.Unlock()
+	if settings == nil {
+		return nil, errFleetRemoved
+	}
 	cfg := settings.Config
 	cfg.ProgramVersion = p.version
 	cfg.SettingsHash = config.CommonHash(text)
