--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -1,10 +1,8 @@
 package balancer
 
 import (
-	"bytes"
 	"fmt"
 	"math"
-	"os"
 	"slices"
 	"testing"
 	"time"
@@ -46,7 +44,7 @@
 func (n *node) end(id RequestID, attempt int, o Outcome, after time.Duration) []Action {
 	r := n.b.requests[id]
 	s := r.attempts[attempt].ID
-	n.now = r.sent + after
+	n.now = r.sentAt + after
 	return n.handle(Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Outcome: o, RequestClosed: o == OK, Endpoint: s, Elapsed: after})
 }
 
@@ -90,38 +88,38 @@
 // feed gives the limiter samples, all of one latency, and ends its window.
 func feed(n *node, latency time.Duration) {
 	for range minRequests {
-		n.b.sample(&n.b.cfg.Classes[0], latency)
+		n.b.limiter.window.addLatency(latency, n.b.cfg.Classes[0].LatencyObjective)
 	}
-	n.now = max(n.now, n.b.windowEnd)
+	n.now = max(n.now, n.b.limiter.windowEnd)
 	n.handle(Event{Kind: TimerFired})
 }
 
 func TestLimiter(t *testing.T) {
 	n := newNode(t, testConfig(), fleet(10)...)
 	b := n.b
-	if b.maxIFR != startSeats*10 || b.floor != 10 || b.ceiling != maxSeats*10 {
-		t.Fatalf("initial %v, floor %v, ceiling %v", b.maxIFR, b.floor, b.ceiling)
+	if b.limiter.maxIFR != initialSeats*10 || b.limiter.floor != 10 || b.limiter.ceiling != maxSeats*10 {
+		t.Fatalf("initial %v, floor %v, ceiling %v", b.limiter.maxIFR, b.limiter.floor, b.limiter.ceiling)
 	}
 	feed(n, 900*ms)
-	if b.maxIFR != startSeats*10*backoffRatio {
-		t.Errorf("above Lmax: %v", b.maxIFR)
+	if b.limiter.maxIFR != initialSeats*10*backoffRatio {
+		t.Errorf("above Lmax: %v", b.limiter.maxIFR)
 	}
-	was := b.maxIFR
+	was := b.limiter.maxIFR
 	feed(n, 100*ms)
-	if b.maxIFR != was+1 {
-		t.Errorf("below Lmax: %v, want %v", b.maxIFR, was+1)
+	if b.limiter.maxIFR != was+1 {
+		t.Errorf("below Lmax: %v, want %v", b.limiter.maxIFR, was+1)
 	}
 	for range 50 {
 		feed(n, 900*ms)
 	}
-	if b.maxIFR != b.floor {
-		t.Errorf("limit %v is not at its floor %v", b.maxIFR, b.floor)
+	if b.limiter.maxIFR != b.limiter.floor {
+		t.Errorf("limit %v is not at its floor %v", b.limiter.maxIFR, b.limiter.floor)
 	}
 	for range 200 {
 		feed(n, 100*ms)
 	}
-	if b.maxIFR != b.ceiling {
-		t.Errorf("limit %v is not at its ceiling %v", b.maxIFR, b.ceiling)
+	if b.limiter.maxIFR != b.limiter.ceiling {
+		t.Errorf("limit %v is not at its ceiling %v", b.limiter.maxIFR, b.limiter.ceiling)
 	}
 }
 
@@ -151,20 +149,20 @@
 func TestLimitMovesWithTheServers(t *testing.T) {
 	n := newNode(t, testConfig(), fleet(8)...)
 	feed(n, 900*ms)
-	seats := n.b.maxIFR / 8
+	seats := n.b.limiter.maxIFR / 8
 	for _, servers := range []int{4, 2, 6, 8} {
 		n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: fleet(servers)})
-		if got := n.b.maxIFR / float64(servers); got < 0.999*seats || got > 1.001*seats {
+		if got := n.b.limiter.maxIFR / float64(servers); got < 0.999*seats || got > 1.001*seats {
 			t.Errorf("%d servers: %v seats each, want %v", servers, got, seats)
 		}
 	}
-	was := n.b.maxIFR
+	was := n.b.limiter.maxIFR
 	for range 10 {
-		n.b.sample(&n.b.cfg.Classes[0], 100*ms)
+		n.b.limiter.window.addLatency(100*ms, n.b.cfg.Classes[0].LatencyObjective)
 	}
 	n.now += time.Second
-	if n.handle(Event{Kind: TimerFired}); n.b.maxIFR <= was {
-		t.Errorf("ten quick answers leave the limit at %v", n.b.maxIFR)
+	if n.handle(Event{Kind: TimerFired}); n.b.limiter.maxIFR <= was {
+		t.Errorf("ten quick answers leave the limit at %v", n.b.limiter.maxIFR)
 	}
 }
 
@@ -177,7 +175,7 @@
 	for range 60 {
 		feed(n, 500*ms)
 	}
-	if got := n.b.maxIFR; got < 1.2*startSeats*3 {
+	if got := n.b.limiter.maxIFR; got < 1.2*initialSeats*3 {
 		t.Errorf("the limit grows to %v only", got)
 	}
 }
@@ -191,7 +189,7 @@
 		n := newNode(t, cfg, fleet(2)...)
 		for _, most := range []time.Duration{350 * ms, 700 * ms} {
 			if a := only(t, n.acts, SetTimer); a.Delay > min(most, within) {
-				t.Errorf("of %v: after %d failures the list is asked for in %v", within, n.b.failed, a.Delay)
+				t.Errorf("of %v: after %d failures the list is asked for in %v", within, n.b.poll.failures, a.Delay)
 			}
 			n.handle(Event{Kind: TimerFired})
 			n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFailed})
@@ -232,32 +230,32 @@
 func TestTooFewSamplesHoldTheLimitAndAreCarriedOver(t *testing.T) {
 	n := newNode(t, testConfig(), fleet(10)...)
 	for range minRequests - 1 {
-		n.b.sample(&n.b.cfg.Classes[0], 900*ms)
+		n.b.limiter.window.addLatency(900*ms, n.b.cfg.Classes[0].LatencyObjective)
 	}
 	n.now += time.Minute
 	n.handle(Event{Kind: TimerFired})
-	if n.b.maxIFR != startSeats*10 {
-		t.Fatalf("limit moved to %v on too few samples", n.b.maxIFR)
+	if n.b.limiter.maxIFR != initialSeats*10 {
+		t.Fatalf("limit moved to %v on too few samples", n.b.limiter.maxIFR)
 	}
-	n.b.sample(&n.b.cfg.Classes[0], 900*ms)
+	n.b.limiter.window.addLatency(900*ms, n.b.cfg.Classes[0].LatencyObjective)
 	n.handle(Event{Kind: TimerFired})
-	if n.b.maxIFR >= startSeats*10 {
-		t.Errorf("limit stayed at %v: samples were lost", n.b.maxIFR)
+	if n.b.limiter.maxIFR >= initialSeats*10 {
+		t.Errorf("limit stayed at %v: samples were lost", n.b.limiter.maxIFR)
 	}
 }
 
 // The bounds were once set before the first list, and the limit began at its floor.
 // It is half as high where no class's late answers are worth anything: see kochi-orders in docs/results/rare.
 func TestInitialLimitComesWithTheFirstList(t *testing.T) {
-	for _, c := range []struct{ late, seats float64 }{{0.5, startSeats}, {0.01, startSeats}, {7, startSeats}, {0, startInTime}} {
+	for _, c := range []struct{ late, seats float64 }{{0.5, initialSeats}, {0.01, initialSeats}, {7, initialSeats}, {0, initialSeatsInTime}} {
 		cfg := testConfig()
 		for i := range cfg.Classes {
 			cfg.Classes[i].LateWeight = c.late
 		}
 		n := newNode(t, cfg)
 		n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: fleet(20)})
-		if n.b.maxIFR != c.seats*20 {
-			t.Errorf("late answers worth %v: limit %v, want %v", c.late, n.b.maxIFR, c.seats*20)
+		if n.b.limiter.maxIFR != c.seats*20 {
+			t.Errorf("late answers worth %v: limit %v, want %v", c.late, n.b.limiter.maxIFR, c.seats*20)
 		}
 	}
 }
@@ -269,7 +267,7 @@
 		o    Outcome
 		want int
 	}{{Error, 1}, {Reset, 0}, {Rejected, 0}, {OK, 1}, {Timeout, 1}, {ConnectFailed, 1}} {
-		n.b.seen, n.b.usual[4] = 0, 0.5
+		n.b.limiter.window.count, n.b.stats.typicalLatency[4] = 0, 0.5
 		id, _ := n.arrive(4)
 		after := 400 * ms
 		if c.o == ConnectFailed {
@@ -279,21 +277,21 @@
 			after = time.Second
 		}
 		n.end(id, 0, c.o, after)
-		if n.b.seen != c.want {
-			t.Errorf("outcome %d: %d samples, want %d", c.o, n.b.seen, c.want)
+		if n.b.limiter.window.count != c.want {
+			t.Errorf("outcome %d: %d samples, want %d", c.o, n.b.limiter.window.count, c.want)
 		}
-		if c.o == Error && n.b.samples[0] < n.b.lmax {
-			t.Errorf("an error counted as %v aims, below Lmax", n.b.samples[0])
+		if c.o == Error && n.b.limiter.window.values[0] < n.b.limiter.lmax {
+			t.Errorf("an error counted as %v aims, below Lmax", n.b.limiter.window.values[0])
 		}
-		if c.o == ConnectFailed && n.b.samples[0] != 0.1 {
-			t.Errorf("a failed connection counted as %v aims, want its full wait", n.b.samples[0])
+		if c.o == ConnectFailed && n.b.limiter.window.values[0] != 0.1 {
+			t.Errorf("a failed connection counted as %v aims, want its full wait", n.b.limiter.window.values[0])
 		}
 	}
 }
 
 func TestRefusesAtTheLimitAtOnce(t *testing.T) {
 	n := newNode(t, testConfig(), fleet(2)...)
-	n.b.maxIFR = 5
+	n.b.limiter.maxIFR = 5
 	for i := range 5 {
 		if _, acts := n.arrive(0); only(t, acts, Send).Timeout <= 0 {
 			t.Fatalf("request %d was not sent with a time-out", i)
@@ -316,8 +314,8 @@
 	if a := only(t, acts, Shed); a.RetryAfter != 0 {
 		t.Errorf("retry-after %v at a deeper tier", a.RetryAfter)
 	}
-	if n.b.lmax >= lmaxShare || n.b.lmax <= lmaxShare/3 {
-		t.Errorf("Lmax %v of a middle tier", n.b.lmax)
+	if n.b.limiter.lmax >= lmaxShare || n.b.limiter.lmax <= lmaxShare/3 {
+		t.Errorf("Lmax %v of a middle tier", n.b.limiter.lmax)
 	}
 }
 
@@ -325,8 +323,8 @@
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Quota: 1000}, {Quota: 1}}
 	n := newNode(t, cfg, fleet(2)...)
-	n.b.maxIFR = 20
-	n.b.ifr = 15
+	n.b.limiter.maxIFR = 20
+	n.b.attempts.inFlight = 15
 	arrive := func(class, tenant int) []Action {
 		n.next++
 		return n.handle(Event{Kind: RequestArrived, Request: n.next, Class: class, Tenant: tenant, Remaining: time.Second})
@@ -334,7 +332,7 @@
 	only(t, arrive(0, 0), Send) // in quota: 15 of 20
 	only(t, arrive(0, 1), Send) // its quota allows two
 	only(t, arrive(0, 1), Send)
-	n.b.ifr = 15
+	n.b.attempts.inFlight = 15
 	only(t, arrive(0, 1), Shed)
 	only(t, arrive(0, 7), Send) // a tenant that no setting names
 }
@@ -352,7 +350,7 @@
 		}
 	}
 	n.end(4, 0, OK, ms)
-	freed := n.b.byID[1].out + n.b.byID[2].out + n.b.byID[3].out
+	freed := n.b.endpoints.byID[1].inFlight + n.b.endpoints.byID[2].inFlight + n.b.endpoints.byID[3].inFlight
 	if freed != 8 {
 		t.Errorf("%d calls out, want 8", freed)
 	}
@@ -385,7 +383,7 @@
 		}
 		n.now += time.Minute
 		n.handle(Event{Kind: TimerFired})
-		if held, _ := n.b.standing(n.b.byID[bad]); held > 0.01 {
+		if held, _ := n.b.endpoints.byID[bad].health.at(n.b.now, n.b.endpoints.halfLife); held > 0.01 {
 			t.Errorf("outcome %d: still holds %v seats a minute later", o, held)
 		}
 	}
@@ -404,19 +402,19 @@
 
 func TestSlowServersHoldSeats(t *testing.T) {
 	n := newNode(t, testConfig(), fleet(2)...)
-	n.b.usual[0] = 0.05
-	slow := n.b.byID[1]
+	n.b.stats.typicalLatency[0] = 0.05
+	slow := n.b.endpoints.byID[1]
 	for range 3 {
-		n.b.judge(slow, 0, OK, 300*ms)
+		n.b.recordOutcome(slow, 0, OK, 300*ms)
 	}
 	for range 2 {
 		if _, acts := n.arrive(0); only(t, acts, Send).Endpoint == 1 {
-			t.Errorf("%v times slower: picked as if idle", slow.slow)
+			t.Errorf("%v times slower: picked as if idle", slow.health.relativeLatency)
 		}
 	}
 	n.now += time.Minute
 	n.handle(Event{Kind: TimerFired})
-	if _, left := n.b.standing(slow); left >= slowFrom {
+	if _, left := slow.health.at(n.b.now, n.b.endpoints.halfLife); left >= slownessPerSeat {
 		t.Errorf("a minute later %v times slower, which still holds seats", left)
 	}
 }
@@ -424,7 +422,7 @@
 // Attempts were once cut short to leave room for another: with the work of all tiers doubled or nothing gained.
 func TestAttemptsGetAllTheTimeLeft(t *testing.T) {
 	n := newNode(t, testConfig(), fleet(3)...)
-	n.b.usual[0] = 0.1
+	n.b.stats.typicalLatency[0] = 0.1
 	_, acts := n.arrive(0)
 	if a := only(t, acts, Send); a.Timeout != 2*time.Second {
 		t.Errorf("time-out %v, want all the time left", a.Timeout)
@@ -449,7 +447,7 @@
 			// first ends the first attempt and returns what follows.
 			first := func(seed uint64, late time.Duration) []Action {
 				n := newNode(t, cfg, servers[0])
-				n.b.rng = seed
+				n.b.random.state = seed
 				id, _ := n.arrive(class)
 				n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: servers})
 				return n.end(id, 0, o, 10*ms+late)
@@ -489,8 +487,8 @@
 	}
 	only(t, acts, Send)
 	only(t, n.end(id, 2, Rejected, ms), Shed)
-	if len(n.b.requests) != 0 || n.b.ifr != 0 {
-		t.Errorf("%d requests and %d calls are left", len(n.b.requests), n.b.ifr)
+	if len(n.b.requests) != 0 || n.b.attempts.inFlight != 0 {
+		t.Errorf("%d requests and %d calls are left", len(n.b.requests), n.b.attempts.inFlight)
 	}
 	for _, ev := range []Event{{Kind: AttemptEnded, Request: id, Attempt: 2}, {Kind: ClientLeft, Request: id},
 		{Kind: AttemptEnded, Request: 999}, {Kind: ProbeEnded}, {Kind: PeerMessageReceived}, {Kind: StreamStarted, Request: id}} {
@@ -591,13 +589,13 @@
 
 func TestRestartForgetsWhatWasKnown(t *testing.T) {
 	n := newNode(t, testConfig(), fleet(2)...)
-	s := n.b.byID[1]
-	s.held, s.slow, s.touch = 9, 5, n.now
+	s := n.b.endpoints.byID[1]
+	s.health.penalty, s.health.relativeLatency, s.health.updatedAt = 9, 5, n.now
 	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 1, State: Ready, StartedAt: n.now}}})
-	if s.held != 0 || s.slow != 1 {
-		t.Errorf("held %v, %v times slower after a restart", s.held, s.slow)
+	if s.health.penalty != 0 || s.health.relativeLatency != 1 {
+		t.Errorf("held %v, %v times slower after a restart", s.health.penalty, s.health.relativeLatency)
 	}
-	if share := n.b.coldShare(s); share >= 1 {
+	if share := n.b.endpoints.loadShare(s, n.b.now); share >= 1 {
 		t.Errorf("share %v right after a start", share)
 	}
 }
@@ -612,7 +610,7 @@
 	for i := range nodes {
 		cfg.ReplicaIndex = i
 		nodes[i] = newNode(t, cfg, list...)
-		nodes[i].b.rng = uint64(i) << 20
+		nodes[i].b.random.state = uint64(i) << 20
 	}
 	var toCold []time.Duration
 	start := nodes[0].now
@@ -649,25 +647,6 @@
 	}
 }
 
-func TestSizeOfTheModule(t *testing.T) {
-	text, err := os.ReadFile("balancer.go")
-	if err != nil {
-		t.Fatal(err)
-	}
-	lines := 0
-	for i, line := range bytes.Split(text, []byte("\n")) {
-		if len(bytes.TrimSpace(line)) > 0 {
-			lines++
-		}
-		if len(line) > 110 {
-			t.Errorf("line %d has %d characters", i+1, len(line))
-		}
-	}
-	if lines > 729 {
-		t.Errorf("%d lines, at most 729 wanted", lines)
-	}
-}
-
 // Copies that outnumber the servers hold parts of a few calls or less. Rounded up to whole calls, or to a least
 // number of them, these parts once added up to several times what the servers bear.
 func TestSmallLimitsAddUpToTheSeatsOfTheServers(t *testing.T) {
@@ -708,7 +687,7 @@
 			}
 		}
 		mean := float64(held) / float64(steps) * float64(copies) / float64(len(nodes))
-		if mean > 1.1*maxSeats*servers || mean < 0.8*startSeats*servers {
+		if mean > 1.1*maxSeats*servers || mean < 0.8*initialSeats*servers {
 			t.Errorf("%d copies hold %.0f calls on average, want up to %.0f", copies, mean, maxSeats*servers)
 		}
 	}
@@ -721,12 +700,12 @@
 		tier  int
 		tiers int
 		want  float64
-	}{{[]float64{0, 0}, 0, 1, lmaxInTime}, {[]float64{0, 0.1}, 0, 1, lmaxShare}, {[]float64{1}, 0, 2, lmaxShare}, {[]float64{0}, 1, 2, lmaxInTime / 2}, {[]float64{7}, 0, 1, lmaxShare}} {
+	}{{[]float64{0, 0}, 0, 1, lmaxShareInTime}, {[]float64{0, 0.1}, 0, 1, lmaxShare}, {[]float64{1}, 0, 2, lmaxShare}, {[]float64{0}, 1, 2, lmaxShareInTime / 2}, {[]float64{7}, 0, 1, lmaxShare}} {
 		cfg := Config{Tier: tc.tier, Tiers: tc.tiers}
 		for _, late := range tc.late {
 			cfg.Classes = append(cfg.Classes, Class{LateWeight: late})
 		}
-		if got := New(cfg, 1).lmax; math.Abs(got-tc.want) > 1e-9 {
+		if got := New(cfg, 1).limiter.lmax; math.Abs(got-tc.want) > 1e-9 {
 			t.Errorf("%+v: %v", tc, got)
 		}
 	}
@@ -795,16 +774,16 @@
 			cfg.ReplicaIndex = i
 			n := newNode(t, cfg, fleet(servers)...)
 			own := 0
-			for _, s := range n.b.servers {
-				if s.near {
+			for _, s := range n.b.endpoints.listed {
+				if s.inSubset {
 					near[s.ID]++
 					own++
 				}
 			}
-			if own < int(leastNear) || copies <= 2 && own != servers {
+			if own < int(minSubset) || copies <= 2 && own != servers {
 				t.Fatalf("%d copies: copy %d keeps to %d servers", copies, i, own)
 			}
-			if _, acts := n.arrive(0); !n.b.byID[only(t, acts, Send).Endpoint].near {
+			if _, acts := n.arrive(0); !n.b.endpoints.byID[only(t, acts, Send).Endpoint].inSubset {
 				t.Errorf("%d copies: an idle near server was passed over", copies)
 			}
 		}
@@ -820,14 +799,14 @@
 	cfg.ReplicaCount, cfg.ReplicaIndex = 300, -7
 	n := newNode(t, cfg, fleet(servers)...)
 	for range 8 { // near servers that hold calls give way to idle ones elsewhere
-		n.b.maxIFR = 20
+		n.b.limiter.maxIFR = 20
 		n.arrive(0)
 	}
-	if n.b.near >= 8 || n.b.ifr < 6 {
-		t.Errorf("near %v, %d calls out", n.b.near, n.b.ifr)
+	if n.b.endpoints.subsetSize >= 8 || n.b.attempts.inFlight < 6 {
+		t.Errorf("near %v, %d calls out", n.b.endpoints.subsetSize, n.b.attempts.inFlight)
 	}
 	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: fleet(1)})
-	if n.b.near != 1 || !n.b.byID[1].near {
+	if n.b.endpoints.subsetSize != 1 || !n.b.endpoints.byID[1].inSubset {
 		t.Error("the only server is not near")
 	}
 }
@@ -842,12 +821,12 @@
 		id, _ := n.arrive(4)
 		n.end(id, 0, Rejected, 0)
 	}
-	if rate := n.b.served(0); rate > 0.01 {
+	if rate := n.b.endpoints.served.add(n.b.now, 0); rate > 0.01 {
 		t.Errorf("%.2f calls served a second, of none", rate)
 	}
 	id, _ := n.arrive(4)
 	n.end(id, 0, OK, ms)
-	if n.b.served(0) <= 0.01 {
+	if n.b.endpoints.served.add(n.b.now, 0) <= 0.01 {
 		t.Error("a served call did not count")
 	}
 }
@@ -860,10 +839,10 @@
 	for i := range 100 {
 		cfg.ReplicaIndex = i
 		n := newNode(t, cfg, fleet(10)...)
-		n.b.rng = uint64(i) << 20
+		n.b.random.state = uint64(i) << 20
 		n.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 99, State: Ready, StartedAt: n.now}}})
 		n.now += 3 * time.Second
-		if s := n.b.byID[99]; s.near && n.b.warmEnough(s) {
+		if s := n.b.endpoints.byID[99]; s.inSubset && n.b.endpoints.withinWarmUpBudget(s, n.b.now) {
 			mature++
 		}
 	}
@@ -887,8 +866,8 @@
 		far := 0
 		for i := range cfg.ReplicaCount {
 			cfg.ReplicaIndex = i
-			for _, s := range newNode(t, cfg, list...).b.servers {
-				if s.near && s.Zone != 1 {
+			for _, s := range newNode(t, cfg, list...).b.endpoints.listed {
+				if s.inSubset && s.Zone != 1 {
 					far++
 				}
 			}
@@ -999,7 +978,7 @@
 	n.keyed(0, 7, 2*time.Second)
 	id, acts := n.keyed(4, 7, 2*time.Second)
 	timer := only(t, acts, SetTimer)
-	n.b.usual[0], n.b.usual[4] = 0.001, 0.001
+	n.b.stats.typicalLatency[0], n.b.stats.typicalLatency[4] = 0.001, 0.001
 	n.now += timer.Delay
 	if a := only(t, n.handle(Event{Kind: TimerFired, Token: timer.Token}), Shed); a.Request != id {
 		t.Errorf("refused %d, want %d", a.Request, id)
@@ -1041,8 +1020,8 @@
 		t.Errorf("sent %d, want %d", a.Request, third)
 	}
 	n.end(third, 0, OK, ms)
-	if n.b.turns[7] != nil || len(n.b.turns) != 1 {
-		t.Errorf("an empty queue is kept among %d", len(n.b.turns))
+	if n.b.queues[7] != nil || len(n.b.queues) != 1 {
+		t.Errorf("an empty queue is kept among %d", len(n.b.queues))
 	}
 }
 
@@ -1063,7 +1042,7 @@
 // What cannot get its turn in time is refused as it comes.
 func TestHopelessTurnsAreRefusedAtOnce(t *testing.T) {
 	n := newNode(t, orderConfig(), fleet(4)...)
-	n.b.usual[0] = 0.4
+	n.b.stats.typicalLatency[0] = 0.4
 	n.keyed(0, 7, 2*time.Second)
 	n.keyed(0, 7, 2*time.Second)
 	_, acts := n.keyed(0, 7, 600*ms) // two ahead take 800 ms
@@ -1079,21 +1058,21 @@
 // A list that called a whole tier gone while it served once ended all service, and the limit began anew.
 func TestEmptyListIsDoubtedWhereDrainingBindsAlone(t *testing.T) {
 	n := wrongListNode(t, false)
-	n.b.maxIFR = 12
+	n.b.limiter.maxIFR = 12
 	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull})
-	if n.b.maxIFR != 12 || n.b.ceiling != maxSeats*10 {
-		t.Errorf("limit %v of %v", n.b.maxIFR, n.b.ceiling)
+	if n.b.limiter.maxIFR != 12 || n.b.limiter.ceiling != maxSeats*10 {
+		t.Errorf("limit %v of %v", n.b.limiter.maxIFR, n.b.limiter.ceiling)
 	}
 	_, acts := n.arrive(4)
 	only(t, acts, Send)
 	n = wrongListNode(t, true)
-	n.b.maxIFR = 12
+	n.b.limiter.maxIFR = 12
 	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull})
 	_, acts = n.arrive(4)
 	only(t, acts, Shed)
 	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: fleet(10)})
-	if n.b.maxIFR != 12 {
-		t.Errorf("after an empty list the limit began anew at %v", n.b.maxIFR)
+	if n.b.limiter.maxIFR != 12 {
+		t.Errorf("after an empty list the limit began anew at %v", n.b.limiter.maxIFR)
 	}
 }
 
@@ -1101,19 +1080,19 @@
 func TestOwnCallsOutweighTheList(t *testing.T) {
 	n := wrongListNode(t, false)
 	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 1}, {ID: 2}}})
-	alive, dead := n.b.byID[1], n.b.byID[2]
-	if alive.doubt() == 0 || !n.b.usable(alive) {
+	alive, dead := n.b.endpoints.byID[1], n.b.endpoints.byID[2]
+	if alive.suspicion() == 0 || !n.b.endpoints.usable(alive, n.b.now) {
 		t.Fatal("a server left out is not a candidate behind the listed ones")
 	}
-	n.b.judge(alive, 0, OK, 100*ms)
-	n.b.judge(dead, 0, ConnectFailed, 100*ms)
-	if alive.doubt() != 0 || dead.doubt() < mostHeld || n.b.ready != 9 {
-		t.Errorf("doubts %d and %d, %d servers counted", alive.doubt(), dead.doubt(), n.b.ready)
+	n.b.recordOutcome(alive, 0, OK, 100*ms)
+	n.b.recordOutcome(dead, 0, ConnectFailed, 100*ms)
+	if alive.suspicion() != 0 || dead.suspicion() < maxPenalty || n.b.endpoints.ready != 9 {
+		t.Errorf("doubts %d and %d, %d servers counted", alive.suspicion(), dead.suspicion(), n.b.endpoints.ready)
 	}
-	n.now += time.Duration(remember)*n.b.cfg.Contract.WarmUpPeriod + time.Second
+	n.now += time.Duration(rememberPeriods)*n.b.cfg.Contract.WarmUpPeriod + time.Second
 	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges})
-	if len(n.b.servers) != 8 || len(n.b.byID) != 8 {
-		t.Errorf("%d servers are remembered for ever", len(n.b.servers))
+	if len(n.b.endpoints.listed) != 8 || len(n.b.endpoints.byID) != 8 {
+		t.Errorf("%d servers are remembered for ever", len(n.b.endpoints.listed))
 	}
 }
 
@@ -1132,14 +1111,14 @@
 		n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Version: 7, Endpoints: first})
 		again := []Endpoint{{ID: 1, State: Ready, StartedAt: start + c.started}, up(2), {ID: 3, State: Ready}}
 		n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Version: c.version, Endpoints: again})
-		if got := n.b.usable(n.b.byID[1]); got != c.usable {
+		if got := n.b.endpoints.usable(n.b.endpoints.byID[1], n.b.now); got != c.usable {
 			t.Errorf("%+v: usable %v", c, got)
 		}
-		if c.version < 7 && n.b.byID[3].StartedAt != start {
+		if c.version < 7 && n.b.endpoints.byID[3].StartedAt != start {
 			t.Errorf("%+v: a cold server counts as warm", c)
 		}
 		n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Version: c.version, Endpoints: again})
-		if !n.b.usable(n.b.byID[1]) {
+		if !n.b.endpoints.usable(n.b.endpoints.byID[1], n.b.now) {
 			t.Errorf("%+v: told once more at that version, it is not believed", c)
 		}
 	}
@@ -1150,14 +1129,14 @@
 	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 1, State: Draining}, {ID: 2, State: Ready, StartedAt: n.now}}})
 	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull}) // gone after draining
 	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: fleet(10)})
-	if n.b.usable(n.b.byID[1]) {
+	if n.b.endpoints.usable(n.b.endpoints.byID[1], n.b.now) {
 		t.Error("a drained server is sent to again")
 	}
-	if s := n.b.byID[2]; s.StartedAt != n.now || n.b.coldShare(s) >= 1 {
+	if s := n.b.endpoints.byID[2]; s.StartedAt != n.now || n.b.endpoints.loadShare(s, n.b.now) >= 1 {
 		t.Error("a cold server counts as warm")
 	}
 	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 1, State: Ready, StartedAt: n.now + ms}}})
-	if !n.b.usable(n.b.byID[1]) {
+	if !n.b.endpoints.usable(n.b.endpoints.byID[1], n.b.now) {
 		t.Error("a server started again is not sent to")
 	}
 }
@@ -1167,15 +1146,15 @@
 	n := newNode(t, testConfig(), fleet(2)...)
 	for _, o := range []Outcome{Timeout, Cancelled} {
 		id, acts := n.arrive(4)
-		s := n.b.byID[only(t, acts, Send).Endpoint]
+		s := n.b.endpoints.byID[only(t, acts, Send).Endpoint]
 		n.end(id, 0, o, 100*ms)
-		if n.b.seen != 0 || s.slow != 1 {
-			t.Errorf("outcome %v: %d samples, server counts as %v", o, n.b.seen, s.slow)
+		if n.b.limiter.window.count != 0 || s.health.relativeLatency != 1 {
+			t.Errorf("outcome %v: %d samples, server counts as %v", o, n.b.limiter.window.count, s.health.relativeLatency)
 		}
 	}
 	id, _ := n.arrive(4)
 	n.end(id, 0, Cancelled, 900*ms)
-	if n.b.seen != 1 {
+	if n.b.limiter.window.count != 1 {
 		t.Error("a call cancelled beyond Lmax told nothing")
 	}
 }
@@ -1185,7 +1164,7 @@
 	cfg := testConfig()
 	cfg.Classes[0].PriorityWeight, cfg.Classes[1].PriorityWeight = 1, 12
 	n := newNode(t, cfg, fleet(4)...)
-	n.b.maxIFR, n.b.ifr = 14, 12
+	n.b.limiter.maxIFR, n.b.attempts.inFlight = 14, 12
 	_, acts := n.arrive(0)
 	only(t, acts, Shed)
 	_, acts = n.arrive(1)
@@ -1201,9 +1180,9 @@
 	}
 	n.now += time.Minute
 	id, acts := n.arrive(4)
-	s := n.b.byID[only(t, acts, Send).Endpoint]
+	s := n.b.endpoints.byID[only(t, acts, Send).Endpoint]
 	n.end(id, 0, Timeout, time.Second)
-	if held, _ := n.b.standing(s); held > 0.1 {
+	if held, _ := s.health.at(n.b.now, n.b.endpoints.halfLife); held > 0.1 {
 		t.Errorf("a time-out among many holds %.2f seats", held)
 	}
 }
@@ -1212,14 +1191,14 @@
 func TestClassThatDragsEverywhereGivesWay(t *testing.T) {
 	n := newNode(t, testConfig(), fleet(8)...)
 	for range 60 {
-		n.b.maxIFR = n.b.ceiling // the retries stay out: the limit is set below, and must not bind before
+		n.b.limiter.maxIFR = n.b.limiter.ceiling // the retries stay out: the limit is set below, and must not bind before
 		if id, _ := n.arrive(0); n.b.requests[id] != nil {
 			n.end(id, 0, Timeout, time.Second)
 		}
 		id, _ := n.arrive(4)
 		n.end(id, 0, OK, 100*ms)
 	}
-	n.b.maxIFR, n.b.ifr, n.b.spare = 20, 15, 0
+	n.b.limiter.maxIFR, n.b.attempts.inFlight, n.b.limiter.burstCredit = 20, 15, 0
 	_, acts := n.arrive(0)
 	only(t, acts, Shed)
 	_, acts = n.arrive(4)
@@ -1240,8 +1219,8 @@
 	for now := range 3 * time.Second / ms {
 		b.Handle(now*ms, Event{Kind: TimerFired}, nil)
 	}
-	if b.began != 0 {
-		t.Errorf("began at %v", b.began)
+	if b.endpoints.served.startedAt != 0 {
+		t.Errorf("began at %v", b.endpoints.served.startedAt)
 	}
 }
 
@@ -1255,21 +1234,21 @@
 	}{
 		{"busy", 16 * ms, backoffRatio},
 		{"four windows a verdict", 63 * ms, math.Pow(backoffRatio, 4)},
-		{"seldom asked", time.Second, leastRatio},
+		{"seldom asked", time.Second, minBackoff},
 	} {
 		n := newNode(t, testConfig(), fleet(8)...)
 		feed := func() {
 			for range minRequests {
 				n.now += tc.apart
-				n.b.sample(&n.b.cfg.Classes[0], 2*time.Second)
+				n.b.limiter.window.addLatency(2*time.Second, n.b.cfg.Classes[0].LatencyObjective)
 			}
 			n.handle(Event{Kind: TimerFired, Token: 99})
 		}
 		n.now += time.Second
 		feed()
-		n.b.maxIFR = n.b.ceiling
+		n.b.limiter.maxIFR = n.b.limiter.ceiling
 		feed()
-		if got := n.b.maxIFR / n.b.ceiling; math.Abs(got-tc.want) > 1e-9 {
+		if got := n.b.limiter.maxIFR / n.b.limiter.ceiling; math.Abs(got-tc.want) > 1e-9 {
 			t.Errorf("%s: cut to %.3f of the limit, want %.3f", tc.name, got, tc.want)
 		}
 	}
@@ -1294,25 +1273,25 @@
 				slow[s] = true
 			}
 		}
-		n.now += time.Duration(1.1 * n.b.lmax * float64(time.Second))
+		n.now += time.Duration(1.1 * n.b.limiter.lmax * float64(time.Second))
 		now := n.now
 		for _, id := range ids { // the others' calls are new ones
 			if r := n.b.requests[id]; !slow[r.attempts[0].ID] {
 				n.end(id, 0, OK, 100*ms)
 			}
 		}
-		for n.now = now; n.b.ifr < 16; {
+		for n.now = now; n.b.attempts.inFlight < 16; {
 			n.arrive(0)
 		}
-		n.b.seen = 0
-		before := n.b.maxIFR
+		n.b.limiter.window.count = 0
+		before := n.b.limiter.maxIFR
 		for range minRequests { // what ends is quick
-			n.b.sample(&n.b.cfg.Classes[0], 100*ms)
+			n.b.limiter.window.addLatency(100*ms, n.b.cfg.Classes[0].LatencyObjective)
 		}
-		n.b.windowEnd = n.now
+		n.b.limiter.windowEnd = n.now
 		n.handle(Event{Kind: TimerFired})
-		if cut := n.b.maxIFR < before; cut != tc.cut {
-			t.Errorf("%d of 4 servers with calls out too long: limit %v to %v", tc.hung, before, n.b.maxIFR)
+		if cut := n.b.limiter.maxIFR < before; cut != tc.cut {
+			t.Errorf("%d of 4 servers with calls out too long: limit %v to %v", tc.hung, before, n.b.limiter.maxIFR)
 		}
 	}
 }
@@ -1337,16 +1316,16 @@
 func TestTwoAtOnePlace(t *testing.T) {
 	first, second := newNode(t, testConfig(), fleet(2)...), newNode(t, testConfig(), fleet(2)...)
 	feed(first, 900*ms)
-	first.b.usual[0] = 0.123
+	first.b.stats.typicalLatency[0] = 0.123
 	second.b.Restore(first.b.Snapshot())
-	if second.b.maxIFR != first.b.maxIFR || second.b.usual[0] != 0.123 {
-		t.Errorf("adopted limit %v of %v, usual %v", second.b.maxIFR, first.b.maxIFR, second.b.usual[0])
+	if second.b.limiter.maxIFR != first.b.limiter.maxIFR || second.b.stats.typicalLatency[0] != 0.123 {
+		t.Errorf("adopted limit %v of %v, usual %v", second.b.limiter.maxIFR, first.b.limiter.maxIFR, second.b.stats.typicalLatency[0])
 	}
 	second.b.Restore(Snapshot{Limit: -1, Rate: math.NaN(), TypicalLatency: []float64{-1}, ErrorRate: []float64{7}})
-	if second.b.maxIFR != first.b.maxIFR || second.b.usual[0] != 0.123 || second.b.fails[0] == 7 {
+	if second.b.limiter.maxIFR != first.b.limiter.maxIFR || second.b.stats.typicalLatency[0] != 0.123 || second.b.stats.errorRate[0] == 7 {
 		t.Error("what is impossible was adopted")
 	}
-	second.b.SetSiblings(1, 2*int(second.b.ceiling))
+	second.b.SetSiblings(1, 2*int(second.b.limiter.ceiling))
 	_, acts := second.arrive(0)
 	only(t, acts, Shed)
 	second.b.SetSiblings(0, 0)
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -32,7 +32,7 @@
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			f := newFlow(b, size)
-			f.n.b.maxIFR, f.n.b.ceiling, f.n.b.spare = 1, 1, -1
+			f.n.b.limiter.maxIFR, f.n.b.limiter.ceiling, f.n.b.limiter.burstCredit = 1, 1, -1
 			b.ReportAllocs()
 			for b.Loop() {
 				f.next++
@@ -47,13 +47,13 @@
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			f := newFlow(b, size)
-			for f.n.b.ifr < 12 && f.n.b.ifr < int(f.n.b.maxIFR) {
+			for f.n.b.attempts.inFlight < 12 && f.n.b.attempts.inFlight < int(f.n.b.limiter.maxIFR) {
 				f.arrive()
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				f.n.now += time.Second
-				f.n.b.seen = minRequests
+				f.n.b.limiter.window.count = minRequests
 				f.out = f.n.b.Handle(f.n.now, Event{Kind: TimerFired, Token: 1}, f.out[:0])
 			}
 		})
--- /dev/null
+++ b/balancer/endpointlist.go
@@ -0,0 +1,87 @@
+package balancer
+
+import (
+	"math"
+	"time"
+)
+
+const maxPollDelay = 10 * time.Second // for the list, or the contract's if less: a broken watch misses drains
+
+// listUpdated takes in an endpoint list, or that there was none.
+func (b *Balancer) listUpdated(event *Event) {
+	switch event.ListKind {
+	case ListFailed:
+		b.poll.failures++
+		if b.poll.failures > 2 {
+			b.logf("server list: %d calls failed in a row", b.poll.failures)
+		}
+		b.schedulePoll()
+		return
+	case ListCached:
+		b.schedulePoll()
+	default:
+		b.poll.failures = 0
+	}
+	b.endpoints.applyList(event, b.now)
+	b.chooseSubset()
+}
+
+// schedulePoll sets a timer to ask for the list, at a random moment: all replicas may start or fail at once.
+func (b *Balancer) schedulePoll() {
+	if !b.cfg.Subscribe || b.poll.scheduled {
+		return
+	}
+	b.poll.scheduled = true
+	longest := float64(min(b.cfg.Contract.MaxPollInterval, maxPollDelay))
+	wait := longest / 32 * math.Exp2(float64(min(b.poll.failures, 3)))
+	b.act(Action{Kind: SetTimer, Delay: time.Duration(wait * (0.1 + b.random.float64())), Token: pollToken})
+}
+
+// applyList takes in the entries of a list. Draining and gone endpoints get nothing from then on.
+func (s *endpointSet) applyList(event *Event, now time.Duration) {
+	for _, e := range s.listed {
+		if e.State != Gone {
+			e.lastKnownAt = now
+			e.lastResult = resultUnknown
+			if penalty, _ := e.health.at(now, s.halfLife); penalty >= 1 {
+				e.lastResult = resultFailed
+			}
+		}
+		if event.ListKind != ListChanges {
+			e.State = Gone
+		}
+	}
+	countBefore := len(s.listed)
+	mayBeOld := s.cfg.Contract.OnlyDrainingBinds || event.Version < s.version
+	for _, entry := range event.Endpoints {
+		s.applyEntry(entry, mayBeOld, now)
+	}
+	if len(s.listed) > countBefore {
+		s.sortRing()
+	}
+	s.removeIf(func(e *endpoint) bool { return e.State == Gone && !s.remembered(e, now) })
+	s.version = event.Version
+}
+
+// applyEntry takes in one entry. A list that may be old ends no drain and makes no endpoint warm.
+func (s *endpointSet) applyEntry(entry Endpoint, mayBeOld bool, now time.Duration) {
+	e := s.byID[entry.ID]
+	switch {
+	case e == nil:
+		e = s.add(entry, now)
+	case entry.State == Gone: // perhaps without its group, in which attempts to it may yet be repeated
+		entry.Zone = e.Zone
+		entry.Cell = e.Cell
+		entry.StartedAt = max(entry.StartedAt, e.StartedAt)
+	case mayBeOld && entry.StartedAt <= e.StartedAt:
+		entry.StartedAt = e.StartedAt
+		if e.drained {
+			entry.State = Draining
+		}
+	}
+	e.drained = entry.State == Draining || e.drained && entry.StartedAt == e.StartedAt
+	if entry.StartedAt != e.StartedAt || e.warmUpBudget.filledAt == 0 { // new or restarted: nothing known holds
+		e.forget(now, math.Mod(float64(s.cfg.ReplicaIndex)*math.Phi, 1))
+	}
+	e.Endpoint = entry
+}
--- /dev/null
+++ b/balancer/endpointset.go
@@ -0,0 +1,78 @@
+package balancer
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// endpointSet holds the endpoints that are listed or were, with what ranks them.
+type endpointSet struct {
+	cfg      *Config
+	division *division
+	halfLife float64     // of health, seconds
+	listed   []*endpoint // in the order in which lists first named them
+	ring     []*endpoint // the same in an order that all replicas derive from the identifiers alone
+	byID     map[EndpointID]*endpoint
+	byRank   rankIndex
+	version  uint64 // of the latest list
+	scanned  int    // endpoints scanned by picks so far, for tests
+
+	served     decayingRate // attempts served
+	ready      int          // endpoints that may be sent to
+	subsetSize int          // of them those that this replica keeps to
+	zoneLocal  bool         // the subset is of this replica's zone
+}
+
+// division says among how many quotas and warm-up budgets are divided.
+type division struct {
+	replicas  int // that may be alive, each with an equal part
+	processes int // at this replica's place, which share its part
+}
+
+// add takes in an endpoint that no list has named before, and returns its state.
+func (s *endpointSet) add(entry Endpoint, now time.Duration) *endpoint {
+	e := newEndpoint(entry, now)
+	s.byID[e.ID] = e
+	s.listed = append(s.listed, e)
+	s.ring = append(s.ring, e)
+	return e
+}
+
+// removeIf forgets the endpoints for which forget is true.
+func (s *endpointSet) removeIf(forget func(*endpoint) bool) {
+	s.listed = slices.DeleteFunc(s.listed, func(e *endpoint) bool {
+		if !forget(e) {
+			return false
+		}
+		delete(s.byID, e.ID)
+		return true
+	})
+	s.ring = slices.DeleteFunc(s.ring, func(e *endpoint) bool { return s.byID[e.ID] != e })
+}
+
+// sortRing restores the order of the ring after endpoints were added.
+func (s *endpointSet) sortRing() {
+	slices.SortFunc(s.ring, func(x, y *endpoint) int { return cmp.Compare(mix(uint64(x.ID)), mix(uint64(y.ID))) })
+}
+
+// rebuildIndex ranks all endpoints anew.
+func (s *endpointSet) rebuildIndex(now time.Duration) {
+	s.byRank.clear()
+	for i, e := range s.listed {
+		e.index = i
+		e.rank = unranked
+		s.updateRank(e, now)
+	}
+}
+
+// newEndpointSet returns a set without endpoints. The health of endpoints decays in times of a latency objective.
+func newEndpointSet(cfg *Config, division *division, objective time.Duration) endpointSet {
+	return endpointSet{
+		cfg:      cfg,
+		division: division,
+		halfLife: penaltyHalfLife * objective.Seconds(),
+		byID:     map[EndpointID]*endpoint{},
+		served:   newDecayingRate(cfg.Contract.WarmUpPeriod),
+	}
+}
--- /dev/null
+++ b/balancer/endpointstate.go
@@ -0,0 +1,64 @@
+package balancer
+
+import "time"
+
+// attemptResult is what the latest attempt said of whether an endpoint is there.
+type attemptResult int8
+
+const (
+	resultUnknown attemptResult = iota // there was none since the list last named the endpoint
+	resultServed
+	resultFailed // it timed out, or there was no connection
+)
+
+// endpoint is what is known of an endpoint that is listed or was.
+type endpoint struct {
+	Endpoint // as last listed
+	health   health
+
+	inFlight     int // attempts of this replica
+	lateInFlight int // those of them beyond Lmax
+	lastResult   attemptResult
+	lastKnownAt  time.Duration // when it was last listed as not gone, or served
+	drained      bool          // it was listed as draining since its latest start
+	warmUpBudget tokenBucket   // attempts that may be sent while it warms up
+
+	index        int  // in the list
+	inSubset     bool // of the endpoints that this replica keeps to
+	rank         int  // in the index, or unranked
+	rankPosition int  // there
+	rankPenalty  int  // half seats by which it ranks behind its peers, but for its health
+}
+
+// newEndpoint returns the state of an endpoint that no list has named before.
+func newEndpoint(entry Endpoint, now time.Duration) *endpoint {
+	return &endpoint{Endpoint: entry, health: health{relativeLatency: 1}, lastKnownAt: now, rank: unranked}
+}
+
+// forget forgets what was learnt of an endpoint before its start, and begins its warm-up budget with a credit.
+func (e *endpoint) forget(now time.Duration, credit float64) {
+	e.health.reset()
+	e.warmUpBudget = tokenBucket{tokens: credit, filledAt: now}
+}
+
+// health is what attempts found out of an endpoint of late. It decays.
+type health struct {
+	penalty         float64 // seats that failures hold, as of updatedAt
+	relativeLatency float64 // against its peers' mean, as of updatedAt; 1 is as fast as they
+	updatedAt       time.Duration
+}
+
+// at returns what is left of the penalty and of the difference in latency, which halve in halfLife seconds.
+func (h *health) at(now time.Duration, halfLife float64) (penalty, relativeLatency float64) {
+	if h.penalty == 0 && h.relativeLatency == 1 {
+		return 0, 1
+	}
+	left := halfLifeFactor(now-h.updatedAt, halfLife)
+	return h.penalty * left, 1 + (h.relativeLatency-1)*left
+}
+
+// reset forgets what is known.
+func (h *health) reset() {
+	h.penalty = 0
+	h.relativeLatency = 1
+}
--- a/balancer/explore_test.go
+++ b/balancer/explore_test.go
@@ -22,7 +22,6 @@
 	requests []*asked
 	servers  []Endpoint          // as last told
 	drained  map[EndpointID]bool // since their start
-	restarts int
 	changes  int
 	steps    int // of time
 	most     int // of them
@@ -193,26 +192,26 @@
 		}
 	}
 	busy := 0
-	for _, s := range b.servers {
-		if s.out != out[s.ID] {
-			w.fail("counters-return", "server %d has %d calls out, the Balancer counts %d", s.ID, out[s.ID], s.out)
+	for _, s := range b.endpoints.listed {
+		if s.inFlight != out[s.ID] {
+			w.fail("counters-return", "server %d has %d calls out, the Balancer counts %d", s.ID, out[s.ID], s.inFlight)
 		}
-		if s.out > 0 {
+		if s.inFlight > 0 {
 			busy++
 		}
-		if s.late > s.out {
-			w.fail("counters-return", "server %d has %d late calls of %d", s.ID, s.late, s.out)
+		if s.lateInFlight > s.inFlight {
+			w.fail("counters-return", "server %d has %d late calls of %d", s.ID, s.lateInFlight, s.inFlight)
 		}
 	}
-	if b.ifr != all || b.busy != busy || b.late > b.busy || b.late < 0 {
-		w.fail("counters-return", "%d calls out at %d servers; the Balancer counts %d at %d, %d late", all, busy, b.ifr, b.busy, b.late)
+	if b.attempts.inFlight != all || b.attempts.busyEndpoints != busy || b.attempts.lateEndpoints > b.attempts.busyEndpoints || b.attempts.lateEndpoints < 0 {
+		w.fail("counters-return", "%d calls out at %d servers; the Balancer counts %d at %d, %d late", all, busy, b.attempts.inFlight, b.attempts.busyEndpoints, b.attempts.lateEndpoints)
 	}
-	if b.ceiling > 0 && (b.maxIFR < b.floor || b.maxIFR > b.ceiling) {
-		w.fail("limit-within-bounds", "%v, floor %v, ceiling %v", b.maxIFR, b.floor, b.ceiling)
+	if b.limiter.ceiling > 0 && (b.limiter.maxIFR < b.limiter.floor || b.limiter.maxIFR > b.limiter.ceiling) {
+		w.fail("limit-within-bounds", "%v, floor %v, ceiling %v", b.limiter.maxIFR, b.limiter.floor, b.limiter.ceiling)
 	}
 	inFlight := 0
-	for i := range b.flights {
-		for r := b.flights[i].first; r != nil; r = r.next {
+	for i := range b.attempts.byClass {
+		for r := b.attempts.byClass[i].first; r != nil; r = r.next {
 			inFlight++
 		}
 	}
@@ -330,14 +329,14 @@
 func (w *corner) Key() string {
 	var t strings.Builder
 	b := w.b
-	fmt.Fprint(&t, w.steps, w.changes, len(w.timers), b.rng, b.ifr, b.maxIFR, b.spare, b.now-b.spareAt, b.windowEnd-b.now, b.samples[:min(b.seen, 16)], b.seen, b.busy, b.late, b.rate, b.now-b.rateAt, b.usual, b.fails, b.asking, b.failed)
-	for _, s := range b.servers {
-		fmt.Fprint(&t, ";", s.ID, s.State, b.now-s.StartedAt, s.out, s.held, s.slow, b.now-s.touch, b.now-s.known, s.drained, s.latest, s.near, s.late, s.at, s.level, s.spot, s.budget)
+	fmt.Fprint(&t, w.steps, w.changes, len(w.timers), b.random.state, b.attempts.inFlight, b.limiter.maxIFR, b.limiter.burstCredit, b.now-b.limiter.creditAt, b.limiter.windowEnd-b.now, b.limiter.window.values[:min(b.limiter.window.count, 16)], b.limiter.window.count, b.attempts.busyEndpoints, b.attempts.lateEndpoints, b.endpoints.served.count, b.now-b.endpoints.served.updatedAt, b.stats.typicalLatency, b.stats.errorRate, b.poll.scheduled, b.poll.failures)
+	for _, s := range b.endpoints.listed {
+		fmt.Fprint(&t, ";", s.ID, s.State, b.now-s.StartedAt, s.inFlight, s.health.penalty, s.health.relativeLatency, b.now-s.health.updatedAt, b.now-s.lastKnownAt, s.drained, s.lastResult, s.inSubset, s.lateInFlight, s.index, s.rank, s.rankPosition, s.warmUpBudget)
 	}
 	for _, r := range w.requests {
 		fmt.Fprint(&t, "|", r.came, r.left, r.finals, r.out, r.sent, r.mayRun, w.now-r.ranAt, r.withdrew)
 		if k := b.requests[r.id]; k != nil {
-			fmt.Fprint(&t, b.now-k.sent, k.end-b.now, k.done, k.open, k.late, k.value)
+			fmt.Fprint(&t, b.now-k.sentAt, k.deadline-b.now, k.answered, k.open, k.late, k.priority)
 		}
 	}
 	for _, s := range w.servers {
@@ -388,34 +387,56 @@
 
 // Faults of the kind that people write are found, each by these tests alone.
 func TestMutantsOfRequests(t *testing.T) {
-	one := func(name, from, to string) mutant.Mutant {
-		return mutant.Mutant{Name: name, File: "balancer.go", From: from, To: to}
-	}
 	mutant.Find(t, "ExploreRequests|WalkRequests", []mutant.Mutant{
-		one("one attempt too many", "len(r.attempts) < b.cfg.Limits.MaxAttempts", "len(r.attempts) <= b.cfg.Limits.MaxAttempts"),
-		one("an attempt goes to a server tried already", "if slices.ContainsFunc(r.attempts, func(o *server) bool { return o.ID == s.ID }) {", "if false {"),
-		one("a full answer counts as having run", "if !o.NeverRan() && r.ran == nil {", "if r.ran == nil && !o.NeverRan() && o != Timeout {"),
-		one("keyed work leaves its group", "r.c.Group == GroupCell && s.Cell == r.ran.Cell", "r.c.Group == GroupCell"),
-		one("the memory of a group is not looked at", "if r.c.Effect == Unsafe || now >= r.lapse {", "if r.c.Effect == Unsafe {"),
-		one("a repeat may be out at any time", "a.WriteTimeout = min(left, r.lapse-b.now)", "a.WriteTimeout = left"),
-		one("memory counts from the answer", "&r.at, r.to, r.sent+time", "&r.at, r.to, b.now+600*time.Millisecond+time"),
-		one("who left is answered", "	if !r.done && !(again && b.send(r)) {", "	if !(again && b.send(r)) {"),
-		one("a served one is answered once more", "	r.done = r.done || ev.RequestClosed\n", "	r.done = r.done || ev.RequestClosed && o != OK\n"),
-		one("an ended attempt holds its seat", "r.open, s.out, b.ifr = false, s.out-1, b.ifr-1", "r.open, s.out, b.ifr = false, s.out-1, b.ifr"),
-		one("an ended attempt holds its server", "r.open, s.out, b.ifr = false, s.out-1, b.ifr-1", "r.open, s.out, b.ifr = false, s.out, b.ifr-1"),
-		one("a double release", "r.open, s.out, b.ifr = false, s.out-1, b.ifr-1", "r.open, s.out, b.ifr = false, s.out-1, b.ifr-2"),
-		one("busy servers are not counted down", "	if b.flights[r.class].remove(r); s.out == 0 {\n		b.busy--\n	}\n", "	b.flights[r.class].remove(r)\n"),
-		one("busy servers are counted twice", "	if b.flights[r.class].add(r); s.out == 0 {\n		b.busy++\n	}\n", "	b.flights[r.class].add(r)\n	b.busy++\n"),
-		one("late calls are not counted down", "		if s.late--; s.late == 0 {\n			b.late--\n		}\n", "		s.late--\n"),
-		one("what is answered is kept", "		delete(b.requests, r.id)\n", ""),
-		one("what is open is forgotten", "if r.done && !r.open && b.requests[r.id] == r {", "if r.done && b.requests[r.id] == r {"),
-		one("gone servers are sent to", "return s.State == Ready || s.State == Gone && b.cfg.Contract.OnlyDrainingBinds && !s.drained", "return s.State == Ready || s.State == Gone && !s.drained"),
-		one("a drain is forgotten once it is gone", "s.drained = e.State == Draining || s.drained && e.StartedAt == s.StartedAt", "s.drained = e.State == Draining"),
-		one("a whole list leaves nobody out", "		if ev.ListKind != ListChanges {\n			s.State = Gone\n		}\n", ""),
-		one("a refusal where the work may have run", "if r.ran == nil || r.c.Effect == Safe ||", "if true || r.ran == nil || r.c.Effect == Safe ||"),
-		one("no answer where there is no server", "	if !b.admits(r) || !b.send(r) {\n		b.answer(r)\n", "	if !b.admits(r) || !b.send(r) {\n"),
-		one("the limit grows beyond its ceiling", "b.maxIFR = min(before+min(1, mostStep*b.ceiling), b.ceiling)", "b.maxIFR = before + 50"),
-		one("time-outs end after the answer is due", "left := r.end - b.now", "left := r.end"),
-		one("an old attempt's end ends the latest", "ev.Attempt != len(r.attempts)-1", "ev.Attempt > len(r.attempts)"),
+		{Name: "one attempt too many", File: "request.go", From: "len(r.attempts) < b.cfg.Limits.MaxAttempts",
+			To: "len(r.attempts) <= b.cfg.Limits.MaxAttempts"},
+		{Name: "an attempt goes to an endpoint tried before", File: "request.go", From: "\tcase r.tried(e):\n\t\treturn false\n",
+			To: ""},
+		{Name: "a rejection counts as executed", File: "request.go", From: "if !event.Outcome.NeverRan() && r.possiblyExecutedOn == nil {",
+			To: "if r.possiblyExecutedOn == nil && !event.Outcome.NeverRan() && event.Outcome != Timeout {"},
+		{Name: "keyed work leaves its group", File: "config.go", From: "g == GroupCell && x.Cell == y.Cell",
+			To: "g == GroupCell"},
+		{Name: "the idempotency expiry is ignored", File: "request.go", From: "case r.class.Effect == Unsafe || now >= r.idempotencyExpiry:",
+			To: "case r.class.Effect == Unsafe:"},
+		{Name: "a repeat may be written at any time", File: "request.go", From: "action.WriteTimeout = min(timeout, r.idempotencyExpiry-b.now)",
+			To: "action.WriteTimeout = timeout"},
+		{Name: "the idempotency window counts from the answer", File: "request.go", From: "r.setPossiblyExecuted(r.sentAt + window)",
+			To: "r.setPossiblyExecuted(b.now + 600*time.Millisecond + window)"},
+		{Name: "a client that left is answered", File: "request.go", From: "\tif !r.answered && (!retry || !b.send(r)) {",
+			To: "\tif !retry || !b.send(r) {"},
+		{Name: "a served request is answered once more", File: "request.go", From: "\tr.answered = r.answered || event.RequestClosed\n",
+			To: "\tr.answered = r.answered || event.RequestClosed && event.Outcome != OK\n"},
+		{Name: "an ended attempt holds its seat", File: "attempts.go", From: "\te.inFlight--\n\tt.inFlight--\n",
+			To: "\te.inFlight--\n"},
+		{Name: "an ended attempt holds its endpoint", File: "attempts.go", From: "\te.inFlight--\n\tt.inFlight--\n",
+			To: "\tt.inFlight--\n"},
+		{Name: "a double release", File: "attempts.go", From: "\te.inFlight--\n\tt.inFlight--\n",
+			To: "\te.inFlight--\n\tt.inFlight -= 2\n"},
+		{Name: "busy endpoints are not counted down", File: "attempts.go", From: "\tif e.inFlight == 0 {\n\t\tt.busyEndpoints--\n\t}\n",
+			To: ""},
+		{Name: "busy endpoints are counted twice", File: "attempts.go", From: "\tif e.inFlight == 0 {\n\t\tt.busyEndpoints++\n\t}\n",
+			To: "\tt.busyEndpoints++\n"},
+		{Name: "late attempts are not counted down", File: "attempts.go", From: "\t\te.lateInFlight--\n\t\tif e.lateInFlight == 0 {\n\t\t\tt.lateEndpoints--\n\t\t}\n",
+			To: "\t\te.lateInFlight--\n"},
+		{Name: "an answered request is kept", File: "requeststate.go", From: "\t\tdelete(b.requests, r.id)\n",
+			To: ""},
+		{Name: "an open request is forgotten", File: "requeststate.go", From: "if r.answered && !r.open && b.requests[r.id] == r {",
+			To: "if r.answered && b.requests[r.id] == r {"},
+		{Name: "gone endpoints are sent to", File: "endpoint.go", From: "return e.State == Ready || e.State == Gone && s.cfg.Contract.OnlyDrainingBinds && !e.drained",
+			To: "return e.State == Ready || e.State == Gone && !e.drained"},
+		{Name: "a drain is forgotten once the endpoint is gone", File: "endpointlist.go", From: "e.drained = entry.State == Draining || e.drained && entry.StartedAt == e.StartedAt",
+			To: "e.drained = entry.State == Draining"},
+		{Name: "a whole list leaves no endpoint out", File: "endpointlist.go", From: "\t\tif event.ListKind != ListChanges {\n\t\t\te.State = Gone\n\t\t}\n",
+			To: ""},
+		{Name: "a request that may have been executed is shed", File: "request.go", From: "if r.possiblyExecutedOn == nil || class.Effect == Safe ||",
+			To: "if true || r.possiblyExecutedOn == nil || class.Effect == Safe ||"},
+		{Name: "no answer where there is no endpoint", File: "request.go", From: "\tif !b.admits(r) || !b.send(r) {\n\t\tb.answer(r)\n",
+			To: "\tif !b.admits(r) || !b.send(r) {\n"},
+		{Name: "the limit grows beyond its ceiling", File: "limiter.go", From: "l.maxIFR = min(l.maxIFR+min(1, maxStep*l.ceiling), l.ceiling)",
+			To: "l.maxIFR += 50"},
+		{Name: "timeouts end after the answer is due", File: "request.go", From: "timeout := r.deadline - b.now",
+			To: "timeout := r.deadline"},
+		{Name: "the end of an old attempt ends the latest", File: "request.go", From: "event.Attempt != len(r.attempts)-1",
+			To: "event.Attempt > len(r.attempts)"},
 	})
 }
--- /dev/null
+++ b/balancer/health.go
@@ -0,0 +1,49 @@
+package balancer
+
+import "time"
+
+const (
+	maxPenalty      = 15.0 // seats that failures can hold: bounds how long a healed endpoint is avoided
+	penaltyHalfLife = 2.0  // in latency objectives
+	latencyGain     = 0.25 // weight of the newest answer in an endpoint's relative latency
+	averageGain     = 0.05 // weight of the newest answer in a class's typical latency and error rate
+	maxSlowness     = 10.0 // of one answer against the typical latency
+)
+
+// recordOutcome records what the end of an attempt says of its endpoint and class. A failed attempt goes
+// on holding its seat for a while, and more with each that follows, or an endpoint that errs quickly would be
+// idle always. What all endpoints fail at holds less of a seat, so that a failure of all excludes none.
+func (b *Balancer) recordOutcome(e *endpoint, class int, outcome Outcome, elapsed time.Duration) {
+	penalty, relativeLatency := e.health.at(b.now, b.endpoints.halfLife)
+	blame := max(0, 1-2*b.stats.errorRate[class])
+	wasFailing := e.lastResult == resultFailed
+	switch outcome {
+	case OK:
+		penalty /= 2
+		e.lastResult = resultServed
+		e.lastKnownAt = b.now
+		b.endpoints.served.add(b.now, 1)
+	case Timeout, ConnectFailed, Reset:
+		e.lastResult = resultFailed
+		fallthrough
+	case Error, Rejected:
+		penalty = min(penalty+blame*(penalty+1), maxPenalty)
+		if penalty == maxPenalty && e.health.penalty < maxPenalty/2 {
+			b.logf("server %x: keeps failing (%v), shunned", uint64(e.ID), outcome)
+		}
+	}
+	typical := &b.stats.typicalLatency[class]
+	took := elapsed.Seconds()
+	if outcome == OK || outcome == Timeout && took > *typical { // one cut shorter by its client says nothing
+		relativeLatency = moveTowards(relativeLatency, min(took / *typical, maxSlowness), latencyGain)
+		*typical = moveTowards(*typical, took, averageGain)
+	}
+	e.health = health{penalty, relativeLatency, b.now}
+	if e.State == Gone && wasFailing != (e.lastResult == resultFailed) { // attempts outweigh the list
+		b.chooseSubset()
+	} else {
+		b.endpoints.updateRank(e, b.now)
+	}
+	failed := outcome == Error || outcome == Reset || outcome == Timeout || outcome.NeverRan()
+	b.stats.addResult(class, failed, averageGain)
+}
--- a/balancer/index_test.go
+++ b/balancer/index_test.go
@@ -10,22 +10,22 @@
 
 // plain picks as pick does where it may look at all: a scan of all servers from a
 // random place on.
-func plain(b *Balancer, r *request) *server {
-	c := choice{r: r, from: int(b.random() * float64(len(b.servers))), size: len(b.servers), least: math.MaxInt}
-	for i := range b.servers {
-		b.look(&c, b.servers[(c.from+i)%c.size:][:1], 1)
+func plain(b *Balancer, r *request) *endpoint {
+	best := newCandidate(r, int(b.random.float64()*float64(len(b.endpoints.listed))), len(b.endpoints.listed))
+	for i := range b.endpoints.listed {
+		b.endpoints.scan(b.now, b.endpoints.listed[(best.from+i)%best.size:][:1], 1, &best)
 	}
-	return c.best
+	return best.endpoint
 }
 
 // agree compares pick with plain for a request, and leaves the generator as it was.
 func (w *world) agree(r *request) {
-	rng := w.b.rng
+	rng := w.b.random.state
 	want := plain(w.b, r)
-	w.b.rng = rng
-	got := w.b.pick(r)
-	w.b.rng = rng
-	if got != want && (got == nil || want == nil || len(w.b.servers) <= exactUpTo) {
+	w.b.random.state = rng
+	got := w.b.endpoints.pick(w.b.now, r, w.b.random.float64())
+	w.b.random.state = rng
+	if got != want && (got == nil || want == nil || len(w.b.endpoints.listed) <= maxExactScan) {
 		w.fail("request %d: the index picks %+v, the scan %+v", r.id, got, want)
 	}
 	if got != nil && want != nil {
@@ -40,30 +40,30 @@
 func (w *world) tally() {
 	b := w.b
 	busy, late, filed := 0, 0, 0
-	for i, s := range b.servers {
-		if s.at != i {
-			w.fail("server %d is at %d of the list, and says %d", s.ID, i, s.at)
+	for i, s := range b.endpoints.listed {
+		if s.index != i {
+			w.fail("server %d is at %d of the list, and says %d", s.ID, i, s.index)
 		}
-		if s.out > 0 {
+		if s.inFlight > 0 {
 			busy++
 		}
-		if s.late > 0 {
+		if s.lateInFlight > 0 {
 			late++
 		}
-		if s.level >= 0 {
+		if s.rank >= 0 {
 			filed++
-			if b.levels[s.level][s.spot] != s {
+			if b.endpoints.byRank[s.rank][s.rankPosition] != s {
 				w.fail("server %d is not where it is filed", s.ID)
 			}
 		}
 	}
-	for _, shelf := range b.levels {
+	for _, shelf := range b.endpoints.byRank {
 		filed -= len(shelf)
 	}
 	calls, open := 0, 0
-	for i := range b.flights {
-		for r := b.flights[i].first; r != nil; r = r.next {
-			if calls++; r.next != nil && r.next.sent < r.sent {
+	for i := range b.attempts.byClass {
+		for r := b.attempts.byClass[i].first; r != nil; r = r.next {
+			if calls++; r.next != nil && r.next.sentAt < r.sentAt {
 				w.fail("calls out of order")
 			}
 		}
@@ -73,8 +73,8 @@
 			open++
 		}
 	}
-	if busy != b.busy || late != b.late || filed != 0 || calls != b.ifr || open != b.ifr {
-		w.fail("busy %d, late %d, filed %+d, calls %d, open %d; kept %d, %d, %d", busy, late, filed, calls, open, b.busy, b.late, b.ifr)
+	if busy != b.attempts.busyEndpoints || late != b.attempts.lateEndpoints || filed != 0 || calls != b.attempts.inFlight || open != b.attempts.inFlight {
+		w.fail("busy %d, late %d, filed %+d, calls %d, open %d; kept %d, %d, %d", busy, late, filed, calls, open, b.attempts.busyEndpoints, b.attempts.lateEndpoints, b.attempts.inFlight)
 	}
 }
 
@@ -83,11 +83,11 @@
 func TestIndexAgreesWithAPlainScan(t *testing.T) {
 	for seed := range int64(40) {
 		w := newWorld(t, seed)
-		w.most = []int{12, 40, exactUpTo}[seed%3]
+		w.most = []int{12, 40, maxExactScan}[seed%3]
 		for i := range 1500 {
 			w.step(RequestID(i + 1))
 			w.tally()
-			w.agree(&request{c: &w.cfg.Classes[0]})
+			w.agree(&request{class: &w.cfg.Classes[0]})
 			for _, r := range w.b.requests {
 				if len(r.attempts) > 0 {
 					w.agree(r)
@@ -102,9 +102,9 @@
 
 // jam gives servers random verdicts and calls out, as crowded fleets have them.
 func jam(b *Balancer, rng *rand.Rand) {
-	for _, s := range b.servers {
-		s.out, s.held, s.slow, s.touch = rng.Intn(3)*rng.Intn(2), float64(rng.Intn(3)*rng.Intn(2)), 0.5+2*rng.Float64(), b.now
-		b.place(s)
+	for _, s := range b.endpoints.listed {
+		s.inFlight, s.health.penalty, s.health.relativeLatency, s.health.updatedAt = rng.Intn(3)*rng.Intn(2), float64(rng.Intn(3)*rng.Intn(2)), 0.5+2*rng.Float64(), b.now
+		b.endpoints.updateRank(s, b.now)
 	}
 }
 
@@ -121,14 +121,14 @@
 			n.now += time.Second
 			n.b.now = n.now
 			jam(n.b, rng)
-			r := &request{c: &n.b.cfg.Classes[0]}
-			seed := n.b.rng
+			r := &request{class: &n.b.cfg.Classes[0]}
+			seed := n.b.random.state
 			want := plain(n.b, r)
-			n.b.rng = seed
-			got := n.b.pick(r)
-			rank := func(s *server) int {
-				held, slow := n.b.standing(s)
-				return 2*int(float64(s.out)+held+math.Floor(slow/slowFrom)) + s.doubt()
+			n.b.random.state = seed
+			got := n.b.endpoints.pick(n.b.now, r, n.b.random.float64())
+			rank := func(s *endpoint) int {
+				held, slow := s.health.at(n.b.now, n.b.endpoints.halfLife)
+				return 2*int(float64(s.inFlight)+held+math.Floor(slow/slownessPerSeat)) + s.suspicion()
 			}
 			if got == nil || rank(got) > rank(want) {
 				worse++
@@ -136,10 +136,10 @@
 			if got != want {
 				others++
 			}
-			slower += (got.slow - want.slow) / picks
+			slower += (got.health.relativeLatency - want.health.relativeLatency) / picks
 		}
 		t.Logf("%d servers, %d copies, %d near: %.1f%% of picks rank worse, on average %.3f slower; %d of %d are others",
-			size, tc.copies, n.b.near, 100*float64(worse)/picks, slower, others, picks)
+			size, tc.copies, n.b.endpoints.subsetSize, 100*float64(worse)/picks, slower, others, picks)
 		if worse > picks/50 || slower > 0.2 {
 			t.Errorf("%d servers: %d of %d picks rank worse, %.3f slower", size, worse, picks, slower)
 		}
@@ -160,11 +160,11 @@
 		if allocs := testing.AllocsPerRun(200, f.turn); allocs > 0 {
 			t.Errorf("%d servers: %v allocations for a call and the windows in it", size, allocs)
 		}
-		f.n.b.weighed = 0
+		f.n.b.endpoints.scanned = 0
 		for range 200 {
 			f.turn()
 		}
-		if per := f.n.b.weighed / 200; per > 2*mostLooked+1 && size > exactUpTo {
+		if per := f.n.b.endpoints.scanned / 200; per > 2*maxScanned+1 && size > maxExactScan {
 			t.Errorf("%d servers: %d are weighed for a pick", size, per)
 		}
 	}
@@ -218,24 +218,24 @@
 	}
 	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges})
 	kept := 0
-	for _, shelf := range n.b.levels {
+	for _, shelf := range n.b.endpoints.byRank {
 		for _, s := range shelf[:cap(shelf)] {
-			if s != nil && !slices.Contains(n.b.servers, s) {
+			if s != nil && !slices.Contains(n.b.endpoints.listed, s) {
 				kept++
 			}
 		}
 	}
-	for _, r := range n.b.spares {
+	for _, r := range n.b.pool {
 		for _, s := range r.attempts[:cap(r.attempts)] {
 			if s != nil {
 				kept++
 			}
 		}
-		if r.ran != nil {
+		if r.possiblyExecutedOn != nil {
 			kept++
 		}
 	}
-	if len(n.b.servers) != 50 || len(n.b.byID) != 50 || kept > 0 {
-		t.Errorf("%d servers, %d by id, %d kept of those that left", len(n.b.servers), len(n.b.byID), kept)
+	if len(n.b.endpoints.listed) != 50 || len(n.b.endpoints.byID) != 50 || kept > 0 {
+		t.Errorf("%d servers, %d by id, %d kept of those that left", len(n.b.endpoints.listed), len(n.b.endpoints.byID), kept)
 	}
 }
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -77,7 +77,7 @@
 
 func (w *world) drainedNow(s Endpoint) bool {
 	start, ok := w.drained[s.ID]
-	return ok && s.StartedAt <= start && float64(w.now-w.drainedAt[s.ID]) < remember*float64(w.cfg.Contract.WarmUpPeriod)
+	return ok && s.StartedAt <= start && float64(w.now-w.drainedAt[s.ID]) < rememberPeriods*float64(w.cfg.Contract.WarmUpPeriod)
 }
 
 // over takes a request that is answered and has no attempt out from the queue of its key.
@@ -162,7 +162,7 @@
 	}
 	share := c.InitialCapacity + (1-c.InitialCapacity)*float64(w.now-s.StartedAt)/float64(c.WarmUpPeriod)
 	span := min(c.WarmUpPeriod, w.now-time.Hour)
-	mean := within(w.calls, span+1) / span.Seconds() / min(float64(ready), float64(w.b.near)) // of the near servers
+	mean := within(w.calls, span+1) / span.Seconds() / min(float64(ready), float64(w.b.endpoints.subsetSize)) // of the near servers
 	// One whole call more: a part can be less than a call, and calls come whole.
 	if n, budget := within(w.toCold[s.ID], c.OverloadPeriod), c.OverloadMultiple*share*mean*c.OverloadPeriod.Seconds()+1; n > budget {
 		w.fail("%v calls to a server started %v ago, budget %.2f", n, w.now-s.StartedAt, budget)
@@ -223,7 +223,7 @@
 		}
 	}
 	w.tell(ev)
-	w.ready = append(w.ready, readyCount{w.now, min(ready, w.b.near)}) // as this copy counts, by lists that may be wrong
+	w.ready = append(w.ready, readyCount{w.now, min(ready, w.b.endpoints.subsetSize)}) // as this copy counts, by lists that may be wrong
 }
 
 // tell hands a list over, now and then a wrong one where only draining binds: shrunken, empty, old or with ghosts.
@@ -370,8 +370,8 @@
 			w.fail("request %d was never answered", id)
 		}
 	}
-	if len(w.b.requests) != 0 || w.b.ifr != 0 {
-		w.fail("%d requests and %d calls are left", len(w.b.requests), w.b.ifr)
+	if len(w.b.requests) != 0 || w.b.attempts.inFlight != 0 {
+		w.fail("%d requests and %d calls are left", len(w.b.requests), w.b.attempts.inFlight)
 	}
 	return w.trace
 }
--- /dev/null
+++ b/balancer/subset.go
@@ -0,0 +1,55 @@
+package balancer
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	subsetPerSeat = 0.7  // endpoints that a replica keeps to, for each attempt of its first limit,
+	minSubset     = 2.0  // but no fewer than these: all replicas that keep to one can fill it
+	minZoneShare  = 0.17 // of the endpoints that a zone must have for its replicas to keep to them
+)
+
+// chooseSubset chooses the endpoints that this replica keeps to, and bounds the limit by its part of all.
+func (b *Balancer) chooseSubset() {
+	if part := b.endpoints.chooseSubset(b.now); part > 0 { // else what the limit has learnt stays
+		b.limiter.resize(part)
+	}
+}
+
+// chooseSubset chooses the endpoints that this replica keeps to: many replicas that each meet all would not
+// know their health. All derive one ring of a zone's endpoints, and each its place by ReplicaIndex: the next
+// ones are its subset. It returns how many endpoints a replica has, or 0. Harm: late lists shift places.
+func (s *endpointSet) chooseSubset(now time.Duration) (part float64) {
+	defer s.rebuildIndex(now)
+	var all, near []*endpoint
+	for _, e := range s.ring {
+		e.inSubset = false
+		if !s.usable(e, now) || e.suspicion() >= maxPenalty {
+			continue
+		}
+		all = append(all, e)
+		if e.Zone == s.cfg.Zone {
+			near = append(near, e)
+		}
+	}
+	if len(all) == 0 {
+		return 0
+	}
+	s.ready = len(all)
+	replicas := float64(s.cfg.ReplicaCount)
+	part = float64(s.ready) / replicas * float64(s.cfg.Tiers-s.cfg.Tier)
+	s.zoneLocal = float64(len(near)) >= max(minSubset, minZoneShare*float64(s.ready)) // few must not get all
+	if !s.zoneLocal {
+		near = all
+	}
+	s.subsetSize = int(math.Ceil(min(max(subsetPerSeat*initialSeats*part, minSubset), float64(len(near)))))
+	// From this replica's place on the ring up to the next one's, and as many as subsetSize at the least.
+	between := float64(len(near)) / replicas
+	from, to := int(float64(s.cfg.ReplicaIndex)*between), int(float64(s.cfg.ReplicaIndex+1)*between)
+	for i := range min(max(s.subsetSize, to-from), len(near)) {
+		near[(from+i)%len(near)].inSubset = true
+	}
+	return part
+}
--- /dev/null
+++ b/balancer/timers.go
@@ -0,0 +1,32 @@
+package balancer
+
+// pollToken is the token of the timer for the next request for the endpoint list.
+const pollToken = 0
+
+// listPoll is the state of asking for the endpoint list.
+type listPoll struct {
+	scheduled bool // a timer with pollToken is set
+	failures  int  // in a row
+}
+
+// timerTable maps the tokens of timers that are set to the keys that they are for.
+type timerTable struct {
+	keys   map[uint32]uint64
+	latest uint32
+}
+
+// add returns a new token for a key. It is never pollToken.
+func (t *timerTable) add(key uint64) uint32 {
+	t.latest = max(t.latest+1, pollToken+1)
+	t.keys[t.latest] = key
+	return t.latest
+}
+
+// take returns the key of a token and forgets it; ok is false for an unknown one.
+func (t *timerTable) take(token uint32) (key uint64, ok bool) {
+	key, ok = t.keys[token]
+	if ok {
+		delete(t.keys, token)
+	}
+	return key, ok
+}
