--- a/balancer/action.go
+++ b/balancer/action.go
@@ -52,14 +52,14 @@
 }
 
 // act adds an action to those of the event that is being handled.
-func (b *Balancer) act(action Action) { b.actions = append(b.actions, action) }
+func (b *Balancer) act(action *Action) { b.actions = append(b.actions, *action) }
 
 // logf adds a line for the log.
 func (b *Balancer) logf(format string, args ...any) {
-	b.act(Action{Kind: Log, Text: fmt.Sprintf(format, args...)})
+	b.act(&Action{Kind: Log, Text: fmt.Sprintf(format, args...)})
 }
 
 // scheduleAdvance has the queue of a key advanced after a delay.
 func (b *Balancer) scheduleAdvance(key uint64, delay time.Duration) {
-	b.act(Action{Kind: SetTimer, Delay: delay, Token: b.timers.add(key)})
+	b.act(&Action{Kind: SetTimer, Delay: delay, Token: b.timers.add(key)})
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -75,6 +75,6 @@
 		b.advance(key)
 	} else if token == pollToken && b.poll.scheduled {
 		b.poll.scheduled = false
-		b.act(Action{Kind: Subscribe, Enabled: true})
+		b.act(&Action{Kind: Subscribe, Enabled: true})
 	}
 }
--- a/balancer/endpointlist.go
+++ b/balancer/endpointlist.go
@@ -34,7 +34,7 @@
 	b.poll.scheduled = true
 	longest := float64(min(b.cfg.Contract.MaxPollInterval, maxPollDelay))
 	wait := longest / 32 * math.Exp2(float64(min(b.poll.failures, 3)))
-	b.act(Action{Kind: SetTimer, Delay: time.Duration(wait * (0.1 + b.random.float64())), Token: pollToken})
+	b.act(&Action{Kind: SetTimer, Delay: time.Duration(wait * (0.1 + b.random.float64())), Token: pollToken})
 }
 
 // applyList takes in the entries of a list. Draining and gone endpoints get nothing from then on.
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -79,7 +79,7 @@
 	if r.possiblyExecutedOn != nil && r.class.Effect == Keyed { // a connection may come up late
 		action.WriteTimeout = min(timeout, r.idempotencyExpiry-b.now)
 	}
-	b.act(action)
+	b.act(&action)
 	return true
 }
 
@@ -154,7 +154,7 @@
 			action.RetryAfter = min(wait, b.cfg.Limits.MaxRetryAfter)
 		}
 	}
-	b.act(action)
+	b.act(&action)
 	r.answered = true
 }
 
@@ -166,7 +166,7 @@
 	}
 	r.answered = true
 	if r.open && b.cfg.Limits.AllowCancel {
-		b.act(Action{Kind: Cancel, Request: r.id, Attempt: len(r.attempts) - 1})
+		b.act(&Action{Kind: Cancel, Request: r.id, Attempt: len(r.attempts) - 1})
 	}
 	b.release(r)
 	b.advance(r.key)
