--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// sizes are fleets at which costs are compared, copies and calls in flight grown
-// alike: three copies before fourteen servers.
+// sizes are fleets at which costs are compared, replicas and calls in flight grown
+// alike: three replicas before fourteen endpoints.
 var sizes = []int{14, 140, 700, 7000}
 
 // BenchmarkDecision is one call from its arrival to its end, with the windows that
@@ -32,11 +32,11 @@
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			f := newFlow(b, size)
-			f.n.b.limiter.maxIFR, f.n.b.limiter.ceiling, f.n.b.limiter.burstCredit = 1, 1, -1
+			f.h.b.limiter.maxIFR, f.h.b.limiter.ceiling, f.h.b.limiter.burstCredit = 1, 1, -1
 			b.ReportAllocs()
 			for b.Loop() {
 				f.next++
-				f.out = f.n.b.Handle(f.n.now, Event{Kind: RequestArrived, Request: f.next, Remaining: 2 * time.Second}, f.out[:0])
+				f.out = f.h.b.Handle(f.h.now, Event{Kind: RequestArrived, Request: f.next, Remaining: 2 * time.Second}, f.out[:0])
 			}
 		})
 	}
@@ -47,14 +47,14 @@
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			f := newFlow(b, size)
-			for f.n.b.attempts.inFlight < 12 && f.n.b.attempts.inFlight < int(f.n.b.limiter.maxIFR) {
+			for f.h.b.attempts.inFlight < 12 && f.h.b.attempts.inFlight < int(f.h.b.limiter.maxIFR) {
 				f.arrive()
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				f.n.now += time.Second
-				f.n.b.limiter.window.count = minRequests
-				f.out = f.n.b.Handle(f.n.now, Event{Kind: TimerFired, Token: 1}, f.out[:0])
+				f.h.now += time.Second
+				f.h.b.limiter.window.count = minRequests
+				f.out = f.h.b.Handle(f.h.now, Event{Kind: TimerFired, Token: 1}, f.out[:0])
 			}
 		})
 	}
@@ -66,28 +66,28 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			f := newFlow(b, size)
 			states := []EndpointState{Draining, Ready}
-			list := []Endpoint{up(1)}
+			list := []Endpoint{ready(1)}
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
 				i++
 				list[0].State = states[i%2]
-				f.out = f.n.b.Handle(f.n.now, Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: list}, f.out[:0])
+				f.out = f.h.b.Handle(f.h.now, Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: list}, f.out[:0])
 			}
 		})
 	}
 }
 
-// BenchmarkMemory tells the bytes that a Balancer takes for each server.
+// BenchmarkMemory tells the bytes that a Balancer takes for each endpoint.
 func BenchmarkMemory(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			list := fleet(size)
+			list := readyList(size)
 			b.ReportAllocs()
 			for b.Loop() {
-				newNode(b, testConfig(), list...)
+				newHost(b, testConfig(), list...)
 			}
-			b.ReportMetric(float64(size), "servers")
+			b.ReportMetric(float64(size), "endpoints")
 		})
 	}
 }
--- a/balancer/index_test.go
+++ b/balancer/index_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// plain picks as pick does where it may look at all: a scan of all servers from a
+// plain picks as pick does where it may look at all: a scan of all endpoints from a
 // random place on.
 func plain(b *Balancer, r *request) *endpoint {
 	best := newCandidate(r, int(b.random.float64()*float64(len(b.endpoints.listed))), len(b.endpoints.listed))
@@ -42,7 +42,7 @@
 	busy, late, filed := 0, 0, 0
 	for i, s := range b.endpoints.listed {
 		if s.index != i {
-			w.fail("server %d is at %d of the list, and says %d", s.ID, i, s.index)
+			w.fail("endpoint %d is at %d of the list, and says %d", s.ID, i, s.index)
 		}
 		if s.inFlight > 0 {
 			busy++
@@ -53,7 +53,7 @@
 		if s.rank >= 0 {
 			filed++
 			if b.endpoints.byRank[s.rank][s.rankPosition] != s {
-				w.fail("server %d is not where it is filed", s.ID)
+				w.fail("endpoint %d is not where it is filed", s.ID)
 			}
 		}
 	}
@@ -100,7 +100,7 @@
 	}
 }
 
-// jam gives servers random verdicts and calls out, as crowded fleets have them.
+// jam gives endpoints random verdicts and calls out, as crowded fleets have them.
 func jam(b *Balancer, rng *rand.Rand) {
 	for _, s := range b.endpoints.listed {
 		s.inFlight, s.health.penalty, s.health.relativeLatency, s.health.updatedAt = rng.Intn(3)*rng.Intn(2), float64(rng.Intn(3)*rng.Intn(2)), 0.5+2*rng.Float64(), b.now
@@ -109,25 +109,25 @@
 }
 
 // In larger fleets a sample decides. What it costs is measured: how often it
-// takes a server that ranks worse, and by how much one slower.
+// takes an endpoint that ranks worse, and by how much one slower.
 func TestLossOfTheSample(t *testing.T) {
-	for _, tc := range []struct{ size, copies int }{{140, 30}, {700, 150}, {7000, 1500}, {140, 1}, {7000, 1}} {
+	for _, tc := range []struct{ size, replicas int }{{140, 30}, {700, 150}, {7000, 1500}, {140, 1}, {7000, 1}} {
 		size, cfg := tc.size, testConfig()
-		cfg.ReplicaCount, cfg.Tiers = tc.copies, 3 // the front of a chain: most are near
-		n, rng := newNode(t, cfg, fleet(size)...), rand.New(rand.NewSource(int64(size)))
+		cfg.ReplicaCount, cfg.Tiers = tc.replicas, 3 // the front of a chain: most are near
+		h, rng := newHost(t, cfg, readyList(size)...), rand.New(rand.NewSource(int64(size)))
 		const picks = 400
 		worse, others, slower := 0, 0, 0.0
 		for range picks {
-			n.now += time.Second
-			n.b.now = n.now
-			jam(n.b, rng)
-			r := &request{class: &n.b.cfg.Classes[0]}
-			seed := n.b.random.state
-			want := plain(n.b, r)
-			n.b.random.state = seed
-			got := n.b.endpoints.pick(n.b.now, r, n.b.random.float64())
+			h.now += time.Second
+			h.b.now = h.now
+			jam(h.b, rng)
+			r := &request{class: &h.b.cfg.Classes[0]}
+			seed := h.b.random.state
+			want := plain(h.b, r)
+			h.b.random.state = seed
+			got := h.b.endpoints.pick(h.b.now, r, h.b.random.float64())
 			rank := func(s *endpoint) int {
-				held, slow := s.health.at(n.b.now, n.b.endpoints.halfLife)
+				held, slow := s.health.at(h.b.now, h.b.endpoints.halfLife)
 				return 2*int(float64(s.inFlight)+held+math.Floor(slow/slownessPerSeat)) + s.suspicion()
 			}
 			if got == nil || rank(got) > rank(want) {
@@ -138,18 +138,18 @@
 			}
 			slower += (got.health.relativeLatency - want.health.relativeLatency) / picks
 		}
-		t.Logf("%d servers, %d copies, %d near: %.1f%% of picks rank worse, on average %.3f slower; %d of %d are others",
-			size, tc.copies, n.b.endpoints.subsetSize, 100*float64(worse)/picks, slower, others, picks)
+		t.Logf("%d endpoints, %d replicas, %d near: %.1f%% of picks rank worse, on average %.3f slower; %d of %d are others",
+			size, tc.replicas, h.b.endpoints.subsetSize, 100*float64(worse)/picks, slower, others, picks)
 		if worse > picks/50 || slower > 0.2 {
-			t.Errorf("%d servers: %d of %d picks rank worse, %.3f slower", size, worse, picks, slower)
+			t.Errorf("%d endpoints: %d of %d picks rank worse, %.3f slower", size, worse, picks, slower)
 		}
 		if others == 0 {
-			t.Errorf("%d servers: no pick is by the sample", size)
+			t.Errorf("%d endpoints: no pick is by the sample", size)
 		}
 	}
 }
 
-// At ten times the fleet, copies and calls grown alike, no decision may look at
+// At ten times the readyList, replicas and calls grown alike, no decision may look at
 // more or allocate. Counted work, so that the verdict is the same on any machine.
 func TestDecisionsDoNotGrowWithTheFleet(t *testing.T) {
 	for _, size := range []int{14, 140, 700, 7000} {
@@ -158,21 +158,21 @@
 			f.turn()
 		}
 		if allocs := testing.AllocsPerRun(200, f.turn); allocs > 0 {
-			t.Errorf("%d servers: %v allocations for a call and the windows in it", size, allocs)
+			t.Errorf("%d endpoints: %v allocations for a call and the windows in it", size, allocs)
 		}
-		f.n.b.endpoints.scanned = 0
+		f.h.b.endpoints.scanned = 0
 		for range 200 {
 			f.turn()
 		}
-		if per := f.n.b.endpoints.scanned / 200; per > 2*maxScanned+1 && size > maxExactScan {
-			t.Errorf("%d servers: %d are weighed for a pick", size, per)
+		if per := f.h.b.endpoints.scanned / 200; per > 2*maxScanned+1 && size > maxExactScan {
+			t.Errorf("%d endpoints: %d are weighed for a pick", size, per)
 		}
 	}
 }
 
 // flow is a calm stream of calls with some always out.
 type flow struct {
-	n    *node
+	h    *host
 	out  []Action
 	open []RequestID
 	next RequestID
@@ -181,7 +181,7 @@
 func newFlow(t testing.TB, size int) *flow {
 	cfg := testConfig()
 	cfg.ReplicaCount, cfg.Tiers = max(size*3/14, 1), 3 // the front of a chain: most are near
-	f := &flow{n: newNode(t, cfg, fleet(size)...)}
+	f := &flow{h: newHost(t, cfg, readyList(size)...)}
 	for range 8 {
 		f.arrive()
 	}
@@ -191,41 +191,41 @@
 func (f *flow) arrive() {
 	f.next++
 	f.open = append(f.open, f.next)
-	f.out = f.n.b.Handle(f.n.now, Event{Kind: RequestArrived, Request: f.next, Remaining: 2 * time.Second}, f.out[:0])
+	f.out = f.h.b.Handle(f.h.now, Event{Kind: RequestArrived, Request: f.next, Remaining: 2 * time.Second}, f.out[:0])
 }
 
 // turn ends the oldest call and begins another.
 func (f *flow) turn() {
-	f.n.now += 10 * ms
+	f.h.now += 10 * ms
 	id := f.open[0]
 	copy(f.open, f.open[1:])
 	f.open = f.open[:len(f.open)-1]
-	f.out = f.n.b.Handle(f.n.now, Event{Kind: AttemptEnded, Request: id, RequestClosed: true, Elapsed: 80 * ms}, f.out[:0])
+	f.out = f.h.b.Handle(f.h.now, Event{Kind: AttemptEnded, Request: id, RequestClosed: true, Elapsed: 80 * ms}, f.out[:0])
 	f.arrive()
 }
 
-// What a server that has left leaves behind is nothing.
+// What an endpoint that has left leaves behind is nothing.
 func TestNothingIsKeptOfServersThatLeft(t *testing.T) {
-	n := newNode(t, testConfig(), fleet(50)...)
+	h := newHost(t, testConfig(), readyList(50)...)
 	for gen := range 20 {
-		id, _ := n.arrive(0)
+		id, _ := h.arrive(0)
 		var list []Endpoint
 		for i := range 50 {
-			list = append(list, up(EndpointID(1000*(gen+1)+i)))
+			list = append(list, ready(EndpointID(1000*(gen+1)+i)))
 		}
-		n.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: list})
-		n.end(id, 0, OK, ms)
+		h.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: list})
+		h.end(id, 0, OK, ms)
 	}
-	n.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges})
+	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges})
 	kept := 0
-	for _, shelf := range n.b.endpoints.byRank {
+	for _, shelf := range h.b.endpoints.byRank {
 		for _, s := range shelf[:cap(shelf)] {
-			if s != nil && !slices.Contains(n.b.endpoints.listed, s) {
+			if s != nil && !slices.Contains(h.b.endpoints.listed, s) {
 				kept++
 			}
 		}
 	}
-	for _, r := range n.b.pool {
+	for _, r := range h.b.pool {
 		for _, s := range r.attempts[:cap(r.attempts)] {
 			if s != nil {
 				kept++
@@ -235,7 +235,7 @@
 			kept++
 		}
 	}
-	if len(n.b.endpoints.listed) != 50 || len(n.b.endpoints.byID) != 50 || kept > 0 {
-		t.Errorf("%d servers, %d by id, %d kept of those that left", len(n.b.endpoints.listed), len(n.b.endpoints.byID), kept)
+	if len(h.b.endpoints.listed) != 50 || len(h.b.endpoints.byID) != 50 || kept > 0 {
+		t.Errorf("%d endpoints, %d by id, %d kept of those that left", len(h.b.endpoints.listed), len(h.b.endpoints.byID), kept)
 	}
 }
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -408,7 +408,7 @@
 		{ReplicaCount: 3, ReplicaIndex: 1 << 62, OverQuotaWeight: -4, Classes: []Class{{OrderedByKey: true, PriorityWeight: math.Inf(1)}, {PriorityWeight: math.NaN()}},
 			Contract: Contract{OnlyDrainingBinds: true, KeyQuarantine: -time.Second}, Goal: Goal{LogLossWeight: math.NaN(), TopNines: -3}}}
 	for i, cfg := range bad {
-		n := newNode(t, cfg, Endpoint{ID: 1, State: Ready, StartedAt: 1 << 62, Weight: -1}, Endpoint{ID: 1, State: Ready}, Endpoint{ID: 2, State: 77})
+		n := newHost(t, cfg, Endpoint{ID: 1, State: Ready, StartedAt: 1 << 62, Weight: -1}, Endpoint{ID: 1, State: Ready}, Endpoint{ID: 2, State: 77})
 		for _, ev := range []Event{{Kind: 200}, {Kind: RequestArrived, Request: 1, Class: -4, Tenant: -9, Remaining: -5, ExpectedWork: -7},
 			{Kind: RequestArrived, Request: 2, Class: 300, Tenant: 1 << 30, Remaining: time.Hour, Key: 1},
 			{Kind: RequestArrived, Request: 3, Key: 1, Remaining: -time.Hour}, {Kind: TimerFired, Token: 1 << 31}, {Kind: EndpointListUpdated, ListKind: ListFull},
