--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// sizes are fleets at which costs are compared, replicas and calls in flight grown
-// alike: three replicas before fourteen endpoints.
+// sizes are the numbers of endpoints at which costs are compared, replicas and attempts in flight grown alike: three
+// replicas before fourteen endpoints.
 var sizes = []int{14, 140, 700, 7000}
 
-// BenchmarkDecision is one call from its arrival to its end, with the windows that
-// end on the way: pick, admit and tune.
+// BenchmarkDecision is one request from its arrival to its end, with the windows that end on the way: admission, the
+// choice of an endpoint and the limit.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			f := newFlow(b, size)
 			for range 4 * size {
-				f.turn()
+				f.replaceOldest()
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				f.turn()
+				f.replaceOldest()
 			}
 		})
 	}
 }
 
-// BenchmarkRefuse is an arrival that finds no room.
+// BenchmarkRefuse is a request that finds no free seat.
 func BenchmarkRefuse(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// BenchmarkWindow is the end of a window in which most calls are overdue.
+// BenchmarkWindow is the end of a window in which most attempts are overdue.
 func BenchmarkWindow(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// BenchmarkMemory tells the bytes that a Balancer takes for each endpoint.
+// BenchmarkMemory shows the bytes that a Balancer takes for each endpoint.
 func BenchmarkMemory(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/balancer/explore_test.go
+++ b/balancer/explore_test.go
@@ -11,41 +11,41 @@
 	"ryerill/lab/modelcheck/mutant"
 )
 
-// corner is the real Balancer with all that may happen round it: requests that come and
-// leave, attempts that end in any way, servers that drain, vanish, restart and return,
-// and time. Beside the Balancer stands a twin that is told the same. What must hold is
-// written at each check by its name in docs/design/properties.md.
-type corner struct {
-	b, twin  *Balancer
-	cfg      Config
-	now      time.Duration
-	requests []*asked
-	servers  []Endpoint          // as last told
-	drained  map[EndpointID]bool // since their start
-	changes  int
-	steps    int // of time
-	most     int // of them
-	timers   []uint32
-	moves    []move
-	broken   error
+// environment is the real Balancer with all that may happen around it: requests that arrive and clients that leave,
+// attempts that end in any way, endpoints that drain, vanish, restart and return, and time. Beside the Balancer stands
+// a twin that is handed the same events. What must hold is named at each check as in docs/design/properties.md.
+type environment struct {
+	b, twin   *Balancer
+	cfg       Config
+	now       time.Duration
+	requests  []*clientRequest
+	endpoints []Endpoint          // as last listed
+	drained   map[EndpointID]bool // since their start
+	changes   int                 // of the list
+	timeSteps int
+	maxSteps  int
+	timers    []uint32
+	moves     []move
+	violation error // the first
 }
 
-// asked is a request as its consumer and the servers see it.
-type asked struct {
-	id       RequestID
-	class    int
-	came     bool
-	left     bool // its consumer did
-	finals   int
-	out      int // the attempt that is out; -1 is none
-	sent     []EndpointID
-	mayRun   []EndpointID  // servers of attempts that may have run
-	again    bool          // an older attempt was told once more
-	ranAt    time.Duration // when the first of them was sent
-	sentAt   time.Duration
-	withdrew bool // the attempt that is out was called off
+// clientRequest is a request as its client and the endpoints see it.
+type clientRequest struct {
+	id            RequestID
+	class         int
+	arrived       bool
+	left          bool // its client did
+	finals        int
+	inFlight      int // the attempt in flight; -1 is none
+	sent          []EndpointID
+	maybeExecuted []EndpointID  // endpoints of attempts that may have been executed
+	repeated      bool          // the end of an older attempt was reported once more
+	executedAt    time.Duration // when the first of them was sent
+	sentAt        time.Duration
+	cancelled     bool // the attempt in flight was
 }
 
+// move is something that may happen next.
 type move struct {
 	name string
 	do   func()
@@ -53,161 +53,161 @@
 
 // Bounds of what the environment does.
 const (
-	mostChanges = 2 // of the list
-	mostSteps   = 2 // of time
-	patience    = 3 * time.Second
+	maxChanges    = 2 // of the list
+	maxTimeSteps  = 2
+	clientTimeout = 3 * time.Second
 )
 
-// plot is one configuration that is explored.
-type plot struct {
-	name     string
-	effects  []Effect // of the requests' classes, one each
-	group    Group
-	servers  int
-	attempts int
-	alone    bool // draining binds alone
-	changes  bool // of the list
-	depth    int
+// scenario is one configuration that is explored.
+type scenario struct {
+	name      string
+	effects   []Effect // of the requests' classes, one each
+	group     Group
+	endpoints int
+	attempts  int
+	alone     bool // only draining binds
+	changes   bool // of the list
+	depth     int
 }
 
-func (p plot) start() modelcheck.System {
+func (p scenario) start() modelcheck.System {
 	cfg := Config{ReplicaCount: 1, Limits: Limits{MaxAttempts: p.attempts, AllowCancel: true, SendRetryAfter: true, MaxRetryAfter: time.Second, ConnectTimeout: 100 * ms}, Contract: Contract{OnlyDrainingBinds: p.alone}}
 	for _, e := range p.effects {
 		cfg.Classes = append(cfg.Classes, Class{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, LateWeight: 0.5, Effect: e, Group: p.group, IdempotencyWindow: 1200 * ms})
 	}
-	w := &corner{b: New(cfg, 1), twin: New(cfg, 1), cfg: cfg, now: time.Hour, drained: map[EndpointID]bool{}, most: mostSteps * max(1, len(p.effects)/4)}
-	for i := range p.servers {
-		w.servers = append(w.servers, Endpoint{ID: EndpointID(i + 1), State: Ready, Cell: i / 2})
+	env := &environment{b: New(cfg, 1), twin: New(cfg, 1), cfg: cfg, now: time.Hour, drained: map[EndpointID]bool{}, maxSteps: maxTimeSteps * max(1, len(p.effects)/4)}
+	for i := range p.endpoints {
+		env.endpoints = append(env.endpoints, Endpoint{ID: EndpointID(i + 1), State: Ready, Cell: i / 2})
 	}
 	for i := range p.effects {
-		w.requests = append(w.requests, &asked{id: RequestID(i + 1), class: i, out: -1})
+		env.requests = append(env.requests, &clientRequest{id: RequestID(i + 1), class: i, inFlight: -1})
 	}
 	if !p.changes {
-		w.changes = mostChanges
+		env.changes = maxChanges
 	}
-	w.tell(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: w.servers})
-	w.look()
-	return w
+	env.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: env.endpoints})
+	env.findMoves()
+	return env
 }
 
-func (w *corner) fail(property, format string, args ...any) {
-	if w.broken == nil {
-		w.broken = fmt.Errorf("%s: %s", property, fmt.Sprintf(format, args...))
+func (env *environment) fail(property, format string, args ...any) {
+	if env.violation == nil {
+		env.violation = fmt.Errorf("%s: %s", property, fmt.Sprintf(format, args...))
 	}
 }
 
-func (w *corner) find(id RequestID) *asked { return w.requests[id-1] }
+func (env *environment) find(id RequestID) *clientRequest { return env.requests[id-1] }
 
-// tell hands an event over and checks what follows.
-func (w *corner) tell(ev Event) {
-	out, same := w.b.Handle(w.now, ev, nil), w.twin.Handle(w.now, ev, nil)
+// handle hands an event over and checks the actions.
+func (env *environment) handle(ev Event) {
+	out, same := env.b.Handle(env.now, ev, nil), env.twin.Handle(env.now, ev, nil)
 	if len(out) != len(same) {
-		w.fail("same-events-same-actions", "%d and %d actions", len(out), len(same))
+		env.fail("same-events-same-actions", "%d and %d actions", len(out), len(same))
 	}
 	for i, a := range out {
 		if i < len(same) && fmt.Sprint(a) != fmt.Sprint(same[i]) {
-			w.fail("same-events-same-actions", "%v and %v", a, same[i])
+			env.fail("same-events-same-actions", "%v and %v", a, same[i])
 		}
 		switch a.Kind {
 		case Send:
-			w.sent(&a)
+			env.checkSend(&a)
 		case Shed, Fail:
-			r := w.find(a.Request)
+			r := env.find(a.Request)
 			if r.left {
-				w.fail("none-after-leaving", "request %d left and is answered", r.id)
+				env.fail("none-after-leaving", "request %d left and is answered", r.id)
 			}
 			if r.finals++; r.finals > 1 {
-				w.fail("one-final-answer", "request %d is answered %d times", r.id, r.finals)
+				env.fail("one-final-answer", "request %d is answered %d times", r.id, r.finals)
 			}
-			if a.Kind == Shed && len(r.mayRun) > 0 && w.cfg.Classes[r.class].Effect == Unsafe {
-				w.fail("refused-is-harmless", "request %d is refused and may have run", r.id)
+			if a.Kind == Shed && len(r.maybeExecuted) > 0 && env.cfg.Classes[r.class].Effect == Unsafe {
+				env.fail("refused-is-harmless", "request %d is shed and may have been executed", r.id)
 			}
 		case Cancel:
-			if r := w.find(a.Request); r.out != a.Attempt {
-				w.fail("one-owner", "attempt %d of request %d is called off, %d is out", a.Attempt, r.id, r.out)
+			if r := env.find(a.Request); r.inFlight != a.Attempt {
+				env.fail("one-owner", "attempt %d of request %d is cancelled, %d is in flight", a.Attempt, r.id, r.inFlight)
 			} else {
-				r.withdrew = true
+				r.cancelled = true
 			}
 		case SetTimer:
-			w.timers = append(w.timers, a.Token)
+			env.timers = append(env.timers, a.Token)
 		}
 	}
-	w.settled()
+	env.checkInvariants()
 }
 
-// sent checks an attempt against what its class and its server allow.
-func (w *corner) sent(a *Action) {
-	r := w.find(a.Request)
-	c := &w.cfg.Classes[r.class]
+// checkSend checks an attempt against what its class and its endpoint allow.
+func (env *environment) checkSend(a *Action) {
+	r := env.find(a.Request)
+	c := &env.cfg.Classes[r.class]
 	switch {
 	case r.finals > 0:
-		w.fail("one-final-answer", "request %d is sent after its answer", r.id)
+		env.fail("one-final-answer", "request %d is sent after its answer", r.id)
 	case r.left:
-		w.fail("none-after-leaving", "request %d left and is sent", r.id)
-	case r.out >= 0:
-		w.fail("one-attempt-at-a-time", "request %d", r.id)
-	case len(r.sent) >= w.cfg.Limits.MaxAttempts:
-		w.fail("attempts-bounded", "request %d goes out %d times", r.id, len(r.sent)+1)
+		env.fail("none-after-leaving", "request %d left and is sent", r.id)
+	case r.inFlight >= 0:
+		env.fail("one-attempt-at-a-time", "request %d", r.id)
+	case len(r.sent) >= env.cfg.Limits.MaxAttempts:
+		env.fail("attempts-bounded", "request %d is sent %d times", r.id, len(r.sent)+1)
 	case slices.Contains(r.sent, a.Endpoint):
-		w.fail("never-twice-to-one", "request %d goes to server %d again", r.id, a.Endpoint)
+		env.fail("never-twice-to-one", "request %d goes to endpoint %d again", r.id, a.Endpoint)
 	}
-	s := w.servers[a.Endpoint-1]
-	if s.State == Draining || s.State == Gone && (!w.cfg.Contract.OnlyDrainingBinds || w.drained[s.ID]) {
-		w.fail("nothing-new-to-a-drained", "request %d goes to server %d, which is told as %d", r.id, s.ID, s.State)
+	s := env.endpoints[a.Endpoint-1]
+	if s.State == Draining || s.State == Gone && (!env.cfg.Contract.OnlyDrainingBinds || env.drained[s.ID]) {
+		env.fail("nothing-new-to-a-drained", "request %d goes to endpoint %d, which is listed as %d", r.id, s.ID, s.State)
 	}
-	if len(r.mayRun) > 0 {
-		first := w.servers[r.mayRun[0]-1]
+	if len(r.maybeExecuted) > 0 {
+		first := env.endpoints[r.maybeExecuted[0]-1]
 		switch {
 		case c.Effect == Unsafe:
-			w.fail("no-repeat-against-its-class", "unsafe request %d may have run at %v and goes out again", r.id, r.mayRun)
+			env.fail("no-repeat-against-its-class", "unsafe request %d may have been executed at %v and is sent again", r.id, r.maybeExecuted)
 		case c.Effect == Keyed && c.Group == GroupCell && s.Cell != first.Cell:
-			w.fail("no-repeat-against-its-class", "keyed request %d may have run in cell %d and goes to cell %d", r.id, first.Cell, s.Cell)
-		case c.Effect == Keyed && w.now-r.ranAt >= c.IdempotencyWindow:
-			w.fail("no-repeat-against-its-class", "keyed request %d goes out %v after it may have run", r.id, w.now-r.ranAt)
-		case c.Effect == Keyed && w.now+a.WriteTimeout-r.ranAt >= c.IdempotencyWindow:
-			w.fail("no-repeat-against-its-class", "keyed request %d may be out %v after it may have run", r.id, w.now+a.WriteTimeout-r.ranAt)
+			env.fail("no-repeat-against-its-class", "keyed request %d may have been executed in cell %d and goes to cell %d", r.id, first.Cell, s.Cell)
+		case c.Effect == Keyed && env.now-r.executedAt >= c.IdempotencyWindow:
+			env.fail("no-repeat-against-its-class", "keyed request %d is sent %v after it may have been executed", r.id, env.now-r.executedAt)
+		case c.Effect == Keyed && env.now+a.WriteTimeout-r.executedAt >= c.IdempotencyWindow:
+			env.fail("no-repeat-against-its-class", "keyed request %d may be written %v after it may have been executed", r.id, env.now+a.WriteTimeout-r.executedAt)
 		}
 	}
-	if a.Timeout <= 0 || a.Timeout > patience || a.WriteTimeout <= 0 || a.WriteTimeout > a.Timeout {
-		w.fail("every-attempt-has-a-deadline", "%v", a.Timeout)
+	if a.Timeout <= 0 || a.Timeout > clientTimeout || a.WriteTimeout <= 0 || a.WriteTimeout > a.Timeout {
+		env.fail("every-attempt-has-a-deadline", "%v", a.Timeout)
 	}
 	r.sent = append(r.sent, a.Endpoint)
-	r.out, r.withdrew, r.sentAt = len(r.sent)-1, false, w.now
+	r.inFlight, r.cancelled, r.sentAt = len(r.sent)-1, false, env.now
 }
 
-// settled checks what holds between events.
-func (w *corner) settled() {
-	b, out := w.b, map[EndpointID]int{}
+// checkInvariants checks what holds between events.
+func (env *environment) checkInvariants() {
+	b, out := env.b, map[EndpointID]int{}
 	all := 0
-	for _, r := range w.requests {
-		if r.out >= 0 {
-			out[r.sent[r.out]]++
+	for _, r := range env.requests {
+		if r.inFlight >= 0 {
+			out[r.sent[r.inFlight]]++
 			all++
 		}
-		if r.came && !r.left && r.finals == 0 && r.out < 0 {
-			w.fail("no-unbounded-waiting", "request %d has no attempt out and no answer", r.id)
+		if r.arrived && !r.left && r.finals == 0 && r.inFlight < 0 {
+			env.fail("no-unbounded-waiting", "request %d has no attempt in flight and no answer", r.id)
 		}
-		if _, kept := b.requests[r.id]; kept != (r.came && (r.out >= 0 || !r.left && r.finals == 0)) {
-			w.fail("nothing-leaks", "request %d is kept %v, with attempt %d out, left %v, %d answers", r.id, kept, r.out, r.left, r.finals)
+		if _, kept := b.requests[r.id]; kept != (r.arrived && (r.inFlight >= 0 || !r.left && r.finals == 0)) {
+			env.fail("nothing-leaks", "request %d is kept %v, with attempt %d in flight, left %v, %d answers", r.id, kept, r.inFlight, r.left, r.finals)
 		}
 	}
 	busy := 0
 	for _, s := range b.endpoints.listed {
 		if s.inFlight != out[s.ID] {
-			w.fail("counters-return", "server %d has %d calls out, the Balancer counts %d", s.ID, out[s.ID], s.inFlight)
+			env.fail("counters-return", "endpoint %d has %d attempts in flight, the Balancer counts %d", s.ID, out[s.ID], s.inFlight)
 		}
 		if s.inFlight > 0 {
 			busy++
 		}
 		if s.lateInFlight > s.inFlight {
-			w.fail("counters-return", "server %d has %d late calls of %d", s.ID, s.lateInFlight, s.inFlight)
+			env.fail("counters-return", "endpoint %d has %d late attempts of %d", s.ID, s.lateInFlight, s.inFlight)
 		}
 	}
 	if b.attempts.inFlight != all || b.attempts.busyEndpoints != busy || b.attempts.lateEndpoints > b.attempts.busyEndpoints || b.attempts.lateEndpoints < 0 {
-		w.fail("counters-return", "%d calls out at %d servers; the Balancer counts %d at %d, %d late", all, busy, b.attempts.inFlight, b.attempts.busyEndpoints, b.attempts.lateEndpoints)
+		env.fail("counters-return", "%d attempts in flight at %d endpoints; the Balancer counts %d at %d, %d late", all, busy, b.attempts.inFlight, b.attempts.busyEndpoints, b.attempts.lateEndpoints)
 	}
 	if b.limiter.ceiling > 0 && (b.limiter.maxIFR < b.limiter.floor || b.limiter.maxIFR > b.limiter.ceiling) {
-		w.fail("limit-within-bounds", "%v, floor %v, ceiling %v", b.limiter.maxIFR, b.limiter.floor, b.limiter.ceiling)
+		env.fail("limit-within-bounds", "%v, floor %v, ceiling %v", b.limiter.maxIFR, b.limiter.floor, b.limiter.ceiling)
 	}
 	inFlight := 0
 	for i := range b.attempts.byClass {
@@ -216,149 +216,149 @@
 		}
 	}
 	if inFlight != all {
-		w.fail("counters-return", "%d calls in flight by class, %d out", inFlight, all)
+		env.fail("counters-return", "%d attempts in flight by class, %d in all", inFlight, all)
 	}
 }
 
-// ends has the attempt of r that is out end.
-func (w *corner) ends(r *asked, o Outcome) {
-	k := r.out
-	r.out = -1
+// endAttempt has the attempt of r that is in flight end.
+func (env *environment) endAttempt(r *clientRequest, o Outcome) {
+	k := r.inFlight
+	r.inFlight = -1
 	if !o.NeverRan() {
-		if len(r.mayRun) == 0 {
-			r.ranAt = r.sentAt
+		if len(r.maybeExecuted) == 0 {
+			r.executedAt = r.sentAt
 		}
-		r.mayRun = append(r.mayRun, r.sent[k])
+		r.maybeExecuted = append(r.maybeExecuted, r.sent[k])
 	}
 	closed := false
 	if o == OK && !r.left && r.finals == 0 {
 		r.finals, closed = 1, true
 	}
-	w.tell(Event{Kind: AttemptEnded, Request: r.id, Attempt: k, Endpoint: r.sent[k], Outcome: o, RequestClosed: closed || r.left, Elapsed: 50 * ms})
+	env.handle(Event{Kind: AttemptEnded, Request: r.id, Attempt: k, Endpoint: r.sent[k], Outcome: o, RequestClosed: closed || r.left, Elapsed: 50 * ms})
 }
 
-// look finds what may happen next.
-func (w *corner) look() {
-	w.moves = w.moves[:0]
-	add := func(name string, do func()) { w.moves = append(w.moves, move{name, do}) }
-	for _, r := range w.requests {
+// findMoves finds what may happen next.
+func (env *environment) findMoves() {
+	env.moves = env.moves[:0]
+	add := func(name string, do func()) { env.moves = append(env.moves, move{name, do}) }
+	for _, r := range env.requests {
 		switch {
-		case !r.came:
-			add(fmt.Sprintf("request %d comes", r.id), func() {
-				r.came = true
-				w.tell(Event{Kind: RequestArrived, Request: r.id, Class: r.class, Tenant: -1, Remaining: patience})
+		case !r.arrived:
+			add(fmt.Sprintf("request %d arrives", r.id), func() {
+				r.arrived = true
+				env.handle(Event{Kind: RequestArrived, Request: r.id, Class: r.class, Tenant: -1, Remaining: clientTimeout})
 			})
-			if r.id == 1 { // requests are alike but for their class: the second comes after the first
-				goto rest
+			if r.id == 1 { // requests are alike but for their class: the second arrives after the first
+				goto listChanges
 			}
-		case r.out >= 0:
+		case r.inFlight >= 0:
 			for _, o := range []Outcome{OK, Error, Rejected, Timeout, Reset} {
-				add(fmt.Sprintf("attempt %d of request %d ends: %v", r.out, r.id, o), func() { w.ends(r, o) })
+				add(fmt.Sprintf("attempt %d of request %d ends: %v", r.inFlight, r.id, o), func() { env.endAttempt(r, o) })
 			}
-			if r.out > 0 && !r.again {
-				add(fmt.Sprintf("attempt %d of request %d is told to have ended once more", r.out-1, r.id), func() {
-					r.again = true
-					w.tell(Event{Kind: AttemptEnded, Request: r.id, Attempt: r.out - 1, Endpoint: r.sent[r.out-1], Outcome: Error, Elapsed: 50 * ms})
+			if r.inFlight > 0 && !r.repeated {
+				add(fmt.Sprintf("the end of attempt %d of request %d is reported once more", r.inFlight-1, r.id), func() {
+					r.repeated = true
+					env.handle(Event{Kind: AttemptEnded, Request: r.id, Attempt: r.inFlight - 1, Endpoint: r.sent[r.inFlight-1], Outcome: Error, Elapsed: 50 * ms})
 				})
 			}
-			if r.withdrew {
-				add(fmt.Sprintf("attempt %d of request %d ends: cancelled", r.out, r.id), func() { w.ends(r, Cancelled) })
+			if r.cancelled {
+				add(fmt.Sprintf("attempt %d of request %d ends: cancelled", r.inFlight, r.id), func() { env.endAttempt(r, Cancelled) })
 			}
 		}
-		if r.came && !r.left && r.finals == 0 {
-			add(fmt.Sprintf("the consumer of request %d leaves", r.id), func() {
+		if r.arrived && !r.left && r.finals == 0 {
+			add(fmt.Sprintf("the client of request %d leaves", r.id), func() {
 				r.left = true
-				w.tell(Event{Kind: ClientLeft, Request: r.id})
+				env.handle(Event{Kind: ClientLeft, Request: r.id})
 			})
 		}
 	}
-rest:
-	if w.changes < mostChanges {
-		for i := range w.servers {
-			s := &w.servers[i]
+listChanges:
+	if env.changes < maxChanges {
+		for i := range env.endpoints {
+			s := &env.endpoints[i]
 			for _, state := range []EndpointState{Gone, Ready, Draining} {
 				if state != s.State {
-					add(fmt.Sprintf("server %d is told as %d", s.ID, state), func() {
-						w.changes++
+					add(fmt.Sprintf("endpoint %d is listed as %d", s.ID, state), func() {
+						env.changes++
 						s.State = state
-						w.drained[s.ID] = w.drained[s.ID] || state == Draining
-						w.tell(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{*s}})
+						env.drained[s.ID] = env.drained[s.ID] || state == Draining
+						env.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{*s}})
 					})
 				}
 			}
 		}
-		add("the whole list comes without the last server", func() {
-			w.changes++
-			w.servers[len(w.servers)-1].State = Gone
-			w.tell(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: w.servers[:len(w.servers)-1]})
+		add("the whole list comes without the last endpoint", func() {
+			env.changes++
+			env.endpoints[len(env.endpoints)-1].State = Gone
+			env.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: env.endpoints[:len(env.endpoints)-1]})
 		})
-		add("server 1 is told as started anew", func() {
-			w.changes++
-			w.servers[0].State, w.servers[0].StartedAt = Ready, w.now
-			delete(w.drained, w.servers[0].ID)
-			w.tell(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: w.servers[:1]})
+		add("endpoint 1 is listed as started anew", func() {
+			env.changes++
+			env.endpoints[0].State, env.endpoints[0].StartedAt = Ready, env.now
+			delete(env.drained, env.endpoints[0].ID)
+			env.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: env.endpoints[:1]})
 		})
 	}
-	if w.steps < w.most {
-		add("0.7 s pass", func() { w.steps++; w.now += 700 * ms })
+	if env.timeSteps < env.maxSteps {
+		add("0.7 s pass", func() { env.timeSteps++; env.now += 700 * ms })
 	}
-	if len(w.timers) > 0 {
+	if len(env.timers) > 0 {
 		add("a timer is due", func() {
-			token := w.timers[0]
-			w.timers = w.timers[1:]
-			w.tell(Event{Kind: TimerFired, Token: token})
+			token := env.timers[0]
+			env.timers = env.timers[1:]
+			env.handle(Event{Kind: TimerFired, Token: token})
 		})
 	}
 }
 
-func (w *corner) Moves() (names []string) {
-	for _, m := range w.moves {
+func (env *environment) Moves() (names []string) {
+	for _, m := range env.moves {
 		names = append(names, m.name)
 	}
 	return names
 }
 
-func (w *corner) Do(i int) error {
-	w.moves[i].do()
-	w.look()
-	return w.broken
+func (env *environment) Do(i int) error {
+	env.moves[i].do()
+	env.findMoves()
+	return env.violation
 }
 
 // Key is exact: all that the Balancer holds, with times as they lie before now. What grows
 // and decays with time is part of it, so states are taken for one only where they are.
-func (w *corner) Key() string {
+func (env *environment) Key() string {
 	var t strings.Builder
-	b := w.b
-	fmt.Fprint(&t, w.steps, w.changes, len(w.timers), b.random.state, b.attempts.inFlight, b.limiter.maxIFR, b.limiter.burstCredit, b.now-b.limiter.creditAt, b.limiter.windowEnd-b.now, b.limiter.window.values[:min(b.limiter.window.count, 16)], b.limiter.window.count, b.attempts.busyEndpoints, b.attempts.lateEndpoints, b.endpoints.served.count, b.now-b.endpoints.served.updatedAt, b.stats.typicalLatency, b.stats.errorRate, b.poll.scheduled, b.poll.failures)
+	b := env.b
+	fmt.Fprint(&t, env.timeSteps, env.changes, len(env.timers), b.random.state, b.attempts.inFlight, b.limiter.maxIFR, b.limiter.burstCredit, b.now-b.limiter.creditAt, b.limiter.windowEnd-b.now, b.limiter.window.values[:min(b.limiter.window.count, 16)], b.limiter.window.count, b.attempts.busyEndpoints, b.attempts.lateEndpoints, b.endpoints.served.count, b.now-b.endpoints.served.updatedAt, b.stats.typicalLatency, b.stats.errorRate, b.poll.scheduled, b.poll.failures)
 	for _, s := range b.endpoints.listed {
 		fmt.Fprint(&t, ";", s.ID, s.State, b.now-s.StartedAt, s.inFlight, s.health.penalty, s.health.relativeLatency, b.now-s.health.updatedAt, b.now-s.lastKnownAt, s.drained, s.lastResult, s.inSubset, s.lateInFlight, s.index, s.rank, s.rankPosition, s.warmUpBudget)
 	}
-	for _, r := range w.requests {
-		fmt.Fprint(&t, "|", r.came, r.left, r.finals, r.out, r.sent, r.mayRun, w.now-r.ranAt, r.withdrew)
+	for _, r := range env.requests {
+		fmt.Fprint(&t, "|", r.arrived, r.left, r.finals, r.inFlight, r.sent, r.maybeExecuted, env.now-r.executedAt, r.cancelled)
 		if k := b.requests[r.id]; k != nil {
 			fmt.Fprint(&t, b.now-k.sentAt, k.deadline-b.now, k.answered, k.open, k.late, k.priority)
 		}
 	}
-	for _, s := range w.servers {
-		fmt.Fprint(&t, s.State, w.now-s.StartedAt)
+	for _, s := range env.endpoints {
+		fmt.Fprint(&t, s.State, env.now-s.StartedAt)
 	}
 	return t.String()
 }
 
-// plots are the configurations. The deeper ones are for RYERILL_SLOW.
-var plots = []plot{
-	{name: "a safe one", effects: []Effect{Safe}, servers: 3, attempts: 2, changes: true, depth: 6},
-	{name: "an unsafe one", effects: []Effect{Unsafe}, servers: 3, attempts: 2, changes: true, depth: 6},
-	{name: "a keyed one within a cell", effects: []Effect{Keyed}, group: GroupCell, servers: 3, attempts: 3, changes: true, depth: 6},
-	{name: "a keyed one, draining binds alone", effects: []Effect{Keyed}, group: GroupCell, servers: 3, attempts: 3, alone: true, changes: true, depth: 6},
-	{name: "two safe ones and changes", effects: []Effect{Safe, Safe}, servers: 2, attempts: 2, changes: true, depth: 6},
-	{name: "unsafe beside safe", effects: []Effect{Unsafe, Safe}, servers: 2, attempts: 2, depth: 7},
-	{name: "keyed beside unsafe", effects: []Effect{Keyed, Unsafe}, group: GroupCell, servers: 3, attempts: 2, depth: 6},
+// scenarios are the configurations. The deeper ones are for RYERILL_SLOW.
+var scenarios = []scenario{
+	{name: "a safe one", effects: []Effect{Safe}, endpoints: 3, attempts: 2, changes: true, depth: 6},
+	{name: "an unsafe one", effects: []Effect{Unsafe}, endpoints: 3, attempts: 2, changes: true, depth: 6},
+	{name: "a keyed one within a cell", effects: []Effect{Keyed}, group: GroupCell, endpoints: 3, attempts: 3, changes: true, depth: 6},
+	{name: "a keyed one, only draining binds", effects: []Effect{Keyed}, group: GroupCell, endpoints: 3, attempts: 3, alone: true, changes: true, depth: 6},
+	{name: "two safe ones and changes", effects: []Effect{Safe, Safe}, endpoints: 2, attempts: 2, changes: true, depth: 6},
+	{name: "unsafe beside safe", effects: []Effect{Unsafe, Safe}, endpoints: 2, attempts: 2, depth: 7},
+	{name: "keyed beside unsafe", effects: []Effect{Keyed, Unsafe}, group: GroupCell, endpoints: 3, attempts: 2, depth: 6},
 }
 
-// The real Balancer, explored whole in small worlds.
+// The real Balancer, explored whole in small environments.
 func TestExploreRequests(t *testing.T) {
-	for _, p := range plots {
+	for _, p := range scenarios {
 		t.Run(p.name, func(t *testing.T) {
 			t.Parallel()
 			if testing.Short() { // for planted faults
@@ -374,7 +374,7 @@
 
 // And beyond what can be visited whole: walks at random with more of all.
 func TestWalkRequests(t *testing.T) {
-	for i, p := range []plot{{servers: 5}, {servers: 5, alone: true}, {servers: 2}} {
+	for i, p := range []scenario{{endpoints: 5}, {endpoints: 5, alone: true}, {endpoints: 2}} {
 		p.group, p.attempts, p.changes = GroupCell, 3, i < 2
 		for range 5 {
 			p.effects = append(p.effects, Unsafe, Safe, Keyed, Keyed)
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -21,8 +21,8 @@
 		}
 		h.now += time.Minute
 		h.handle(Event{Kind: TimerFired})
-		if held, _ := h.b.endpoints.byID[bad].health.at(h.b.now, h.b.endpoints.halfLife); held > 0.01 {
-			t.Errorf("outcome %d: still holds %v seats a minute later", o, held)
+		if penalty, _ := h.b.endpoints.byID[bad].health.at(h.b.now, h.b.endpoints.halfLife); penalty > 0.01 {
+			t.Errorf("outcome %d: still holds %v seats a minute later", o, penalty)
 		}
 	}
 }
@@ -68,8 +68,8 @@
 	id, actions := h.arrive(4)
 	s := h.b.endpoints.byID[only(t, actions, Send).Endpoint]
 	h.end(id, 0, Timeout, time.Second)
-	if held, _ := s.health.at(h.b.now, h.b.endpoints.halfLife); held > 0.1 {
-		t.Errorf("a timeout among many holds %.2f seats", held)
+	if penalty, _ := s.health.at(h.b.now, h.b.endpoints.halfLife); penalty > 0.1 {
+		t.Errorf("a timeout among many holds %.2f seats", penalty)
 	}
 }
 
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -10,192 +10,196 @@
 	"time"
 )
 
-// seen is what the checker knows of one request.
-type seen struct {
-	class    int
-	until    time.Duration
-	answered bool
-	ran      bool // an attempt may have run
-	ranOn    Endpoint
-	ranAt    time.Duration
-	out      int
-	attempts []Endpoint
-	key      uint64
+// requestRecord is what the checker knows of one request.
+type requestRecord struct {
+	class         int
+	deadline      time.Duration
+	answered      bool
+	maybeExecuted bool // by an attempt so far
+	executor      Endpoint
+	executedAt    time.Duration
+	inFlight      int
+	attempts      []Endpoint
+	key           uint64
 }
 
-// world plays random but legal events to one Balancer and checks what comes back.
-type world struct {
+// simulation plays random but legal events to one Balancer and checks what comes back.
+type simulation struct {
 	t         testing.TB
 	rng       *rand.Rand
 	cfg       Config
 	b         *Balancer
 	now       time.Duration
-	servers   map[EndpointID]Endpoint
-	reqs      map[RequestID]*seen
-	open      []RequestID
+	endpoints map[EndpointID]Endpoint
+	requests  map[RequestID]*requestRecord
+	arrived   []RequestID
 	trace     []Action
-	calls     []time.Duration                // all calls sent
-	toCold    map[EndpointID][]time.Duration // calls to a server since its start
-	ready     []readyCount
-	sentAt    map[RequestID]time.Duration // when the latest attempt was sent
-	due       []Event                     // outcomes and timers to come, with Elapsed as their time
-	turns     map[uint64][]RequestID      // by key, requests of classes that keep order, as they came
-	rest      map[uint64]time.Duration
-	drained   map[EndpointID]time.Duration // start of a server when it was called draining
-	drainedAt map[EndpointID]time.Duration
-	named     map[EndpointID]Endpoint // as last named, by lists that may be wrong
-	old       []Endpoint              // an earlier list
-	most      int                     // servers
 
-	picks, others int // compared with a plain scan, and those that differ
+	sends         []time.Duration                // when attempts were sent
+	toWarmingUp   map[EndpointID][]time.Duration // to an endpoint since its start
+	readyCounts   []readyCount
+	sentAt        map[RequestID]time.Duration  // when the latest attempt was sent
+	due           []Event                      // outcomes and timers to come, with Elapsed as their time
+	queues        map[uint64][]RequestID       // by key, requests of classes that are ordered, as they came
+	quarantine    map[uint64]time.Duration     // its end, by key
+	drained       map[EndpointID]time.Duration // start of an endpoint when it was listed as draining
+	drainedAt     map[EndpointID]time.Duration
+	listed        map[EndpointID]Endpoint // as last listed, by lists that may be wrong
+	earlierList   []Endpoint
+	maxEndpoints  int
+	picks, others int // compared with a scan of all, and those that differ
 }
 
-func (w *world) fail(format string, args ...any) {
-	w.t.Helper()
-	w.t.Fatalf("at %v: %s", w.now, fmt.Sprintf(format, args...))
+func (sim *simulation) fail(format string, args ...any) {
+	sim.t.Helper()
+	sim.t.Fatalf("at %v: %s", sim.now, fmt.Sprintf(format, args...))
 }
 
-func (w *world) handle(ev Event) {
-	for _, a := range w.b.Handle(w.now, ev, nil) {
-		w.trace = append(w.trace, a)
+// handle hands an event over and checks the actions.
+func (sim *simulation) handle(ev Event) {
+	for _, a := range sim.b.Handle(sim.now, ev, nil) {
+		sim.trace = append(sim.trace, a)
 		switch a.Kind {
 		case Send:
-			w.sent(a)
+			sim.sent(a)
 		case Shed, Fail:
-			w.answered(a)
+			sim.answered(a)
 		case Cancel:
-			if r := w.reqs[a.Request]; r == nil || a.Attempt >= len(r.attempts) {
-				w.fail("cancel of an attempt never made: %+v", a)
+			if r := sim.requests[a.Request]; r == nil || a.Attempt >= len(r.attempts) {
+				sim.fail("cancel of an attempt never made: %+v", a)
 			}
 		case SetTimer:
-			w.due = append(w.due, Event{Kind: TimerFired, Token: a.Token, Elapsed: w.now + a.Delay})
+			sim.due = append(sim.due, Event{Kind: TimerFired, Token: a.Token, Elapsed: sim.now + a.Delay})
 		case Probe, SendToPeer:
-			w.fail("%+v is not allowed here", a)
+			sim.fail("%+v is not allowed here", a)
 		}
 	}
 }
 
-func (w *world) drainedNow(s Endpoint) bool {
-	start, ok := w.drained[s.ID]
-	return ok && s.StartedAt <= start && float64(w.now-w.drainedAt[s.ID]) < rememberPeriods*float64(w.cfg.Contract.WarmUpPeriod)
+// isDrained reports whether an endpoint is remembered as draining since its latest start.
+func (sim *simulation) isDrained(s Endpoint) bool {
+	start, ok := sim.drained[s.ID]
+	return ok && s.StartedAt <= start && float64(sim.now-sim.drainedAt[s.ID]) < rememberPeriods*float64(sim.cfg.Contract.WarmUpPeriod)
 }
 
-// over takes a request that is answered and has no attempt out from the queue of its key.
-func (w *world) over(id RequestID) {
-	r := w.reqs[id]
-	if r.key == 0 || !r.answered || r.out > 0 {
+// finish takes a request that is answered and has no attempt in flight from the queue of its key.
+func (sim *simulation) finish(id RequestID) {
+	r := sim.requests[id]
+	if r.key == 0 || !r.answered || r.inFlight > 0 {
 		return
 	}
-	w.turns[r.key] = slices.DeleteFunc(w.turns[r.key], func(other RequestID) bool { return other == id })
+	sim.queues[r.key] = slices.DeleteFunc(sim.queues[r.key], func(other RequestID) bool { return other == id })
 }
 
-func (w *world) sent(a Action) {
-	r, s := w.reqs[a.Request], w.named[a.Endpoint]
-	c := &w.cfg.Classes[r.class]
+// sent checks an attempt and lets it end some time later.
+func (sim *simulation) sent(a Action) {
+	r, s := sim.requests[a.Request], sim.listed[a.Endpoint]
+	c := &sim.cfg.Classes[r.class]
 	switch {
 	case r.answered:
-		w.fail("sent after the final answer: %+v", a)
-	case r.out > 0:
-		w.fail("two attempts out: %+v", a)
-	case w.cfg.Contract.OnlyDrainingBinds && w.drainedNow(s):
-		w.fail("sent to a drained server: %+v", a)
-	case w.cfg.Contract.OnlyDrainingBinds && s.ID == 0:
-		w.fail("sent to a server that no list has named: %+v", a)
-	case s.State != Ready && !w.cfg.Contract.OnlyDrainingBinds:
-		w.fail("sent to a server in state %d: %+v", s.State, a)
-	case len(r.attempts) >= w.cfg.Limits.MaxAttempts:
-		w.fail("attempt %d", len(r.attempts))
+		sim.fail("sent after the final answer: %+v", a)
+	case r.inFlight > 0:
+		sim.fail("two attempts in flight: %+v", a)
+	case sim.cfg.Contract.OnlyDrainingBinds && sim.isDrained(s):
+		sim.fail("sent to a drained endpoint: %+v", a)
+	case sim.cfg.Contract.OnlyDrainingBinds && s.ID == 0:
+		sim.fail("sent to an endpoint that no list has named: %+v", a)
+	case s.State != Ready && !sim.cfg.Contract.OnlyDrainingBinds:
+		sim.fail("sent to an endpoint in state %d: %+v", s.State, a)
+	case len(r.attempts) >= sim.cfg.Limits.MaxAttempts:
+		sim.fail("attempt %d", len(r.attempts))
 	case a.WriteTimeout <= 0 || a.WriteTimeout > a.Timeout:
-		w.fail("to be out in %v, time-out %v", a.WriteTimeout, a.Timeout)
-	case a.Timeout <= 0 || w.now+a.Timeout > r.until:
-		w.fail("time-out %v, request ends at %v", a.Timeout, r.until)
+		sim.fail("write timeout %v, timeout %v", a.WriteTimeout, a.Timeout)
+	case a.Timeout <= 0 || sim.now+a.Timeout > r.deadline:
+		sim.fail("timeout %v, request ends at %v", a.Timeout, r.deadline)
 	}
-	if turn := w.turns[r.key]; r.key != 0 {
-		if turn[0] != a.Request {
-			w.fail("sent out of turn: %+v", a)
+	if queue := sim.queues[r.key]; r.key != 0 {
+		if queue[0] != a.Request {
+			sim.fail("sent out of order: %+v", a)
 		}
-		if len(r.attempts) == 0 && w.now < w.rest[r.key] {
-			w.fail("sent while the key rests: %+v", a)
+		if len(r.attempts) == 0 && sim.now < sim.quarantine[r.key] {
+			sim.fail("sent while the key is quarantined: %+v", a)
 		}
 	}
-	if r.ran && c.Effect != Safe {
-		inGroup := c.Group == GroupAll || c.Group == GroupZone && s.Zone == r.ranOn.Zone || c.Group == GroupCell && s.Cell == r.ranOn.Cell
-		if c.Effect == Unsafe || !inGroup || w.now-r.ranAt >= c.IdempotencyWindow {
-			w.fail("resent what may have run: %+v", a)
+	if r.maybeExecuted && c.Effect != Safe {
+		inGroup := c.Group == GroupAll || c.Group == GroupZone && s.Zone == r.executor.Zone || c.Group == GroupCell && s.Cell == r.executor.Cell
+		if c.Effect == Unsafe || !inGroup || sim.now-r.executedAt >= c.IdempotencyWindow {
+			sim.fail("resent what may have been executed: %+v", a)
 		}
-		if w.now+a.WriteTimeout >= r.ranAt+c.IdempotencyWindow {
-			w.fail("what may have run may be resent up to its memory's end: %+v", a)
+		if sim.now+a.WriteTimeout >= r.executedAt+c.IdempotencyWindow {
+			sim.fail("what may have been executed may be resent up to the end of its idempotency window: %+v", a)
 		}
 	}
 	r.attempts = append(r.attempts, s)
-	r.out++
-	w.calls = append(w.calls, w.now)
-	if s.StartedAt > 0 && w.now-s.StartedAt < w.cfg.Contract.WarmUpPeriod/2 {
-		w.toCold[s.ID] = append(w.toCold[s.ID], w.now)
-		w.checkCold(s)
-	}
-	w.due = append(w.due, Event{Kind: AttemptEnded, Request: a.Request, Attempt: len(r.attempts) - 1, Endpoint: a.Endpoint,
-		Elapsed: w.now + min(time.Duration(w.rng.Int63n(int64(60*ms))), a.Timeout)})
-	w.sentAt[a.Request] = w.now
-	if w.rng.Intn(16) == 0 {
-		w.due[len(w.due)-1].Elapsed = w.now + a.Timeout
+	r.inFlight++
+	sim.sends = append(sim.sends, sim.now)
+	if s.StartedAt > 0 && sim.now-s.StartedAt < sim.cfg.Contract.WarmUpPeriod/2 {
+		sim.toWarmingUp[s.ID] = append(sim.toWarmingUp[s.ID], sim.now)
+		sim.checkWarmUpBudget(s)
+	}
+	sim.due = append(sim.due, Event{Kind: AttemptEnded, Request: a.Request, Attempt: len(r.attempts) - 1, Endpoint: a.Endpoint,
+		Elapsed: sim.now + min(time.Duration(sim.rng.Int63n(int64(60*ms))), a.Timeout)})
+	sim.sentAt[a.Request] = sim.now
+	if sim.rng.Intn(16) == 0 {
+		sim.due[len(sim.due)-1].Elapsed = sim.now + a.Timeout
 	}
 }
 
-// checkCold compares this node's calls to a cold server within the contract's span with its part of the
-// budget: the multiple of the share the server is sure to have, of what a server bears on average.
-func (w *world) checkCold(s Endpoint) {
-	c := &w.cfg.Contract
+// checkWarmUpBudget compares this replica's attempts to an endpoint that warms up, within the contract's period, with
+// its part of the budget: the multiple of the capacity that the endpoint has at least, of what one bears on average.
+func (sim *simulation) checkWarmUpBudget(s Endpoint) {
+	c := &sim.cfg.Contract
 	within := func(times []time.Duration, span time.Duration) (n float64) {
 		for _, at := range times {
-			if w.now-at < span {
+			if sim.now-at < span {
 				n++
 			}
 		}
 		return n
 	}
-	ready := len(w.servers)
-	for i, log := range w.ready {
-		if i+1 == len(w.ready) || w.now-w.ready[i+1].at < 2*c.OverloadPeriod { // in force within the last spans
+	ready := len(sim.endpoints)
+	for i, log := range sim.readyCounts {
+		if i+1 == len(sim.readyCounts) || sim.now-sim.readyCounts[i+1].at < 2*c.OverloadPeriod { // in force within the last periods
 			ready = min(ready, log.n)
 		}
 	}
-	share := c.InitialCapacity + (1-c.InitialCapacity)*float64(w.now-s.StartedAt)/float64(c.WarmUpPeriod)
-	span := min(c.WarmUpPeriod, w.now-time.Hour)
-	mean := within(w.calls, span+1) / span.Seconds() / min(float64(ready), float64(w.b.endpoints.subsetSize)) // of the near servers
-	// One whole call more: a part can be less than a call, and calls come whole.
-	if n, budget := within(w.toCold[s.ID], c.OverloadPeriod), c.OverloadMultiple*share*mean*c.OverloadPeriod.Seconds()+1; n > budget {
-		w.fail("%v calls to a server started %v ago, budget %.2f", n, w.now-s.StartedAt, budget)
+	share := c.InitialCapacity + (1-c.InitialCapacity)*float64(sim.now-s.StartedAt)/float64(c.WarmUpPeriod)
+	span := min(c.WarmUpPeriod, sim.now-time.Hour)
+	mean := within(sim.sends, span+1) / span.Seconds() / min(float64(ready), float64(sim.b.endpoints.subsetSize)) // of the subset
+	// One whole attempt more: a part can be less than an attempt, and attempts come whole.
+	if n, budget := within(sim.toWarmingUp[s.ID], c.OverloadPeriod), c.OverloadMultiple*share*mean*c.OverloadPeriod.Seconds()+1; n > budget {
+		sim.fail("%v attempts to an endpoint started %v ago, budget %.2f", n, sim.now-s.StartedAt, budget)
 	}
 }
 
-func (w *world) answered(a Action) {
-	r := w.reqs[a.Request]
-	c := &w.cfg.Classes[r.class]
-	if r.answered || r.out > 0 {
-		w.fail("answered twice or with an attempt out: %+v", a)
+// answered checks a final answer.
+func (sim *simulation) answered(a Action) {
+	r := sim.requests[a.Request]
+	c := &sim.cfg.Classes[r.class]
+	if r.answered || r.inFlight > 0 {
+		sim.fail("answered twice or with an attempt in flight: %+v", a)
 	}
-	if a.Kind == Shed && r.ran && c.Effect != Safe && !(c.Effect == Keyed && c.Group == GroupAll) {
-		w.fail("refused what may have run: %+v", a)
+	if a.Kind == Shed && r.maybeExecuted && c.Effect != Safe && (c.Effect != Keyed || c.Group != GroupAll) {
+		sim.fail("shed what may have been executed: %+v", a)
 	}
-	if w.now > r.until {
-		w.fail("answered %v after the client's time", w.now-r.until)
+	if sim.now > r.deadline {
+		sim.fail("answered %v after the deadline", sim.now-r.deadline)
 	}
-	if a.RetryAfter > w.cfg.Limits.MaxRetryAfter {
-		w.fail("retry-after %v", a.RetryAfter)
+	if a.RetryAfter > sim.cfg.Limits.MaxRetryAfter {
+		sim.fail("retry-after %v", a.RetryAfter)
 	}
 	r.answered = true
-	w.over(a.Request)
+	sim.finish(a.Request)
 }
 
-// list changes some servers and tells of it.
-func (w *world) list() {
-	kind := []ListKind{ListFull, ListChanges, ListFailed}[w.rng.Intn(3)]
+// updateList changes some endpoints and sends a list.
+func (sim *simulation) updateList() {
+	kind := []ListKind{ListFull, ListChanges, ListFailed}[sim.rng.Intn(3)]
 	ev := Event{Kind: EndpointListUpdated, ListKind: kind}
 	if kind != ListFailed {
-		for id := EndpointID(1); id <= EndpointID(w.most); id++ {
-			s, known := w.servers[id]
-			change := w.rng.Intn(10)
+		for id := EndpointID(1); id <= EndpointID(sim.maxEndpoints); id++ {
+			s, known := sim.endpoints[id]
+			change := sim.rng.Intn(10)
 			if change > 3 || !known && change > 0 {
 				if kind == ListFull && known && s.State != Gone {
 					ev.Endpoints = append(ev.Endpoints, s)
@@ -203,144 +207,148 @@
 				continue
 			}
 			s = Endpoint{ID: id, Zone: int(id) % 2, Cell: int(id) % 4, StartedAt: s.StartedAt,
-				State: []EndpointState{Gone, Draining, Ready, Ready, Ready}[w.rng.Intn(5)]}
-			if w.rng.Intn(2) == 0 {
-				s.StartedAt = w.now - time.Duration(w.rng.Int63n(int64(time.Second)))
-				w.toCold[id] = nil
+				State: []EndpointState{Gone, Draining, Ready, Ready, Ready}[sim.rng.Intn(5)]}
+			if sim.rng.Intn(2) == 0 {
+				s.StartedAt = sim.now - time.Duration(sim.rng.Int63n(int64(time.Second)))
+				sim.toWarmingUp[id] = nil
 			}
 			if kind == ListFull && s.State == Gone {
-				delete(w.servers, id) // absent means gone
+				delete(sim.endpoints, id) // absent means gone
 				continue
 			}
-			w.servers[id] = s
+			sim.endpoints[id] = s
 			ev.Endpoints = append(ev.Endpoints, s)
 		}
 	}
 	ready := 0
-	for _, s := range w.servers {
+	for _, s := range sim.endpoints {
 		if s.State == Ready {
 			ready++
 		}
 	}
-	w.tell(ev)
-	w.ready = append(w.ready, readyCount{w.now, min(ready, w.b.endpoints.subsetSize)}) // as this copy counts, by lists that may be wrong
+	sim.sendList(ev)
+	sim.readyCounts = append(sim.readyCounts, readyCount{sim.now, min(ready, sim.b.endpoints.subsetSize)}) // as this replica counts, by lists that may be wrong
 }
 
-// tell hands a list over, now and then a wrong one where only draining binds: shrunken, empty, old or with ghosts.
-func (w *world) tell(ev Event) {
-	if w.cfg.Contract.OnlyDrainingBinds && ev.ListKind == ListFull {
-		switch w.rng.Intn(6) {
+// sendList hands a list over, now and then a wrong one where only draining binds: shrunken, empty, old or with
+// endpoints that are not there.
+func (sim *simulation) sendList(ev Event) {
+	if sim.cfg.Contract.OnlyDrainingBinds && ev.ListKind == ListFull {
+		switch sim.rng.Intn(6) {
 		case 0:
 			ev.Endpoints = nil
 		case 1:
 			ev.Endpoints = ev.Endpoints[:len(ev.Endpoints)/2]
 		case 2:
-			ev.Endpoints = append(ev.Endpoints, Endpoint{ID: EndpointID(1000 + w.rng.Intn(5)), State: Ready})
+			ev.Endpoints = append(ev.Endpoints, Endpoint{ID: EndpointID(1000 + sim.rng.Intn(5)), State: Ready})
 		case 3:
-			ev.Endpoints = w.old
+			ev.Endpoints = sim.earlierList
 		}
-		w.old = ev.Endpoints
+		sim.earlierList = ev.Endpoints
 	}
 	for _, s := range ev.Endpoints {
-		if was, ok := w.named[s.ID]; ok && w.cfg.Contract.OnlyDrainingBinds {
+		if was, ok := sim.listed[s.ID]; ok && sim.cfg.Contract.OnlyDrainingBinds {
 			s.StartedAt = max(s.StartedAt, was.StartedAt)
 		}
-		if w.named[s.ID] = s; s.State == Draining {
-			w.drained[s.ID], w.drainedAt[s.ID] = s.StartedAt, w.now
+		if sim.listed[s.ID] = s; s.State == Draining {
+			sim.drained[s.ID], sim.drainedAt[s.ID] = s.StartedAt, sim.now
 		}
 	}
-	if ev.ListKind == ListFull && !w.cfg.Contract.OnlyDrainingBinds {
-		for id, s := range w.named {
+	if ev.ListKind == ListFull && !sim.cfg.Contract.OnlyDrainingBinds {
+		for id, s := range sim.listed {
 			if !slices.ContainsFunc(ev.Endpoints, func(e Endpoint) bool { return e.ID == id }) {
 				s.State = Gone
-				w.named[id] = s
+				sim.listed[id] = s
 			}
 		}
 	}
-	w.handle(ev)
+	sim.handle(ev)
 }
 
-// readyCount is how many servers were ready from a time on.
+// readyCount is how many endpoints were ready from a time on.
 type readyCount struct {
 	at time.Duration
 	n  int
 }
 
-// next plays the earliest outcome or timer that is due by then, at its time, if there is one.
-func (w *world) next(by time.Duration) bool {
+// playNext plays the earliest outcome or timer that is due by then, at its time, if there is one.
+func (sim *simulation) playNext(by time.Duration) bool {
 	first := -1
-	for i, ev := range w.due {
-		if ev.Elapsed <= by && (first < 0 || ev.Elapsed < w.due[first].Elapsed) {
+	for i, ev := range sim.due {
+		if ev.Elapsed <= by && (first < 0 || ev.Elapsed < sim.due[first].Elapsed) {
 			first = i
 		}
 	}
 	if first < 0 {
 		return false
 	}
-	ev, late := w.due[first], w.now
-	w.due = slices.Delete(w.due, first, first+1)
-	if w.now = ev.Elapsed; ev.Kind == TimerFired {
-		w.handle(Event{Kind: TimerFired, Token: ev.Token})
+	ev, late := sim.due[first], sim.now
+	sim.due = slices.Delete(sim.due, first, first+1)
+	if sim.now = ev.Elapsed; ev.Kind == TimerFired {
+		sim.handle(Event{Kind: TimerFired, Token: ev.Token})
 	} else {
-		w.end(ev)
+		sim.end(ev)
 	}
-	w.now = max(late, w.now)
+	sim.now = max(late, sim.now)
 	return true
 }
 
-func (w *world) step(next RequestID) {
-	w.now += time.Duration(w.rng.Int63n(int64(14 * ms)))
-	for w.next(w.now) {
+// step lets some time pass and plays one event.
+func (sim *simulation) step(next RequestID) {
+	sim.now += time.Duration(sim.rng.Int63n(int64(14 * ms)))
+	for sim.playNext(sim.now) {
 	}
-	switch roll := w.rng.Intn(100); {
+	switch roll := sim.rng.Intn(100); {
 	case roll < 2:
-		w.list()
+		sim.updateList()
 	case roll < 4:
-		w.handle(Event{Kind: TimerFired, Token: w.rng.Uint32() >> w.rng.Intn(32)})
-	case roll < 6 && len(w.open) > 0:
-		id := w.open[len(w.open)-1-w.rng.Intn(min(len(w.open), 6))]
-		w.reqs[id].answered = true
-		w.over(id)
-		w.handle(Event{Kind: ClientLeft, Request: id})
+		sim.handle(Event{Kind: TimerFired, Token: sim.rng.Uint32() >> sim.rng.Intn(32)})
+	case roll < 6 && len(sim.arrived) > 0:
+		id := sim.arrived[len(sim.arrived)-1-sim.rng.Intn(min(len(sim.arrived), 6))]
+		sim.requests[id].answered = true
+		sim.finish(id)
+		sim.handle(Event{Kind: ClientLeft, Request: id})
 	default:
-		r := &seen{class: w.rng.Intn(len(w.cfg.Classes)), until: w.now + time.Duration(w.rng.Int63n(int64(time.Second)))}
-		w.reqs[next] = r
-		w.open = append(w.open, next)
-		key := uint64(w.rng.Intn(4))
-		if w.cfg.Classes[r.class].OrderedByKey && key > 0 {
+		r := &requestRecord{class: sim.rng.Intn(len(sim.cfg.Classes)), deadline: sim.now + time.Duration(sim.rng.Int63n(int64(time.Second)))}
+		sim.requests[next] = r
+		sim.arrived = append(sim.arrived, next)
+		key := uint64(sim.rng.Intn(4))
+		if sim.cfg.Classes[r.class].OrderedByKey && key > 0 {
 			r.key = key
-			w.turns[key] = append(w.turns[key], next)
+			sim.queues[key] = append(sim.queues[key], next)
 		}
-		w.handle(Event{Kind: RequestArrived, Request: next, Class: r.class, Key: key, Tenant: w.rng.Intn(4), Remaining: r.until - w.now,
-			ExpectedWork: time.Duration(w.rng.Int63n(3)) * 10 * ms, ClientRetry: w.rng.Intn(2) == 0})
+		sim.handle(Event{Kind: RequestArrived, Request: next, Class: r.class, Key: key, Tenant: sim.rng.Intn(4), Remaining: r.deadline - sim.now,
+			ExpectedWork: time.Duration(sim.rng.Int63n(3)) * 10 * ms, ClientRetry: sim.rng.Intn(2) == 0})
 	}
 }
 
-func (w *world) end(ev Event) {
-	r := w.reqs[ev.Request]
-	ev.Outcome = Outcome(w.rng.Intn(8))
-	if w.rng.Intn(3) > 0 {
+// end plays the end of an attempt with a random outcome.
+func (sim *simulation) end(ev Event) {
+	r := sim.requests[ev.Request]
+	ev.Outcome = Outcome(sim.rng.Intn(8))
+	if sim.rng.Intn(3) > 0 {
 		ev.Outcome = OK
 	}
-	if !ev.Outcome.NeverRan() && !r.ran {
-		r.ran, r.ranOn, r.ranAt = true, r.attempts[ev.Attempt], w.sentAt[ev.Request]
+	if !ev.Outcome.NeverRan() && !r.maybeExecuted {
+		r.maybeExecuted, r.executor, r.executedAt = true, r.attempts[ev.Attempt], sim.sentAt[ev.Request]
 	}
-	r.out--
+	r.inFlight--
 	r.answered = r.answered || ev.Outcome == OK
 	if ev.Outcome == Timeout || ev.Outcome == Reset || ev.Outcome == Cancelled {
-		w.rest[r.key] = w.now + w.cfg.Contract.KeyQuarantine
+		sim.quarantine[r.key] = sim.now + sim.cfg.Contract.KeyQuarantine
 	}
-	w.over(ev.Request)
+	sim.finish(ev.Request)
 	ev.RequestClosed = r.answered
-	ev.Elapsed = w.now - w.sentAt[ev.Request]
-	w.handle(ev)
+	ev.Elapsed = sim.now - sim.sentAt[ev.Request]
+	sim.handle(ev)
 }
 
-func newWorld(t testing.TB, seed int64) *world {
+// newSimulation returns a simulation whose configuration and events follow from a seed.
+func newSimulation(t testing.TB, seed int64) *simulation {
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Quota: 5}, {Quota: 50}, {}}
 	cfg.ReplicaCount = 1 + int(seed)%3
-	if seed%5 == 4 { // copies that outnumber the servers
+	if seed%5 == 4 { // replicas that outnumber the endpoints
 		cfg.ReplicaCount, cfg.ReplicaIndex = 60, int(seed)
 	}
 	cfg.Classes[seed%5].LateWeight = 0
@@ -352,28 +360,29 @@
 	if seed%3 > 0 {
 		cfg.Classes[0].OrderedByKey, cfg.Classes[4].OrderedByKey, cfg.Contract.KeyQuarantine = true, true, 20*ms
 	}
-	return &world{t: t, most: 12, rng: rand.New(rand.NewSource(seed)), cfg: cfg, b: New(cfg, uint64(seed)), now: time.Hour,
-		servers: map[EndpointID]Endpoint{}, reqs: map[RequestID]*seen{}, toCold: map[EndpointID][]time.Duration{},
-		sentAt: map[RequestID]time.Duration{}, turns: map[uint64][]RequestID{}, rest: map[uint64]time.Duration{},
-		drained: map[EndpointID]time.Duration{}, drainedAt: map[EndpointID]time.Duration{}, named: map[EndpointID]Endpoint{}}
+	return &simulation{t: t, maxEndpoints: 12, rng: rand.New(rand.NewSource(seed)), cfg: cfg, b: New(cfg, uint64(seed)), now: time.Hour,
+		endpoints: map[EndpointID]Endpoint{}, requests: map[RequestID]*requestRecord{}, toWarmingUp: map[EndpointID][]time.Duration{},
+		sentAt: map[RequestID]time.Duration{}, queues: map[uint64][]RequestID{}, quarantine: map[uint64]time.Duration{},
+		drained: map[EndpointID]time.Duration{}, drainedAt: map[EndpointID]time.Duration{}, listed: map[EndpointID]Endpoint{}}
 }
 
+// play plays a whole sequence and returns the actions.
 func play(t testing.TB, seed int64) []Action {
-	w := newWorld(t, seed)
+	sim := newSimulation(t, seed)
 	for i := range 4000 {
-		w.step(RequestID(i + 1))
+		sim.step(RequestID(i + 1))
 	}
-	for w.next(w.now + time.Hour) { // the last outcomes and timers
+	for sim.playNext(sim.now + time.Hour) { // the last outcomes and timers
 	}
-	for id, r := range w.reqs {
+	for id, r := range sim.requests {
 		if !r.answered {
-			w.fail("request %d was never answered", id)
+			sim.fail("request %d was never answered", id)
 		}
 	}
-	if len(w.b.requests) != 0 || w.b.attempts.inFlight != 0 {
-		w.fail("%d requests and %d calls are left", len(w.b.requests), w.b.attempts.inFlight)
+	if len(sim.b.requests) != 0 || sim.b.attempts.inFlight != 0 {
+		sim.fail("%d requests and %d attempts are left", len(sim.b.requests), sim.b.attempts.inFlight)
 	}
-	return w.trace
+	return sim.trace
 }
 
 func TestRandomSequencesKeepTheRules(t *testing.T) {
@@ -383,7 +392,7 @@
 		for _, a := range trace {
 			kinds[a.Kind]++
 		}
-		if seed%5 == 4 && kinds[Send] > 50 && kinds[Shed] > 10 { // its part of the limit is a call or less
+		if seed%5 == 4 && kinds[Send] > 50 && kinds[Shed] > 10 { // its part of the limit is an attempt or less
 			continue
 		}
 		if kinds[Send] < 300 || kinds[Shed] < 10 || kinds[Fail] < 10 || kinds[Cancel] < 2 {
