--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// batch is the frame of a batch.
 func batch(number uint32, count uint32, records []byte) []byte {
 	b := binary.LittleEndian.AppendUint32(nil, uint32(16+len(records)))
 	b = binary.LittleEndian.AppendUint64(b, 1_000_000)
@@ -15,6 +16,7 @@
 	return append(b, records...)
 }
 
+// start is a record that starts instance 1.
 func start(settings string) []byte {
 	b := append([]byte{16, 1, 0}, make([]byte, 8)...)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(settings)))
@@ -22,17 +24,17 @@
 }
 
 var (
-	stop   = []byte{25, 1, 0}
-	oneUp  = append([]byte{26, 0, 1, 0, 0, 0}, append(make([]byte, 16), 10, 0, 0, 1, 80, 0, 1)...)
-	listed = append([]byte{17, 1, 0, 1}, make([]byte, 9)...)
-	knock  = append([]byte{18, 1, 0, 42, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0},
+	stop     = []byte{25, 1, 0}
+	oneReady = append([]byte{26, 0, 1, 0, 0, 0}, append(make([]byte, 16), 10, 0, 0, 1, 80, 0, 1)...)
+	listed   = append([]byte{17, 1, 0, 1}, make([]byte, 9)...)
+	arrival  = append([]byte{18, 1, 0, 42, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0},
 		0x40, 0x42, 0x0f, 0, 0, 0, 0, 0, 0)
 )
 
 func TestRunAnswersEachBatchAndEndsWithTheInput(t *testing.T) {
 	in := bytes.Join([][]byte{
 		batch(0, 0, nil),
-		batch(1, 6, bytes.Join([][]byte{start(""), stop, start("Tiers=a"), oneUp, listed, knock}, nil)),
+		batch(1, 6, bytes.Join([][]byte{start(""), stop, start("Tiers=a"), oneReady, listed, arrival}, nil)),
 	}, nil)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
@@ -49,14 +51,14 @@
 }
 
 func TestRunStopsInstances(t *testing.T) {
-	in := batch(1, 5, bytes.Join([][]byte{start(""), oneUp, listed, stop, knock}, nil))
+	in := batch(1, 5, bytes.Join([][]byte{start(""), oneReady, listed, stop, arrival}, nil))
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil || out.Bytes()[0] != 0 {
-		t.Errorf("a killed instance acted: % x, %v", out.Bytes(), err)
+		t.Errorf("a stopped instance acted: % x, %v", out.Bytes(), err)
 	}
 }
 
-func TestRunSaysWhatIsMalformedAndRepliesNothing(t *testing.T) {
+func TestRunExplainsMalformedInputAndRepliesNothing(t *testing.T) {
 	for want, in := range map[string][]byte{
 		"record code 99": batch(7, 2, append(start(""), 99)),
 		"ends at byte":   batch(7, 1, stop)[:18],
@@ -69,7 +71,7 @@
 	}
 }
 
-func TestPanicBecomesBailOut(t *testing.T) {
+func TestPanicBecomesAnAbort(t *testing.T) {
 	var h host
 	h.reply.Begin(1)
 	h.guard(1, func() { panic("broken") })
