--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -6,6 +6,6 @@
 // order. The same events, times and seed give the same actions.
 //
 // The files that decide are balancer.go, limiter.go, admission.go, request.go, keyorder.go, picker.go,
-// endpoint.go, health.go, warmup.go and subset.go. They hold every order, threshold and tuning constant,
-// and are bounded in size. The other files hold types and mechanisms that choose nothing.
+// endpoint.go, endpointlist.go, health.go, warmup.go and subset.go. They hold every order, threshold and
+// tuning constant, and are bounded in size. The other files hold types and mechanisms that choose nothing.
 package balancer
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -25,9 +25,9 @@
 func (e *endpoint) suspicion() int {
 	switch {
 	case e.State != Ready && e.lastResult == resultFailed:
-		return 2 * maxPenalty
+		return rankPerSeat * maxPenalty
 	case e.State != Ready && e.lastResult == resultUnknown || !e.inSubset:
-		return 2
+		return rankPerSeat
 	}
 	return 0
 }
--- a/balancer/endpointlist.go
+++ b/balancer/endpointlist.go
@@ -5,14 +5,19 @@
 	"time"
 )
 
-const maxPollDelay = 10 * time.Second // for the list, or the contract's if less: a broken watch misses drains
+const (
+	maxPollDelay     = 10 * time.Second // or the contract's, if less: while a watch is broken drains are missed
+	firstPollShare   = 1.0 / 32         // of maxPollDelay is the wait for a request for the list; it is doubled
+	maxPollDoublings = 3                // for each that failed, up to so many times,
+	minPollWait      = 0.1              // and this part of it passes at least, by chance up to the whole more
+)
 
 // listUpdated takes in an endpoint list, or that there was none.
 func (b *Balancer) listUpdated(event *Event) {
 	switch event.ListKind {
 	case ListFailed:
 		b.poll.failures++
-		if b.poll.failures > 2 {
+		if b.poll.failures > 2 { // one or two are common
 			b.logf("server list: %d calls failed in a row", b.poll.failures)
 		}
 		b.schedulePoll()
@@ -33,8 +38,9 @@
 	}
 	b.poll.scheduled = true
 	longest := float64(min(b.cfg.Contract.MaxPollInterval, maxPollDelay))
-	wait := longest / 32 * math.Exp2(float64(min(b.poll.failures, 3)))
-	b.act(&Action{Kind: SetTimer, Delay: time.Duration(wait * (0.1 + b.random.float64())), Token: pollToken})
+	wait := longest * firstPollShare * math.Exp2(float64(min(b.poll.failures, maxPollDoublings)))
+	delay := time.Duration(wait * (minPollWait + b.random.float64()))
+	b.act(&Action{Kind: SetTimer, Delay: delay, Token: pollToken})
 }
 
 // applyList takes in the entries of a list. Draining and gone endpoints get nothing from then on.
@@ -51,14 +57,11 @@
 			e.State = Gone
 		}
 	}
-	countBefore := len(s.listed)
 	mayBeOld := s.cfg.Contract.OnlyDrainingBinds || event.Version < s.version
 	for _, entry := range event.Endpoints {
 		s.applyEntry(entry, mayBeOld, now)
 	}
-	if len(s.listed) > countBefore {
-		s.sortRing()
-	}
+	s.sortRing()
 	s.removeIf(func(e *endpoint) bool { return e.State == Gone && !s.remembered(e, now) })
 	s.version = event.Version
 }
--- a/balancer/endpointlist_test.go
+++ b/balancer/endpointlist_test.go
@@ -121,8 +121,8 @@
 	}
 	h.b.recordOutcome(alive, 0, OK, 100*ms)
 	h.b.recordOutcome(dead, 0, ConnectFailed, 100*ms)
-	if alive.suspicion() != 0 || dead.suspicion() < maxPenalty || h.b.endpoints.ready != 9 {
-		t.Errorf("suspicions %d and %d, %d endpoints counted", alive.suspicion(), dead.suspicion(), h.b.endpoints.ready)
+	if alive.suspicion() != 0 || dead.suspicion() < maxPenalty || h.b.endpoints.subset.available != 9 {
+		t.Errorf("suspicions %d and %d, %d endpoints counted", alive.suspicion(), dead.suspicion(), h.b.endpoints.subset.available)
 	}
 	h.now += time.Duration(rememberPeriods)*h.b.cfg.Contract.WarmUpPeriod + time.Second
 	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges})
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -10,18 +10,25 @@
 type endpointSet struct {
 	cfg      *Config
 	division *division
-	halfLife float64     // of health, seconds
-	listed   []*endpoint // in the order in which lists first named them
-	ring     []*endpoint // the same in an order that all replicas derive from the identifiers alone
-	byID     map[EndpointID]*endpoint
-	byRank   rankIndex
-	version  uint64 // of the latest list
-	scanned  int    // endpoints scanned by picks so far, for tests
+	halfLife float64 // of health, seconds
 
-	served     decayingRate // attempts served
-	ready      int          // endpoints that may be sent to
-	subsetSize int          // of them those that this replica keeps to
-	zoneLocal  bool         // the subset is of this replica's zone
+	listed     []*endpoint // in the order in which lists first named them
+	byID       map[EndpointID]*endpoint
+	byRank     rankIndex
+	ring       []*endpoint // in an order that all replicas derive from the identifiers alone,
+	ringSorted bool        // unless endpoints were added since it was sorted
+	version    uint64      // of the latest list
+
+	subset  subset
+	served  decayingRate // attempts served
+	scanned int          // endpoints scanned by picks so far: work that tests count
+}
+
+// subset describes the endpoints that this replica keeps to.
+type subset struct {
+	size      int
+	available int  // endpoints that they are chosen from
+	zoneLocal bool // they are of this replica's zone
 }
 
 // division says among how many quotas and warm-up budgets are divided.
@@ -36,6 +43,7 @@
 	s.byID[e.ID] = e
 	s.listed = append(s.listed, e)
 	s.ring = append(s.ring, e)
+	s.ringSorted = false
 	return e
 }
 
@@ -51,8 +59,12 @@
 	s.ring = slices.DeleteFunc(s.ring, func(e *endpoint) bool { return s.byID[e.ID] != e })
 }
 
-// sortRing restores the order of the ring after endpoints were added.
+// sortRing restores the order of the ring if endpoints were added.
 func (s *endpointSet) sortRing() {
+	if s.ringSorted {
+		return
+	}
+	s.ringSorted = true
 	slices.SortFunc(s.ring, func(x, y *endpoint) int { return cmp.Compare(mix(uint64(x.ID)), mix(uint64(y.ID))) })
 }
 
--- a/balancer/index_test.go
+++ b/balancer/index_test.go
@@ -155,7 +155,7 @@
 			slower += (got.health.relativeLatency - want.health.relativeLatency) / picks
 		}
 		t.Logf("%d endpoints, %d replicas, %d in the subset: %.1f%% of picks rank worse, on average %.3f slower; %d of %d are others",
-			size, tc.replicas, h.b.endpoints.subsetSize, 100*float64(worse)/picks, slower, others, picks)
+			size, tc.replicas, h.b.endpoints.subset.size, 100*float64(worse)/picks, slower, others, picks)
 		if worse > picks/50 || slower > 0.2 {
 			t.Errorf("%d endpoints: %d of %d picks rank worse, %.3f slower", size, worse, picks, slower)
 		}
--- a/balancer/keyorder.go
+++ b/balancer/keyorder.go
@@ -2,8 +2,6 @@
 
 import "time"
 
-// Requests of classes that are ordered by key run one at a time with each key, as they came.
-
 // enqueue has r wait behind the requests with its key, for as long as it can be answered in time.
 func (b *Balancer) enqueue(r *request, key uint64) {
 	r.key = key
--- a/balancer/limiter.go
+++ b/balancer/limiter.go
@@ -43,13 +43,12 @@
 
 func newLimiter(cfg *Config) limiter {
 	late := math.Ceil(min(cfg.maxLateWeight(), 1))
-	l := limiter{
-		lmax:         lmaxShareInTime + (lmaxShare-lmaxShareInTime)*late,
+	tiersLeft := float64(cfg.Tiers-cfg.Tier) / float64(cfg.Tiers)
+	return limiter{
+		lmax:         (lmaxShareInTime + (lmaxShare-lmaxShareInTime)*late) * tiersLeft,
 		initialSeats: initialSeatsInTime + (initialSeats-initialSeatsInTime)*late,
 		objective:    cfg.shortestObjective(),
 	}
-	l.lmax *= float64(cfg.Tiers-cfg.Tier) / float64(cfg.Tiers)
-	return l
 }
 
 // updateLimit ends a window that is over. With too few samples the limit holds, and they are carried over.
@@ -76,8 +75,7 @@
 }
 
 // endWindow cuts the limit if the window's latency is above Lmax, else lets it grow, and returns the latency.
-// A quiet replica makes up for the windows in which it had too few samples, or thousands of them would go on
-// for many objectives by what held before the overload.
+// A quiet replica makes up for windows with too few samples, or thousands would be late to cut.
 func (l *limiter) endWindow(now time.Duration, attempts *attemptTable) (latency float64) {
 	size := windowShare * float64(l.objective)
 	missed := math.Floor(float64(now-l.windowEnd) / size)
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -9,6 +9,7 @@
 	maxExactScan    = 128 // endpoints among which the best is picked; of more so many of a rank are scanned:
 	maxScanned      = 20  // enough that none picked ranks worse, as measured, though it may be slower
 	warmingUpRank   = 0
+	rankPerSeat     = 2   // half seats decide among equals
 	slownessPerSeat = 1.5 // an endpoint this much slower than its peers holds a seat, twice as much two
 )
 
@@ -50,7 +51,7 @@
 		if !s.usable(e, now) || !best.request.mayUse(e, now) || !s.withinWarmUpBudget(e, now) {
 			continue
 		}
-		rank := e.rankPenalty + 2*e.inFlight
+		rank := e.rankPenalty + rankPerSeat*e.inFlight
 		if s.loadShare(e, now) < 1 {
 			rank--
 		}
@@ -58,7 +59,7 @@
 			continue // health makes no rank better, and a decaying slowness ends at 1
 		}
 		penalty, latency := e.health.at(now, s.halfLife)
-		rank += 2 * int(penalty+math.Floor(latency/slownessPerSeat))
+		rank += rankPerSeat * int(penalty+math.Floor(latency/slownessPerSeat))
 		if rank > best.rank || rank == best.rank && latency > best.relativeLatency {
 			continue
 		}
@@ -72,10 +73,10 @@
 // comes on top in scans. Endpoints of the subset that warm up come half a seat before: rank 0 is theirs.
 func (s *endpointSet) updateRank(e *endpoint, now time.Duration) {
 	e.rankPenalty = e.suspicion()
-	if s.zoneLocal && e.Zone != s.cfg.Zone {
+	if s.subset.zoneLocal && e.Zone != s.cfg.Zone {
 		e.rankPenalty++
 	}
-	rank := 1 + e.rankPenalty + 2*e.inFlight
+	rank := 1 + e.rankPenalty + rankPerSeat*e.inFlight
 	if !s.trusted(e) {
 		rank = unranked
 	} else if e.inSubset && s.loadShare(e, now) < 1 {
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -97,8 +97,7 @@
 	}
 	b.recordOutcome(e, r.classIndex, event.Outcome, event.Elapsed)
 	if !event.Outcome.NeverRan() && r.possiblyExecutedOn == nil {
-		window := time.Duration(idempotencyShare * float64(r.class.IdempotencyWindow))
-		r.setPossiblyExecuted(r.sentAt + window)
+		r.setPossiblyExecuted(r.sentAt + time.Duration(idempotencyShare*float64(r.class.IdempotencyWindow)))
 	}
 	b.quarantineKey(r, event.Outcome)
 	r.answered = r.answered || event.RequestClosed
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -165,7 +165,7 @@
 	}
 	share := c.InitialCapacity + (1-c.InitialCapacity)*float64(sim.now-s.StartedAt)/float64(c.WarmUpPeriod)
 	span := min(c.WarmUpPeriod, sim.now-time.Hour)
-	mean := within(sim.sends, span+1) / span.Seconds() / min(float64(ready), float64(sim.b.endpoints.subsetSize)) // of the subset
+	mean := within(sim.sends, span+1) / span.Seconds() / min(float64(ready), float64(sim.b.endpoints.subset.size)) // of the subset
 	// One whole attempt more: a part can be less than an attempt, and attempts come whole.
 	if n, budget := within(sim.toWarmingUp[s.ID], c.OverloadPeriod), c.OverloadMultiple*share*mean*c.OverloadPeriod.Seconds()+1; n > budget {
 		sim.fail("%v attempts to an endpoint started %v ago, budget %.2f", n, sim.now-s.StartedAt, budget)
@@ -227,7 +227,7 @@
 		}
 	}
 	sim.sendList(ev)
-	sim.readyCounts = append(sim.readyCounts, readyCount{sim.now, min(ready, sim.b.endpoints.subsetSize)}) // as this replica counts, by lists that may be wrong
+	sim.readyCounts = append(sim.readyCounts, readyCount{sim.now, min(ready, sim.b.endpoints.subset.size)}) // as this replica counts, by lists that may be wrong
 }
 
 // sendList hands a list over, now and then a wrong one where only draining binds: shrunken, empty, old or with
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -19,8 +19,8 @@
 }
 
 // chooseSubset chooses the endpoints that this replica keeps to: many replicas that each meet all would not
-// know their health. All derive one ring of a zone's endpoints, and each its place by ReplicaIndex: the next
-// ones are its subset. It returns how many endpoints a replica has, or 0. Harm: late lists shift places.
+// know their health. All derive one ring of a zone's endpoints, each its place by ReplicaIndex: its subset is
+// that up to the next place at least. It returns the endpoints a replica. Harm: late lists shift places.
 func (s *endpointSet) chooseSubset(now time.Duration) (part float64) {
 	defer s.rebuildIndex(now)
 	var all, near []*endpoint
@@ -37,18 +37,17 @@
 	if len(all) == 0 {
 		return 0
 	}
-	s.ready = len(all)
+	s.subset.available = len(all)
 	replicas := float64(s.cfg.ReplicaCount)
-	part = float64(s.ready) / replicas * float64(s.cfg.Tiers-s.cfg.Tier)
-	s.zoneLocal = float64(len(near)) >= max(minSubset, minZoneShare*float64(s.ready)) // few must not get all
-	if !s.zoneLocal {
+	part = float64(s.subset.available) / replicas * float64(s.cfg.Tiers-s.cfg.Tier)
+	s.subset.zoneLocal = float64(len(near)) >= max(minSubset, minZoneShare*float64(len(all)))
+	if !s.subset.zoneLocal { // few must not get all
 		near = all
 	}
-	s.subsetSize = int(math.Ceil(min(max(subsetPerSeat*initialSeats*part, minSubset), float64(len(near)))))
-	// From this replica's place on the ring up to the next one's, and as many as subsetSize at the least.
+	s.subset.size = int(math.Ceil(min(max(subsetPerSeat*initialSeats*part, minSubset), float64(len(near)))))
 	between := float64(len(near)) / replicas
 	from, to := int(float64(s.cfg.ReplicaIndex)*between), int(float64(s.cfg.ReplicaIndex+1)*between)
-	for i := range min(max(s.subsetSize, to-from), len(near)) {
+	for i := range min(max(s.subset.size, to-from), len(near)) {
 		near[(from+i)%len(near)].inSubset = true
 	}
 	return part
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -41,11 +41,11 @@
 		h.b.limiter.maxIFR = 20
 		h.arrive(0)
 	}
-	if h.b.endpoints.subsetSize >= 8 || h.b.attempts.inFlight < 6 {
-		t.Errorf("subset of %v, %d attempts in flight", h.b.endpoints.subsetSize, h.b.attempts.inFlight)
+	if h.b.endpoints.subset.size >= 8 || h.b.attempts.inFlight < 6 {
+		t.Errorf("subset of %v, %d attempts in flight", h.b.endpoints.subset.size, h.b.attempts.inFlight)
 	}
 	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: readyList(1)})
-	if h.b.endpoints.subsetSize != 1 || !h.b.endpoints.byID[1].inSubset {
+	if h.b.endpoints.subset.size != 1 || !h.b.endpoints.byID[1].inSubset {
 		t.Error("the only endpoint is not in the subset")
 	}
 }
--- a/balancer/warmup.go
+++ b/balancer/warmup.go
@@ -4,6 +4,7 @@
 
 const (
 	warmUpSafety = 0.5  // part of the budget used: the estimate is rough and chance bunches attempts
+	savedShare   = 0.25 // of the budget of a period that is saved beyond an attempt
 	minObserved  = 0.01 // part of its span over which the rate of attempts served counts as observed, at least
 )
 
@@ -16,9 +17,9 @@
 		return share >= 1
 	}
 	period := s.cfg.Contract.OverloadPeriod.Seconds()
-	minRate := float64(s.ready) / float64(s.division.replicas) / period // an attempt a period, by all replicas
-	rate := max(s.served.add(now, 0), minRate) / float64(s.subsetSize*s.division.processes) * share
-	return e.warmUpBudget.fillExpiring(now, rate, rate*period/4) >= 1
+	minRate := float64(s.subset.available) / float64(s.division.replicas) / period // one a period
+	rate := max(s.served.add(now, 0), minRate) / float64(s.subset.size*s.division.processes) * share
+	return e.warmUpBudget.fillExpiring(now, rate, rate*period*savedShare) >= 1
 }
 
 // loadShare is the part of a warm endpoint's load that e may be sent; 1 or more if it is warm.
