--- a/balancer/limiter.go
+++ b/balancer/limiter.go
@@ -79,11 +79,11 @@
 func (l *limiter) endWindow(now time.Duration, attempts *attemptTable) (latency float64) {
 	size := windowShare * float64(l.objective)
 	missed := math.Floor(float64(now-l.windowEnd) / size)
+	cut := max(math.Pow(backoffRatio, 1+missed), minBackoff)
 	l.windowEnd = now + time.Duration(size)
 	l.sampleOverdue(now, attempts)
 	latency = l.window.percentile(windowPercentile)
 	if latency > l.lmax {
-		cut := max(math.Pow(backoffRatio, 1+missed), minBackoff)
 		l.maxIFR = max(l.maxIFR*cut, l.floor)
 	} else {
 		l.maxIFR = min(l.maxIFR+min(1, maxStep*l.ceiling), l.ceiling)
