--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -43,7 +43,8 @@
 	h.b.attempts.inFlight = 15
 	arrive := func(class, tenant int) []Action {
 		h.next++
-		return h.handle(Event{Kind: RequestArrived, Request: h.next, Class: class, Tenant: tenant, Remaining: time.Second})
+		return h.handle(Event{Kind: RequestArrived, Request: h.next, Class: class, Tenant: tenant,
+			Remaining: time.Second})
 	}
 	only(t, arrive(0, 0), Send) // in quota: 15 of 20
 	only(t, arrive(0, 1), Send) // its quota allows two
@@ -69,7 +70,8 @@
 func TestClassThatFailsEverywhereIsShedFirst(t *testing.T) {
 	h := newHost(t, testConfig(), readyList(8)...)
 	for range 60 {
-		h.b.limiter.maxIFR = h.b.limiter.ceiling // the retries stay out: the limit is set below, and must not bind before
+		// the retries stay out: the limit is set below, and must not bind before
+		h.b.limiter.maxIFR = h.b.limiter.ceiling
 		if id, _ := h.arrive(0); h.b.requests[id] != nil {
 			h.end(id, 0, Timeout, time.Second)
 		}
--- a/balancer/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -34,7 +34,8 @@
 		table.end(requests[removed], e)
 		want := slices.Delete(slices.Clone(requests), removed, removed+1)
 		list := &table.byClass[0]
-		if !slices.Equal(list.all(), want) || list.first != want[0] || list.last != want[1] || list.last.prev != want[0] {
+		if !slices.Equal(list.all(), want) || list.first != want[0] || list.last != want[1] ||
+			list.last.prev != want[0] {
 			t.Errorf("without request %d the list is %v, want %v", removed, list.all(), want)
 		}
 	}
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -36,7 +36,8 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				f.next++
-				f.out = f.h.b.Handle(f.h.now, Event{Kind: RequestArrived, Request: f.next, Remaining: 2 * time.Second}, f.out[:0])
+				f.out = f.h.b.Handle(f.h.now, Event{Kind: RequestArrived, Request: f.next, Remaining: 2 * time.Second},
+					f.out[:0])
 			}
 		})
 	}
@@ -72,7 +73,8 @@
 			for b.Loop() {
 				i++
 				list[0].State = states[i%2]
-				f.out = f.h.b.Handle(f.h.now, Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: list}, f.out[:0])
+				f.out = f.h.b.Handle(f.h.now, Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: list},
+					f.out[:0])
 			}
 		})
 	}
--- a/balancer/classstats_test.go
+++ b/balancer/classstats_test.go
@@ -26,7 +26,8 @@
 func TestClassStatsRestoreWhatIsPossible(t *testing.T) {
 	stats := classStats{typicalLatency: []float64{1, 1, 1, 1}, errorRate: []float64{0.5, 0.5, 0.5, 0.5}}
 	stats.restore([]float64{2, -1, math.NaN()}, []float64{0, 1, math.NaN()})
-	if !slices.Equal(stats.typicalLatency, []float64{2, 1, 1, 1}) || !slices.Equal(stats.errorRate, []float64{0, 0.5, 0.5, 0.5}) {
+	if !slices.Equal(stats.typicalLatency, []float64{2, 1, 1, 1}) ||
+		!slices.Equal(stats.errorRate, []float64{0, 0.5, 0.5, 0.5}) {
 		t.Errorf("%+v", stats)
 	}
 }
--- a/balancer/config_test.go
+++ b/balancer/config_test.go
@@ -7,7 +7,8 @@
 )
 
 func TestConfigIsCompletedByDefaults(t *testing.T) {
-	cfg := Config{ReplicaIndex: 7, ReplicaCount: 3, Tier: 9, Tiers: 2, Classes: []Class{{LatencyObjective: 3 * time.Second, PriorityWeight: math.NaN()}, {Deadline: time.Second}}}
+	cfg := Config{ReplicaIndex: 7, ReplicaCount: 3, Tier: 9, Tiers: 2,
+		Classes: []Class{{LatencyObjective: 3 * time.Second, PriorityWeight: math.NaN()}, {Deadline: time.Second}}}
 	given := cfg.Classes
 	cfg.complete()
 	if cfg.ReplicaIndex != 1 || cfg.Tier != 1 {
@@ -20,7 +21,8 @@
 	if given[0].Deadline != 0 {
 		t.Error("the caller's classes are changed")
 	}
-	if cfg.Limits.MaxAttempts != 3 || cfg.Limits.MaxOpenRequests != math.MaxInt || cfg.Contract.WarmUpPeriod != 30*time.Second {
+	if cfg.Limits.MaxAttempts != 3 || cfg.Limits.MaxOpenRequests != math.MaxInt ||
+		cfg.Contract.WarmUpPeriod != 30*time.Second {
 		t.Errorf("limits %+v, contract %+v", cfg.Limits, cfg.Contract)
 	}
 }
@@ -34,9 +36,11 @@
 }
 
 func TestConfigOverAllClasses(t *testing.T) {
-	cfg := Config{Classes: []Class{{LatencyObjective: 2 * time.Second, PriorityWeight: 1, LateWeight: 0.25}, {LatencyObjective: time.Second, PriorityWeight: 4}}}
+	cfg := Config{Classes: []Class{{LatencyObjective: 2 * time.Second, PriorityWeight: 1, LateWeight: 0.25},
+		{LatencyObjective: time.Second, PriorityWeight: 4}}}
 	if cfg.maxPriorityWeight() != 4 || cfg.maxLateWeight() != 0.25 || cfg.shortestObjective() != time.Second {
-		t.Errorf("priority %v, late %v, objective %v", cfg.maxPriorityWeight(), cfg.maxLateWeight(), cfg.shortestObjective())
+		t.Errorf("priority %v, late %v, objective %v", cfg.maxPriorityWeight(), cfg.maxLateWeight(),
+			cfg.shortestObjective())
 	}
 	for class, want := range map[int]int{-1: 0, 0: 0, 1: 1, 2: 0} {
 		if got := cfg.classIndex(class); got != want {
@@ -46,12 +50,15 @@
 }
 
 func TestGroups(t *testing.T) {
-	x, sameCell, sameZone, other := &Endpoint{Zone: 1, Cell: 1}, &Endpoint{Zone: 2, Cell: 1}, &Endpoint{Zone: 1, Cell: 2}, &Endpoint{Zone: 2, Cell: 2}
+	x, sameCell, sameZone, other := &Endpoint{Zone: 1, Cell: 1}, &Endpoint{Zone: 2, Cell: 1},
+		&Endpoint{Zone: 1, Cell: 2}, &Endpoint{Zone: 2, Cell: 2}
 	for _, c := range []struct {
 		group Group
 		want  [3]bool
-	}{{GroupAll, [3]bool{true, true, true}}, {GroupZone, [3]bool{false, true, false}}, {GroupCell, [3]bool{true, false, false}}} {
-		if got := [3]bool{c.group.holdsBoth(x, sameCell), c.group.holdsBoth(x, sameZone), c.group.holdsBoth(x, other)}; got != c.want {
+	}{{GroupAll, [3]bool{true, true, true}}, {GroupZone, [3]bool{false, true, false}},
+		{GroupCell, [3]bool{true, false, false}}} {
+		if got := [3]bool{c.group.holdsBoth(x, sameCell), c.group.holdsBoth(x, sameZone),
+			c.group.holdsBoth(x, other)}; got != c.want {
 			t.Errorf("group %d: %v, want %v", c.group, got, c.want)
 		}
 	}
--- a/balancer/endpointlist_test.go
+++ b/balancer/endpointlist_test.go
@@ -8,7 +8,8 @@
 // What a late list would have said counts all the same: the first request for it is made at once, and one that
 // failed is repeated within a second.
 func TestListIsRequestedSoon(t *testing.T) {
-	for _, within := range []time.Duration{500 * ms, 10 * time.Second, 10 * time.Minute} { // whatever the settings allow
+	// whatever the settings allow
+	for _, within := range []time.Duration{500 * ms, 10 * time.Second, 10 * time.Minute} {
 		cfg := testConfig()
 		cfg.Subscribe, cfg.Contract.MaxPollInterval = true, within
 		h := newHost(t, cfg, readyList(2)...)
@@ -45,7 +46,8 @@
 	if got := sends(); got[2] || !got[1] || !got[3] {
 		t.Errorf("2 drains: sent to %v", got)
 	}
-	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: []Endpoint{{ID: 2, State: Ready, Kind: 99, Cell: 200}, ready(1)}})
+	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull,
+		Endpoints: []Endpoint{{ID: 2, State: Ready, Kind: 99, Cell: 200}, ready(1)}})
 	if got := sends(); got[3] || !got[1] || !got[2] {
 		t.Errorf("3 is absent from the full list: sent to %v", got)
 	}
@@ -53,7 +55,8 @@
 	if got := sends(); len(got) != 2 {
 		t.Errorf("after a failed request: sent to %v", got)
 	}
-	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 1, State: Gone}, {ID: 8, State: Gone}}})
+	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges,
+		Endpoints: []Endpoint{{ID: 1, State: Gone}, {ID: 8, State: Gone}}})
 	if got := sends(); len(got) != 1 || !got[2] {
 		t.Errorf("1 is gone: sent to %v", got)
 	}
@@ -122,7 +125,8 @@
 	h.b.recordOutcome(alive, 0, OK, 100*ms)
 	h.b.recordOutcome(dead, 0, ConnectFailed, 100*ms)
 	if alive.suspicion() != 0 || dead.suspicion() < maxPenalty || h.b.endpoints.subset.available != 9 {
-		t.Errorf("suspicions %d and %d, %d endpoints counted", alive.suspicion(), dead.suspicion(), h.b.endpoints.subset.available)
+		t.Errorf("suspicions %d and %d, %d endpoints counted", alive.suspicion(), dead.suspicion(),
+			h.b.endpoints.subset.available)
 	}
 	h.now += time.Duration(rememberPeriods)*h.b.cfg.Contract.WarmUpPeriod + time.Second
 	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges})
@@ -142,7 +146,8 @@
 	}{{6, 0, false}, {7, 0, true}, {8, 0, true}, {6, ms, true}} {
 		h := newHost(t, testConfig(), readyList(3)...)
 		start := h.now
-		first := []Endpoint{{ID: 1, State: Draining, StartedAt: start}, ready(2), {ID: 3, State: Ready, StartedAt: start}}
+		first := []Endpoint{{ID: 1, State: Draining, StartedAt: start}, ready(2),
+			{ID: 3, State: Ready, StartedAt: start}}
 		h.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Version: 7, Endpoints: first})
 		again := []Endpoint{{ID: 1, State: Ready, StartedAt: start + c.started}, ready(2), {ID: 3, State: Ready}}
 		h.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Version: c.version, Endpoints: again})
@@ -161,7 +166,8 @@
 
 func TestOldListEndsNoDrainAndNoWarmUp(t *testing.T) {
 	h := newWrongListHost(t, false)
-	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 1, State: Draining}, {ID: 2, State: Ready, StartedAt: h.now}}})
+	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges,
+		Endpoints: []Endpoint{{ID: 1, State: Draining}, {ID: 2, State: Ready, StartedAt: h.now}}})
 	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull}) // gone after draining
 	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: readyList(10)})
 	if h.b.endpoints.usable(h.b.endpoints.byID[1], h.b.now) {
@@ -170,7 +176,8 @@
 	if s := h.b.endpoints.byID[2]; s.StartedAt != h.now || h.b.endpoints.loadShare(s, h.b.now) >= 1 {
 		t.Error("an endpoint that warms up counts as warm")
 	}
-	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 1, State: Ready, StartedAt: h.now + ms}}})
+	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges,
+		Endpoints: []Endpoint{{ID: 1, State: Ready, StartedAt: h.now + ms}}})
 	if !h.b.endpoints.usable(h.b.endpoints.byID[1], h.b.now) {
 		t.Error("an endpoint started again is not sent to")
 	}
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -10,8 +10,13 @@
 // A host hands its Balancer one event at a time and carries out the actions it gets back.
 func Example() {
 	b := balancer.New(balancer.Config{
-		Classes: []balancer.Class{{Name: "read", LatencyObjective: 300 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1,
-			Effect: balancer.Safe}},
+		Classes: []balancer.Class{{
+			Name:             "read",
+			LatencyObjective: 300 * time.Millisecond,
+			Deadline:         time.Second,
+			PriorityWeight:   1,
+			Effect:           balancer.Safe,
+		}},
 		ReplicaCount: 1,
 		Limits:       balancer.Limits{MaxAttempts: 3},
 	}, 42)
@@ -26,7 +31,7 @@
 		Remaining: time.Second}, actions[:0])
 	for _, a := range actions {
 		if a.Kind == balancer.Send {
-			fmt.Printf("send request %d to server %d for up to %v\n", a.Request, a.Endpoint, a.Timeout)
+			fmt.Printf("send request %d to endpoint %d for up to %v\n", a.Request, a.Endpoint, a.Timeout)
 		}
 	}
 
@@ -35,10 +40,10 @@
 		Outcome: balancer.ConnectFailed, Elapsed: 20 * time.Millisecond}, actions[:0])
 	for _, a := range actions {
 		if a.Kind == balancer.Shed {
-			fmt.Printf("refuse request %d\n", a.Request)
+			fmt.Printf("shed request %d\n", a.Request)
 		}
 	}
 	// Output:
-	// send request 7 to server 1 for up to 291ms
-	// refuse request 7
+	// send request 7 to endpoint 1 for up to 291ms
+	// shed request 7
 }
--- a/balancer/explore_test.go
+++ b/balancer/explore_test.go
@@ -71,11 +71,14 @@
 }
 
 func (p scenario) start() modelcheck.System {
-	cfg := Config{ReplicaCount: 1, Limits: Limits{MaxAttempts: p.attempts, AllowCancel: true, SendRetryAfter: true, MaxRetryAfter: time.Second, ConnectTimeout: 100 * ms}, Contract: Contract{OnlyDrainingBinds: p.alone}}
+	cfg := Config{ReplicaCount: 1, Limits: Limits{MaxAttempts: p.attempts, AllowCancel: true, SendRetryAfter: true,
+		MaxRetryAfter: time.Second, ConnectTimeout: 100 * ms}, Contract: Contract{OnlyDrainingBinds: p.alone}}
 	for _, e := range p.effects {
-		cfg.Classes = append(cfg.Classes, Class{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, LateWeight: 0.5, Effect: e, Group: p.group, IdempotencyWindow: 1200 * ms})
+		cfg.Classes = append(cfg.Classes, Class{LatencyObjective: time.Second, Deadline: 2 * time.Second,
+			PriorityWeight: 1, LateWeight: 0.5, Effect: e, Group: p.group, IdempotencyWindow: 1200 * ms})
 	}
-	env := &environment{b: New(cfg, 1), twin: New(cfg, 1), cfg: cfg, now: time.Hour, drained: map[EndpointID]bool{}, maxSteps: maxTimeSteps * max(1, len(p.effects)/4)}
+	env := &environment{b: New(cfg, 1), twin: New(cfg, 1), cfg: cfg, now: time.Hour, drained: map[EndpointID]bool{},
+		maxSteps: maxTimeSteps * max(1, len(p.effects)/4)}
 	for i := range p.endpoints {
 		env.endpoints = append(env.endpoints, Endpoint{ID: EndpointID(i + 1), State: Ready, Cell: i / 2})
 	}
@@ -124,7 +127,8 @@
 			}
 		case Cancel:
 			if r := env.find(a.Request); r.inFlight != a.Attempt {
-				env.fail("one-owner", "attempt %d of request %d is cancelled, %d is in flight", a.Attempt, r.id, r.inFlight)
+				env.fail("one-owner", "attempt %d of request %d is cancelled, %d is in flight", a.Attempt, r.id,
+					r.inFlight)
 			} else {
 				r.cancelled = true
 			}
@@ -153,19 +157,25 @@
 	}
 	s := env.endpoints[a.Endpoint-1]
 	if s.State == Draining || s.State == Gone && (!env.cfg.Contract.OnlyDrainingBinds || env.drained[s.ID]) {
-		env.fail("nothing-new-to-a-drained", "request %d goes to endpoint %d, which is listed as %d", r.id, s.ID, s.State)
+		env.fail("nothing-new-to-a-drained", "request %d goes to endpoint %d, which is listed as %d", r.id, s.ID,
+			s.State)
 	}
 	if len(r.maybeExecuted) > 0 {
 		first := env.endpoints[r.maybeExecuted[0]-1]
 		switch {
 		case c.Effect == Unsafe:
-			env.fail("no-repeat-against-its-class", "unsafe request %d may have been executed at %v and is sent again", r.id, r.maybeExecuted)
+			env.fail("no-repeat-against-its-class", "unsafe request %d may have been executed at %v and is sent again",
+				r.id, r.maybeExecuted)
 		case c.Effect == Keyed && c.Group == GroupCell && s.Cell != first.Cell:
-			env.fail("no-repeat-against-its-class", "keyed request %d may have been executed in cell %d and goes to cell %d", r.id, first.Cell, s.Cell)
+			env.fail("no-repeat-against-its-class",
+				"keyed request %d may have been executed in cell %d and goes to cell %d", r.id, first.Cell, s.Cell)
 		case c.Effect == Keyed && env.now-r.executedAt >= c.IdempotencyWindow:
-			env.fail("no-repeat-against-its-class", "keyed request %d is sent %v after it may have been executed", r.id, env.now-r.executedAt)
+			env.fail("no-repeat-against-its-class", "keyed request %d is sent %v after it may have been executed", r.id,
+				env.now-r.executedAt)
 		case c.Effect == Keyed && env.now+a.WriteTimeout-r.executedAt >= c.IdempotencyWindow:
-			env.fail("no-repeat-against-its-class", "keyed request %d may be written %v after it may have been executed", r.id, env.now+a.WriteTimeout-r.executedAt)
+			env.fail("no-repeat-against-its-class",
+				"keyed request %d may be written %v after it may have been executed", r.id,
+				env.now+a.WriteTimeout-r.executedAt)
 		}
 	}
 	if a.Timeout <= 0 || a.Timeout > clientTimeout || a.WriteTimeout <= 0 || a.WriteTimeout > a.Timeout {
@@ -188,13 +198,15 @@
 			env.fail("no-unbounded-waiting", "request %d has no attempt in flight and no answer", r.id)
 		}
 		if _, kept := b.requests[r.id]; kept != (r.arrived && (r.inFlight >= 0 || !r.left && r.finals == 0)) {
-			env.fail("nothing-leaks", "request %d is kept %v, with attempt %d in flight, left %v, %d answers", r.id, kept, r.inFlight, r.left, r.finals)
+			env.fail("nothing-leaks", "request %d is kept %v, with attempt %d in flight, left %v, %d answers", r.id,
+				kept, r.inFlight, r.left, r.finals)
 		}
 	}
 	busy := 0
 	for _, s := range b.endpoints.listed {
 		if s.inFlight != out[s.ID] {
-			env.fail("counters-return", "endpoint %d has %d attempts in flight, the Balancer counts %d", s.ID, out[s.ID], s.inFlight)
+			env.fail("counters-return", "endpoint %d has %d attempts in flight, the Balancer counts %d", s.ID,
+				out[s.ID], s.inFlight)
 		}
 		if s.inFlight > 0 {
 			busy++
@@ -203,11 +215,14 @@
 			env.fail("counters-return", "endpoint %d has %d late attempts of %d", s.ID, s.lateInFlight, s.inFlight)
 		}
 	}
-	if b.attempts.inFlight != all || b.attempts.busyEndpoints != busy || b.attempts.lateEndpoints > b.attempts.busyEndpoints || b.attempts.lateEndpoints < 0 {
-		env.fail("counters-return", "%d attempts in flight at %d endpoints; the Balancer counts %d at %d, %d late", all, busy, b.attempts.inFlight, b.attempts.busyEndpoints, b.attempts.lateEndpoints)
+	if b.attempts.inFlight != all || b.attempts.busyEndpoints != busy ||
+		b.attempts.lateEndpoints > b.attempts.busyEndpoints || b.attempts.lateEndpoints < 0 {
+		env.fail("counters-return", "%d attempts in flight at %d endpoints; the Balancer counts %d at %d, %d late", all,
+			busy, b.attempts.inFlight, b.attempts.busyEndpoints, b.attempts.lateEndpoints)
 	}
 	if b.limiter.ceiling > 0 && (b.limiter.maxIFR < b.limiter.floor || b.limiter.maxIFR > b.limiter.ceiling) {
-		env.fail("limit-within-bounds", "%v, floor %v, ceiling %v", b.limiter.maxIFR, b.limiter.floor, b.limiter.ceiling)
+		env.fail("limit-within-bounds", "%v, floor %v, ceiling %v", b.limiter.maxIFR, b.limiter.floor,
+			b.limiter.ceiling)
 	}
 	inFlight := 0
 	for i := range b.attempts.byClass {
@@ -234,7 +249,8 @@
 	if o == OK && !r.left && r.finals == 0 {
 		r.finals, closed = 1, true
 	}
-	env.handle(Event{Kind: AttemptEnded, Request: r.id, Attempt: k, Endpoint: r.sent[k], Outcome: o, RequestClosed: closed || r.left, Elapsed: 50 * ms})
+	env.handle(Event{Kind: AttemptEnded, Request: r.id, Attempt: k, Endpoint: r.sent[k], Outcome: o,
+		RequestClosed: closed || r.left, Elapsed: 50 * ms})
 }
 
 // findMoves finds what may happen next.
@@ -246,23 +262,28 @@
 		case !r.arrived:
 			add(fmt.Sprintf("request %d arrives", r.id), func() {
 				r.arrived = true
-				env.handle(Event{Kind: RequestArrived, Request: r.id, Class: r.class, Tenant: -1, Remaining: clientTimeout})
+				env.handle(Event{Kind: RequestArrived, Request: r.id, Class: r.class, Tenant: -1,
+					Remaining: clientTimeout})
 			})
 			if r.id == 1 { // requests are alike but for their class: the second arrives after the first
 				goto listChanges
 			}
 		case r.inFlight >= 0:
 			for _, o := range []Outcome{OK, Error, Rejected, Timeout, Reset} {
-				add(fmt.Sprintf("attempt %d of request %d ends: %v", r.inFlight, r.id, o), func() { env.endAttempt(r, o) })
+				add(fmt.Sprintf("attempt %d of request %d ends: %v", r.inFlight, r.id, o),
+					func() { env.endAttempt(r, o) })
 			}
 			if r.inFlight > 0 && !r.repeated {
-				add(fmt.Sprintf("the end of attempt %d of request %d is reported once more", r.inFlight-1, r.id), func() {
-					r.repeated = true
-					env.handle(Event{Kind: AttemptEnded, Request: r.id, Attempt: r.inFlight - 1, Endpoint: r.sent[r.inFlight-1], Outcome: Error, Elapsed: 50 * ms})
-				})
+				add(fmt.Sprintf("the end of attempt %d of request %d is reported once more", r.inFlight-1, r.id),
+					func() {
+						r.repeated = true
+						env.handle(Event{Kind: AttemptEnded, Request: r.id, Attempt: r.inFlight - 1,
+							Endpoint: r.sent[r.inFlight-1], Outcome: Error, Elapsed: 50 * ms})
+					})
 			}
 			if r.cancelled {
-				add(fmt.Sprintf("attempt %d of request %d ends: cancelled", r.inFlight, r.id), func() { env.endAttempt(r, Cancelled) })
+				add(fmt.Sprintf("attempt %d of request %d ends: cancelled", r.inFlight, r.id),
+					func() { env.endAttempt(r, Cancelled) })
 			}
 		}
 		if r.arrived && !r.left && r.finals == 0 {
@@ -290,7 +311,8 @@
 		add("the whole list comes without the last endpoint", func() {
 			env.changes++
 			env.endpoints[len(env.endpoints)-1].State = Gone
-			env.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: env.endpoints[:len(env.endpoints)-1]})
+			env.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull,
+				Endpoints: env.endpoints[:len(env.endpoints)-1]})
 		})
 		add("endpoint 1 is listed as started anew", func() {
 			env.changes++
@@ -329,12 +351,19 @@
 func (env *environment) Key() string {
 	var t strings.Builder
 	b := env.b
-	fmt.Fprint(&t, env.timeSteps, env.changes, len(env.timers), b.random.state, b.attempts.inFlight, b.limiter.maxIFR, b.limiter.burstCredit, b.now-b.limiter.creditAt, b.limiter.windowEnd-b.now, b.limiter.window.values[:min(b.limiter.window.count, 16)], b.limiter.window.count, b.attempts.busyEndpoints, b.attempts.lateEndpoints, b.endpoints.served.count, b.now-b.endpoints.served.updatedAt, b.stats.typicalLatency, b.stats.errorRate, b.poll.scheduled, b.poll.failures)
+	fmt.Fprint(&t, env.timeSteps, env.changes, len(env.timers), b.random.state, b.attempts.inFlight, b.limiter.maxIFR,
+		b.limiter.burstCredit, b.now-b.limiter.creditAt, b.limiter.windowEnd-b.now,
+		b.limiter.window.values[:min(b.limiter.window.count, 16)], b.limiter.window.count, b.attempts.busyEndpoints,
+		b.attempts.lateEndpoints, b.endpoints.served.count, b.now-b.endpoints.served.updatedAt, b.stats.typicalLatency,
+		b.stats.errorRate, b.poll.scheduled, b.poll.failures)
 	for _, s := range b.endpoints.listed {
-		fmt.Fprint(&t, ";", s.ID, s.State, b.now-s.StartedAt, s.inFlight, s.health.penalty, s.health.relativeLatency, b.now-s.health.updatedAt, b.now-s.lastKnownAt, s.drained, s.lastResult, s.inSubset, s.lateInFlight, s.index, s.rank, s.rankPosition, s.warmUpBudget)
+		fmt.Fprint(&t, ";", s.ID, s.State, b.now-s.StartedAt, s.inFlight, s.health.penalty, s.health.relativeLatency,
+			b.now-s.health.updatedAt, b.now-s.lastKnownAt, s.drained, s.lastResult, s.inSubset, s.lateInFlight, s.index,
+			s.rank, s.rankPosition, s.warmUpBudget)
 	}
 	for _, r := range env.requests {
-		fmt.Fprint(&t, "|", r.arrived, r.left, r.finals, r.inFlight, r.sent, r.maybeExecuted, env.now-r.executedAt, r.cancelled)
+		fmt.Fprint(&t, "|", r.arrived, r.left, r.finals, r.inFlight, r.sent, r.maybeExecuted, env.now-r.executedAt,
+			r.cancelled)
 		if k := b.requests[r.id]; k != nil {
 			fmt.Fprint(&t, b.now-k.sentAt, k.deadline-b.now, k.answered, k.open, k.late, k.priority)
 		}
@@ -349,11 +378,15 @@
 var scenarios = []scenario{
 	{name: "a safe one", effects: []Effect{Safe}, endpoints: 3, attempts: 2, changes: true, depth: 6},
 	{name: "an unsafe one", effects: []Effect{Unsafe}, endpoints: 3, attempts: 2, changes: true, depth: 6},
-	{name: "a keyed one within a cell", effects: []Effect{Keyed}, group: GroupCell, endpoints: 3, attempts: 3, changes: true, depth: 6},
-	{name: "a keyed one, only draining binds", effects: []Effect{Keyed}, group: GroupCell, endpoints: 3, attempts: 3, alone: true, changes: true, depth: 6},
-	{name: "two safe ones and changes", effects: []Effect{Safe, Safe}, endpoints: 2, attempts: 2, changes: true, depth: 6},
+	{name: "a keyed one within a cell", effects: []Effect{Keyed}, group: GroupCell, endpoints: 3, attempts: 3,
+		changes: true, depth: 6},
+	{name: "a keyed one, only draining binds", effects: []Effect{Keyed}, group: GroupCell, endpoints: 3, attempts: 3,
+		alone: true, changes: true, depth: 6},
+	{name: "two safe ones and changes", effects: []Effect{Safe, Safe}, endpoints: 2, attempts: 2, changes: true,
+		depth: 6},
 	{name: "unsafe beside safe", effects: []Effect{Unsafe, Safe}, endpoints: 2, attempts: 2, depth: 7},
-	{name: "keyed beside unsafe", effects: []Effect{Keyed, Unsafe}, group: GroupCell, endpoints: 3, attempts: 2, depth: 6},
+	{name: "keyed beside unsafe", effects: []Effect{Keyed, Unsafe}, group: GroupCell, endpoints: 3, attempts: 2,
+		depth: 6},
 }
 
 // The real Balancer, explored whole in small environments.
@@ -390,53 +423,71 @@
 	mutant.Find(t, "ExploreRequests|WalkRequests", []mutant.Mutant{
 		{Name: "one attempt too many", File: "request.go", From: "len(r.attempts) < b.cfg.Limits.MaxAttempts",
 			To: "len(r.attempts) <= b.cfg.Limits.MaxAttempts"},
-		{Name: "an attempt goes to an endpoint tried before", File: "request.go", From: "\tcase r.tried(e):\n\t\treturn false\n",
-			To: ""},
-		{Name: "a rejection counts as executed", File: "request.go", From: "if !event.Outcome.NeverRan() && r.possiblyExecutedOn == nil {",
-			To: "if r.possiblyExecutedOn == nil && !event.Outcome.NeverRan() && event.Outcome != Timeout {"},
+		{Name: "an attempt goes to an endpoint tried before", File: "request.go",
+			From: "\tcase r.tried(e):\n\t\treturn false\n",
+			To:   ""},
+		{Name: "a rejection counts as executed", File: "request.go",
+			From: "if !event.Outcome.NeverRan() && r.possiblyExecutedOn == nil {",
+			To:   "if r.possiblyExecutedOn == nil && !event.Outcome.NeverRan() && event.Outcome != Timeout {"},
 		{Name: "keyed work leaves its group", File: "config.go", From: "g == GroupCell && x.Cell == y.Cell",
 			To: "g == GroupCell"},
-		{Name: "the idempotency expiry is ignored", File: "request.go", From: "case r.class.Effect == Unsafe || now >= r.idempotencyExpiry:",
-			To: "case r.class.Effect == Unsafe:"},
-		{Name: "a repeat may be written at any time", File: "request.go", From: "action.WriteTimeout = min(timeout, r.idempotencyExpiry-b.now)",
-			To: "action.WriteTimeout = timeout"},
-		{Name: "the idempotency window counts from the answer", File: "request.go", From: "r.setPossiblyExecuted(r.sentAt + time",
-			To: "r.setPossiblyExecuted(b.now + 600*time.Millisecond + time"},
-		{Name: "a client that left is answered", File: "request.go", From: "\tif !r.answered && (!retry || !b.send(r)) {",
-			To: "\tif !retry || !b.send(r) {"},
-		{Name: "a served request is answered once more", File: "request.go", From: "\tr.answered = r.answered || event.RequestClosed\n",
-			To: "\tr.answered = r.answered || event.RequestClosed && event.Outcome != OK\n"},
+		{Name: "the idempotency expiry is ignored", File: "request.go",
+			From: "case r.class.Effect == Unsafe || now >= r.idempotencyExpiry:",
+			To:   "case r.class.Effect == Unsafe:"},
+		{Name: "a repeat may be written at any time", File: "request.go",
+			From: "action.WriteTimeout = min(timeout, r.idempotencyExpiry-b.now)",
+			To:   "action.WriteTimeout = timeout"},
+		{Name: "the idempotency window counts from the answer", File: "request.go",
+			From: "r.setPossiblyExecuted(r.sentAt + time",
+			To:   "r.setPossiblyExecuted(b.now + 600*time.Millisecond + time"},
+		{Name: "a client that left is answered", File: "request.go",
+			From: "\tif !r.answered && (!retry || !b.send(r)) {",
+			To:   "\tif !retry || !b.send(r) {"},
+		{Name: "a served request is answered once more", File: "request.go",
+			From: "\tr.answered = r.answered || event.RequestClosed\n",
+			To:   "\tr.answered = r.answered || event.RequestClosed && event.Outcome != OK\n"},
 		{Name: "an ended attempt holds its seat", File: "attempts.go", From: "\te.inFlight--\n\tt.inFlight--\n",
 			To: "\te.inFlight--\n"},
 		{Name: "an ended attempt holds its endpoint", File: "attempts.go", From: "\te.inFlight--\n\tt.inFlight--\n",
 			To: "\tt.inFlight--\n"},
 		{Name: "a double release", File: "attempts.go", From: "\te.inFlight--\n\tt.inFlight--\n",
 			To: "\te.inFlight--\n\tt.inFlight -= 2\n"},
-		{Name: "busy endpoints are not counted down", File: "attempts.go", From: "\tif e.inFlight == 0 {\n\t\tt.busyEndpoints--\n\t}\n",
-			To: ""},
-		{Name: "busy endpoints are counted twice", File: "attempts.go", From: "\tif e.inFlight == 0 {\n\t\tt.busyEndpoints++\n\t}\n",
-			To: "\tt.busyEndpoints++\n"},
-		{Name: "late attempts are not counted down", File: "attempts.go", From: "\t\te.lateInFlight--\n\t\tif e.lateInFlight == 0 {\n\t\t\tt.lateEndpoints--\n\t\t}\n",
-			To: "\t\te.lateInFlight--\n"},
+		{Name: "busy endpoints are not counted down", File: "attempts.go",
+			From: "\tif e.inFlight == 0 {\n\t\tt.busyEndpoints--\n\t}\n",
+			To:   ""},
+		{Name: "busy endpoints are counted twice", File: "attempts.go",
+			From: "\tif e.inFlight == 0 {\n\t\tt.busyEndpoints++\n\t}\n",
+			To:   "\tt.busyEndpoints++\n"},
+		{Name: "late attempts are not counted down", File: "attempts.go",
+			From: "\t\te.lateInFlight--\n\t\tif e.lateInFlight == 0 {\n\t\t\tt.lateEndpoints--\n\t\t}\n",
+			To:   "\t\te.lateInFlight--\n"},
 		{Name: "an answered request is kept", File: "requeststate.go", From: "\t\tdelete(b.requests, r.id)\n",
 			To: ""},
-		{Name: "an open request is forgotten", File: "requeststate.go", From: "if r.answered && !r.open && b.requests[r.id] == r {",
-			To: "if r.answered && b.requests[r.id] == r {"},
-		{Name: "gone endpoints are sent to", File: "endpoint.go", From: "return e.State == Ready || e.State == Gone && s.cfg.Contract.OnlyDrainingBinds && !e.drained",
-			To: "return e.State == Ready || e.State == Gone && !e.drained"},
-		{Name: "a drain is forgotten once the endpoint is gone", File: "endpointlist.go", From: "e.drained = entry.State == Draining || e.drained && entry.StartedAt == e.StartedAt",
-			To: "e.drained = entry.State == Draining"},
-		{Name: "a whole list leaves no endpoint out", File: "endpointlist.go", From: "\t\tif event.ListKind != ListChanges {\n\t\t\te.State = Gone\n\t\t}\n",
-			To: ""},
-		{Name: "a request that may have been executed is shed", File: "request.go", From: "if r.possiblyExecutedOn == nil || class.Effect == Safe ||",
-			To: "if true || r.possiblyExecutedOn == nil || class.Effect == Safe ||"},
-		{Name: "no answer where there is no endpoint", File: "request.go", From: "\tif !b.admits(r) || !b.send(r) {\n\t\tb.answer(r)\n",
-			To: "\tif !b.admits(r) || !b.send(r) {\n"},
-		{Name: "the limit grows beyond its ceiling", File: "limiter.go", From: "l.maxIFR = min(l.maxIFR+min(1, maxStep*l.ceiling), l.ceiling)",
-			To: "l.maxIFR += 50"},
+		{Name: "an open request is forgotten", File: "requeststate.go",
+			From: "if r.answered && !r.open && b.requests[r.id] == r {",
+			To:   "if r.answered && b.requests[r.id] == r {"},
+		{Name: "gone endpoints are sent to", File: "endpoint.go",
+			From: "return e.State == Ready || e.State == Gone && s.cfg.Contract.OnlyDrainingBinds && !e.drained",
+			To:   "return e.State == Ready || e.State == Gone && !e.drained"},
+		{Name: "a drain is forgotten once the endpoint is gone", File: "endpointlist.go",
+			From: "e.drained = entry.State == Draining || e.drained && entry.StartedAt == e.StartedAt",
+			To:   "e.drained = entry.State == Draining"},
+		{Name: "a whole list leaves no endpoint out", File: "endpointlist.go",
+			From: "\t\tif event.ListKind != ListChanges {\n\t\t\te.State = Gone\n\t\t}\n",
+			To:   ""},
+		{Name: "a request that may have been executed is shed", File: "request.go",
+			From: "if r.possiblyExecutedOn == nil || class.Effect == Safe ||",
+			To:   "if true || r.possiblyExecutedOn == nil || class.Effect == Safe ||"},
+		{Name: "no answer where there is no endpoint", File: "request.go",
+			From: "\tif !b.admits(r) || !b.send(r) {\n\t\tb.answer(r)\n",
+			To:   "\tif !b.admits(r) || !b.send(r) {\n"},
+		{Name: "the limit grows beyond its ceiling", File: "limiter.go",
+			From: "l.maxIFR = min(l.maxIFR+min(1, maxStep*l.ceiling), l.ceiling)",
+			To:   "l.maxIFR += 50"},
 		{Name: "timeouts end after the answer is due", File: "request.go", From: "timeout := r.deadline - b.now",
 			To: "timeout := r.deadline"},
-		{Name: "the end of an old attempt ends the latest", File: "request.go", From: "event.Attempt != len(r.attempts)-1",
-			To: "event.Attempt > len(r.attempts)"},
+		{Name: "the end of an old attempt ends the latest", File: "request.go",
+			From: "event.Attempt != len(r.attempts)-1",
+			To:   "event.Attempt > len(r.attempts)"},
 	})
 }
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -77,7 +77,8 @@
 	h := newHost(t, testConfig(), readyList(2)...)
 	s := h.b.endpoints.byID[1]
 	s.health.penalty, s.health.relativeLatency, s.health.updatedAt = 9, 5, h.now
-	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 1, State: Ready, StartedAt: h.now}}})
+	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges,
+		Endpoints: []Endpoint{{ID: 1, State: Ready, StartedAt: h.now}}})
 	if s.health.penalty != 0 || s.health.relativeLatency != 1 {
 		t.Errorf("penalty %v, %v times slower after a restart", s.health.penalty, s.health.relativeLatency)
 	}
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -45,7 +45,8 @@
 	r := h.b.requests[id]
 	s := r.attempts[attempt].ID
 	h.now = r.sentAt + after
-	return h.handle(Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Outcome: o, RequestClosed: o == OK, Endpoint: s, Elapsed: after})
+	return h.handle(Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Outcome: o, RequestClosed: o == OK,
+		Endpoint: s, Elapsed: after})
 }
 
 // only returns the one action, but for log lines, which must be of a kind.
@@ -66,13 +67,17 @@
 // testConfig has classes 0 safe, 1 keyed in all, 2 keyed in a zone, 3 keyed in a cell, 4 unsafe.
 func testConfig() Config {
 	class := func(e Effect, g Group) Class {
-		return Class{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, LateWeight: 0.5, Effect: e, Group: g, IdempotencyWindow: 300 * ms}
+		return Class{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, LateWeight: 0.5,
+			Effect: e, Group: g, IdempotencyWindow: 300 * ms}
 	}
 	return Config{
-		Classes: []Class{class(Safe, 0), class(Keyed, GroupAll), class(Keyed, GroupZone), class(Keyed, GroupCell), class(Unsafe, 0)},
-		Tiers:   1, ReplicaCount: 1,
-		Limits: Limits{MaxAttempts: 3, MaxRetryAfter: 400 * ms, SendRetryAfter: true, AllowCancel: true, ConnectTimeout: 100 * ms},
-		Contract: Contract{DrainGrace: 500 * ms, MaxPollInterval: 10 * time.Second, InitialCapacity: 0.2, WarmUpPeriod: 10 * time.Second,
+		Classes: []Class{class(Safe, 0), class(Keyed, GroupAll), class(Keyed, GroupZone), class(Keyed, GroupCell),
+			class(Unsafe, 0)},
+		Tiers: 1, ReplicaCount: 1,
+		Limits: Limits{MaxAttempts: 3, MaxRetryAfter: 400 * ms, SendRetryAfter: true, AllowCancel: true,
+			ConnectTimeout: 100 * ms},
+		Contract: Contract{DrainGrace: 500 * ms, MaxPollInterval: 10 * time.Second, InitialCapacity: 0.2,
+			WarmUpPeriod:     10 * time.Second,
 			OverloadMultiple: 2, OverloadPeriod: time.Second},
 	}
 }
--- a/balancer/index_test.go
+++ b/balancer/index_test.go
@@ -63,7 +63,8 @@
 			open++
 		}
 	}
-	if busy != table.busyEndpoints || late != table.lateEndpoints || inFlight != table.inFlight || open != table.inFlight {
+	if busy != table.busyEndpoints || late != table.lateEndpoints || inFlight != table.inFlight ||
+		open != table.inFlight {
 		sim.fail("busy %d, late %d, in flight %d, open %d; counted %d, %d, %d", busy, late, inFlight, open,
 			table.busyEndpoints, table.lateEndpoints, table.inFlight)
 	}
@@ -154,7 +155,8 @@
 			}
 			slower += (got.health.relativeLatency - want.health.relativeLatency) / picks
 		}
-		t.Logf("%d endpoints, %d replicas, %d in the subset: %.1f%% of picks rank worse, on average %.3f slower; %d of %d are others",
+		t.Logf("%d endpoints, %d replicas, %d in the subset: "+
+			"%.1f%% of picks rank worse, on average %.3f slower; %d of %d are others",
 			size, tc.replicas, h.b.endpoints.subset.size, 100*float64(worse)/picks, slower, others, picks)
 		if worse > picks/50 || slower > 0.2 {
 			t.Errorf("%d endpoints: %d of %d picks rank worse, %.3f slower", size, worse, picks, slower)
@@ -216,7 +218,8 @@
 	id := f.open[0]
 	copy(f.open, f.open[1:])
 	f.open = f.open[:len(f.open)-1]
-	f.out = f.h.b.Handle(f.h.now, Event{Kind: AttemptEnded, Request: id, RequestClosed: true, Elapsed: 80 * ms}, f.out[:0])
+	f.out = f.h.b.Handle(f.h.now, Event{Kind: AttemptEnded, Request: id, RequestClosed: true, Elapsed: 80 * ms},
+		f.out[:0])
 	f.arrive()
 }
 
@@ -252,6 +255,7 @@
 		}
 	}
 	if len(h.b.endpoints.listed) != 50 || len(h.b.endpoints.byID) != 50 || kept > 0 {
-		t.Errorf("%d endpoints, %d by id, %d kept of those that left", len(h.b.endpoints.listed), len(h.b.endpoints.byID), kept)
+		t.Errorf("%d endpoints, %d by id, %d kept of those that left", len(h.b.endpoints.listed),
+			len(h.b.endpoints.byID), kept)
 	}
 }
--- a/balancer/keyorder_test.go
+++ b/balancer/keyorder_test.go
@@ -103,7 +103,8 @@
 			for i := range b.N {
 				h.now += 500 * ms
 				id := RequestID(i + 1)
-				out = h.b.Handle(h.now, Event{Kind: RequestArrived, Request: id, Key: uint64(i%50 + 1), Remaining: time.Second}, out[:0])
+				out = h.b.Handle(h.now, Event{Kind: RequestArrived, Request: id, Key: uint64(i%50 + 1),
+					Remaining: time.Second}, out[:0])
 				h.b.Handle(h.now+ms, Event{Kind: AttemptEnded, Request: id, RequestClosed: true, Elapsed: ms}, out)
 			}
 		})
--- a/balancer/limiter_test.go
+++ b/balancer/limiter_test.go
@@ -121,7 +121,8 @@
 // The bounds were once set before the first list, and the limit began at its floor. It is half as high where no
 // class's late answers are worth anything: see kochi-orders in docs/results/rare.
 func TestInitialLimitComesWithTheFirstList(t *testing.T) {
-	for _, c := range []struct{ late, seats float64 }{{0.5, initialSeats}, {0.01, initialSeats}, {7, initialSeats}, {0, initialSeatsInTime}} {
+	for _, c := range []struct{ late, seats float64 }{{0.5, initialSeats}, {0.01, initialSeats}, {7, initialSeats},
+		{0, initialSeatsInTime}} {
 		cfg := testConfig()
 		for i := range cfg.Classes {
 			cfg.Classes[i].LateWeight = c.late
@@ -216,7 +217,8 @@
 		tier  int
 		tiers int
 		want  float64
-	}{{[]float64{0, 0}, 0, 1, lmaxShareInTime}, {[]float64{0, 0.1}, 0, 1, lmaxShare}, {[]float64{1}, 0, 2, lmaxShare}, {[]float64{0}, 1, 2, lmaxShareInTime / 2}, {[]float64{7}, 0, 1, lmaxShare}} {
+	}{{[]float64{0, 0}, 0, 1, lmaxShareInTime}, {[]float64{0, 0.1}, 0, 1, lmaxShare}, {[]float64{1}, 0, 2, lmaxShare},
+		{[]float64{0}, 1, 2, lmaxShareInTime / 2}, {[]float64{7}, 0, 1, lmaxShare}} {
 		cfg := Config{Tier: tc.tier, Tiers: tc.tiers}
 		for _, late := range tc.late {
 			cfg.Classes = append(cfg.Classes, Class{LateWeight: late})
@@ -287,7 +289,8 @@
 		s := h.b.endpoints.byID[only(t, actions, Send).Endpoint]
 		h.end(id, 0, o, 100*ms)
 		if h.b.limiter.window.count != 0 || s.health.relativeLatency != 1 {
-			t.Errorf("outcome %v: %d samples, endpoint counts as %v", o, h.b.limiter.window.count, s.health.relativeLatency)
+			t.Errorf("outcome %v: %d samples, endpoint counts as %v", o, h.b.limiter.window.count,
+				s.health.relativeLatency)
 		}
 	}
 	id, _ := h.arrive(4)
@@ -374,7 +377,8 @@
 		h.b.limiter.windowEnd = h.now
 		h.handle(Event{Kind: TimerFired})
 		if cut := h.b.limiter.maxIFR < before; cut != tc.cut {
-			t.Errorf("%d of 4 endpoints with attempts in flight for too long: limit %v to %v", tc.hung, before, h.b.limiter.maxIFR)
+			t.Errorf("%d of 4 endpoints with attempts in flight for too long: limit %v to %v", tc.hung, before,
+				h.b.limiter.maxIFR)
 		}
 	}
 }
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -36,7 +36,8 @@
 // idle, however few they are, and is not sent to another zone by its place on the ring; a zone with too few left is
 // helped by the others.
 func TestAttemptsStayInTheirZone(t *testing.T) {
-	for _, tc := range []struct{ endpoints, own, least, most int }{{21, 7, 100, 100}, {12, 4, 100, 100}, {21, 2, 0, 60}} {
+	for _, tc := range []struct{ endpoints, own, least, most int }{{21, 7, 100, 100}, {12, 4, 100, 100},
+		{21, 2, 0, 60}} {
 		for self := range 12 {
 			cfg := testConfig()
 			cfg.Tier, cfg.Tiers, cfg.ReplicaCount, cfg.ReplicaIndex, cfg.Zone = 1, 3, 12, self, 2
@@ -55,7 +56,8 @@
 				h.end(id, 0, OK, 100*ms)
 			}
 			if stayed < tc.least || stayed > tc.most {
-				t.Errorf("replica %d, %d of %d endpoints in its zone: %d%% of its attempts stay", self, tc.own, tc.endpoints, stayed)
+				t.Errorf("replica %d, %d of %d endpoints in its zone: %d%% of its attempts stay", self, tc.own,
+					tc.endpoints, stayed)
 			}
 		}
 	}
--- a/balancer/request_test.go
+++ b/balancer/request_test.go
@@ -20,7 +20,8 @@
 func TestRetriesByEffectAndOutcome(t *testing.T) {
 	cfg := testConfig()
 	cfg.Zone = 9 // no endpoint is nearer than another
-	endpoints := []Endpoint{ready(1), {ID: 2, State: Ready}, {ID: 3, State: Ready, Cell: 1}, {ID: 4, State: Ready, Zone: 1, Cell: 2}}
+	endpoints := []Endpoint{ready(1), {ID: 2, State: Ready}, {ID: 3, State: Ready, Cell: 1},
+		{ID: 4, State: Ready, Zone: 1, Cell: 2}}
 	all, none := []EndpointID{2, 3, 4}, []EndpointID(nil)
 	mayRun := [][]EndpointID{all, all, {2, 3}, {2}, none}
 	answers := []ActionKind{Shed, Shed, Fail, Fail, Fail}
@@ -77,7 +78,8 @@
 		t.Errorf("%d requests and %d attempts are left", len(h.b.requests), h.b.attempts.inFlight)
 	}
 	for _, ev := range []Event{{Kind: AttemptEnded, Request: id, Attempt: 2}, {Kind: ClientLeft, Request: id},
-		{Kind: AttemptEnded, Request: 999}, {Kind: ProbeEnded}, {Kind: PeerMessageReceived}, {Kind: StreamStarted, Request: id}} {
+		{Kind: AttemptEnded, Request: 999}, {Kind: ProbeEnded}, {Kind: PeerMessageReceived},
+		{Kind: StreamStarted, Request: id}} {
 		if actions := h.handle(ev); len(actions) > 0 {
 			t.Errorf("%+v on an ended request gave %+v", ev, actions)
 		}
@@ -147,7 +149,8 @@
 		class int
 		o     Outcome
 		soon  bool
-	}{{"safe", 0, Reset, false}, {"keyed, never ran", 1, ConnectFailed, false}, {"keyed", 1, Reset, true}, {"unsafe, never ran", 4, Rejected, false}} {
+	}{{"safe", 0, Reset, false}, {"keyed, never ran", 1, ConnectFailed, false}, {"keyed", 1, Reset, true},
+		{"unsafe, never ran", 4, Rejected, false}} {
 		h := newHost(t, testConfig(), readyList(3)...)
 		id, first := h.arrive(c.class)
 		if a := only(t, first, Send); a.WriteTimeout != a.Timeout {
@@ -164,7 +167,8 @@
 func TestGroupOfKeyedWorkOutlivesItsEndpoint(t *testing.T) {
 	h := newHost(t, testConfig(), Endpoint{ID: 1, State: Ready, Zone: 1, Cell: 5})
 	id, _ := h.arrive(3)
-	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 1, State: Gone}, ready(2)}})
+	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges,
+		Endpoints: []Endpoint{{ID: 1, State: Gone}, ready(2)}})
 	only(t, h.end(id, 0, Error, 10*ms), Fail) // endpoint 2 is in cell 0
 }
 
@@ -176,7 +180,8 @@
 	}{{5, Send}, {6, Fail}} {
 		h := newHost(t, testConfig(), Endpoint{ID: 1, State: Ready, Zone: 1, Cell: 5})
 		id, _ := h.arrive(3)
-		h.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 1, State: Ready, Cell: 6}, {ID: 2, State: Ready, Cell: c.cell}}})
+		h.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges,
+			Endpoints: []Endpoint{{ID: 1, State: Ready, Cell: 6}, {ID: 2, State: Ready, Cell: c.cell}}})
 		only(t, h.end(id, 0, Error, 10*ms), c.want)
 	}
 }
@@ -192,7 +197,8 @@
 		id, _ := h.arrive(3)
 		r := h.b.requests[id]
 		h.now += 10 * ms
-		actions := h.handle(Event{Kind: AttemptEnded, Request: id, Endpoint: r.attempts[0].ID, Outcome: tc.outcome, BodyConsumed: true, Elapsed: 10 * ms})
+		actions := h.handle(Event{Kind: AttemptEnded, Request: id, Endpoint: r.attempts[0].ID, Outcome: tc.outcome,
+			BodyConsumed: true, Elapsed: 10 * ms})
 		only(t, actions, tc.want)
 	}
 }
--- a/balancer/requestpool_test.go
+++ b/balancer/requestpool_test.go
@@ -7,7 +7,8 @@
 	r := &request{attempts: []*endpoint{{}, {}}, possiblyExecutedOn: &Endpoint{}, answered: true}
 	pool.put(r)
 	again := pool.take()
-	if again != r || cap(again.attempts) != 2 || again.attempts[0] != nil || again.attempts[1] != nil || again.possiblyExecutedOn != nil {
+	if again != r || cap(again.attempts) != 2 || again.attempts[0] != nil || again.attempts[1] != nil ||
+		again.possiblyExecutedOn != nil {
 		t.Errorf("taken %+v", again)
 	}
 	if !again.answered {
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -79,7 +79,8 @@
 // isDrained reports whether an endpoint is remembered as draining since its latest start.
 func (sim *simulation) isDrained(s Endpoint) bool {
 	start, ok := sim.drained[s.ID]
-	return ok && s.StartedAt <= start && float64(sim.now-sim.drainedAt[s.ID]) < rememberPeriods*float64(sim.cfg.Contract.WarmUpPeriod)
+	return ok && s.StartedAt <= start &&
+		float64(sim.now-sim.drainedAt[s.ID]) < rememberPeriods*float64(sim.cfg.Contract.WarmUpPeriod)
 }
 
 // finish takes a request that is answered and has no attempt in flight from the queue of its key.
@@ -122,7 +123,8 @@
 		}
 	}
 	if r.maybeExecuted && c.Effect != Safe {
-		inGroup := c.Group == GroupAll || c.Group == GroupZone && s.Zone == r.executor.Zone || c.Group == GroupCell && s.Cell == r.executor.Cell
+		inGroup := c.Group == GroupAll || c.Group == GroupZone && s.Zone == r.executor.Zone ||
+			c.Group == GroupCell && s.Cell == r.executor.Cell
 		if c.Effect == Unsafe || !inGroup || sim.now-r.executedAt >= c.IdempotencyWindow {
 			sim.fail("resent what may have been executed: %+v", a)
 		}
@@ -137,8 +139,9 @@
 		sim.toWarmingUp[s.ID] = append(sim.toWarmingUp[s.ID], sim.now)
 		sim.checkWarmUpBudget(s)
 	}
-	sim.due = append(sim.due, Event{Kind: AttemptEnded, Request: a.Request, Attempt: len(r.attempts) - 1, Endpoint: a.Endpoint,
-		Elapsed: sim.now + min(time.Duration(sim.rng.Int63n(int64(60*ms))), a.Timeout)})
+	sim.due = append(sim.due, Event{Kind: AttemptEnded, Request: a.Request, Attempt: len(r.attempts) - 1,
+		Endpoint: a.Endpoint,
+		Elapsed:  sim.now + min(time.Duration(sim.rng.Int63n(int64(60*ms))), a.Timeout)})
 	sim.sentAt[a.Request] = sim.now
 	if sim.rng.Intn(16) == 0 {
 		sim.due[len(sim.due)-1].Elapsed = sim.now + a.Timeout
@@ -159,15 +162,18 @@
 	}
 	ready := len(sim.endpoints)
 	for i, log := range sim.readyCounts {
-		if i+1 == len(sim.readyCounts) || sim.now-sim.readyCounts[i+1].at < 2*c.OverloadPeriod { // in force within the last periods
+		// in force within the last periods
+		if i+1 == len(sim.readyCounts) || sim.now-sim.readyCounts[i+1].at < 2*c.OverloadPeriod {
 			ready = min(ready, log.n)
 		}
 	}
 	share := c.InitialCapacity + (1-c.InitialCapacity)*float64(sim.now-s.StartedAt)/float64(c.WarmUpPeriod)
 	span := min(c.WarmUpPeriod, sim.now-time.Hour)
-	mean := within(sim.sends, span+1) / span.Seconds() / min(float64(ready), float64(sim.b.endpoints.subset.size)) // of the subset
+	// of the subset
+	mean := within(sim.sends, span+1) / span.Seconds() / min(float64(ready), float64(sim.b.endpoints.subset.size))
 	// One whole attempt more: a part can be less than an attempt, and attempts come whole.
-	if n, budget := within(sim.toWarmingUp[s.ID], c.OverloadPeriod), c.OverloadMultiple*share*mean*c.OverloadPeriod.Seconds()+1; n > budget {
+	if n, budget := within(sim.toWarmingUp[s.ID], c.OverloadPeriod),
+		c.OverloadMultiple*share*mean*c.OverloadPeriod.Seconds()+1; n > budget {
 		sim.fail("%v attempts to an endpoint started %v ago, budget %.2f", n, sim.now-s.StartedAt, budget)
 	}
 }
@@ -227,7 +233,8 @@
 		}
 	}
 	sim.sendList(ev)
-	sim.readyCounts = append(sim.readyCounts, readyCount{sim.now, min(ready, sim.b.endpoints.subset.size)}) // as this replica counts, by lists that may be wrong
+	// as this replica counts, by lists that may be wrong
+	sim.readyCounts = append(sim.readyCounts, readyCount{sim.now, min(ready, sim.b.endpoints.subset.size)})
 }
 
 // sendList hands a list over, now and then a wrong one where only draining binds: shrunken, empty, old or with
@@ -309,7 +316,8 @@
 		sim.finish(id)
 		sim.handle(Event{Kind: ClientLeft, Request: id})
 	default:
-		r := &requestRecord{class: sim.rng.Intn(len(sim.cfg.Classes)), deadline: sim.now + time.Duration(sim.rng.Int63n(int64(time.Second)))}
+		r := &requestRecord{class: sim.rng.Intn(len(sim.cfg.Classes)),
+			deadline: sim.now + time.Duration(sim.rng.Int63n(int64(time.Second)))}
 		sim.requests[next] = r
 		sim.arrived = append(sim.arrived, next)
 		key := uint64(sim.rng.Intn(4))
@@ -317,7 +325,8 @@
 			r.key = key
 			sim.queues[key] = append(sim.queues[key], next)
 		}
-		sim.handle(Event{Kind: RequestArrived, Request: next, Class: r.class, Key: key, Tenant: sim.rng.Intn(4), Remaining: r.deadline - sim.now,
+		sim.handle(Event{Kind: RequestArrived, Request: next, Class: r.class, Key: key, Tenant: sim.rng.Intn(4),
+			Remaining:    r.deadline - sim.now,
 			ExpectedWork: time.Duration(sim.rng.Int63n(3)) * 10 * ms, ClientRetry: sim.rng.Intn(2) == 0})
 	}
 }
@@ -360,10 +369,23 @@
 	if seed%3 > 0 {
 		cfg.Classes[0].OrderedByKey, cfg.Classes[4].OrderedByKey, cfg.Contract.KeyQuarantine = true, true, 20*ms
 	}
-	return &simulation{t: t, maxEndpoints: 12, rng: rand.New(rand.NewSource(seed)), cfg: cfg, b: New(cfg, uint64(seed)), now: time.Hour,
-		endpoints: map[EndpointID]Endpoint{}, requests: map[RequestID]*requestRecord{}, toWarmingUp: map[EndpointID][]time.Duration{},
-		sentAt: map[RequestID]time.Duration{}, queues: map[uint64][]RequestID{}, quarantine: map[uint64]time.Duration{},
-		drained: map[EndpointID]time.Duration{}, drainedAt: map[EndpointID]time.Duration{}, listed: map[EndpointID]Endpoint{}}
+	return &simulation{
+		t:            t,
+		rng:          rand.New(rand.NewSource(seed)),
+		cfg:          cfg,
+		b:            New(cfg, uint64(seed)),
+		now:          time.Hour,
+		endpoints:    map[EndpointID]Endpoint{},
+		requests:     map[RequestID]*requestRecord{},
+		toWarmingUp:  map[EndpointID][]time.Duration{},
+		sentAt:       map[RequestID]time.Duration{},
+		queues:       map[uint64][]RequestID{},
+		quarantine:   map[uint64]time.Duration{},
+		drained:      map[EndpointID]time.Duration{},
+		drainedAt:    map[EndpointID]time.Duration{},
+		listed:       map[EndpointID]Endpoint{},
+		maxEndpoints: 12,
+	}
 }
 
 // play plays a whole sequence and returns the actions.
@@ -408,21 +430,29 @@
 }
 
 func TestOddConfigsAndEvents(t *testing.T) {
-	bad := []Config{{}, {ReplicaCount: -1, Tier: -5, Tiers: -2, Classes: []Class{{LatencyObjective: -1, Deadline: -1, PriorityWeight: -3}},
-		Tenants:  []Tenant{{Quota: -1}},
-		Contract: Contract{InitialCapacity: -1, WarmUpPeriod: -1, OverloadMultiple: -1, OverloadPeriod: -1, MaxPollInterval: -1},
-		Limits:   Limits{MaxAttempts: -1, MaxOpenRequests: -1, MaxRetryAfter: -1, ConnectTimeout: -1}},
+	bad := []Config{{}, {ReplicaCount: -1, Tier: -5, Tiers: -2,
+		Classes: []Class{{LatencyObjective: -1, Deadline: -1, PriorityWeight: -3}},
+		Tenants: []Tenant{{Quota: -1}},
+		Contract: Contract{InitialCapacity: -1, WarmUpPeriod: -1, OverloadMultiple: -1, OverloadPeriod: -1,
+			MaxPollInterval: -1},
+		Limits: Limits{MaxAttempts: -1, MaxOpenRequests: -1, MaxRetryAfter: -1, ConnectTimeout: -1}},
 		{Tier: 99, Tiers: 2, Classes: []Class{{Deadline: 1}}}, {ReplicaCount: 1 << 30, ReplicaIndex: 1 << 40, Tiers: 3},
 		{ReplicaCount: 200, ReplicaIndex: -1, LoadReportNames: []string{"unheard_of"}},
-		{ReplicaCount: 3, ReplicaIndex: 1 << 62, OverQuotaWeight: -4, Classes: []Class{{OrderedByKey: true, PriorityWeight: math.Inf(1)}, {PriorityWeight: math.NaN()}},
-			Contract: Contract{OnlyDrainingBinds: true, KeyQuarantine: -time.Second}, Goal: Goal{LogLossWeight: math.NaN(), TopNines: -3}}}
+		{ReplicaCount: 3, ReplicaIndex: 1 << 62, OverQuotaWeight: -4,
+			Classes:  []Class{{OrderedByKey: true, PriorityWeight: math.Inf(1)}, {PriorityWeight: math.NaN()}},
+			Contract: Contract{OnlyDrainingBinds: true, KeyQuarantine: -time.Second},
+			Goal:     Goal{LogLossWeight: math.NaN(), TopNines: -3}}}
 	for i, cfg := range bad {
-		n := newHost(t, cfg, Endpoint{ID: 1, State: Ready, StartedAt: 1 << 62, Weight: -1}, Endpoint{ID: 1, State: Ready}, Endpoint{ID: 2, State: 77})
-		for _, ev := range []Event{{Kind: 200}, {Kind: RequestArrived, Request: 1, Class: -4, Tenant: -9, Remaining: -5, ExpectedWork: -7},
+		n := newHost(t, cfg, Endpoint{ID: 1, State: Ready, StartedAt: 1 << 62, Weight: -1},
+			Endpoint{ID: 1, State: Ready}, Endpoint{ID: 2, State: 77})
+		for _, ev := range []Event{{Kind: 200}, {Kind: RequestArrived, Request: 1, Class: -4, Tenant: -9, Remaining: -5,
+			ExpectedWork: -7},
 			{Kind: RequestArrived, Request: 2, Class: 300, Tenant: 1 << 30, Remaining: time.Hour, Key: 1},
-			{Kind: RequestArrived, Request: 3, Key: 1, Remaining: -time.Hour}, {Kind: TimerFired, Token: 1 << 31}, {Kind: EndpointListUpdated, ListKind: ListFull},
+			{Kind: RequestArrived, Request: 3, Key: 1, Remaining: -time.Hour}, {Kind: TimerFired, Token: 1 << 31},
+			{Kind: EndpointListUpdated, ListKind: ListFull},
 			{Kind: AttemptEnded, Request: 2, Attempt: -1}, {Kind: AttemptEnded, Request: 2, Attempt: 9},
-			{Kind: AttemptEnded, Request: 2, Outcome: 250, Elapsed: -1, LoadReport: []float32{float32(math.NaN()), -1}}, {Kind: AttemptEnded, Request: 2}, {Kind: EndpointListUpdated, ListKind: 99}} {
+			{Kind: AttemptEnded, Request: 2, Outcome: 250, Elapsed: -1, LoadReport: []float32{float32(math.NaN()), -1}},
+			{Kind: AttemptEnded, Request: 2}, {Kind: EndpointListUpdated, ListKind: 99}} {
 			n.now += ms
 			n.handle(ev)
 		}
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -12,10 +12,12 @@
 	first.b.stats.typicalLatency[0] = 0.123
 	second.b.Restore(first.b.Snapshot())
 	if second.b.limiter.maxIFR != first.b.limiter.maxIFR || second.b.stats.typicalLatency[0] != 0.123 {
-		t.Errorf("adopted limit %v of %v, usual %v", second.b.limiter.maxIFR, first.b.limiter.maxIFR, second.b.stats.typicalLatency[0])
+		t.Errorf("adopted limit %v of %v, usual %v", second.b.limiter.maxIFR, first.b.limiter.maxIFR,
+			second.b.stats.typicalLatency[0])
 	}
 	second.b.Restore(Snapshot{Limit: -1, Rate: math.NaN(), TypicalLatency: []float64{-1}, ErrorRate: []float64{7}})
-	if second.b.limiter.maxIFR != first.b.limiter.maxIFR || second.b.stats.typicalLatency[0] != 0.123 || second.b.stats.errorRate[0] == 7 {
+	if second.b.limiter.maxIFR != first.b.limiter.maxIFR || second.b.stats.typicalLatency[0] != 0.123 ||
+		second.b.stats.errorRate[0] == 7 {
 		t.Error("what is impossible was adopted")
 	}
 	second.b.SetSiblings(1, 2*int(second.b.limiter.ceiling))
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -23,7 +23,7 @@
 // that up to the next place at least. It returns the endpoints a replica. Harm: late lists shift places.
 func (s *endpointSet) chooseSubset(now time.Duration) (part float64) {
 	defer s.rebuildIndex(now)
-	var all, near []*endpoint
+	var all, local []*endpoint
 	for _, e := range s.ring {
 		e.inSubset = false
 		if !s.usable(e, now) || e.suspicion() >= maxPenalty {
@@ -31,7 +31,7 @@
 		}
 		all = append(all, e)
 		if e.Zone == s.cfg.Zone {
-			near = append(near, e)
+			local = append(local, e)
 		}
 	}
 	if len(all) == 0 {
@@ -40,15 +40,15 @@
 	s.subset.available = len(all)
 	replicas := float64(s.cfg.ReplicaCount)
 	part = float64(s.subset.available) / replicas * float64(s.cfg.Tiers-s.cfg.Tier)
-	s.subset.zoneLocal = float64(len(near)) >= max(minSubset, minZoneShare*float64(len(all)))
+	s.subset.zoneLocal = float64(len(local)) >= max(minSubset, minZoneShare*float64(len(all)))
 	if !s.subset.zoneLocal { // few must not get all
-		near = all
+		local = all
 	}
-	s.subset.size = int(math.Ceil(min(max(subsetPerSeat*initialSeats*part, minSubset), float64(len(near)))))
-	between := float64(len(near)) / replicas
+	s.subset.size = int(math.Ceil(min(max(subsetPerSeat*initialSeats*part, minSubset), float64(len(local)))))
+	between := float64(len(local)) / replicas
 	from, to := int(float64(s.cfg.ReplicaIndex)*between), int(float64(s.cfg.ReplicaIndex+1)*between)
-	for i := range min(max(s.subset.size, to-from), len(near)) {
-		near[(from+i)%len(near)].inSubset = true
+	for i := range min(max(s.subset.size, to-from), len(local)) {
+		local[(from+i)%len(local)].inSubset = true
 	}
 	return part
 }
--- a/balancer/tokenbucket_test.go
+++ b/balancer/tokenbucket_test.go
@@ -28,7 +28,8 @@
 }
 
 func TestTokenBucketExpiresWhatIsNotSaved(t *testing.T) {
-	for _, c := range []struct{ tokens, maxSaved, want float64 }{{0.5, 0.5, 0.5}, {1.5, 0.5, 1.5}, {1.75, 0.5, 0.75}, {7.25, 2, 2.25}} {
+	for _, c := range []struct{ tokens, maxSaved, want float64 }{{0.5, 0.5, 0.5}, {1.5, 0.5, 1.5}, {1.75, 0.5, 0.75},
+		{7.25, 2, 2.25}} {
 		bucket := tokenBucket{tokens: c.tokens}
 		if got := bucket.fillExpiring(0, 1, c.maxSaved); got != c.want {
 			t.Errorf("%v tokens, %v saved: %v left, want %v", c.tokens, c.maxSaved, got, c.want)
--- a/balancer/warmup_test.go
+++ b/balancer/warmup_test.go
@@ -24,7 +24,8 @@
 	for now := start; now < born+8*time.Second; now += step {
 		for _, h := range hosts {
 			if h.now = now; now == born {
-				h.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 99, State: Ready, StartedAt: born}}})
+				h.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges,
+					Endpoints: []Endpoint{{ID: 99, State: Ready, StartedAt: born}}})
 			}
 			id, actions := h.arrive(0)
 			if only(t, actions, Send).Endpoint == 99 {
@@ -43,7 +44,8 @@
 				sent++
 			}
 		}
-		capacity := float64(replicas*perSecond) / endpoints * (cfg.Contract.InitialCapacity + (1-cfg.Contract.InitialCapacity)*float64(from)/float64(cfg.Contract.WarmUpPeriod))
+		initial, age := cfg.Contract.InitialCapacity, float64(from)/float64(cfg.Contract.WarmUpPeriod)
+		capacity := float64(replicas*perSecond) / endpoints * (initial + (1-initial)*age)
 		if budget := cfg.Contract.OverloadMultiple * capacity * span.Seconds(); float64(sent) > budget {
 			t.Errorf("%v after its start: %d attempts within %v, budget %.1f", from, sent, span, budget)
 		}
@@ -83,7 +85,8 @@
 		cfg.ReplicaIndex = i
 		h := newHost(t, cfg, readyList(10)...)
 		h.b.random.state = uint64(i) << 20
-		h.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: []Endpoint{{ID: 99, State: Ready, StartedAt: h.now}}})
+		h.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges,
+			Endpoints: []Endpoint{{ID: 99, State: Ready, StartedAt: h.now}}})
 		h.now += 3 * time.Second
 		if s := h.b.endpoints.byID[99]; s.inSubset && h.b.endpoints.withinWarmUpBudget(s, h.b.now) {
 			ready++
--- a/simadapter/reader_test.go
+++ b/simadapter/reader_test.go
@@ -29,7 +29,8 @@
 		t.Errorf("second entry %+v, want %+v", list.Endpoints[1], second)
 	}
 	end := recs[1].Event
-	if end.Outcome != balancer.OK || !end.RequestClosed || end.Elapsed != 18500*time.Microsecond || end.Endpoint != sampleEndpoint {
+	if end.Outcome != balancer.OK || !end.RequestClosed || end.Elapsed != 18500*time.Microsecond ||
+		end.Endpoint != sampleEndpoint {
 		t.Errorf("end %+v", end)
 	}
 	var w Reply
@@ -49,12 +50,16 @@
 		name, hex string
 		want      Record
 	}{
-		{"init", "10 0700 0102030405060708 03000000 613d62", Record{Kind: Start, Instance: 7, Seed: 0x0807060504030201, Settings: "a=b"}},
+		{"init", "10 0700 0102030405060708 03000000 613d62",
+			Record{Kind: Start, Instance: 7, Seed: 0x0807060504030201, Settings: "a=b"}},
 		{"stop", "19 0700", Record{Kind: Stop, Instance: 7}},
 		{"begun", "13 0100 0500000000000000 02 0a124a07931f e8030000", Record{Instance: 1, Event: balancer.Event{
-			Kind: balancer.StreamStarted, Request: 5, Attempt: 2, Endpoint: sampleEndpoint, Elapsed: time.Millisecond}}},
-		{"status", "17 0100 0a124a07931f 04 e8030000 01" + hex.EncodeToString(load), Record{Instance: 1, Event: balancer.Event{
-			Kind: balancer.ProbeEnded, Outcome: balancer.ConnectFailed, Endpoint: sampleEndpoint, Elapsed: time.Millisecond, LoadReport: []float32{0.5}}}},
+			Kind: balancer.StreamStarted, Request: 5, Attempt: 2, Endpoint: sampleEndpoint,
+			Elapsed: time.Millisecond}}},
+		{"status", "17 0100 0a124a07931f 04 e8030000 01" + hex.EncodeToString(load),
+			Record{Instance: 1, Event: balancer.Event{
+				Kind: balancer.ProbeEnded, Outcome: balancer.ConnectFailed, Endpoint: sampleEndpoint,
+				Elapsed: time.Millisecond, LoadReport: []float32{0.5}}}},
 		{"heard", "18 0100 09000000 0200 6869", Record{Instance: 1, Event: balancer.Event{
 			Kind: balancer.PeerMessageReceived, Peer: 9, Payload: []byte("hi")}}},
 		{"failed list", "11 0100 02 0000000000000000 63", Record{Instance: 1, Event: balancer.Event{
@@ -86,14 +91,15 @@
 
 func TestMalformedInputIsExplained(t *testing.T) {
 	for name, c := range map[string]struct{ hex, want string }{
-		"short header":   {"08000000 0000000000000000", "shorter than its header"},
-		"cut frame":      {"20000000 5a5c", "ends at byte 2 of 32"},
-		"cut length":     {"2000", "length of the next frame"},
-		"unknown code":   {"11000000 0100000000000000 01000000 01000000 c8", "record code 200"},
-		"cut record":     {"13000000 0100000000000000 01000000 01000000 120300", "ends early"},
-		"left over":      {"12000000 0100000000000000 00000000 01000000 0000", "2 bytes after the last record"},
-		"undefined list": {"1d000000 0100000000000000 01000000 01000000 11 0300 01 2900000000000000 05", "never defined"},
-		"long list":      {"16000000 0100000000000000 01000000 01000000 1a 00 ffffffff", "ends early"},
+		"short header": {"08000000 0000000000000000", "shorter than its header"},
+		"cut frame":    {"20000000 5a5c", "ends at byte 2 of 32"},
+		"cut length":   {"2000", "length of the next frame"},
+		"unknown code": {"11000000 0100000000000000 01000000 01000000 c8", "record code 200"},
+		"cut record":   {"13000000 0100000000000000 01000000 01000000 120300", "ends early"},
+		"left over":    {"12000000 0100000000000000 00000000 01000000 0000", "2 bytes after the last record"},
+		"undefined list": {"1d000000 0100000000000000 01000000 01000000 11 0300 01 2900000000000000 05",
+			"never defined"},
+		"long list": {"16000000 0100000000000000 01000000 01000000 1a 00 ffffffff", "ends early"},
 	} {
 		_, err := readAll(NewReader(bytes.NewReader(unhex(t, c.hex))))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
--- a/simadapter/reply_test.go
+++ b/simadapter/reply_test.go
@@ -37,7 +37,8 @@
 		who uint16
 		act balancer.Action
 	}{
-		{3, balancer.Action{Kind: balancer.Send, Request: 0x5f325d3a91c4, Timeout: 80 * time.Millisecond, Endpoint: sampleEndpoint}},
+		{3, balancer.Action{Kind: balancer.Send, Request: 0x5f325d3a91c4, Timeout: 80 * time.Millisecond,
+			Endpoint: sampleEndpoint}},
 		{3, balancer.Action{Kind: balancer.SetTimer, Delay: 500 * time.Millisecond, Token: 77}},
 		{5, balancer.Action{Kind: balancer.Log, Text: "two servers known"}},
 	} {
@@ -56,7 +57,8 @@
 		act balancer.Action
 		hex string
 	}{
-		{balancer.Action{Kind: balancer.Shed, Request: 5, RetryAfter: time.Millisecond}, "58 0100 0500000000000000 e8030000"},
+		{balancer.Action{Kind: balancer.Shed, Request: 5, RetryAfter: time.Millisecond},
+			"58 0100 0500000000000000 e8030000"},
 		{balancer.Action{Kind: balancer.Fail, Request: 5}, "51 0100 0500000000000000"},
 		{balancer.Action{Kind: balancer.Cancel, Request: 5, Attempt: 2}, "59 0100 0500000000000000 02"},
 		{balancer.Action{Kind: balancer.Probe, Endpoint: sampleEndpoint}, "50 0100 0a124a07931f"},
@@ -76,7 +78,8 @@
 	}
 	var w Reply
 	w.Begin(1)
-	if w.Add(1, &balancer.Action{}) == nil || w.Add(1, &balancer.Action{Kind: balancer.SendToPeer, Payload: make([]byte, 257)}) == nil {
+	if w.Add(1, &balancer.Action{}) == nil ||
+		w.Add(1, &balancer.Action{Kind: balancer.SendToPeer, Payload: make([]byte, 257)}) == nil {
 		t.Error("an action that the protocol cannot carry was accepted")
 	}
 	w.Abort(1, "no")
--- a/simadapter/settings_test.go
+++ b/simadapter/settings_test.go
@@ -47,9 +47,10 @@
 		},
 		Tenants: []balancer.Tenant{{Name: "x_y", Quota: 49}}, ReplicaCount: 3, Tier: 1, Tiers: 3,
 		Subscribe: true, WeightByWork: true, LoadReportNames: []string{"pending", "cpu_share"},
-		Limits:   balancer.Limits{MaxAttempts: 5, AllowCancel: true},
-		Contract: balancer.Contract{InitialCapacity: 0.13, WarmUpPeriod: 23 * time.Second, OnlyDrainingBinds: true, KeyQuarantine: 50 * time.Millisecond},
-		Goal:     balancer.Goal{LogLossWeight: 0.2, TopNines: 3},
+		Limits: balancer.Limits{MaxAttempts: 5, AllowCancel: true},
+		Contract: balancer.Contract{InitialCapacity: 0.13, WarmUpPeriod: 23 * time.Second, OnlyDrainingBinds: true,
+			KeyQuarantine: 50 * time.Millisecond},
+		Goal: balancer.Goal{LogLossWeight: 0.2, TopNines: 3},
 	}
 	if err != nil || !reflect.DeepEqual(cfg, want) {
 		t.Errorf("%v\ngot  %+v\nwant %+v", err, cfg, want)
