--- a/balancer/warmup_test.go
+++ b/balancer/warmup_test.go
@@ -44,8 +44,8 @@
 				sent++
 			}
 		}
-		initial, age := cfg.Contract.InitialCapacity, float64(from)/float64(cfg.Contract.WarmUpPeriod)
-		capacity := float64(replicas*perSecond) / endpoints * (initial + (1-initial)*age)
+		initial, warmUp := cfg.Contract.InitialCapacity, float64(cfg.Contract.WarmUpPeriod)
+		capacity := float64(replicas*perSecond) / endpoints * (initial + (1-initial)*float64(from)/warmUp)
 		if budget := cfg.Contract.OverloadMultiple * capacity * span.Seconds(); float64(sent) > budget {
 			t.Errorf("%v after its start: %d attempts within %v, budget %.1f", from, sent, span, budget)
 		}
