--- a/balancer/requeststate.go
+++ b/balancer/requeststate.go
@@ -12,12 +12,13 @@
 	class      *Class
 	priority   float64       // weight against the highest
 	deadline   time.Duration // an answer after this is worth nothing
-	answered   bool
-	attempts   []*endpoint // of the attempts so far, in order; they may be forgotten since
+	attempts   []*endpoint   // of the attempts so far, in order; they may be forgotten since
+	sentAt     time.Duration // when the latest attempt was sent
+	sentTo     Endpoint      // as it was listed then
 
-	open   bool // the latest attempt is in flight
-	sentAt time.Duration
-	sentTo Endpoint // as listed when the latest attempt was sent
+	answered bool
+	open     bool // the latest attempt is in flight
+	late     bool // and marked late
 
 	// possiblyExecutedOn is the endpoint of the first attempt that may have been executed, as it was listed
 	// when that was sent, or nil. Another attempt of keyed work may go to its group until idempotencyExpiry.
@@ -29,7 +30,6 @@
 	startBy time.Duration // a first attempt after this comes too late
 
 	prev, next *request // in the attemptList of its class
-	late       bool     // the attempt in flight is marked late
 }
 
 // latest is the endpoint of the latest attempt.
