--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -6,55 +6,56 @@
 	"time"
 )
 
-// sizes are fleets at which costs are compared, copies and calls in flight grown
-// alike: three copies before fourteen servers.
+// sizes are the numbers of endpoints at which costs are compared, replicas and attempts in flight grown alike: three
+// replicas before fourteen endpoints.
 var sizes = []int{14, 140, 700, 7000}
 
-// BenchmarkDecision is one call from its arrival to its end, with the windows that
-// end on the way: pick, admit and tune.
+// BenchmarkDecision is one request from its arrival to its end, with the windows that end on the way: admission, the
+// choice of an endpoint and the limit.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			f := newFlow(b, size)
 			for range 4 * size {
-				f.turn()
+				f.replaceOldest()
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				f.turn()
+				f.replaceOldest()
 			}
 		})
 	}
 }
 
-// BenchmarkRefuse is an arrival that finds no room.
+// BenchmarkRefuse is a request that finds no free seat.
 func BenchmarkRefuse(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			f := newFlow(b, size)
-			f.n.b.maxIFR, f.n.b.ceiling, f.n.b.spare = 1, 1, -1
+			f.h.b.limiter.maxIFR, f.h.b.limiter.ceiling, f.h.b.limiter.burstCredit = 1, 1, -1
 			b.ReportAllocs()
 			for b.Loop() {
 				f.next++
-				f.out = f.n.b.Handle(f.n.now, Event{Kind: RequestArrived, Request: f.next, Remaining: 2 * time.Second}, f.out[:0])
+				f.out = f.h.b.Handle(f.h.now, Event{Kind: RequestArrived, Request: f.next, Remaining: 2 * time.Second},
+					f.out[:0])
 			}
 		})
 	}
 }
 
-// BenchmarkWindow is the end of a window in which most calls are overdue.
+// BenchmarkWindow is the end of a window in which most attempts are overdue.
 func BenchmarkWindow(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			f := newFlow(b, size)
-			for f.n.b.ifr < 12 && f.n.b.ifr < int(f.n.b.maxIFR) {
+			for f.h.b.attempts.inFlight < 12 && f.h.b.attempts.inFlight < int(f.h.b.limiter.maxIFR) {
 				f.arrive()
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				f.n.now += time.Second
-				f.n.b.seen = minRequests
-				f.out = f.n.b.Handle(f.n.now, Event{Kind: TimerFired, Token: 1}, f.out[:0])
+				f.h.now += time.Second
+				f.h.b.limiter.window.count = minRequests
+				f.out = f.h.b.Handle(f.h.now, Event{Kind: TimerFired, Token: 1}, f.out[:0])
 			}
 		})
 	}
@@ -66,28 +67,29 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			f := newFlow(b, size)
 			states := []EndpointState{Draining, Ready}
-			list := []Endpoint{up(1)}
+			list := []Endpoint{ready(1)}
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
 				i++
 				list[0].State = states[i%2]
-				f.out = f.n.b.Handle(f.n.now, Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: list}, f.out[:0])
+				f.out = f.h.b.Handle(f.h.now, Event{Kind: EndpointListUpdated, ListKind: ListChanges, Endpoints: list},
+					f.out[:0])
 			}
 		})
 	}
 }
 
-// BenchmarkMemory tells the bytes that a Balancer takes for each server.
+// BenchmarkMemory shows the bytes that a Balancer takes for each endpoint.
 func BenchmarkMemory(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			list := fleet(size)
+			list := readyList(size)
 			b.ReportAllocs()
 			for b.Loop() {
-				newNode(b, testConfig(), list...)
+				newHost(b, testConfig(), list...)
 			}
-			b.ReportMetric(float64(size), "servers")
+			b.ReportMetric(float64(size), "endpoints")
 		})
 	}
 }
