--- a/balancer/limiter_test.go
+++ b/balancer/limiter_test.go
@@ -382,3 +382,25 @@
 		}
 	}
 }
+
+// More answers in one window than it holds samples, while most busy endpoints have attempts beyond Lmax.
+func TestWindowFullOfSamplesWhileMostEndpointsAreOverdue(t *testing.T) {
+	h := newHost(t, testConfig(), readyList(2)...)
+	h.b.limiter.maxIFR = 20
+	for range 16 {
+		h.arrive(0)
+	}
+	h.now += 900 * ms // both endpoints have attempts beyond Lmax
+	h.handle(Event{Kind: TimerFired, Token: 9})
+	for range maxSamples + 44 {
+		h.b.limiter.maxIFR = 40
+		id, actions := h.arrive(4)
+		only(t, actions, Send)
+		h.handle(Event{Kind: AttemptEnded, Request: id, RequestClosed: true, Elapsed: ms})
+	}
+	h.now += time.Second
+	h.handle(Event{Kind: TimerFired, Token: 9})
+	if h.b.limiter.window.count != 0 {
+		t.Errorf("%d samples are left of a window that has ended", h.b.limiter.window.count)
+	}
+}
--- a/balancer/samples.go
+++ b/balancer/samples.go
@@ -20,8 +20,11 @@
 // room is how many more fit in before the oldest are overwritten.
 func (w *sampleWindow) room() int { return max(maxSamples-w.count, 0) }
 
-// fill puts in as many latencies as there is room for.
+// fill puts in as many latencies as there is room for, which is none once the oldest are overwritten.
 func (w *sampleWindow) fill(latencies []float64) {
+	if w.room() == 0 {
+		return
+	}
 	w.count += copy(w.values[w.count:], latencies)
 }
 
