--- a/internal/seedrand/seedrand.go
+++ b/internal/seedrand/seedrand.go
@@ -1,5 +1,5 @@
-// Package seedrand is a seeded source of random numbers and hashes of names, for packages that decide: a source is copied
-// with its owner, and the same seed gives the same numbers in every version of the program.
+// Package seedrand is a seeded source of random numbers and hashes of names, for packages that decide: a source is
+// copied with its owner, and the same seed gives the same numbers in every version of the program.
 package seedrand
 
 // Source is splitmix64 (Steele, Lea, Flood: "Fast Splittable Pseudorandom Number
