--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -5,7 +5,7 @@
 	quotaBurst    = 2.0 // seconds of quota that a tenant may save up
 )
 
-// admits reports whether r finds a free seat. At the front the lowest priorities meet a lower limit, and so
+// admits reports whether r finds a free slot. At the front the lowest priorities meet a lower limit, and so
 // does a class that fails more than others: one that hangs everywhere would fill the limit with attempts that
 // come to nothing. Harm: the class of the lowest priority may fare much worse.
 func (b *Balancer) admits(r *request) bool {
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// BenchmarkRefuse is a request that finds no free seat.
+// BenchmarkRefuse is a request that finds no free slot.
 func BenchmarkRefuse(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -5,7 +5,7 @@
 const rememberPeriods = 2.0 // warm-up periods that an endpoint is known after it was last listed, or served
 
 // usable reports whether e may be sent to. Where only draining binds, a list that leaves it out is believed
-// as long as attempts agree: once named and not seen draining it stays a candidate, a seat behind until it
+// as long as attempts agree: once named and not seen draining it stays a candidate, a slot behind until it
 // has served, last once an attempt has failed. Harm: attempts to what is really gone.
 func (s *endpointSet) usable(e *endpoint, now time.Duration) bool {
 	return e.State == Ready || s.trusted(e) && s.remembered(e, now)
@@ -21,13 +21,13 @@
 	return e.inFlight > 0 || s.cfg.Contract.OnlyDrainingBinds && now-e.lastKnownAt < span
 }
 
-// suspicion is by how many half seats e ranks behind its peers, for being called gone or not in the subset.
+// suspicion is by how many half slots e ranks behind its peers, for being called gone or not in the subset.
 func (e *endpoint) suspicion() int {
 	switch {
 	case e.State != Ready && e.lastResult == resultFailed:
-		return rankPerSeat * maxPenalty
+		return rankPerSlot * maxPenalty
 	case e.State != Ready && e.lastResult == resultUnknown || !e.inSubset:
-		return rankPerSeat
+		return rankPerSlot
 	}
 	return 0
 }
--- a/balancer/endpointlist_test.go
+++ b/balancer/endpointlist_test.go
@@ -98,7 +98,7 @@
 	h := newWrongListHost(t, false)
 	h.b.limiter.maxIFR = 12
 	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull})
-	if h.b.limiter.maxIFR != 12 || h.b.limiter.ceiling != maxSeats*10 {
+	if h.b.limiter.maxIFR != 12 || h.b.limiter.ceiling != maxSlots*10 {
 		t.Errorf("limit %v of %v", h.b.limiter.maxIFR, h.b.limiter.ceiling)
 	}
 	_, actions := h.arrive(4)
--- a/balancer/endpointstate.go
+++ b/balancer/endpointstate.go
@@ -27,7 +27,7 @@
 	inSubset     bool // of the endpoints that this replica keeps to
 	rank         int  // in the index, or unranked
 	rankPosition int  // there
-	rankPenalty  int  // half seats by which it ranks behind its peers, but for its health
+	rankPenalty  int  // half slots by which it ranks behind its peers, but for its health
 }
 
 // newEndpoint returns the state of an endpoint that no list has named before.
@@ -43,7 +43,7 @@
 
 // health is what attempts found out of an endpoint of late. It decays.
 type health struct {
-	penalty         float64 // seats that failures hold, as of updatedAt
+	penalty         float64 // slots that failures hold, as of updatedAt
 	relativeLatency float64 // against its peers' mean, as of updatedAt; 1 is as fast as they
 	updatedAt       time.Duration
 }
--- a/balancer/explore_test.go
+++ b/balancer/explore_test.go
@@ -446,7 +446,7 @@
 		{Name: "a served request is answered once more", File: "request.go",
 			From: "\tr.answered = r.answered || event.RequestClosed\n",
 			To:   "\tr.answered = r.answered || event.RequestClosed && event.Outcome != OK\n"},
-		{Name: "an ended attempt holds its seat", File: "attempts.go", From: "\te.inFlight--\n\tt.inFlight--\n",
+		{Name: "an ended attempt holds its slot", File: "attempts.go", From: "\te.inFlight--\n\tt.inFlight--\n",
 			To: "\te.inFlight--\n"},
 		{Name: "an ended attempt holds its endpoint", File: "attempts.go", From: "\te.inFlight--\n\tt.inFlight--\n",
 			To: "\tt.inFlight--\n"},
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	maxPenalty      = 15.0 // seats that failures can hold: bounds how long a healed endpoint is avoided
+	maxPenalty      = 15.0 // slots that failures can hold: bounds how long a healed endpoint is avoided
 	penaltyHalfLife = 2.0  // in latency objectives
 	latencyGain     = 0.25 // weight of the newest answer in an endpoint's relative latency
 	averageGain     = 0.05 // weight of the newest answer in a class's typical latency and error rate
@@ -11,8 +11,8 @@
 )
 
 // recordOutcome records what the end of an attempt says of its endpoint and class. A failed attempt goes
-// on holding its seat for a while, and more with each that follows, or an endpoint that errs quickly would be
-// idle always. What all endpoints fail at holds less of a seat, so that a failure of all excludes none.
+// on holding its slot for a while, and more with each that follows, or an endpoint that errs quickly would be
+// idle always. What all endpoints fail at holds less of a slot, so that a failure of all excludes none.
 func (b *Balancer) recordOutcome(e *endpoint, class int, outcome Outcome, elapsed time.Duration) {
 	penalty, relativeLatency := e.health.at(b.now, b.endpoints.halfLife)
 	blame := max(0, 1-2*b.stats.errorRate[class])
@@ -29,7 +29,7 @@
 	case Error, Rejected:
 		penalty = min(penalty+blame*(penalty+1), maxPenalty)
 		if penalty == maxPenalty && e.health.penalty < maxPenalty/2 {
-			b.logf("server %x: keeps failing (%v), shunned", uint64(e.ID), outcome)
+			b.logf("endpoint %x keeps failing (%v): it gets few attempts", uint64(e.ID), outcome)
 		}
 	}
 	typical := &b.stats.typicalLatency[class]
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A quick error frees its seat at once and would draw the next attempt: it goes on holding it.
-func TestFailedAttemptsHoldTheirSeat(t *testing.T) {
+// A quick error frees its slot at once and would draw the next attempt: it goes on holding it.
+func TestFailedAttemptsHoldTheirSlot(t *testing.T) {
 	for _, o := range []Outcome{Error, Timeout, ConnectFailed, Reset, Rejected} {
 		cfg := testConfig()
 		cfg.Limits.MaxAttempts = 1
@@ -22,7 +22,7 @@
 		h.now += time.Minute
 		h.handle(Event{Kind: TimerFired})
 		if penalty, _ := h.b.endpoints.byID[bad].health.at(h.b.now, h.b.endpoints.halfLife); penalty > 0.01 {
-			t.Errorf("outcome %d: still holds %v seats a minute later", o, penalty)
+			t.Errorf("outcome %d: still holds %v slots a minute later", o, penalty)
 		}
 	}
 }
@@ -38,7 +38,7 @@
 	only(t, actions, Send)
 }
 
-func TestSlowEndpointsHoldSeats(t *testing.T) {
+func TestSlowEndpointsHoldSlots(t *testing.T) {
 	h := newHost(t, testConfig(), readyList(2)...)
 	h.b.stats.typicalLatency[0] = 0.05
 	slow := h.b.endpoints.byID[1]
@@ -52,13 +52,13 @@
 	}
 	h.now += time.Minute
 	h.handle(Event{Kind: TimerFired})
-	if _, left := slow.health.at(h.b.now, h.b.endpoints.halfLife); left >= slownessPerSeat {
-		t.Errorf("a minute later %v times slower, which still holds seats", left)
+	if _, left := slow.health.at(h.b.now, h.b.endpoints.halfLife); left >= slownessPerSlot {
+		t.Errorf("a minute later %v times slower, which still holds slots", left)
 	}
 }
 
-// Where answers are lost everywhere each timeout once held seats, by chance, and attempts crowded elsewhere.
-func TestWhatAllEndpointsFailAtHoldsNoSeats(t *testing.T) {
+// Where answers are lost everywhere each timeout once held slots, by chance, and attempts crowded elsewhere.
+func TestWhatAllEndpointsFailAtHoldsNoSlots(t *testing.T) {
 	h := newHost(t, testConfig(), readyList(8)...)
 	for range 60 {
 		id, _ := h.arrive(4)
@@ -69,7 +69,7 @@
 	s := h.b.endpoints.byID[only(t, actions, Send).Endpoint]
 	h.end(id, 0, Timeout, time.Second)
 	if penalty, _ := s.health.at(h.b.now, h.b.endpoints.halfLife); penalty > 0.1 {
-		t.Errorf("a timeout among many holds %.2f seats", penalty)
+		t.Errorf("a timeout among many holds %.2f slots", penalty)
 	}
 }
 
--- a/balancer/index_test.go
+++ b/balancer/index_test.go
@@ -145,7 +145,7 @@
 			got := h.b.endpoints.pick(h.b.now, r, h.b.random.float64())
 			rank := func(e *endpoint) int {
 				penalty, slowness := e.health.at(h.b.now, h.b.endpoints.halfLife)
-				return 2*int(float64(e.inFlight)+penalty+math.Floor(slowness/slownessPerSeat)) + e.suspicion()
+				return 2*int(float64(e.inFlight)+penalty+math.Floor(slowness/slownessPerSlot)) + e.suspicion()
 			}
 			if got == nil || rank(got) > rank(want) {
 				worse++
--- a/balancer/limiter.go
+++ b/balancer/limiter.go
@@ -17,10 +17,10 @@
 	lmaxShareInTime    = 0.55  // and more of it where late answers are worth nothing: jams cost all then
 	backoffRatio       = 0.9   // a cut; windows are short, and several in one objective still fall fast
 	minBackoff         = 0.5   // of the cuts for several windows at once
-	maxSeats           = 10.0  // maxConcurrencyLimit an endpoint: on calm days it must not bind
-	initialSeats       = 8.0   // initialConcurrencyLimit an endpoint: more is for when peers are away,
-	initialSeatsInTime = 4.0   // and less where late answers are worth nothing: a start that jams loses all
-	minSeats           = 1.0   // minConcurrencyLimit an endpoint: less would leave endpoints idle
+	maxSlots           = 10.0  // maxConcurrencyLimit an endpoint: on calm days it must not bind
+	initialSlots       = 8.0   // initialConcurrencyLimit an endpoint: more is for when peers are away,
+	initialSlotsInTime = 4.0   // and less where late answers are worth nothing: a start that jams loses all
+	minSlots           = 1.0   // minConcurrencyLimit an endpoint: less would leave endpoints idle
 	maxStep            = 0.1   // growth is 1, or this part of the ceiling if less: many replicas grow at once
 	burstAllowance     = 3.0   // attempts above the limit that chance may bunch,
 	maxDebt            = 8.0   // and, in limits below 1, that may be owed;
@@ -32,10 +32,10 @@
 type limiter struct {
 	maxIFR, floor, ceiling float64
 	lmax                   float64
-	initialSeats           float64
+	initialSlots           float64
 	objective              time.Duration // the shortest of a class
 
-	burstCredit float64 // seats unused of late, negative if overdrawn
+	burstCredit float64 // slots unused of late, negative if overdrawn
 	creditAt    time.Duration
 	window      sampleWindow
 	windowEnd   time.Duration
@@ -46,7 +46,7 @@
 	tiersLeft := float64(cfg.Tiers-cfg.Tier) / float64(cfg.Tiers)
 	return limiter{
 		lmax:         (lmaxShareInTime + (lmaxShare-lmaxShareInTime)*late) * tiersLeft,
-		initialSeats: initialSeatsInTime + (initialSeats-initialSeatsInTime)*late,
+		initialSlots: initialSlotsInTime + (initialSlots-initialSlotsInTime)*late,
 		objective:    cfg.shortestObjective(),
 	}
 }
@@ -65,7 +65,7 @@
 	}
 }
 
-// accrueCredit saves up the seats that were not in use since the last call, and pays back overdrawn ones.
+// accrueCredit saves up the slots that were not in use since the last call, and pays back overdrawn ones.
 func (l *limiter) accrueCredit(now time.Duration, occupied int) {
 	unused := (l.maxIFR - float64(occupied)) * float64(now-l.creditAt)
 	l.burstCredit += unused / float64(l.objective) / creditWindow
@@ -101,15 +101,15 @@
 	}
 }
 
-// resize keeps the limit's seats an endpoint when this replica's part of the endpoints changes. The first
+// resize keeps the limit's slots an endpoint when this replica's part of the endpoints changes. The first
 // limit is initialConcurrencyLimit: a higher one is cut within an objective, a lower one starves.
 func (l *limiter) resize(endpoints float64) {
 	if l.ceiling > 0 {
-		l.maxIFR *= maxSeats * endpoints / l.ceiling
+		l.maxIFR *= maxSlots * endpoints / l.ceiling
 	}
-	l.floor, l.ceiling = minSeats*endpoints, maxSeats*endpoints
+	l.floor, l.ceiling = minSlots*endpoints, maxSlots*endpoints
 	if l.maxIFR == 0 {
-		l.maxIFR = l.initialSeats * endpoints
+		l.maxIFR = l.initialSlots * endpoints
 	}
 	l.maxIFR = min(max(l.maxIFR, l.floor), l.ceiling)
 }
--- a/balancer/limiter_test.go
+++ b/balancer/limiter_test.go
@@ -19,11 +19,11 @@
 func TestLimitFollowsLatency(t *testing.T) {
 	h := newHost(t, testConfig(), readyList(10)...)
 	b := h.b
-	if b.limiter.maxIFR != initialSeats*10 || b.limiter.floor != 10 || b.limiter.ceiling != maxSeats*10 {
+	if b.limiter.maxIFR != initialSlots*10 || b.limiter.floor != 10 || b.limiter.ceiling != maxSlots*10 {
 		t.Fatalf("initial %v, floor %v, ceiling %v", b.limiter.maxIFR, b.limiter.floor, b.limiter.ceiling)
 	}
 	endWindow(h, 900*ms)
-	if b.limiter.maxIFR != initialSeats*10*backoffRatio {
+	if b.limiter.maxIFR != initialSlots*10*backoffRatio {
 		t.Errorf("above Lmax: %v", b.limiter.maxIFR)
 	}
 	was := b.limiter.maxIFR
@@ -65,16 +65,16 @@
 	}
 }
 
-// A release takes endpoints out and brings others: the limit keeps its seats an endpoint, or it regrows by one a
+// A release takes endpoints out and brings others: the limit keeps its slots an endpoint, or it regrows by one a
 // window while requests are shed. A quiet front, some 20 answers a second, ends a window within half of one.
 func TestLimitFollowsTheNumberOfEndpoints(t *testing.T) {
 	h := newHost(t, testConfig(), readyList(8)...)
 	endWindow(h, 900*ms)
-	seats := h.b.limiter.maxIFR / 8
+	slots := h.b.limiter.maxIFR / 8
 	for _, endpoints := range []int{4, 2, 6, 8} {
 		h.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: readyList(endpoints)})
-		if got := h.b.limiter.maxIFR / float64(endpoints); got < 0.999*seats || got > 1.001*seats {
-			t.Errorf("%d endpoints: %v seats each, want %v", endpoints, got, seats)
+		if got := h.b.limiter.maxIFR / float64(endpoints); got < 0.999*slots || got > 1.001*slots {
+			t.Errorf("%d endpoints: %v slots each, want %v", endpoints, got, slots)
 		}
 	}
 	was := h.b.limiter.maxIFR
@@ -88,7 +88,7 @@
 }
 
 // While its peer restarts, a replica carries more than its load: its limit must be able to grow, yet not to twice
-// as much, at which gateways jam (0.27 at 16 seats).
+// as much, at which gateways jam (0.27 at 16 slots).
 func TestLimitOfOneReplicaGrowsWhileItsPeerIsAway(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tiers, cfg.ReplicaCount = 3, 2
@@ -96,7 +96,7 @@
 	for range 60 {
 		endWindow(h, 500*ms)
 	}
-	if got := h.b.limiter.maxIFR; got < 1.2*initialSeats*3 {
+	if got := h.b.limiter.maxIFR; got < 1.2*initialSlots*3 {
 		t.Errorf("the limit grows to %v only", got)
 	}
 }
@@ -108,12 +108,12 @@
 	}
 	h.now += time.Minute
 	h.handle(Event{Kind: TimerFired})
-	if h.b.limiter.maxIFR != initialSeats*10 {
+	if h.b.limiter.maxIFR != initialSlots*10 {
 		t.Fatalf("limit moved to %v on too few samples", h.b.limiter.maxIFR)
 	}
 	h.b.limiter.window.addLatency(900*ms, h.b.cfg.Classes[0].LatencyObjective)
 	h.handle(Event{Kind: TimerFired})
-	if h.b.limiter.maxIFR >= initialSeats*10 {
+	if h.b.limiter.maxIFR >= initialSlots*10 {
 		t.Errorf("limit stayed at %v: samples were lost", h.b.limiter.maxIFR)
 	}
 }
@@ -121,16 +121,16 @@
 // The bounds were once set before the first list, and the limit began at its floor. It is half as high where no
 // class's late answers are worth anything: see kochi-orders in docs/results/rare.
 func TestInitialLimitComesWithTheFirstList(t *testing.T) {
-	for _, c := range []struct{ late, seats float64 }{{0.5, initialSeats}, {0.01, initialSeats}, {7, initialSeats},
-		{0, initialSeatsInTime}} {
+	for _, c := range []struct{ late, slots float64 }{{0.5, initialSlots}, {0.01, initialSlots}, {7, initialSlots},
+		{0, initialSlotsInTime}} {
 		cfg := testConfig()
 		for i := range cfg.Classes {
 			cfg.Classes[i].LateWeight = c.late
 		}
 		h := newHost(t, cfg)
 		h.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: readyList(20)})
-		if h.b.limiter.maxIFR != c.seats*20 {
-			t.Errorf("late answers worth %v: limit %v, want %v", c.late, h.b.limiter.maxIFR, c.seats*20)
+		if h.b.limiter.maxIFR != c.slots*20 {
+			t.Errorf("late answers worth %v: limit %v, want %v", c.late, h.b.limiter.maxIFR, c.slots*20)
 		}
 	}
 }
@@ -166,7 +166,7 @@
 
 // Replicas that outnumber the endpoints have limits of a few attempts or less. Rounded up to whole attempts, or to
 // a least number of them, these once added up to several times what the endpoints bear.
-func TestSmallLimitsAddUpToTheSeatsOfTheEndpoints(t *testing.T) {
+func TestSmallLimitsAddUpToTheSlotsOfTheEndpoints(t *testing.T) {
 	for _, replicas := range []int{1, 3, 40, 300} {
 		const endpoints, step = 30, 10 * ms
 		cfg := testConfig()
@@ -204,8 +204,8 @@
 			}
 		}
 		mean := float64(held) / float64(steps) * float64(replicas) / float64(len(hosts))
-		if mean > 1.1*maxSeats*endpoints || mean < 0.8*initialSeats*endpoints {
-			t.Errorf("%d replicas hold %.0f attempts on average, want up to %.0f", replicas, mean, maxSeats*endpoints)
+		if mean > 1.1*maxSlots*endpoints || mean < 0.8*initialSlots*endpoints {
+			t.Errorf("%d replicas hold %.0f attempts on average, want up to %.0f", replicas, mean, maxSlots*endpoints)
 		}
 	}
 }
@@ -260,7 +260,7 @@
 }
 
 // A quiet replica must bear attempts that chance bunches, and pays them back.
-func TestUnusedSeatsAreSaved(t *testing.T) {
+func TestUnusedSlotsAreSaved(t *testing.T) {
 	cfg := testConfig()
 	cfg.ReplicaCount = 80
 	h := newHost(t, cfg, readyList(10)...)
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -9,11 +9,11 @@
 	maxExactScan    = 128 // endpoints among which the best is picked; of more so many of a rank are scanned:
 	maxScanned      = 20  // enough that none picked ranks worse, as measured, though it may be slower
 	warmingUpRank   = 0
-	rankPerSeat     = 2   // half seats decide among equals
-	slownessPerSeat = 1.5 // an endpoint this much slower than its peers holds a seat, twice as much two
+	rankPerSlot     = 2   // half slots decide among equals
+	slownessPerSlot = 1.5 // an endpoint this much slower than its peers holds a slot, twice as much two
 )
 
-// pick returns the endpoint for the next attempt of r, or nil: the one with the fewest seats taken by
+// pick returns the endpoint for the next attempt of r, or nil: the one with the fewest slots taken by
 // attempts, failures or slowness. Of equals those that warm up come first, then those of the own zone, then
 // the fastest. It ends at a rank that can hold no better one. Harm: of many endpoints it scans a sample.
 func (s *endpointSet) pick(now time.Duration, r *request, random float64) *endpoint {
@@ -51,7 +51,7 @@
 		if !s.usable(e, now) || !best.request.mayUse(e, now) || !s.withinWarmUpBudget(e, now) {
 			continue
 		}
-		rank := e.rankPenalty + rankPerSeat*e.inFlight
+		rank := e.rankPenalty + rankPerSlot*e.inFlight
 		if s.loadShare(e, now) < 1 {
 			rank--
 		}
@@ -59,7 +59,7 @@
 			continue // health makes no rank better, and a decaying slowness ends at 1
 		}
 		penalty, latency := e.health.at(now, s.halfLife)
-		rank += rankPerSeat * int(penalty+math.Floor(latency/slownessPerSeat))
+		rank += rankPerSlot * int(penalty+math.Floor(latency/slownessPerSlot))
 		if rank > best.rank || rank == best.rank && latency > best.relativeLatency {
 			continue
 		}
@@ -70,13 +70,13 @@
 }
 
 // updateRank moves e to the rank, and one, that its attempts in flight and its rank penalty give it; health
-// comes on top in scans. Endpoints of the subset that warm up come half a seat before: rank 0 is theirs.
+// comes on top in scans. Endpoints of the subset that warm up come half a slot before: rank 0 is theirs.
 func (s *endpointSet) updateRank(e *endpoint, now time.Duration) {
 	e.rankPenalty = e.suspicion()
 	if s.subset.zoneLocal && e.Zone != s.cfg.Zone {
 		e.rankPenalty++
 	}
-	rank := 1 + e.rankPenalty + rankPerSeat*e.inFlight
+	rank := 1 + e.rankPenalty + rankPerSlot*e.inFlight
 	if !s.trusted(e) {
 		rank = unranked
 	} else if e.inSubset && s.loadShare(e, now) < 1 {
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	subsetPerSeat = 0.7  // endpoints that a replica keeps to, for each attempt of its first limit,
+	subsetPerSlot = 0.7  // endpoints that a replica keeps to, for each attempt of its first limit,
 	minSubset     = 2.0  // but no fewer than these: all replicas that keep to one can fill it
 	minZoneShare  = 0.17 // of the endpoints that a zone must have for its replicas to keep to them
 )
@@ -44,7 +44,7 @@
 	if !s.subset.zoneLocal { // few must not get all
 		local = all
 	}
-	s.subset.size = int(math.Ceil(min(max(subsetPerSeat*initialSeats*part, minSubset), float64(len(local)))))
+	s.subset.size = int(math.Ceil(min(max(subsetPerSlot*initialSlots*part, minSubset), float64(len(local)))))
 	between := float64(len(local)) / replicas
 	from, to := int(float64(s.cfg.ReplicaIndex)*between), int(float64(s.cfg.ReplicaIndex+1)*between)
 	for i := range min(max(s.subset.size, to-from), len(local)) {
--- a/cmd/proxy/memory_test.go
+++ b/cmd/proxy/memory_test.go
@@ -63,7 +63,7 @@
 	var uploads atomic.Int64
 	for i := range consumers {
 		all.Go(func() {
-			for end := time.Now().Add(patience); i%3 == 0; { // refused is who finds no seat
+			for end := time.Now().Add(patience); i%3 == 0; { // refused is who finds no slot
 				if put(listen, fmt.Sprintf("up-%d-%d", i, time.Now().UnixNano()), size, i%2 == 0) {
 					uploads.Add(1)
 					return
--- a/cmd/proxy/start_test.go
+++ b/cmd/proxy/start_test.go
@@ -15,7 +15,7 @@
 
 // However the directory is when a proxy starts, it is ready with the list known before,
 // and serves; without one it says no at once.
-func TestReadyWhateverTheDirectoryDoes(t *testing.T) {
+func TestReadyWhateverDiscoveryDoes(t *testing.T) {
 	program := build(t)
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "fine") }))
 	t.Cleanup(backend.Close)
--- a/cmd/proxy/upgrade_test.go
+++ b/cmd/proxy/upgrade_test.go
@@ -139,7 +139,7 @@
 			t.Fatal(status)
 		}
 	}
-	for _, strange := range []string{"ryerill-0.word", filepath.Base(onlyWord(t, scratch)) + "-torn"} {
+	for _, strange := range []string{"ryerill-0.word", filepath.Base(onlyOverrideFile(t, scratch)) + "-torn"} {
 		if err := os.WriteFile(filepath.Join(scratch, strange), []byte(`{"format":"ry`), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -238,18 +238,18 @@
 	}
 }
 
-func onlyWord(t *testing.T, scratch string) string {
+func onlyOverrideFile(t *testing.T, scratch string) string {
 	t.Helper()
-	words, _ := filepath.Glob(filepath.Join(scratch, "ryerill-*.word"))
-	if len(words) != 1 {
-		t.Fatalf("%v", words)
+	files, _ := filepath.Glob(filepath.Join(scratch, "ryerill-*.word"))
+	if len(files) != 1 {
+		t.Fatalf("%v", files)
 	}
-	return words[0]
+	return files[0]
 }
 
-// A torn word is passed over and the next order is kept again; an order at one
-// process binds the other; a second process that can't start leaves the first one be.
-func TestWordBetweenProcesses(t *testing.T) {
+// A truncated override file is passed over and the next override is stored again; an override at one
+// process holds in the other; a second process that can't start leaves the first one be.
+func TestOverrideFileIsSharedByProcesses(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "fine") }))
 	defer backend.Close()
 	program, scratch, listen := build(t), t.TempDir(), freeAddress(t)
@@ -259,12 +259,12 @@
 	if status, _ := first.call(t, "POST", "drain/start", ""); status != 200 {
 		t.Fatal(status)
 	}
-	if err := os.WriteFile(onlyWord(t, scratch), []byte("{\"format\":"), 0o600); err != nil {
+	if err := os.WriteFile(onlyOverrideFile(t, scratch), []byte("{\"format\":"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	first.says(t, "override file malformed")
 	if status, _ := first.call(t, "GET", "readiness", ""); status != 503 {
-		t.Errorf("a torn file ended the drain: %d", status)
+		t.Errorf("a truncated file ended the drain: %d", status)
 	}
 	if status, _ := first.call(t, "POST", "backends/down", "s1"); status != 200 {
 		t.Error(status)
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// The door is off unless something names it; the environment goes before the file.
-func TestDoorIsNamed(t *testing.T) {
+// The management endpoint is off unless an address is set; the environment goes before the file.
+func TestAdminAddressFromFileOrEnvironment(t *testing.T) {
 	for _, tc := range []struct{ file, env, want, fault string }{
 		{``, "", "", ""},
 		{`"mgmt":"127.0.0.1:9100",`, "", "127.0.0.1:9100", ""},
--- a/downstream/lifecycle_test.go
+++ b/downstream/lifecycle_test.go
@@ -255,8 +255,8 @@
 }
 
 // A client that leaves while its request is open is noticed, whatever it has sent
-// behind it, and the request is called off once.
-func TestConsumersThatLeaveBehindMore(t *testing.T) {
+// behind it, and the request is cancelled once.
+func TestClientsThatLeaveAfterPipelining(t *testing.T) {
 	closes := func(c *net.TCPConn) { c.Close() }
 	resets := func(c *net.TCPConn) { c.SetLinger(0); c.Close() }
 	half := func(c *net.TCPConn) { c.CloseWrite() }
@@ -269,8 +269,8 @@
 				send(t, c, get(1, "")+strings.Repeat("x", more))
 				came(t, h.taken, "the request")
 				leave(c)
-				if got := came(t, h.left, "the consumer is gone"); got != 1 {
-					t.Errorf("ticket %d", got)
+				if got := came(t, h.left, "the client has left"); got != 1 {
+					t.Errorf("request %d", got)
 				}
 				h.serve(1) // too late: of no effect
 			})
@@ -279,7 +279,7 @@
 }
 
 // One that has sent much of a request that nobody reads yet is noticed too.
-func TestConsumersThatLeaveAnUploadBehind(t *testing.T) {
+func TestClientsThatLeaveDuringAnUpload(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){
 		"closes": func(c *net.TCPConn) { c.Close() }, "resets": func(c *net.TCPConn) { c.SetLinger(0); c.Close() }} {
 		t.Run(name, func(t *testing.T) {
@@ -289,7 +289,7 @@
 			send(t, c, "POST /burn HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\nContent-Length: 9000000\r\n\r\n"+strings.Repeat("y", 80<<10))
 			inv := came(t, h.taken, "the request")
 			leave(c)
-			came(t, h.left, "the consumer is gone")
+			came(t, h.left, "the client has left")
 			if _, err := inv.Outgoing.Stream.Read(make([]byte, 1)); err == nil || errors.Is(err, io.EOF) {
 				t.Errorf("the rest of its body: %v", err)
 			}
@@ -408,8 +408,8 @@
 	}
 }
 
-// Beyond the room for refusals a newcomer is told so, though its request, unread, lies there.
-func TestRefusedUnreadIsTold(t *testing.T) {
+// Beyond the connections reserved for rejections a new one is answered 503, though its request is unread.
+func TestRequestRefusedUnreadIsAnswered(t *testing.T) {
 	s, err := Listen("127.0.0.1:0", 16, false, new(buffer.Pool))
 	if err != nil {
 		t.Fatal(err)
@@ -437,8 +437,8 @@
 }
 
 // A client may have left before its request is read: it lay in the listener's queue, or
-// behind another request. Nobody waits for an answer any more, so it isn't taken.
-func TestWhoLeftBeforeBeingReadIsNotTaken(t *testing.T) {
+// behind another request. Nobody waits for an answer any more, so it is not accepted.
+func TestRequestOfAClientThatLeftIsNotAccepted(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){
 		"closes": func(c *net.TCPConn) { c.Close() }, "ends its side": func(c *net.TCPConn) { c.CloseWrite() }} {
 		for _, text := range []string{get(1, ""), "POST /burn HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\nContent-Length: 90000\r\n\r\n" + strings.Repeat("y", 90000)} {
@@ -457,7 +457,7 @@
 				other, r := connect(t, s.Address()) // whose request comes behind it
 				send(t, other, get(2, ""))
 				if inv := came(t, h.taken, "the other request"); inv.Outgoing.Header.Get("Req-Id") == "1" {
-					t.Error("sent on though its consumer had left")
+					t.Error("sent on though its client had left")
 				} else {
 					h.serve(1)
 					status200(t, r)
@@ -489,7 +489,7 @@
 				time.Sleep(time.Millisecond)
 			}
 			if len(h.taken) > 0 {
-				t.Error("the second was sent on though its consumer had left")
+				t.Error("the second was sent on though its client had left")
 			}
 		})
 	}
--- a/downstream/server_test.go
+++ b/downstream/server_test.go
@@ -59,7 +59,7 @@
 // At the limit the connection that is worth least makes room: silent newcomers
 // must not drive out the kept connections of good clients, and what has a
 // request open or is about to bring one stays.
-func TestWhoMakesRoom(t *testing.T) {
+func TestEvictionOrder(t *testing.T) {
 	now := time.Now()
 	c := func(s connState, asked bool, so time.Duration) *conn {
 		return &conn{state: s, hasRequested: asked, stateSince: now.Add(-so)}
@@ -154,7 +154,7 @@
 
 // After the word to stop, clients go on with the connections that they have:
 // until another proxy is back there may be nobody else. Then they are told.
-func TestKeptConnectionsAreServedAfterTheWordToStop(t *testing.T) {
+func TestIdleConnectionsAreServedAfterShutdownBegins(t *testing.T) {
 	s, err := Listen("127.0.0.1:0", 64, false, new(buffer.Pool))
 	if err != nil {
 		t.Fatal(err)
@@ -223,7 +223,7 @@
 
 // An upload that breaks off is booked as an request's end where it was taken; the
 // front, which tells the client, must not book it too.
-func TestBrokenUploadIsBookedOnce(t *testing.T) {
+func TestBrokenUploadIsRecordedOnce(t *testing.T) {
 	s, err := Listen("127.0.0.1:0", 16, false, new(buffer.Pool))
 	if err != nil {
 		t.Fatal(err)
--- a/upstream/crossings_test.go
+++ b/upstream/crossings_test.go
@@ -232,7 +232,7 @@
 }
 
 // A reload may shorten the idle limit while connections rest: it holds from the next look on.
-func TestIdleLimitThatShrinksWhileConnectionsRest(t *testing.T) {
+func TestIdleLimitShrinksWhileConnectionsAreIdle(t *testing.T) {
 	for _, tc := range []struct {
 		keep  time.Duration
 		conns int
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -201,7 +201,7 @@
 }
 
 // What is missing here says nothing of the endpoint that was to be called.
-func TestOwnFaultsAreNotTheProviders(t *testing.T) {
+func TestLocalFailuresAreNotBlamedOnTheEndpoint(t *testing.T) {
 	dial := func(err error) error { return &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", err)} }
 	for _, tc := range []struct {
 		err  error
@@ -216,7 +216,7 @@
 
 // An address may pass to another endpoint: a connection to the first may still
 // be open, and a request on it would be lost.
-func TestConnectionsBelongToTheirProvider(t *testing.T) {
+func TestConnectionsBelongToTheirEndpoint(t *testing.T) {
 	address, conns, _ := serve(t, okay, nil)
 	p := NewPool(newRoom(8), time.Hour, 5*time.Second, new(buffer.Pool))
 	defer p.Close()
