--- a/lab/cli/command_test.go
+++ b/lab/cli/command_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-const file = `name: tiny
+const tinyExperiment = `name: tiny
 seeds: 2
 world:
   name: tiny
@@ -40,9 +40,9 @@
 	return f
 }
 
-func TestRunKeepsWhatAReaderNeeds(t *testing.T) {
+func TestRunSavesTablesChartsAndPage(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "out")
-	status, out, errs := run(t, "run", write(t, file), "--out", dir)
+	status, out, errs := run(t, "run", write(t, tinyExperiment), "--out", dir)
 	if status != 0 || !strings.Contains(out, "| ours | 2 |") {
 		t.Fatalf("status %d\n%s\n%s", status, out, errs)
 	}
@@ -53,7 +53,7 @@
 	}
 	page, err := os.ReadFile(filepath.Join(dir, "report.html"))
 	if err != nil || !strings.Contains(string(page), "<svg") || strings.Contains(string(page), "src=\"http") {
-		t.Error("the page is not one that opens by itself")
+		t.Error("the page does not open without a network")
 	}
 	if status, out, _ := run(t, "compare", dir, dir); status != 0 || !strings.Contains(out, "| ours | goodput |") || strings.Contains(out, "differs") {
 		t.Errorf("compare: %d\n%s", status, out)
@@ -75,10 +75,10 @@
 		status int
 		says   string
 	}{
-		{"falls short", []string{"run", write(t, strings.Replace(file, ">= 0.5", ">= 1.5", 1)), "--out", t.TempDir()}, 1, "falls short"},
+		{"falls short", []string{"run", write(t, strings.Replace(tinyExperiment, ">= 0.5", ">= 1.5", 1)), "--out", t.TempDir()}, 1, "falls short"},
 		{"no such file", []string{"run", "/no/such.yaml"}, 2, "/no/such.yaml"},
-		{"file at fault", []string{"run", write(t, strings.Replace(file, "seeds: 2", "seeds: many", 1))}, 2, "e.yaml:2:8"},
-		{"results can't be written", []string{"run", write(t, file), "--out", filepath.Join(full, "below")}, 1, "results:"},
+		{"file at fault", []string{"run", write(t, strings.Replace(tinyExperiment, "seeds: 2", "seeds: many", 1))}, 2, "e.yaml:2:8"},
+		{"results can't be written", []string{"run", write(t, tinyExperiment), "--out", filepath.Join(full, "below")}, 1, "results:"},
 		{"world at fault", []string{"world", "check", write(t, "name: x\n")}, 2, "tiers"},
 		{"unknown command", []string{"dance"}, 2, "dance"},
 		{"unknown schema", []string{"schema", "moon"}, 2, "world or experiment"},
--- a/lab/cli/rolloutreport_test.go
+++ b/lab/cli/rolloutreport_test.go
@@ -15,17 +15,17 @@
 	"ryerill/fleet/rollout"
 )
 
-// A plan is followed at several doors, one of which is shut, until it ends; the word of
-// the highest number holds, and what each span came to is drawn once.
+// A plan is followed at several replicas, one of which is down, until it ends: the status with the highest fencing token
+// holds, and the point of each interval is drawn once.
 func TestRolloutReport(t *testing.T) {
-	var asked atomic.Int64
-	door := func(number uint64, leads bool) string {
+	var polled atomic.Int64
+	replica := func(fencingToken uint64, isLeader bool) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			n := uint64(asked.Add(1))
-			st := fleet.RolloutStatus{Plan: "p", Kind: "settings", Target: "t", Phase: "soaking", Stage: 1, FencingToken: number, IsLeader: leads, Reason: "it is <watched>"}
-			if leads {
-				for span := range n {
-					st.Points = append(st.Points, rollout.Point{Interval: 100 + span, BaselineGoodput: 0.98, ChangedGoodput: 0.9, Evidence: float64(span), UpperBound: 7, LowerBound: -4})
+			n := uint64(polled.Add(1))
+			st := fleet.RolloutStatus{Plan: "p", Kind: "settings", Target: "t", Phase: "soaking", Stage: 1, FencingToken: fencingToken, IsLeader: isLeader, Reason: "it is <watched>"}
+			if isLeader {
+				for interval := range n {
+					st.Points = append(st.Points, rollout.Point{Interval: 100 + interval, BaselineGoodput: 0.98, ChangedGoodput: 0.9, Evidence: float64(interval), UpperBound: 7, LowerBound: -4})
 				}
 				if n > 6 {
 					st.Phase, st.Ended = "gone back", true
@@ -36,16 +36,16 @@
 		t.Cleanup(s.Close)
 		return strings.TrimPrefix(s.URL, "http://")
 	}
-	shut := httptest.NewServer(nil)
-	shut.Close()
-	f := follower{doors: []string{door(1, false), strings.TrimPrefix(shut.URL, "http://"), door(2, true)}, client: http.Client{Timeout: time.Second}}
+	down := httptest.NewServer(nil)
+	down.Close()
+	f := rolloutFollower{addresses: []string{replica(1, false), strings.TrimPrefix(down.URL, "http://"), replica(2, true)}, client: http.Client{Timeout: time.Second}}
 	f.follow(t.Context(), time.Millisecond)
-	if f.last.Phase != "gone back" || len(f.points) < 7 || len(f.lines) != 2 {
-		t.Errorf("%+v, %d points, %q", f.last, len(f.points), f.lines)
+	if f.latest.Phase != "gone back" || len(f.points) < 7 || len(f.transitions) != 2 {
+		t.Errorf("%+v, %d points, %q", f.latest, len(f.points), f.transitions)
 	}
 	for i, p := range f.points {
 		if p.Interval != uint64(100+i) {
-			t.Fatalf("spans out of order: %+v", f.points)
+			t.Fatalf("points out of order: %+v", f.points)
 		}
 	}
 	out := t.TempDir()
--- a/lab/cli/sharing.go
+++ b/lab/cli/sharing.go
@@ -1,15 +1,12 @@
 package cli
 
 import (
+	"context"
 	"fmt"
 	"io"
-	"os"
 	"path/filepath"
-	"runtime"
 	"strings"
 
-	"context"
-
 	"github.com/spf13/cobra"
 
 	"ryerill/lab/experiment"
@@ -17,84 +14,146 @@
 	"ryerill/lab/statesyncsim"
 )
 
-// sharingCommand measures what copies gain by sharing, and what it costs.
 func sharingCommand(stdout io.Writer) *cobra.Command {
 	var short bool
 	var out string
 	var seeds int
-	c := &cobra.Command{Use: "sharing", Short: "Measure in virtual time what copies gain by sharing evidence, with and without a cut", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use:   "sharing",
+		Short: "Measure in virtual time what copies gain by sharing evidence, with and without a cut",
+		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			sizes := []int{3, 30, 300}
 			if short {
-				sizes, seeds = []int{3, 30}, 2
+				sizes = []int{3, 30}
+				seeds = 2
 			}
 			return measureSharing(cmd.Context(), sizes, seeds, out, stdout)
-		}}
-	c.Flags().BoolVar(&short, "short", false, "the smaller form, under 45 s")
-	c.Flags().StringVar(&out, "out", filepath.Join("found", "sharing"), "folder for the results")
+		},
+	}
+	c.Flags().BoolVar(&short, "short", false, shortUsage)
+	c.Flags().StringVar(&out, "out", filepath.Join(resultsDir, "sharing"), outputUsage)
 	c.Flags().IntVar(&seeds, "seeds", 20, "runs of each")
 	return c
 }
 
-func measureSharing(ctx context.Context, sizes []int, seeds int, out string, stdout io.Writer) error {
-	t := &tasks{lanes: make(chan struct{}, runtime.GOMAXPROCS(0))}
-	type row struct {
-		statesyncsim.Case
-		arm string
-	}
-	name := func(r row, what string) string { return fmt.Sprint(r.Fault, " ", r.Cut, " ", r.arm, " ", what) }
-	var rows []row
-	for _, n := range sizes {
-		for _, trouble := range []string{"none", "err", "hang", "slow"} {
+// Variants of sharing that are treated apart.
+const (
+	sharingOff    = "off"
+	sharingOracle = "oracle"
+)
+
+// sharingCase is what was played with one variant of sharing.
+type sharingCase struct {
+	statesyncsim.Case
+	variant string
+}
+
+// sharingMetric names what is measured of a case in the samples.
+type sharingMetric struct {
+	fault   string
+	cut     bool
+	variant string
+	name    string
+}
+
+// failedRun counts the runs of a fleet size that failed.
+var failedRun = sharingMetric{name: "failed"}
+
+func (c *sharingCase) metric(name string) sharingMetric {
+	return sharingMetric{fault: c.Fault, cut: c.Cut, variant: c.variant, name: name}
+}
+
+// sharingCases returns all cases in the order of the table. An oracle can't be cut off.
+func sharingCases(sizes []int) []sharingCase {
+	var cases []sharingCase
+	for _, replicas := range sizes {
+		for _, fault := range []string{"none", "err", "hang", "slow"} {
 			for _, cut := range []bool{false, true} {
-				for _, arm := range statesyncsim.Variants {
-					r := row{statesyncsim.Case{Replicas: n, Fault: trouble, Cut: cut}, arm}
-					if cut && arm == "oracle" {
+				for _, variant := range statesyncsim.Variants {
+					if cut && variant == sharingOracle {
 						continue
 					}
-					rows = append(rows, r)
-					for seed := range uint64(seeds) {
-						t.do(ctx, func(add func(string, int, uint64, ...float64)) {
-							res, err := statesyncsim.Play(ctx, r.Case, r.arm, seed)
-							if err != nil {
-								add("failed", n, seed, 1)
-								return
-							}
-							add(name(r, "lost"), n, seed, float64(res.Lost))
-							add(name(r, "goodput"), n, seed, res.Goodput)
-							add(name(r, "bytes"), n, seed, res.Bytes)
-							add(name(r, "violations"), n, seed, float64(res.Violated))
-						})
-					}
+					played := statesyncsim.Case{Replicas: replicas, Fault: fault, Cut: cut}
+					cases = append(cases, sharingCase{played, variant})
 				}
 			}
 		}
 	}
-	t.all.Wait()
-	var cells [][]string
-	for _, r := range rows {
-		lost, good := t.of(name(r, "lost"), r.Replicas), t.of(name(r, "goodput"), r.Replicas)
-		off := r
-		off.arm = "off"
-		d := experiment.Differ(good, t.of(name(off, "goodput"), r.Replicas))
-		low, high := experiment.Interval(lost)
-		cut := "no"
-		if r.Cut {
-			cut = "yes"
+	return cases
+}
+
+// measureSharing plays all cases and writes a table.
+func measureSharing(ctx context.Context, sizes []int, seeds int, out string, stdout io.Writer) error {
+	cases := sharingCases(sizes)
+	samples := newSampler[sharingMetric]()
+	for _, c := range cases {
+		for seed := range uint64(seeds) {
+			samples.start(ctx, c.Replicas, seed, func(add addFunc[sharingMetric]) { c.measure(ctx, seed, add) })
 		}
-		cells = append(cells, []string{fmt.Sprint(r.Replicas), r.Fault, cut, r.arm, fmt.Sprint(len(lost)), fmt.Sprintf("%.0f (%.0f to %.0f)", experiment.Mean(lost), low, high),
-			fmt.Sprintf("%.4f", experiment.Mean(good)), fmt.Sprintf("%+.4f (%+.4f to %+.4f)", d.Mean, d.Low, d.High), fmt.Sprintf("%.0f", experiment.Mean(t.of(name(r, "bytes"), r.Replicas))),
-			fmt.Sprintf("%.0f", experiment.Mean(t.of(name(r, "violations"), r.Replicas)))})
 	}
+	samples.wait()
+	text := sharingReport(cases, samples)
+	if failed := len(samples.values(failedRun, sizes[0])); failed > 0 {
+		text += fmt.Sprintf("%d runs failed.\n", failed)
+	}
+	return printAndSaveTable(out, text, stdout)
+}
+
+// measure plays the case once.
+func (c *sharingCase) measure(ctx context.Context, seed uint64, add addFunc[sharingMetric]) {
+	result, err := statesyncsim.Play(ctx, c.Case, c.variant, seed)
+	if err != nil {
+		add(failedRun, 1)
+		return
+	}
+	add(c.metric("lost"), float64(result.Lost))
+	add(c.metric("goodput"), result.Goodput)
+	add(c.metric("bytes"), result.Bytes)
+	add(c.metric("violations"), float64(result.Violated))
+}
+
+func sharingReport(cases []sharingCase, samples *sampler[sharingMetric]) string {
 	var text strings.Builder
-	text.WriteString("# Sharing evidence in virtual time\n\nOne of eight servers errs, hangs or is slow from 12 s to 30 s of 40 s. Lost: calls of all copies that ended badly at any server in that time. Cut: a third of the copies is cut off from the rest from 10 s to 25 s. Goodput against off: paired, 95% interval.\n\n")
-	text.WriteString(report.Table([]string{"copies", "trouble", "cut", "sharing", "runs", "lost (95% interval)", "goodput", "against off", "bytes a copy a second", "rules broken"}, cells))
-	if n := len(t.of("failed", sizes[0])); n > 0 {
-		fmt.Fprintf(&text, "%d runs failed.\n", n)
+	text.WriteString("# Sharing evidence in virtual time\n\n" +
+		"One of eight servers errs, hangs or is slow from 12 s to 30 s of 40 s. " +
+		"Lost: calls of all copies that ended badly at any server in that time. " +
+		"Cut: a third of the copies is cut off from the rest from 10 s to 25 s. " +
+		"Goodput against off: paired, 95% interval.\n\n")
+	var rows [][]string
+	for _, c := range cases {
+		rows = append(rows, c.row(samples))
+	}
+	head := []string{
+		"copies", "trouble", "cut", "sharing", "runs", "lost (95% interval)", "goodput", "against off",
+		"bytes a copy a second", "rules broken",
+	}
+	text.WriteString(report.Table(head, rows))
+	return text.String()
+}
+
+// row is the case's row of the table.
+func (c *sharingCase) row(samples *sampler[sharingMetric]) []string {
+	values := func(name string) []float64 { return samples.values(c.metric(name), c.Replicas) }
+	mean := func(name string) float64 { return experiment.Mean(values(name)) }
+	off := sharingCase{c.Case, sharingOff}
+	gain := experiment.Differ(values("goodput"), samples.values(off.metric("goodput"), c.Replicas))
+	lost := values("lost")
+	low, high := experiment.Interval(lost)
+	cut := "no"
+	if c.Cut {
+		cut = "yes"
 	}
-	if err := os.MkdirAll(out, 0o755); err != nil {
-		return err
+	return []string{
+		fmt.Sprint(c.Replicas),
+		c.Fault,
+		cut,
+		c.variant,
+		fmt.Sprint(len(lost)),
+		fmt.Sprintf("%.0f (%.0f to %.0f)", experiment.Mean(lost), low, high),
+		fmt.Sprintf("%.4f", mean("goodput")),
+		fmt.Sprintf("%+.4f (%+.4f to %+.4f)", gain.Mean, gain.Low, gain.High),
+		fmt.Sprintf("%.0f", mean("bytes")),
+		fmt.Sprintf("%.0f", mean("violations")),
 	}
-	fmt.Fprint(stdout, text.String())
-	return os.WriteFile(filepath.Join(out, "table.md"), []byte(text.String()), 0o644)
 }
