--- a/lab/cli/run.go
+++ b/lab/cli/run.go
@@ -57,7 +57,7 @@
 	res.Short = options.short
 	held := true
 	if failure == nil {
-		res.Expects, held = e.Judge(res)
+		res.Outcomes, held = e.Evaluate(res)
 	}
 	if len(res.Runs) == 0 {
 		return shortError{fmt.Errorf("experiment %s: nothing was measured: %w", e.Name, failure)}
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -13,7 +13,7 @@
 	"ryerill/lab/scenario"
 )
 
-const good = `name: tiny
+const validExperiment = `name: tiny
 seeds: 4
 world:
   name: tiny
@@ -38,22 +38,22 @@
 	return file
 }
 
-func TestFaultsAreNamedWhereTheyStand(t *testing.T) {
+func TestProblemsAreReportedWithTheirPosition(t *testing.T) {
 	for _, tc := range []struct{ name, from, to, want string }{
 		{"unknown key", "seeds: 4", "seed: 4", `e.yaml:2:1: unknown field "seed"`},
 		{"unknown decider", "decider: p2c", "decider: guess", `e.yaml:11:24: arms[1].decider: unexpected value "guess"`},
 		{"unknown limit", "decider: p2c", "decider: p2c/fixed:no", `fixed:N with N above 0`},
-		{"doubled arm", "{name: b", "{name: a", `e.yaml:11:12: arms[1].name: unexpected value "a"`},
-		{"arm that is a word", "{name: a}", "{name: late}", `expectations use it as a word`},
+		{"doubled variant", "{name: b", "{name: a", `e.yaml:11:12: arms[1].name: unexpected value "a"`},
+		{"variant with a reserved name", "{name: a}", "{name: late}", `expectations use it as a word`},
 		{"unknown metric", "1.1 * goodput(b)", "luck(b)", `e.yaml:14:5: expect[0]: unexpected value`},
-		{"unknown arm", "goodput(b)", "goodput(c)", `e.yaml:14:5: expect[0]`},
+		{"unknown variant", "goodput(b)", "goodput(c)", `e.yaml:14:5: expect[0]`},
 		{"no condition", "goodput(a) >= 1.1 * goodput(b)", "goodput(a)", `expect[0]`},
-		{"world at fault", "rate: 10", "rate: 0", "load.rate"},
-		{"set at fault", "rate: 20", "rat: 20", `unknown field "rat"`},
+		{"invalid scenario", "rate: 10", "rate: 0", "load.rate"},
+		{"invalid set", "rate: 20", "rat: 20", `unknown field "rat"`},
 		{"no seeds", "seeds: 4", "seeds: 0", `e.yaml:2:8: seeds: unexpected value "0"`},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			text := strings.Replace(good, tc.from, tc.to, 1)
+			text := strings.Replace(validExperiment, tc.from, tc.to, 1)
 			_, err := Read(write(t, text), false)
 			if err == nil || !strings.Contains(err.Error(), tc.want) {
 				t.Errorf("got %v, want %q", err, tc.want)
@@ -62,15 +62,15 @@
 	}
 }
 
-// fake plays nothing: its goodput is that of a table, by arm and seed.
+// fake plays nothing: its goodput is that of a table, by variant and seed.
 func fake(values map[string]float64) Host {
-	return func(_ context.Context, w *scenario.Scenario, arm Variant, seed uint64) (*metrics.Result, error) {
-		return &metrics.Result{Metrics: map[string]float64{"goodput": values[arm.Name] + float64(seed)/1000, "rate": w.Load.Rate}}, nil
+	return func(_ context.Context, s *scenario.Scenario, variant Variant, seed uint64) (*metrics.Result, error) {
+		return &metrics.Result{Metrics: map[string]float64{"goodput": values[variant.Name] + float64(seed)/1000, "rate": s.Load.Rate}}, nil
 	}
 }
 
-func TestArmsAreSetAndPairedBySeed(t *testing.T) {
-	e, err := Read(write(t, good), true)
+func TestVariantsAreSetAndPairedBySeed(t *testing.T) {
+	e, err := Read(write(t, validExperiment), true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,26 +80,26 @@
 		t.Fatal(err)
 	}
 	if steps != 4 || len(res.Runs) != 4 {
-		t.Errorf("%d steps, %d runs, want 4: two arms, two seeds in the short form", steps, len(res.Runs))
+		t.Errorf("%d steps, %d runs, want 4: two variants, two seeds in the short form", steps, len(res.Runs))
 	}
 	if got := res.Values("b", "rate"); got[0] != 20 {
-		t.Errorf("what the arm sets does not hold: rate %v", got)
+		t.Errorf("what the variant sets does not hold: rate %v", got)
 	}
 	if d := res.Paired("goodput", "a", "b"); math.Abs(d.Mean-0.4) > 1e-9 || math.Abs(d.High-d.Low) > 1e-9 {
 		t.Errorf("the seeds are not paired: %+v", d)
 	}
-	outcomes, held := e.Judge(res)
+	outcomes, held := e.Evaluate(res)
 	if !held || !strings.Contains(outcomes[0].Figures(), "goodput(a) = 0.90") {
 		t.Errorf("held %v, figures %s", held, outcomes[0].Figures())
 	}
 	res, _ = e.Play(context.Background(), map[string]Host{Sim: fake(map[string]float64{"a": 0.5, "b": 0.5})}, func() {})
-	if _, held := e.Judge(res); held {
+	if _, held := e.Evaluate(res); held {
 		t.Error("an expectation that falls short held")
 	}
 }
 
-func TestWhatWasNotMeasuredDoesNotHold(t *testing.T) {
-	e, err := Read(write(t, strings.Replace(good, "goodput(a) >= 1.1 * goodput(b)", "p99(a) < 1", 1)), false)
+func TestExpectationOfUnmeasuredMetricDoesNotHold(t *testing.T) {
+	e, err := Read(write(t, strings.Replace(validExperiment, "goodput(a) >= 1.1 * goodput(b)", "p99(a) < 1", 1)), false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,18 +107,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if outcomes, held := e.Judge(res); held || !strings.Contains(outcomes[0].Fault, "not measured") {
+	if outcomes, held := e.Evaluate(res); held || !strings.Contains(outcomes[0].Fault, "not measured") {
 		t.Errorf("held %v: %+v", held, outcomes)
 	}
 }
 
-// What was measured before a failure or a stop is kept and named.
-func TestACutOffKeepsWhatWasMeasured(t *testing.T) {
-	e, err := Read(write(t, strings.ReplaceAll(good, "arms:", "host: sockets\narms:")), false)
-	if err == nil {
+// What was measured before a host failed is in the results, which say that they are not all.
+func TestFailureKeepsWhatWasMeasured(t *testing.T) {
+	if _, err := Read(write(t, strings.ReplaceAll(validExperiment, "arms:", "host: sockets\narms:")), false); err == nil {
 		t.Fatal("a textbook decider plays on sockets")
 	}
-	e, err = Read(write(t, strings.NewReplacer("arms:", "host: sockets\narms:", "decider: p2c, ", "").Replace(good)), false)
+	e, err := Read(write(t, strings.NewReplacer("arms:", "host: sockets\narms:", "decider: p2c, ", "").Replace(validExperiment)), false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,14 +133,14 @@
 	}
 }
 
-func TestVoidRunsArePlayedAgainAndLeftOut(t *testing.T) {
-	e, err := Read(write(t, good), false)
+func TestVoidRunsAreRepeatedAndLeftOut(t *testing.T) {
+	e, err := Read(write(t, validExperiment), false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	res, err := e.Play(context.Background(), map[string]Host{Sim: func(_ context.Context, _ *scenario.Scenario, arm Variant, seed uint64) (*metrics.Result, error) {
+	res, err := e.Play(context.Background(), map[string]Host{Sim: func(_ context.Context, _ *scenario.Scenario, variant Variant, seed uint64) (*metrics.Result, error) {
 		r := &metrics.Result{Metrics: map[string]float64{"goodput": 1}}
-		if arm.Name == "a" && seed == 2 {
+		if variant.Name == "a" && seed == 2 {
 			r.Void = "late"
 		}
 		return r, nil
@@ -151,13 +150,13 @@
 	}
 }
 
-// The interval holds the true mean about as often as it says.
-func TestIntervalHoldsTheMean(t *testing.T) {
+// The interval contains the true mean about as often as it states.
+func TestIntervalContainsTheMean(t *testing.T) {
 	held := 0
-	for k := range 200 {
+	for trial := range 200 {
 		var v []float64
 		for i := range 30 {
-			v = append(v, math.Mod(float64(k*7919+i*104729)*0.618033988749895, 1))
+			v = append(v, math.Mod(float64(trial*7919+i*104729)*0.618033988749895, 1))
 		}
 		if low, high := Interval(v); low <= 0.5 && 0.5 <= high {
 			held++
@@ -168,7 +167,7 @@
 	}
 }
 
-func TestExperimentsOfTheLaboratoryAreGood(t *testing.T) {
+func TestExperimentFilesAreValid(t *testing.T) {
 	files, _ := filepath.Glob("../experiments/*.yaml")
 	if len(files) < 7 {
 		t.Fatalf("found %d", len(files))
--- a/lab/experiment/stats.go
+++ b/lab/experiment/stats.go
@@ -8,81 +8,91 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Mean is the mean; NaN of nothing.
-func Mean(v []float64) float64 {
-	if len(v) == 0 {
+// Mean returns the mean; NaN of nothing.
+func Mean(values []float64) float64 {
+	if len(values) == 0 {
 		return math.NaN()
 	}
-	return stat.Mean(v, nil)
+	return stat.Mean(values, nil)
 }
 
-// Deviation is the standard deviation; 0 of one value.
-func Deviation(v []float64) float64 {
-	if len(v) < 2 {
+// Deviation returns the standard deviation; 0 of one value.
+func Deviation(values []float64) float64 {
+	if len(values) < 2 {
 		return 0
 	}
-	return stat.StdDev(v, nil)
+	return stat.StdDev(values, nil)
 }
 
-func least(v []float64) float64 {
-	if len(v) == 0 {
+// lowest is the smallest value; NaN of nothing.
+func lowest(values []float64) float64 {
+	if len(values) == 0 {
 		return math.NaN()
 	}
-	return slices.Min(v)
+	return slices.Min(values)
 }
 
-func most(v []float64) float64 {
-	if len(v) == 0 {
+// highest is the largest value; NaN of nothing.
+func highest(values []float64) float64 {
+	if len(values) == 0 {
 		return math.NaN()
 	}
-	return slices.Max(v)
+	return slices.Max(values)
 }
 
-// Quantile is a quantile of v; NaN of nothing.
-func Quantile(p float64, v []float64) float64 {
-	if len(v) == 0 {
+// Quantile returns the quantile p, from 0 to 1, of values; NaN of nothing.
+func Quantile(p float64, values []float64) float64 {
+	if len(values) == 0 {
 		return math.NaN()
 	}
-	s := slices.Sorted(slices.Values(v))
-	return stat.Quantile(p, stat.LinInterp, s, nil)
+	sorted := slices.Sorted(slices.Values(values))
+	return stat.Quantile(p, stat.LinInterp, sorted, nil)
 }
 
-// resamples of a bootstrap: its 95% interval then moves by about a hundredth of its width.
+// resamples is how often a bootstrap draws: its interval then moves by about a hundredth of its width.
 const resamples = 4000
 
-// Interval is the 95% interval of the mean, by the percentile bootstrap. It is
-// the same for the same values.
-func Interval(v []float64) (low, high float64) {
-	if len(v) == 0 {
+// Ends of a 95% interval.
+const (
+	lowQuantile  = 0.025
+	highQuantile = 0.975
+)
+
+// Interval returns the 95% interval of the mean, by the percentile bootstrap; NaNs of nothing. It is the same for the
+// same values in the same order.
+func Interval(values []float64) (low, high float64) {
+	if len(values) == 0 {
 		return math.NaN(), math.NaN()
 	}
-	rng := rand.New(rand.NewPCG(1, uint64(len(v))))
+	rng := rand.New(rand.NewPCG(1, uint64(len(values))))
 	means := make([]float64, resamples)
 	for i := range means {
 		sum := 0.0
-		for range v {
-			sum += v[rng.IntN(len(v))]
+		for range values {
+			sum += values[rng.IntN(len(values))]
 		}
-		means[i] = sum / float64(len(v))
+		means[i] = sum / float64(len(values))
 	}
 	slices.Sort(means)
-	return stat.Quantile(0.025, stat.LinInterp, means, nil), stat.Quantile(0.975, stat.LinInterp, means, nil)
+	low = stat.Quantile(lowQuantile, stat.LinInterp, means, nil)
+	high = stat.Quantile(highQuantile, stat.LinInterp, means, nil)
+	return low, high
 }
 
 // Difference is a paired difference with its 95% interval.
 type Difference struct {
 	Mean, Low, High float64
-	N               int
+	N               int // pairs
 }
 
-// Differ pairs values by their place.
+// Differ returns the difference of a minus b, whose values are paired by index. Pairs with a NaN are left out.
 func Differ(a, b []float64) Difference {
-	var d []float64
+	var differences []float64
 	for i := range min(len(a), len(b)) {
 		if !math.IsNaN(a[i]) && !math.IsNaN(b[i]) {
-			d = append(d, a[i]-b[i])
+			differences = append(differences, a[i]-b[i])
 		}
 	}
-	low, high := Interval(d)
-	return Difference{Mean(d), low, high, len(d)}
+	low, high := Interval(differences)
+	return Difference{Mean: Mean(differences), Low: low, High: high, N: len(differences)}
 }
