--- a/cmd/proxy-lab/main.go
+++ b/cmd/proxy-lab/main.go
@@ -1,5 +1,4 @@
-// Command proxy-lab is the laboratory of ryerill: it plays deployments in
-// virtual time and on sockets, and measures.
+// Command proxy-lab is the laboratory of ryerill: it plays deployments in virtual time and on sockets, and measures.
 package main
 
 import (
