--- a/lab/modelcheck/explore_test.go
+++ b/lab/modelcheck/modelcheck_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// jugs are two jugs of 3 and 5 litres; that 4 are in one must not be.
+// jugs are two jugs of 3 and 5 litres; one with 4 litres in it must not be.
 type jugs struct{ a, b int }
 
 func (j *jugs) Moves() []string {
@@ -42,8 +42,8 @@
 
 func (c *cloned) Clone() System { next := *c; return &next }
 
-func TestShortestWayIsFound(t *testing.T) {
-	for name, start := range map[string]func() System{"led anew": func() System { return &jugs{} }, "cloned": func() System { return &cloned{} }} {
+func TestExploreFindsShortestTrace(t *testing.T) {
+	for name, start := range map[string]func() System{"replayed": func() System { return &jugs{} }, "cloned": func() System { return &cloned{} }} {
 		res := Explore(start, Bounds{Depth: 20, States: 1000})
 		if res.Err == nil || len(res.Trace) != 6 {
 			t.Errorf("%s: %v", name, res)
--- a/lab/modelcheck/mutant/mutant.go
+++ b/lab/modelcheck/mutant/mutant.go
@@ -1,6 +1,5 @@
-// Package mutant plants faults into the real code to see that its tests find them:
-// a file with one passage changed is laid over the real one for a single run of the
-// tests, and nothing is written into the tree.
+// Package mutant plants faults into the real code to see that its tests find them: a file with one passage changed is
+// laid over the real one for a single run of the tests, and nothing is written into the tree.
 package mutant
 
 import (
@@ -10,18 +9,26 @@
 	"os/exec"
 	"path/filepath"
 	"strings"
-	"sync"
 	"time"
+
+	"golang.org/x/sync/errgroup"
 )
 
 // Mutant is one fault: in File, From, which stands there once, becomes To.
 type Mutant struct{ Name, File, From, To string }
 
-// within bounds the run of one mutant's tests.
-const within = 3 * time.Minute
+const (
+	// testTimeout bounds the tests of one mutant.
+	testTimeout = 3 * time.Minute
+
+	// maxParallel is how many mutants are built and tested at once.
+	maxParallel = 3
+
+	fileMode = 0o600
+)
 
-// Slow is the variable that asks for tests which build a package many times, or want
-// the machine for themselves.
+// Slow is the environment variable that selects tests which build a package many times, or want the machine for
+// themselves.
 const Slow = "RYERILL_SLOW"
 
 // Test is what Find needs of the test that calls it.
@@ -32,60 +39,68 @@
 	TempDir() string
 }
 
-// Find has tests run over each mutant of the package in the working directory, and
-// fails for one that they pass. Of a mutant that does not build nothing is shown,
-// so that fails too.
+// Find runs tests over each mutant of the package in the working directory, and fails for one that they pass. A mutant
+// that does not build shows nothing, so it fails too. run selects the tests, as go test -run does.
 func Find(t Test, run string, mutants []Mutant) {
 	t.Helper()
 	if os.Getenv(Slow) == "" {
 		t.Skip("set " + Slow + "=1: it builds the package many times")
 	}
-	lanes := make(chan struct{}, 3)
-	var all sync.WaitGroup
+	var workers errgroup.Group
+	workers.SetLimit(maxParallel)
 	for _, m := range mutants {
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			lanes <- struct{}{}
-			defer func() { <-lanes }()
+		workers.Go(func() error {
 			if err := m.find(t.TempDir(), run); err != nil {
 				t.Errorf("%s: %v", m.Name, err)
 			}
-		}()
+			return nil
+		})
 	}
-	all.Wait()
+	_ = workers.Wait() // mutants report to the test and return no errors
 }
 
+// find returns an error unless the tests fail over the mutant.
 func (m *Mutant) find(dir, run string) error {
-	here, err := os.Getwd()
+	overlay, err := m.writeOverlay(dir)
 	if err != nil {
 		return err
 	}
+	command := exec.Command("go", "test", "-overlay="+overlay, "-vet=off", "-short", "-run", run,
+		"-timeout", testTimeout.String(), ".")
+	output, err := command.CombinedOutput()
+	if err == nil {
+		return fmt.Errorf("the tests %s pass all the same", run)
+	}
+	text := string(output)
+	if strings.Contains(text, "[build failed]") || strings.Contains(text, "no tests to run") {
+		return fmt.Errorf("nothing is shown: %s", text)
+	}
+	return nil
+}
+
+// writeOverlay writes the changed file, and the overlay that replaces the real one by it, into a folder. It returns the
+// path of the overlay.
+func (m *Mutant) writeOverlay(dir string) (string, error) {
+	here, err := os.Getwd()
+	if err != nil {
+		return "", err
+	}
 	real := filepath.Join(here, m.File)
 	text, err := os.ReadFile(real)
 	if err != nil {
-		return err
+		return "", err
 	}
-	if n := strings.Count(string(text), m.From); n != 1 {
-		return fmt.Errorf("%q stands %d times in %s", m.From, n, m.File)
+	if count := strings.Count(string(text), m.From); count != 1 {
+		return "", fmt.Errorf("%q stands %d times in %s", m.From, count, m.File)
 	}
-	changed, overlay := filepath.Join(dir, "changed.go"), filepath.Join(dir, "overlay.json")
-	if err := os.WriteFile(changed, []byte(strings.Replace(string(text), m.From, m.To, 1)), 0o600); err != nil {
-		return err
+	changed := filepath.Join(dir, "changed.go")
+	if err := os.WriteFile(changed, []byte(strings.Replace(string(text), m.From, m.To, 1)), fileMode); err != nil {
+		return "", err
 	}
-	laid, err := json.Marshal(map[string]map[string]string{"Replace": {real: changed}})
+	replaced, err := json.Marshal(map[string]map[string]string{"Replace": {real: changed}})
 	if err != nil {
-		return err
+		return "", err
 	}
-	if err := os.WriteFile(overlay, laid, 0o600); err != nil {
-		return err
-	}
-	out, err := exec.Command("go", "test", "-overlay="+overlay, "-vet=off", "-short", "-run", run, "-timeout", within.String(), ".").CombinedOutput()
-	switch {
-	case err == nil:
-		return fmt.Errorf("the tests %s pass all the same", run)
-	case strings.Contains(string(out), "[build failed]") || strings.Contains(string(out), "no tests to run"):
-		return fmt.Errorf("nothing is shown: %s", out)
-	}
-	return nil
+	overlay := filepath.Join(dir, "overlay.json")
+	return overlay, os.WriteFile(overlay, replaced, fileMode)
 }
