--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,5 +1,5 @@
-// Package load draws what consumers ask for ahead of time, so that a proxy
-// that stalls can't slow down those who ask: an open loop.
+// Package load draws what clients request ahead of time, so that a proxy that stalls can't slow down its clients: an
+// open loop.
 package load
 
 import (
@@ -27,192 +27,171 @@
 	Weight float64
 }
 
-// Stream returns a random source of its own for each purpose of a run, so that
-// what one part draws doesn't move what another does.
+// Purposes of the random streams of Draw. The hosts have those between.
+const (
+	ratePurpose  = 1
+	classPurpose = 100 // and on: two for each class
+)
+
+// streamStep separates the seeds of streams: 2^64 divided by the golden ratio.
+const streamStep = 0x9e3779b97f4a7c15
+
+// Stream returns a random source of its own for each purpose of a run, so that what one part draws does not change what
+// another one does.
 func Stream(seed uint64, purpose uint64) *rand.Rand {
-	return rand.New(rand.NewPCG(seed, purpose*0x9e3779b97f4a7c15+1))
+	return rand.New(rand.NewPCG(seed, purpose*streamStep+1))
 }
 
-// Draw returns all first tries of a world, in order of time. Each class is drawn
-// from streams of its own, and what bursts add from others: two worlds that
-// differ in a burst or in one class's load have all other requests in common.
-func Draw(w *scenario.Scenario, seed uint64) []Request {
-	shape := rateOf(w, Stream(seed, 1))
-	sum := 0.0
-	for _, c := range w.Classes {
-		sum += c.Share
+// Draw returns all first tries of a scenario, in order of time. Each class is drawn from a stream of its own, and what
+// bursts add from another: two scenarios that differ in a burst or in one class's load have all other requests in
+// common.
+func Draw(s *scenario.Scenario, seed uint64) []Request {
+	rate := newTotalRate(s, Stream(seed, ratePurpose))
+	shares := 0.0
+	for _, class := range s.Classes {
+		shares += class.Share
 	}
-	if sum <= 0 {
+	if shares <= 0 {
 		return nil
 	}
-	var out []Request
-	for i := range w.Classes {
-		share := w.Classes[i].Share / sum
-		base := func(at time.Duration) float64 { return share * shape(at) }
-		own, extra := Stream(seed, 100+2*uint64(i)), Stream(seed, 101+2*uint64(i))
-		add := func(rng *rand.Rand, rate func(time.Duration) float64) {
-			for _, at := range arrivals(w.Length, rate, rng) {
-				out = append(out, request(w, i, at, rng))
-			}
+	var requests []Request
+	for class := range s.Classes {
+		share := s.Classes[class].Share / shares
+		classRate := func(at time.Duration) float64 { return share * rate.at(at) }
+		burstRate := func(at time.Duration) float64 { return classRate(at) * (burstFactor(s, class, at) - 1) }
+		purpose := classPurpose + 2*uint64(class)
+		requests = append(requests, drawClass(s, class, classRate, Stream(seed, purpose))...)
+		if hasBurst(s, class) {
+			requests = append(requests, drawClass(s, class, burstRate, Stream(seed, purpose+1))...)
 		}
-		add(own, base)
-		if burst(w, i) {
-			add(extra, func(at time.Duration) float64 { return base(at) * (factor(w, i, at) - 1) })
-		}
-	}
-	slices.SortStableFunc(out, func(a, b Request) int { return cmp.Compare(a.At, b.At) })
-	quota, last := make([]float64, len(w.Tenants)), make([]time.Duration, len(w.Tenants))
-	for i, t := range w.Tenants {
-		quota[i] = 2 * t.Quota
 	}
-	for n := range out {
-		r := &out[n]
-		r.ID, r.Weight = uint64(n+1), w.Classes[r.Class].PriorityWeight
-		t := &w.Tenants[r.Tenant]
-		for i := range w.Faults { // after all draws: nobody else's requests change
-			if h := &w.Faults[i]; h.Kind == scenario.Heavy && h.Tenant == t.Name && r.At >= h.At && r.At < h.At+h.For {
-				r.Work *= h.Factor
-			}
-		}
-		if t.Quota == 0 {
-			continue
-		}
-		saved := &quota[r.Tenant]
-		*saved = math.Min(*saved+t.Quota*(r.At-last[r.Tenant]).Seconds(), 2*t.Quota)
-		last[r.Tenant] = r.At
-		if *saved < 1 {
-			r.Over, r.Weight = true, r.Weight*w.Clients.OverQuotaWeight
-		} else {
-			*saved--
-		}
+	slices.SortStableFunc(requests, func(a, b Request) int { return cmp.Compare(a.At, b.At) })
+	complete(s, requests)
+	return requests
+}
+
+// drawClass draws the first tries of a class at a rate.
+func drawClass(s *scenario.Scenario, class int, rate func(time.Duration) float64, rng *rand.Rand) []Request {
+	var requests []Request
+	for _, at := range arrivals(s.Length, rate, rng) {
+		requests = append(requests, draw(s, class, at, rng))
 	}
-	return out
+	return requests
 }
 
-// arrivals are those of a Poisson process: drawn at the highest rate, and thinned
-// to the rate of the moment.
-func arrivals(length time.Duration, rate func(time.Duration) float64, rng *rand.Rand) (out []time.Duration) {
-	top := 0.0
-	for at := time.Duration(0); at < length; at += 10 * time.Millisecond {
-		top = math.Max(top, rate(at))
+// arrivals are those of a Poisson process: drawn at the highest rate, and thinned to the rate of the moment.
+func arrivals(length time.Duration, rate func(time.Duration) float64, rng *rand.Rand) []time.Duration {
+	const step = 10 * time.Millisecond
+	highest := 0.0
+	for at := time.Duration(0); at < length; at += step {
+		highest = math.Max(highest, rate(at))
 	}
-	for at := 0.0; top > 0; {
-		at += rng.ExpFloat64() / top
-		when := time.Duration(at * float64(time.Second))
-		if when >= length {
-			break
+	if highest <= 0 {
+		return nil
+	}
+	var times []time.Duration
+	seconds := 0.0
+	for {
+		seconds += rng.ExpFloat64() / highest
+		at := time.Duration(seconds * float64(time.Second))
+		if at >= length {
+			return times
 		}
-		if rng.Float64()*top <= rate(when) {
-			out = append(out, when)
+		if rng.Float64()*highest <= rate(at) {
+			times = append(times, at)
 		}
 	}
-	return out
 }
 
-// request draws what a first try of a class is.
-func request(w *scenario.Scenario, class int, at time.Duration, rng *rand.Rand) Request {
-	c := &w.Classes[class]
-	sigma2 := math.Log(1 + c.Spread*c.Spread)
-	work := distuv.LogNormal{Mu: math.Log(c.Work.Seconds()) - sigma2/2, Sigma: math.Sqrt(sigma2), Src: rng}
-	tenants := weights(len(w.Tenants), func(i int) float64 { return w.Tenants[i].Share })
-	return Request{At: at, Class: class, Tenant: pick(tenants, rng), Zone: rng.IntN(len(w.Network.Zones)), Key: rng.Uint64() | 1, Work: work.Rand()}
-}
-
-// burst tells whether a class has a burst at all.
-func burst(w *scenario.Scenario, class int) bool {
-	for i := range w.Faults {
-		if meets(w, &w.Faults[i], class) {
-			return true
-		}
+// draw draws a first try of a class. The order of its draws is part of what a seed means.
+func draw(s *scenario.Scenario, class int, at time.Duration, rng *rand.Rand) Request {
+	tenant := pickTenant(s, rng)
+	zone := rng.IntN(len(s.Network.Zones))
+	key := rng.Uint64() | 1 // 0 is no key
+	return Request{
+		At:     at,
+		Class:  class,
+		Tenant: tenant,
+		Zone:   zone,
+		Key:    key,
+		Work:   drawWork(&s.Classes[class], rng),
 	}
-	return false
 }
 
-// meets tells whether a trouble is a burst of a class. Where tiers are parallel
-// a burst is of one tier's classes.
-func meets(w *scenario.Scenario, t *scenario.Fault, class int) bool {
-	return t.Kind == scenario.Burst && t.Factor > 1 && (!w.Parallel || t.Tier == w.Classes[class].Tier)
+// drawWork draws the work of a request, log-normal with the class's mean and coefficient of variation.
+func drawWork(class *scenario.Class, rng *rand.Rand) float64 {
+	variance := math.Log(1 + class.Spread*class.Spread) // of the logarithm
+	work := distuv.LogNormal{
+		Mu:    math.Log(class.Work.Seconds()) - variance/2,
+		Sigma: math.Sqrt(variance),
+		Src:   rng,
+	}
+	return work.Rand()
 }
 
-// factor is what bursts multiply a class's rate by at a time.
-func factor(w *scenario.Scenario, class int, at time.Duration) float64 {
-	f := 1.0
-	for i := range w.Faults {
-		if t := &w.Faults[i]; meets(w, t, class) && at >= t.At && at < t.At+t.For {
-			f *= t.Factor
+// pickTenant draws a tenant by the tenants' shares.
+func pickTenant(s *scenario.Scenario, rng *rand.Rand) int {
+	sum := 0.0
+	for i := range s.Tenants {
+		sum += s.Tenants[i].Share
+	}
+	drawn := rng.Float64() * sum
+	upTo := 0.0
+	for i := range s.Tenants {
+		upTo += s.Tenants[i].Share
+		if drawn < upTo {
+			return i
 		}
 	}
-	return f
+	return len(s.Tenants) - 1
 }
 
-// rateOf returns the rate of first tries at a time.
-func rateOf(w *scenario.Scenario, rng *rand.Rand) func(time.Duration) float64 {
-	l := &w.Load
-	type span struct {
-		end    time.Duration
-		factor float64
+// complete fills in what follows from a request and those before it. Nothing is drawn: faults and quotas leave all
+// other requests as they are.
+func complete(s *scenario.Scenario, requests []Request) {
+	var quotas []quota
+	for _, tenant := range s.Tenants {
+		quotas = append(quotas, newQuota(tenant.Quota))
 	}
-	var spans []span
-	if l.Shape == "bursty" {
-		for end := time.Duration(0); end < w.Length; {
-			end += time.Duration(rng.ExpFloat64() * float64(l.Period))
-			spans = append(spans, span{end, 1 + l.Swing*(2*rng.Float64()-1)})
+	for i := range requests {
+		request := &requests[i]
+		request.ID = uint64(i + 1)
+		request.Weight = s.Classes[request.Class].PriorityWeight
+		applyHeavy(s, request)
+		if !quotas[request.Tenant].take(request.At) {
+			request.Over = true
+			request.Weight *= s.Clients.OverQuotaWeight
 		}
 	}
-	phase, next := rng.Float64()*2*math.Pi, 0
-	return func(at time.Duration) float64 {
-		r := l.Rate
-		switch l.Shape {
-		case "wave":
-			r *= 1 + l.Swing*math.Sin(phase+2*math.Pi*at.Seconds()/l.Period.Seconds())
-		case "bursty":
-			if next >= len(spans) || next > 0 && spans[next-1].end > at {
-				next = 0
-			}
-			for next < len(spans)-1 && spans[next].end <= at {
-				next++
-			}
-			r *= spans[next].factor
-		}
-		step := 1.0
-		for _, s := range l.Steps {
-			if at >= s.At {
-				step = s.Factor
-			}
-		}
-		return r * step
-	}
 }
 
-func weights(n int, share func(int) float64) []float64 {
-	sums, sum := make([]float64, n), 0.0
-	for i := range sums {
-		sum += share(i)
-		sums[i] = sum
+// applyHeavy multiplies a request's work by the factors of the faults that make its tenant's requests heavy.
+func applyHeavy(s *scenario.Scenario, request *Request) {
+	tenant := s.Tenants[request.Tenant].Name
+	for i := range s.Faults {
+		fault := &s.Faults[i]
+		if fault.Kind == scenario.Heavy && fault.Tenant == tenant && isActive(fault, request.At) {
+			request.Work *= fault.Factor
+		}
 	}
-	return sums
 }
 
-func pick(sums []float64, rng *rand.Rand) int {
-	at := rng.Float64() * sums[len(sums)-1]
-	for i, s := range sums {
-		if at < s {
-			return i
-		}
-	}
-	return len(sums) - 1
+// isActive reports whether a fault lasts at a time.
+func isActive(fault *scenario.Fault, at time.Duration) bool {
+	return at >= fault.At && at < fault.At+fault.For
 }
 
 // Speed draws the speed of a machine, never below a tenth of what is stated.
-func Speed(rng *rand.Rand, n *scenario.Machine) float64 {
-	return max(0.1, 1+n.Spread*rng.NormFloat64()) * n.Speed
+func Speed(rng *rand.Rand, machine *scenario.Machine) float64 {
+	const lowest = 0.1
+	return max(lowest, 1+machine.Spread*rng.NormFloat64()) * machine.Speed
 }
 
 // Calls draws how many calls to the next tier a request makes, mean on average.
 func Calls(rng *rand.Rand, mean float64) int {
-	n := int(mean)
-	if rng.Float64() < mean-float64(n) {
-		n++
+	calls := int(mean)
+	if rng.Float64() < mean-float64(calls) {
+		calls++
 	}
-	return n
+	return calls
 }
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -8,18 +8,19 @@
 	"ryerill/lab/scenario"
 )
 
-func demand(l scenario.Load, troubles ...scenario.Fault) *scenario.Scenario {
-	w := &scenario.Scenario{Name: "w", Length: 400 * time.Second, Load: l, Faults: troubles,
+// demand returns a scenario with two classes and a load.
+func demand(l scenario.Load, faults ...scenario.Fault) *scenario.Scenario {
+	s := &scenario.Scenario{Name: "w", Length: 400 * time.Second, Load: l, Faults: faults,
 		Tiers:   []scenario.Tier{{Name: "one", Proxies: 1, Endpoints: 1}},
 		Classes: []scenario.Class{{Name: "a", Share: 3, Work: 100 * time.Millisecond, LatencyObjective: time.Second, Deadline: time.Second}, {Name: "b", Share: 1, Work: time.Second, LatencyObjective: time.Second, Deadline: time.Second}}}
-	w.Complete()
-	return w
+	s.Complete()
+	return s
 }
 
-func TestWhatIsDrawnIsWhatIsAsked(t *testing.T) {
+func TestDrawHasRateSharesAndWork(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		w    *scenario.Scenario
+		s    *scenario.Scenario
 		want float64 // first tries
 	}{
 		{"steady", demand(scenario.Load{Rate: 50}), 20000},
@@ -27,7 +28,7 @@
 		{"steps", demand(scenario.Load{Rate: 50, Steps: []scenario.Step{{At: 100 * time.Second, Factor: 2}, {At: 200 * time.Second, Factor: 0}}}), 15000},
 		{"burst", demand(scenario.Load{Rate: 50}, scenario.Fault{Kind: scenario.Burst, At: time.Second, For: 100 * time.Second, Factor: 3}), 30000},
 	} {
-		all := Draw(tc.w, 1)
+		all := Draw(tc.s, 1)
 		if n := float64(len(all)); math.Abs(n-tc.want) > 5*math.Sqrt(tc.want) {
 			t.Errorf("%s: drew %v, want about %v", tc.name, n, tc.want)
 		}
@@ -47,35 +48,34 @@
 	}
 }
 
-func TestQuotasMarkWhatGoesBeyond(t *testing.T) {
-	w := demand(scenario.Load{Rate: 50})
-	w.Tenants = []scenario.Tenant{{Name: "all", Share: 1, Quota: 25}}
+func TestQuotaMarksWhatGoesBeyond(t *testing.T) {
+	s := demand(scenario.Load{Rate: 50})
+	s.Tenants = []scenario.Tenant{{Name: "all", Share: 1, Quota: 25}}
 	over := 0
-	all := Draw(w, 1)
+	all := Draw(s, 1)
 	for _, r := range all {
 		if r.Over {
 			over++
-			if r.Weight != w.Clients.OverQuotaWeight {
-				t.Fatalf("worth %v", r.Weight)
+			if r.Weight != s.Clients.OverQuotaWeight {
+				t.Fatalf("weight %v", r.Weight)
 			}
 		}
 	}
-	if part := float64(over) / float64(len(all)); math.Abs(part-0.5) > 0.03 {
-		t.Errorf("%v is beyond a quota of half", part)
+	if fraction := float64(over) / float64(len(all)); math.Abs(fraction-0.5) > 0.03 {
+		t.Errorf("%v is beyond a quota of half", fraction)
 	}
 }
 
-// Worlds that differ in a burst have all other requests in common: differences
-// between them are the burst's.
-func TestABurstOnlyAdds(t *testing.T) {
+// Scenarios that differ in a burst have all other requests in common: differences between them are the burst's.
+func TestBurstOnlyAddsRequests(t *testing.T) {
 	calm := Draw(demand(scenario.Load{Rate: 50, Shape: "bursty", Swing: 0.4}), 3)
 	burst := Draw(demand(scenario.Load{Rate: 50, Shape: "bursty", Swing: 0.4}, scenario.Fault{Kind: scenario.Burst, At: 50 * time.Second, For: 20 * time.Second, Factor: 2}), 3)
-	there := map[uint64]Request{}
+	byKey := map[uint64]Request{}
 	for _, r := range burst {
-		there[r.Key] = r
+		byKey[r.Key] = r
 	}
 	for _, r := range calm {
-		if b, ok := there[r.Key]; !ok || b.At != r.At || b.Work != r.Work || b.Class != r.Class {
+		if b, ok := byKey[r.Key]; !ok || b.At != r.At || b.Work != r.Work || b.Class != r.Class {
 			t.Fatalf("request at %v is not in both", r.At)
 		}
 	}
