--- a/lab/baseline/baseline.go
+++ b/lab/baseline/baseline.go
@@ -29,6 +29,8 @@
 	Concurrency() (limit float64, inFlight int)
 }
 
+var _ ConcurrencyReporter = (*textbook)(nil)
+
 // Pickers are the ways to choose a provider.
 var Pickers = []string{"random", "roundrobin", "least", "p2c"}
 
@@ -100,8 +102,8 @@
 // field's proxies.
 const mostAttempts = 2
 
-// Standing tells the limit and the calls in flight.
-func (t *textbook) Standing() (float64, int) { return t.limit.limit(), t.ifr }
+// Concurrency implements ConcurrencyReporter.
+func (t *textbook) Concurrency() (limit float64, inFlight int) { return t.limit.limit(), t.ifr }
 
 // Handle takes one event, as ryerill.Balancer.Handle does.
 func (t *textbook) Handle(now time.Duration, ev balancer.Event, out []balancer.Action) []balancer.Action {
--- a/lab/baseline/baseline_test.go
+++ b/lab/baseline/baseline_test.go
@@ -88,3 +88,23 @@
 		}
 	}
 }
+
+// The hosts ask for the limit and the calls in flight by a type assertion, which a renamed method would miss silently.
+func TestEveryDeciderReportsItsConcurrency(t *testing.T) {
+	for _, name := range []string{"ryerill", "random/gradient", "roundrobin", "least/fixed:3", "p2c/none"} {
+		d, err := New(name, config(), 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		reporter, ok := d.(ConcurrencyReporter)
+		if !ok {
+			t.Errorf("%s does not report its concurrency", name)
+			continue
+		}
+		d.Handle(0, list(balancer.Ready, balancer.Ready), nil)
+		d.Handle(0, arrive(1, 0), nil)
+		if _, inFlight := reporter.Concurrency(); inFlight != 1 {
+			t.Errorf("%s reports %d calls in flight, want 1", name, inFlight)
+		}
+	}
+}
