--- a/lab/baseline/baseline_test.go
+++ b/lab/baseline/baseline_test.go
@@ -24,7 +24,7 @@
 	return balancer.Event{Kind: balancer.RequestArrived, Request: id, Class: class, Remaining: time.Second}
 }
 
-func TestPickersSpreadOverReadyProvidersOnly(t *testing.T) {
+func TestPickersSpreadOverReadyEndpointsOnly(t *testing.T) {
 	for _, picker := range Pickers {
 		d, err := New(picker, config(), 1)
 		if err != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestLimitsRefuse(t *testing.T) {
+func TestFixedLimitSheds(t *testing.T) {
 	d, err := New("least/fixed:3", config(), 1)
 	if err != nil {
 		t.Fatal(err)
@@ -53,7 +53,7 @@
 	for id := range balancer.RequestID(5) {
 		kinds[d.Handle(0, arrive(id, 0), nil)[0].Kind]++
 	}
-	// 3 for each of 2 providers, shared by 2 proxies.
+	// 3 for each of 2 endpoints, shared by 2 proxies.
 	if kinds[balancer.Send] != 3 || kinds[balancer.Shed] != 2 {
 		t.Errorf("got %v", kinds)
 	}
@@ -63,7 +63,7 @@
 	g := newGradient()
 	calls := func(n int, took time.Duration) float64 {
 		for range n {
-			g.ended(took, int(g.limit()), false, true)
+			g.ended(took, int(g.limit()), true)
 		}
 		return g.limit()
 	}
@@ -73,11 +73,11 @@
 		t.Errorf("limit %v in calm, %v as latency climbs", high, low)
 	}
 	if back := calls(4000, 100*time.Millisecond); back < high/2 {
-		t.Errorf("limit %v after the trouble, %v before", back, high)
+		t.Errorf("limit %v after the fault, %v before", back, high)
 	}
 }
 
-func TestNothingIsRepeatedAgainstItsClass(t *testing.T) {
+func TestNothingIsSentAgainAgainstItsClass(t *testing.T) {
 	for class, want := range []balancer.ActionKind{balancer.Send, balancer.Fail} {
 		d, _ := New("random", config(), 1)
 		d.Handle(0, list(balancer.Ready, balancer.Ready), nil)
