--- a/lab/invariant/invariant.go
+++ b/lab/invariant/invariant.go
@@ -39,6 +39,7 @@
 	Failed
 )
 
+// String returns the name that evidence has for a result.
 func (r Result) String() string { return [...]string{"served", "refused", "failed"}[r] }
 
 // Endpoint is what the rules need to know of one.
--- a/lab/servermodel/job.go
+++ b/lab/servermodel/job.go
@@ -31,9 +31,13 @@
 // runningJobs is a heap of the jobs on the cores, by when their phase is done. It implements heap.Interface.
 type runningJobs []*Job
 
-func (r runningJobs) Len() int           { return len(r) }
+// Len implements heap.Interface.
+func (r runningJobs) Len() int { return len(r) }
+
+// Less implements heap.Interface.
 func (r runningJobs) Less(i, j int) bool { return r[i].doneAt < r[j].doneAt }
 
+// Swap implements heap.Interface.
 func (r runningJobs) Swap(i, j int) {
 	r[i], r[j] = r[j], r[i]
 	r[i].index = i
