--- a/lab/invariant/checker.go
+++ b/lab/invariant/checker.go
@@ -245,7 +245,7 @@
 	}
 }
 
-// Tipped records that an endpoint was overloaded while it warmed up: with sent seconds of work, over its budget.
+// Tipped records that an endpoint was overloaded while it warmed up. sent and budget are seconds of work.
 func (c *Checker) Tipped(at time.Duration, endpoint string, sent, budget float64) {
 	c.violated(Pushed, at, fmt.Sprintf("%s fell over: sent %.2f s of work within its span, its budget was %.2f s",
 		endpoint, sent, budget))
