--- a/cmd/proxy/exhaustion_test.go
+++ b/cmd/proxy/exhaustion_test.go
@@ -17,7 +17,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// echo is a provider that serves all, and holds what asks for it until it is told
+// echo is an endpoint that serves all, and holds what asks for it until it is told
 // to let one go. Whoever it holds it tells.
 func echo(t *testing.T) (s *httptest.Server, held, let chan struct{}) {
 	t.Helper()
@@ -70,7 +70,7 @@
 }
 
 // The machine may allow fewer descriptors than the configuration says, or take
-// some away while the program runs. Whoever is beyond them is told so at once or
+// some away while the program runs. Whoever is beyond them is answered so at once or
 // waits unheard; /ready is answered, and once there is room all is as before.
 func TestDescriptorsRunOutAndComeBack(t *testing.T) {
 	backend, held, let := echo(t)
@@ -98,7 +98,7 @@
 		}
 	}
 	for round := range 3 {
-		// consumers take all, idle ones or such as have a request open
+		// clients take all, idle ones or such as have a request open
 		if round < 2 {
 			limit(uint64(before + 6))
 		}
@@ -112,7 +112,7 @@
 			defer c.Close()
 			idle = append(idle, c)
 		}
-		for len(busy) < 3 && round == 2 { // each with a descriptor at the provider's side
+		for len(busy) < 3 && round == 2 { // each with a descriptor at the endpoint's side
 			c, r, err := connect(t, address)
 			if err != nil {
 				t.Fatal(err)
--- a/cmd/proxy/main_test.go
+++ b/cmd/proxy/main_test.go
@@ -281,7 +281,7 @@
 		{"check", good, 0, "tier 1 of 1, 1 classes, 1 providers known"},
 		{"check", strings.Replace(good, `"Slo":2000000`, `"Slo":"soon"`, 1), 2, `setting Classes.0.Slo: unexpected value "soon"`},
 		{"serve", strings.Replace(good, `"sockets":256`, `"sockets":3`, 1), 2, `limits.sockets: unexpected value "3"`},
-		{"serve", configuration(taken.Addr().String(), "127.0.0.1:2"), 1, "listen for consumers"},
+		{"serve", configuration(taken.Addr().String(), "127.0.0.1:2"), 1, "listen for clients"},
 		{"sing", good, 2, `unknown command "sing"`},
 		{"check twice", good, 2, "unknown command"},
 	} {
--- a/cmd/proxy/memory_test.go
+++ b/cmd/proxy/memory_test.go
@@ -15,10 +15,10 @@
 	"time"
 )
 
-// Many requests and answers of 32 MB at a time, from and to consumers some of whom
+// Many requests and answers of 32 MB at a time, from and to clients some of whom
 // are slow, arrive whole and leave the program far within its memory limit.
 func TestMemoryWithManyLargeBodies(t *testing.T) {
-	const size, consumers, limit = 32 << 20, 24, 64
+	const size, clients, limit = 32 << 20, 24, 64
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -61,7 +61,7 @@
 	p.waitReady(t)
 	var all sync.WaitGroup
 	var uploads atomic.Int64
-	for i := range consumers {
+	for i := range clients {
 		all.Go(func() {
 			for end := time.Now().Add(patience); i%3 == 0; { // refused is who finds no slot
 				if put(listen, fmt.Sprintf("up-%d-%d", i, time.Now().UnixNano()), size, i%2 == 0) {
@@ -110,7 +110,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d bodies of %d MB at a time, %d uploads served: %d MB at most, of %d", consumers, size>>20, uploads.Load(), kb>>10, limit)
+	t.Logf("%d bodies of %d MB at a time, %d uploads served: %d MB at most, of %d", clients, size>>20, uploads.Load(), kb>>10, limit)
 	if kb>>10 > limit*3/4 {
 		t.Errorf("the program took %d MB", kb>>10)
 	}
--- a/cmd/proxy/upgrade_test.go
+++ b/cmd/proxy/upgrade_test.go
@@ -21,12 +21,12 @@
 // process is a running program that may be one of several of a proxy.
 type process struct {
 	*exec.Cmd
-	door  string
+	admin string
 	log   chan string // lines that say what a test waits for
 	ended chan error
 }
 
-// launch starts the program beside whatever runs already, with a door.
+// launch starts the program beside whatever runs already, with a management endpoint.
 func launch(t *testing.T, program, configuration, scratch string) *process {
 	t.Helper()
 	p := &process{Cmd: prepare(t, program, configuration, "serve"), log: make(chan string, 64), ended: make(chan error, 1)}
@@ -48,8 +48,8 @@
 		}
 		p.ended <- p.Wait()
 	}()
-	_, p.door, _ = strings.Cut(p.says(t, "management endpoint listening"), "address=")
-	p.door, _, _ = strings.Cut(p.door, " ")
+	_, p.admin, _ = strings.Cut(p.says(t, "management endpoint listening"), "address=")
+	p.admin, _, _ = strings.Cut(p.admin, " ")
 	return p
 }
 
@@ -68,10 +68,10 @@
 	}
 }
 
-// call makes a call at the door.
+// call sends a request to the management endpoint.
 func (p *process) call(t *testing.T, method, path, body string) (int, string) {
 	t.Helper()
-	c, r, err := connect(t, p.door)
+	c, r, err := connect(t, p.admin)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +109,7 @@
 }
 
 // Three upgrades in a row under load, over new and kept connections: no more are
-// turned back unheard than the two an upgrade that operators allow, what staff have ordered holds, and a torn or strange file in the
+// turned back unheard than the two an upgrade that operators allow, what operators have ordered holds, and a torn or strange file in the
 // directory that the processes share harms nothing.
 func TestUpgradeUnderLoad(t *testing.T) {
 	fine := func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "fine") }
@@ -278,13 +278,13 @@
 	if status, _ := second.call(t, "POST", "backends/up", "s1"); status != 200 {
 		t.Error(status)
 	}
-	for _, tc := range []struct{ mgmt, says string }{{first.door, "mgmt: "}, {"nowhere", "mgmt: "}, {"127.0.0.1", "mgmt: "}} {
+	for _, tc := range []struct{ mgmt, says string }{{first.admin, "mgmt: "}, {"nowhere", "mgmt: "}, {"127.0.0.1", "mgmt: "}} {
 		third := prepare(t, program, text, "serve")
 		third.Env = append(third.Env, "ROUTER_MGMT="+tc.mgmt, "TMPDIR="+scratch)
 		said, err := third.CombinedOutput()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.ExitCode() != 2 || !strings.Contains(string(said), tc.says) {
-			t.Errorf("a door at %s: %v, %s", tc.mgmt, err, said)
+			t.Errorf("a management endpoint at %s: %v, %s", tc.mgmt, err, said)
 		}
 	}
 	for _, p := range []*process{first, second} {
--- a/config/settings.go
+++ b/config/settings.go
@@ -107,7 +107,7 @@
 			Zone:            v.int("Zone"),
 			ReplicaIndex:    v.int("Me"),
 			ReplicaCount:    v.int("GroupSize"),
-			Subscribe:       v.word("Discovery", "subscribe", "automatic") == "subscribe",
+			Subscribe:       v.oneOf("Discovery", "subscribe", "automatic") == "subscribe",
 			WeightByWork:    v.scalars["ValueBy"] == "work",
 			OverQuotaWeight: v.fraction("OverShareWorth"),
 			LoadReportNames: v.lists["LoadInfo.Names"],
@@ -256,16 +256,16 @@
 	return false
 }
 
-// lenientWord reads one of some words; another one is refused only where reading is strict.
-func (v *values) lenientWord(path string, words ...string) string {
+// lenientOneOf reads one of some words; another one is refused only where reading is strict.
+func (v *values) lenientOneOf(path string, words ...string) string {
 	if !v.strict {
 		return v.scalars[path]
 	}
-	return v.word(path, words...)
+	return v.oneOf(path, words...)
 }
 
-// word reads one of some words, or an empty string where it is missing.
-func (v *values) word(path string, words ...string) string {
+// oneOf reads one of some words, or an empty string where it is missing.
+func (v *values) oneOf(path string, words ...string) string {
 	if text := v.scalars[path]; text == "" || slices.Contains(words, text) {
 		return text
 	}
@@ -276,7 +276,7 @@
 // effect reads a missing word as the strictest kind, and an unknown one where it is not refused: it can only make the
 // balancer more careful.
 func (v *values) effect(path string) balancer.Effect {
-	switch v.lenientWord(path, "pure", "token", "side_effect") {
+	switch v.lenientOneOf(path, "pure", "token", "side_effect") {
 	case "pure":
 		return balancer.Safe
 	case "token":
@@ -287,7 +287,7 @@
 
 // group reads a missing or unknown word as the narrowest group, like effect.
 func (v *values) group(path string) balancer.Group {
-	switch v.lenientWord(path, "all", "zone", "cell") {
+	switch v.lenientOneOf(path, "all", "zone", "cell") {
 	case "all":
 		return balancer.GroupAll
 	case "zone":
--- a/discovery/client_test.go
+++ b/discovery/client_test.go
@@ -13,11 +13,11 @@
 	"ryerill/internal/buffer"
 )
 
-// told passes on what a client is told.
-type told chan string
+// recorder passes on what a client is notified of.
+type recorder chan string
 
-func (c told) EndpointsListed(l EndpointList) { c <- fmt.Sprint("list ", l.Index) }
-func (c told) ListingFailed(err error)        { c <- "failed" }
+func (c recorder) EndpointsListed(l EndpointList) { c <- fmt.Sprint("list ", l.Index) }
+func (c recorder) ListingFailed(err error)        { c <- "failed" }
 
 // A watch goes on from answer to answer, over one connection while it lasts;
 // when a call fails it is over until the next Subscribe.
@@ -35,10 +35,10 @@
 		}
 	}))
 	defer server.Close()
-	news := make(told, 8)
+	notifications := make(recorder, 8)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	c := NewClient(ctx, server.Listener.Addr().String(), EndpointList{}, new(buffer.Pool), news)
+	c := NewClient(ctx, server.Listener.Addr().String(), EndpointList{}, new(buffer.Pool), notifications)
 	const list = `{"index":%d,"snapshot":%v,"endpoints":[{"name":"s","status":"Gone"}]}`
 	says := func(index int, whole bool) func(http.ResponseWriter) {
 		return func(w http.ResponseWriter) { fmt.Fprintf(w, list, index, whole) }
@@ -52,7 +52,7 @@
 		query  string
 		answer func(http.ResponseWriter)
 		same   bool // the connection of the call before
-		told   string
+		want   string
 	}{
 		{"", says(5, true), false, "list 5"}, // nothing is known: the whole list
 		{"since=5&timeout_ms=2000", closes, true, "list 6"},
@@ -75,10 +75,10 @@
 		}
 		before = got.from
 		answers <- step.answer
-		if text := <-news; text != step.told {
-			t.Errorf("step %d: told %q", i, text)
+		if text := <-notifications; text != step.want {
+			t.Errorf("step %d: notified of %q", i, text)
 		}
-		if step.told == "failed" {
+		if step.want == "failed" {
 			for running := true; running; { // until the failed watch has let go
 				c.mu.Lock()
 				running = c.stopWatch != nil
@@ -88,13 +88,13 @@
 	}
 	<-calls
 	c.Subscribe(false)
-	if got := <-calls; got.query != "left" || len(news) > 0 {
+	if got := <-calls; got.query != "left" || len(notifications) > 0 {
 		t.Errorf("after the end of the watch: %+v", got)
 	}
 }
 
 // A watch that is moved lets go of the old discovery service and asks the new one for
-// the whole list, whatever version it held; nothing of the old one is told
+// the whole list, whatever version it held; nothing of the old one is notified
 // afterwards. Without this a reload would leave the proxy with a dead list.
 func TestMove(t *testing.T) {
 	type call struct {
@@ -132,29 +132,29 @@
 	answer := func(c call, text string) { io.WriteString(c.w, text); close(c.done) }
 	old, oldCalls := serve()
 	fresh, freshCalls := serve()
-	news := make(told, 8)
+	notifications := make(recorder, 8)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	c := NewClient(ctx, old, EndpointList{Index: 41, Snapshot: true}, new(buffer.Pool), news)
+	c := NewClient(ctx, old, EndpointList{Index: 41, Snapshot: true}, new(buffer.Pool), notifications)
 	c.Subscribe(true)
 	waiting := next(oldCalls, "since=41&timeout_ms=2000")
 	c.SetAddress(old) // the same again changes nothing
 	c.SetAddress(fresh)
 	<-waiting.left
 	answer(next(freshCalls, ""), `{"index":3,"snapshot":true,"endpoints":[]}`)
-	if text := <-news; text != "list 3" {
-		t.Errorf("told %q", text)
+	if text := <-notifications; text != "list 3" {
+		t.Errorf("notified of %q", text)
 	}
 	failing := next(freshCalls, "since=3&timeout_ms=2000")
 	failing.w.WriteHeader(http.StatusServiceUnavailable)
 	close(failing.done)
-	if text := <-news; text != "failed" {
-		t.Errorf("told %q", text)
+	if text := <-notifications; text != "failed" {
+		t.Errorf("notified of %q", text)
 	}
 	c.SetAddress(old) // while no watch is on: it has failed and would be started again only later
 	next(oldCalls, "")
-	if len(oldCalls)+len(freshCalls)+len(news) > 0 {
-		t.Errorf("%d and %d more calls, %d more told", len(oldCalls), len(freshCalls), len(news))
+	if len(oldCalls)+len(freshCalls)+len(notifications) > 0 {
+		t.Errorf("%d and %d more calls, %d more notifications", len(oldCalls), len(freshCalls), len(notifications))
 	}
 }
 
@@ -163,17 +163,17 @@
 func TestSilenceIsNoticed(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer server.Close()
-	news := make(told, 1)
+	notifications := make(recorder, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	NewClient(ctx, server.Listener.Addr().String(), EndpointList{Snapshot: true}, new(buffer.Pool), news).Subscribe(true)
+	NewClient(ctx, server.Listener.Addr().String(), EndpointList{Snapshot: true}, new(buffer.Pool), notifications).Subscribe(true)
 	select {
-	case text := <-news:
+	case text := <-notifications:
 		if text != "failed" {
-			t.Errorf("told %q", text)
+			t.Errorf("notified of %q", text)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("nothing is told")
+		t.Fatal("no notification")
 	}
 }
 
@@ -198,13 +198,13 @@
 	defer l.close()
 	got, err := c.get(t.Context(), l, path, 0)
 	if err != nil || len(got.Endpoints) != 7000 {
-		t.Fatalf("of %d bytes: %d providers, %v", len(text), len(got.Endpoints), err)
+		t.Fatalf("of %d bytes: %d endpoints, %v", len(text), len(got.Endpoints), err)
 	}
 }
 
 // A watch of an agent goes on by itself: after a refusal, a break and silence it
 // asks again in less than the time in which a drain must be heeded, over any
-// number of failures, of which the first in a row is told.
+// number of failures, of which the first in a row is notified.
 func TestAgentIsWatchedOn(t *testing.T) {
 	asked, answers := make(chan time.Time), make(chan string)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -225,13 +225,13 @@
 		}
 	}))
 	defer server.Close()
-	news := make(told, 8)
+	notifications := make(recorder, 8)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	c := NewAgentClient(ctx, server.Listener.Addr().String(), EndpointList{}, new(buffer.Pool), news)
+	c := NewAgentClient(ctx, server.Listener.Addr().String(), EndpointList{}, new(buffer.Pool), notifications)
 	c.Subscribe(true) // of no effect
 	within := (agentWatchWait + agentAnswerTimeout + agentMaxPause).Milliseconds()
-	for i, step := range []struct{ answer, told string }{
+	for i, step := range []struct{ answer, want string }{
 		{`{"index":5,"snapshot":true,"endpoints":[]}`, "list 5"},
 		{"fails", "failed"}, {"breaks", ""}, {"silent", ""}, {"fails", ""}, {"fails", ""},
 		{`{"index":6,"snapshot":false,"endpoints":[]}`, "list 6"},
@@ -248,14 +248,14 @@
 			t.Fatalf("step %d: not asked", i)
 		}
 		answers <- step.answer
-		if step.told == "" {
+		if step.want == "" {
 			continue
 		}
-		if text := <-news; text != step.told {
-			t.Errorf("step %d: told %q, want %q", i, text, step.told)
+		if text := <-notifications; text != step.want {
+			t.Errorf("step %d: notified of %q, want %q", i, text, step.want)
 		}
 	}
-	if len(news) > 0 {
-		t.Errorf("told %q besides", <-news)
+	if len(notifications) > 0 {
+		t.Errorf("notified of %q besides", <-notifications)
 	}
 }
--- a/discovery/crossings_test.go
+++ b/discovery/crossings_test.go
@@ -16,7 +16,7 @@
 )
 
 // However an answer breaks off or lies, it is a failed call and never half a list, and
-// the call after it is told whole: on another connection, in time for the rule on drains,
+// the call after it is notified whole: on another connection, in time for the rule on drains,
 // for a discovery service that is asked and for an agent alike.
 func TestAnswersThatBreak(t *testing.T) {
 	const head, list = "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", `{"index":8,"snapshot":true,"endpoints":[{"name":"s","address":"127.0.0.1:1","status":"Terminating"}]}`
@@ -70,15 +70,15 @@
 						conns <- c
 					}
 				}()
-				news := make(told, 8)
+				notifications := make(recorder, 8)
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				known := EndpointList{Index: 7, Snapshot: true}
 				var c *Client
 				if agent {
-					c = NewAgentClient(ctx, l.Addr().String(), known, new(buffer.Pool), news)
+					c = NewAgentClient(ctx, l.Addr().String(), known, new(buffer.Pool), notifications)
 				} else {
-					c = NewClient(ctx, l.Addr().String(), known, new(buffer.Pool), news)
+					c = NewClient(ctx, l.Addr().String(), known, new(buffer.Pool), notifications)
 					c.Subscribe(true)
 				}
 				first := (<-conns).(*net.TCPConn)
@@ -90,12 +90,12 @@
 				began := time.Now()
 				io.WriteString(first, tc.text)
 				tc.then(first)
-				text := <-news
+				text := <-notifications
 				if (text != "failed") != tc.whole {
-					t.Fatalf("told %q", text)
+					t.Fatalf("notified of %q", text)
 				}
 				if took := time.Since(began); took > watchWait+answerTimeout+time.Second {
-					t.Errorf("told after %v", took)
+					t.Errorf("notified of after %v", took)
 				}
 				if tc.whole {
 					return
@@ -116,8 +116,8 @@
 					t.Fatal(err)
 				}
 				io.WriteString(next, says(list))
-				if text := <-news; text != "list 8" {
-					t.Errorf("then told %q", text)
+				if text := <-notifications; text != "list 8" {
+					t.Errorf("then notified of %q", text)
 				}
 			})
 		}
@@ -125,7 +125,7 @@
 }
 
 // Two moves in a row while a call is out, in any order with its answer: only what the
-// last discovery service says is told after the last move, and one watch is left.
+// last discovery service says is notified after the last move, and one watch is left.
 func TestMovesInARow(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
 	peer := func() (string, chan net.Conn, func()) {
@@ -153,17 +153,17 @@
 	for _, early := range []bool{true, false} { // the old discovery services' answers come before the last move, or after
 		a, fromA, endA := peer()
 		b, fromB, endB := peer()
-		news := make(told, 8)
+		notifications := make(recorder, 8)
 		ctx, cancel := context.WithCancel(t.Context())
-		c := NewClient(ctx, a, EndpointList{}, new(buffer.Pool), news)
+		c := NewClient(ctx, a, EndpointList{}, new(buffer.Pool), notifications)
 		c.Subscribe(true)
 		first := <-fromA
 		c.SetAddress(b)
 		second := <-fromB
 		if early {
 			says(second, 2)
-			if text := <-news; text != "list 2" {
-				t.Errorf("told %q", text)
+			if text := <-notifications; text != "list 2" {
+				t.Errorf("notified of %q", text)
 			}
 		}
 		c.SetAddress(a)
@@ -173,11 +173,11 @@
 		}
 		third := <-fromA
 		says(third, 3)
-		if text := <-news; text != "list 3" {
-			t.Errorf("early %v: told %q", early, text)
+		if text := <-notifications; text != "list 3" {
+			t.Errorf("early %v: notified of %q", early, text)
 		}
-		if len(news) > 0 {
-			t.Errorf("early %v: told %q besides", early, <-news)
+		if len(notifications) > 0 {
+			t.Errorf("early %v: notified of %q besides", early, <-notifications)
 		}
 		cancel()
 		for _, c := range []net.Conn{first, second, third} {
--- a/discovery/list.go
+++ b/discovery/list.go
@@ -37,7 +37,7 @@
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-var errListIncomplete = errors.New("list of providers: index or endpoints are missing")
+var errListIncomplete = errors.New("list of endpoints: index or endpoints are missing")
 
 // Parse reads a list and checks each of its entries, so that a damaged answer is a failed call and never half a list.
 func Parse(text []byte) (EndpointList, error) {
@@ -47,7 +47,7 @@
 		Endpoints *[]Endpoint `json:"endpoints"`
 	}
 	if err := json.Unmarshal(text, &parsed); err != nil {
-		return EndpointList{}, fmt.Errorf("list of providers: %w", err)
+		return EndpointList{}, fmt.Errorf("list of endpoints: %w", err)
 	}
 	if parsed.Index == nil || parsed.Endpoints == nil {
 		return EndpointList{}, errListIncomplete
@@ -55,7 +55,7 @@
 	list := EndpointList{Index: *parsed.Index, Snapshot: parsed.Snapshot, Endpoints: *parsed.Endpoints}
 	for i := range list.Endpoints {
 		if err := list.Endpoints[i].check(); err != nil {
-			return EndpointList{}, fmt.Errorf("list of providers: endpoints.%d: %w", i, err)
+			return EndpointList{}, fmt.Errorf("list of endpoints: endpoints.%d: %w", i, err)
 		}
 	}
 	return list, nil
--- a/downstream/head_test.go
+++ b/downstream/head_test.go
@@ -48,7 +48,7 @@
 	return 0, body, rest()
 }
 
-// What a endpoint might read otherwise than this proxy must not pass: it could
+// What an endpoint might read otherwise than this proxy must not pass: it could
 // hide a request in the body of another. Each case stands between good lines.
 func TestRequestsAreJudgedAsTheyStand(t *testing.T) {
 	const post, next = "POST /burn HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\nReq-Kind: burn\r\n", "GET /hidden"
--- a/downstream/lifecycle_test.go
+++ b/downstream/lifecycle_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// over notes the one end of an request. It reports whether it had one.
+// over notes the one end of a request. It reports whether it had one.
 func (h *holding) over(ticket uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -78,7 +78,7 @@
 	return was
 }
 
-// serve answers an request, unless its client has left.
+// serve answers a request, unless its client has left.
 func (h *holding) serve(ticket uint64) {
 	h.mu.Lock()
 	inv := h.open[ticket]
@@ -347,7 +347,7 @@
 			came(t, h.taken, "the request")
 			began := time.Now()
 			stop()
-			stop() // a second word changes nothing
+			stop() // stopping again changes nothing
 			if stays {
 				for open := true; open; { // past the time at which it would have been killed
 					s.mu.Lock()
--- a/downstream/server.go
+++ b/downstream/server.go
@@ -63,7 +63,7 @@
 	}
 	listener, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("listen for consumers: %w", err)
+		return nil, fmt.Errorf("listen for clients: %w", err)
 	}
 	s := &Server{
 		listener:       listener.(*net.TCPListener),
@@ -133,7 +133,7 @@
 			return nil
 		}
 		if errors.Is(err, net.ErrClosed) {
-			return fmt.Errorf("accept consumers: %w", err)
+			return fmt.Errorf("accept clients: %w", err)
 		}
 		if err != nil { // the client is gone again, or another has taken the descriptor
 			s.descriptors.Fill()
--- a/downstream/server_test.go
+++ b/downstream/server_test.go
@@ -152,7 +152,7 @@
 func (prompt) ClientLeft(uint64) bool { return false }
 func (prompt) Expire(uint64)          {}
 
-// After the word to stop, clients go on with the connections that they have:
+// After shutdown has begun, clients go on with the connections that they have:
 // until another proxy is back there may be nobody else. Then they are told.
 func TestIdleConnectionsAreServedAfterShutdownBegins(t *testing.T) {
 	s, err := Listen("127.0.0.1:0", 64, false, new(buffer.Pool))
@@ -177,19 +177,19 @@
 		return resp
 	}
 	if resp := ask("1"); resp == nil || resp.StatusCode != 200 {
-		t.Fatalf("before the word to stop: %+v", resp)
+		t.Fatalf("before shutdown: %+v", resp)
 	}
-	told := time.Now()
+	began := time.Now()
 	stop()
-	for s.limitRemaining(time.Hour) == time.Hour && time.Since(told) < killGrace { // until the word is there, and past the grace
+	for s.limitRemaining(time.Hour) == time.Hour && time.Since(began) < killGrace { // until shutdown has begun, and past the grace
 		runtime.Gosched()
 	}
 	resp := ask("2")
-	switch late := time.Since(told) >= s.killDelay/2; { // on a busy machine: nothing is promised
+	switch late := time.Since(began) >= s.killDelay/2; { // on a busy machine: nothing is promised
 	case resp == nil && !late:
-		t.Error("after the word to stop there is no answer")
+		t.Error("after shutdown there is no answer")
 	case resp != nil && (resp.StatusCode != 200 || resp.Close && !late):
-		t.Errorf("after the word to stop: %s, closes %v", resp.Status, resp.Close)
+		t.Errorf("after shutdown: %s, closes %v", resp.Status, resp.Close)
 	}
 	if _, err := r.ReadByte(); err != io.EOF {
 		t.Errorf("it ends with %v", err)
@@ -200,7 +200,7 @@
 	for _, tc := range []struct{ since, want time.Duration }{{0, time.Hour}, {time.Second, s.killDelay - killMargin - time.Second}} {
 		s.stoppedAt = time.Now().Add(-tc.since)
 		if got := s.limitRemaining(time.Hour); got > tc.want || got < tc.want-10*time.Second {
-			t.Errorf("%v after the word to stop an invocation may take %v, want %v", tc.since, got, tc.want)
+			t.Errorf("%v after shutdown a request may take %v, want %v", tc.since, got, tc.want)
 		}
 	}
 }
@@ -221,7 +221,7 @@
 }
 func (torn) ClientLeft(uint64) bool { return true } // and books its end
 
-// An upload that breaks off is booked as an request's end where it was taken; the
+// An upload that breaks off is recorded as a request's end where it was taken; the
 // front, which tells the client, must not book it too.
 func TestBrokenUploadIsRecordedOnce(t *testing.T) {
 	s, err := Listen("127.0.0.1:0", 16, false, new(buffer.Pool))
@@ -251,7 +251,7 @@
 	}
 	select {
 	case class := <-service.turned:
-		t.Errorf("booked by the front too, as of class %q", class)
+		t.Errorf("recorded by the server too, as of class %q", class)
 	default:
 	}
 }
--- a/upstream/crossings_test.go
+++ b/upstream/crossings_test.go
@@ -12,7 +12,7 @@
 	"ryerill/internal/buffer"
 )
 
-// Whatever comes between the choice of a endpoint and the first byte is looked at right
+// Whatever comes between the choice of an endpoint and the first byte is looked at right
 // before that byte: a call that is not wanted any more, or comes too late to be harmless,
 // is not written, never ran, and leaves the connection to others or closed.
 func TestBetweenTheChoiceAndTheFirstByte(t *testing.T) {
@@ -23,16 +23,16 @@
 		kept    int // connections, with nothing out
 	}{
 		{"nothing", func(*Attempt) bool { return true }, balancer.OK, 1},
-		{"the provider drains", func(*Attempt) bool { return false }, balancer.NotSent, 1},
-		{"called off", func(c *Attempt) bool { c.Cancel(); return true }, balancer.NotSent, 0},
+		{"the endpoint drains", func(*Attempt) bool { return false }, balancer.NotSent, 1},
+		{"cancelled", func(c *Attempt) bool { c.Cancel(); return true }, balancer.NotSent, 0},
 		{"withdrawn", func(c *Attempt) bool { c.Withdraw(); return true }, balancer.NotSent, 0},
 		{"its time is over", func(c *Attempt) bool { c.WriteDeadline = time.Now(); return true }, balancer.NotSent, 1},
-		{"called off and the provider drains", func(c *Attempt) bool { c.Cancel(); return false }, balancer.NotSent, 0},
+		{"cancelled and the endpoint drains", func(c *Attempt) bool { c.Cancel(); return false }, balancer.NotSent, 0},
 	} {
 		for _, idle := range []bool{false, true} {
 			address, conns, requests := serve(t, okay, nil)
-			room := newRoom(1)
-			p := NewPool(room, time.Hour, 5*time.Second, new(buffer.Pool))
+			descriptors := newDescriptors(1)
+			p := NewPool(descriptors, time.Hour, 5*time.Second, new(buffer.Pool))
 			if idle { // the connection is there already
 				p.Do(newCall(address))
 				<-requests
@@ -41,8 +41,8 @@
 			c.MaySend = func() bool { return tc.between(c) }
 			outcome, response := p.Do(c)
 			response.Free()
-			if outcome != tc.want || room.used() != tc.kept {
-				t.Errorf("%s, on an idle connection %v: %v, %d connections kept", tc.name, idle, outcome, room.used())
+			if outcome != tc.want || descriptors.used() != tc.kept {
+				t.Errorf("%s, on an idle connection %v: %v, %d connections kept", tc.name, idle, outcome, descriptors.used())
 			}
 			// The next call finds all in order, and the endpoint has had no more than what was wanted.
 			if outcome, _ := p.Do(newCall(address)); outcome != balancer.OK {
@@ -72,13 +72,13 @@
 		want  balancer.Outcome
 	}{
 		{"withdrawn", (*Attempt).Withdraw, balancer.OK},
-		{"called off", (*Attempt).Cancel, balancer.Cancelled},
+		{"cancelled", (*Attempt).Cancel, balancer.Cancelled},
 		{"no repeat would be harmless now", func(c *Attempt) { c.WriteDeadline = time.Now() }, balancer.OK},
 	} {
 		answer := make(chan struct{})
 		address, _, _ := serve(t, "", func(c net.Conn) { <-answer; io.WriteString(c, okay) })
-		room := newRoom(1)
-		p := NewPool(room, time.Hour, 5*time.Second, new(buffer.Pool))
+		descriptors := newDescriptors(1)
+		p := NewPool(descriptors, time.Hour, 5*time.Second, new(buffer.Pool))
 		c := newCall(address)
 		c.OnWritten = func() time.Time { tc.after(c); close(answer); return time.Time{} }
 		outcome, response := p.Do(c)
@@ -86,8 +86,8 @@
 		if outcome != tc.want {
 			t.Errorf("%s: %v", tc.name, outcome)
 		}
-		if p.Close(); room.used() != 0 {
-			t.Errorf("%s: %d connections held", tc.name, room.used())
+		if p.Close(); descriptors.used() != 0 {
+			t.Errorf("%s: %d connections held", tc.name, descriptors.used())
 		}
 	}
 }
@@ -161,17 +161,17 @@
 		want balancer.Outcome
 	}{
 		{"still wanted", func(*Attempt) {}, func(*Attempt) {}, balancer.OK},
-		{"called off", func(*Attempt) {}, (*Attempt).Cancel, balancer.NotSent},
+		{"cancelled", func(*Attempt) {}, (*Attempt).Cancel, balancer.NotSent},
 		{"withdrawn", func(*Attempt) {}, (*Attempt).Withdraw, balancer.NotSent},
 		{"no repeat is harmless any more", func(c *Attempt) { c.WriteDeadline = time.Now().Add(50 * time.Millisecond) }, nil, balancer.NotSent},
 		{"timed out", func(c *Attempt) { c.Deadline = time.Now().Add(50 * time.Millisecond) }, nil, balancer.ConnectFailed},
-		{"on its way, the provider begins to drain", func(c *Attempt) { c.MaySend = func() bool { return false } }, func(*Attempt) {}, balancer.NotSent},
+		{"on its way, the endpoint begins to drain", func(c *Attempt) { c.MaySend = func() bool { return false } }, func(*Attempt) {}, balancer.NotSent},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			d := newDeaf(t)
-			room := newRoom(1)
-			p := NewPool(room, time.Hour, 20*time.Second, new(buffer.Pool))
+			descriptors := newDescriptors(1)
+			p := NewPool(descriptors, time.Hour, 20*time.Second, new(buffer.Pool))
 			c := newCall(d.Addr().String())
 			tc.set(c)
 			over, began := make(chan balancer.Outcome, 1), time.Now()
@@ -209,8 +209,8 @@
 				t.Errorf("%q arrived", first)
 			}
 			after.Close()
-			if p.Close(); room.used() != 0 {
-				t.Errorf("%d connections held", room.used())
+			if p.Close(); descriptors.used() != 0 {
+				t.Errorf("%d connections held", descriptors.used())
 			}
 		})
 	}
@@ -223,7 +223,7 @@
 	p, c := largeCall(t, func(c net.Conn) { held <- c }) // who reads nothing of it
 	c.WriteDeadline = time.Now().Add(100 * time.Millisecond)
 	if outcome, _ := p.Do(c); !outcome.NeverRan() {
-		t.Errorf("booked as: %v", outcome)
+		t.Errorf("recorded as: %v", outcome)
 	}
 	if !time.Now().Before(c.Deadline) {
 		t.Error("it was waited for until its answer was due")
@@ -238,8 +238,8 @@
 		conns int
 	}{{time.Hour, 1}, {time.Nanosecond, 2}} {
 		address, conns, requests := serve(t, okay, nil)
-		room := newRoom(8)
-		p := NewPool(room, time.Hour, 5*time.Second, new(buffer.Pool))
+		descriptors := newDescriptors(8)
+		p := NewPool(descriptors, time.Hour, 5*time.Second, new(buffer.Pool))
 		for i := range 2 {
 			if i == 1 {
 				p.SetTimeouts(tc.keep, 5*time.Second)
@@ -253,8 +253,8 @@
 		if len(conns) != tc.conns {
 			t.Errorf("keep %v: %d connections", tc.keep, len(conns))
 		}
-		if p.Close(); room.used() != 0 {
-			t.Errorf("keep %v: %d connections held", tc.keep, room.used())
+		if p.Close(); descriptors.used() != 0 {
+			t.Errorf("keep %v: %d connections held", tc.keep, descriptors.used())
 		}
 	}
 }
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -20,7 +20,7 @@
 )
 
 // errNoDescriptor says that as many connections are open as the budget allows and none of them is idle.
-var errNoDescriptor = errors.New("no room for another connection to a provider")
+var errNoDescriptor = errors.New("no descriptor for another connection to an endpoint")
 
 // Budget is what a pool may use of a resource of the machine. Its methods are safe for concurrent use and don't block.
 type Budget interface {
--- a/upstream/reset_test.go
+++ b/upstream/reset_test.go
@@ -75,8 +75,8 @@
 		{"end before the last chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", 2, closes, balancer.Reset},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			room := newRoom(1)
-			p := NewPool(room, time.Hour, time.Second, new(buffer.Pool))
+			descriptors := newDescriptors(1)
+			p := NewPool(descriptors, time.Hour, time.Second, new(buffer.Pool))
 			near, far := connected(t, p)
 			near.limit.R = &before{near, tc.read, func() { tc.end(far) }}
 			if tc.read == 3 { // the look finds more, and the read behind it the reset
@@ -94,13 +94,13 @@
 			}
 			response.Free()
 			p.drop(near)
-			if room.used() != 0 {
-				t.Errorf("%d connections held", room.used())
+			if descriptors.used() != 0 {
+				t.Errorf("%d connections held", descriptors.used())
 			}
 		})
 	}
 	t.Run("a look took the reset", func(t *testing.T) {
-		p := NewPool(newRoom(1), time.Hour, time.Second, new(buffer.Pool))
+		p := NewPool(newDescriptors(1), time.Hour, time.Second, new(buffer.Pool))
 		near, far := connected(t, p)
 		defer p.drop(near)
 		reset(far)
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -53,17 +53,17 @@
 	return l.Addr().String(), conns, requests
 }
 
-// room is so many connections.
-type room struct{ left, most atomic.Int64 }
+// descriptors is a number of connections that may be open.
+type descriptors struct{ left, most atomic.Int64 }
 
-func newRoom(n int64) *room {
-	r := &room{}
+func newDescriptors(n int64) *descriptors {
+	r := &descriptors{}
 	r.left.Store(n)
 	r.most.Store(n)
 	return r
 }
 
-func (r *room) Take(n int) bool {
+func (r *descriptors) Take(n int) bool {
 	if r.left.Add(-int64(n)) < 0 {
 		r.left.Add(int64(n))
 		return false
@@ -71,8 +71,8 @@
 	return true
 }
 
-func (r *room) Give(n int) { r.left.Add(int64(n)) }
-func (r *room) used() int  { return int(r.most.Load() - r.left.Load()) }
+func (r *descriptors) Give(n int) { r.left.Add(int64(n)) }
+func (r *descriptors) used() int  { return int(r.most.Load() - r.left.Load()) }
 
 func newCall(address string) *Attempt {
 	return &Attempt{Request: &message.OutgoingRequest{Method: "GET", Target: "/x", Host: "h"}, Address: address,
@@ -90,15 +90,15 @@
 		conns     int
 	}{
 		{"kept", okay, nil, time.Hour, 1},
-		{"closed by the provider", okay, func(c net.Conn) { c.Close() }, time.Hour, 2},
-		{"reset by the provider", okay, func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }, time.Hour, 2},
+		{"closed by the endpoint", okay, func(c net.Conn) { c.Close() }, time.Hour, 2},
+		{"reset by the endpoint", okay, func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }, time.Hour, 2},
 		{"said to be closed", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok", nil, time.Hour, 2},
 		{"more bytes than the answer", okay + "HTTP", nil, time.Hour, 2},
 		{"more bytes later", okay, func(c net.Conn) { io.WriteString(c, "HTTP") }, time.Hour, 2},
 		{"idle for too long", okay, nil, time.Nanosecond, 2},
 	} {
 		address, conns, requests := serve(t, tc.text, tc.after)
-		p := NewPool(newRoom(8), tc.idleClose, 5*time.Second, new(buffer.Pool))
+		p := NewPool(newDescriptors(8), tc.idleClose, 5*time.Second, new(buffer.Pool))
 		for range 2 {
 			outcome, response := p.Do(newCall(address))
 			if outcome != balancer.OK || response.Body.Len() != 2 {
@@ -113,11 +113,11 @@
 	}
 }
 
-// A endpoint may be told to drain while its connection is being opened: then
+// An endpoint may be told to drain while its connection is being opened: then
 // nothing may be written any more.
 func TestNothingIsWrittenAfterTheRecheck(t *testing.T) {
 	address, _, requests := serve(t, okay, nil)
-	p := NewPool(newRoom(8), time.Hour, 5*time.Second, new(buffer.Pool))
+	p := NewPool(newDescriptors(8), time.Hour, 5*time.Second, new(buffer.Pool))
 	defer p.Close()
 	drained := newCall(address)
 	drained.MaySend = func() bool { return false }
@@ -134,7 +134,7 @@
 	}
 }
 
-// A endpoint starts on a request when its last byte has arrived: one that
+// An endpoint starts on a request when its last byte has arrived: one that
 // breaks off before has not run it, and the call may be made again anywhere.
 func TestBrokenBeforeTheLastByteNeverRan(t *testing.T) {
 	p, c := largeCall(t, func(c net.Conn) {
@@ -142,11 +142,11 @@
 		c.Close()
 	})
 	if outcome, _ := p.Do(c); outcome != balancer.ConnectFailed || !outcome.NeverRan() {
-		t.Errorf("booked as: %v", outcome)
+		t.Errorf("recorded as: %v", outcome)
 	}
 }
 
-// largeCall is a call with more of a body than sockets hold, to a endpoint that does
+// largeCall is a call with more of a body than sockets hold, to an endpoint that does
 // something with the connection.
 func largeCall(t *testing.T, then func(net.Conn)) (*Pool, *Attempt) {
 	t.Helper()
@@ -164,7 +164,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := NewPool(newRoom(8), time.Hour, 5*time.Second, buffers)
+	p := NewPool(newDescriptors(8), time.Hour, 5*time.Second, buffers)
 	t.Cleanup(func() { l.Close(); p.Close() })
 	c := newCall(l.Addr().String())
 	c.Request = &message.OutgoingRequest{Method: "POST", Target: "/x", Host: "h", Body: body}
@@ -181,7 +181,7 @@
 	first, _, _ := serve(t, okay, nil)
 	second, _, _ := serve(t, okay, nil)
 	silent, _, requests := serve(t, "", nil)
-	p := NewPool(newRoom(1), time.Hour, 5*time.Second, new(buffer.Pool))
+	p := NewPool(newDescriptors(1), time.Hour, 5*time.Second, new(buffer.Pool))
 	defer p.Close()
 	for _, address := range []string{first, second, first} {
 		if outcome, _ := p.Do(newCall(address)); outcome != balancer.OK {
@@ -195,8 +195,8 @@
 		t.Errorf("with none idle: %v", outcome)
 	}
 	held.Cancel()
-	if outcome := <-over; outcome != balancer.Cancelled || p.connections.(*room).used() != 0 {
-		t.Errorf("called off: %v, %d open", outcome, p.connections.(*room).used())
+	if outcome := <-over; outcome != balancer.Cancelled || p.connections.(*descriptors).used() != 0 {
+		t.Errorf("cancelled: %v, %d open", outcome, p.connections.(*descriptors).used())
 	}
 }
 
@@ -218,19 +218,19 @@
 // be open, and a request on it would be lost.
 func TestConnectionsBelongToTheirEndpoint(t *testing.T) {
 	address, conns, _ := serve(t, okay, nil)
-	p := NewPool(newRoom(8), time.Hour, 5*time.Second, new(buffer.Pool))
+	p := NewPool(newDescriptors(8), time.Hour, 5*time.Second, new(buffer.Pool))
 	defer p.Close()
 	for i, tc := range []struct {
-		provider uint64
+		endpoint uint64
 		conns    int
 	}{{1, 1}, {1, 1}, {2, 2}, {1, 2}} {
 		c := newCall(address)
-		c.Endpoint = tc.provider
+		c.Endpoint = tc.endpoint
 		if outcome, _ := p.Do(c); outcome != balancer.OK || len(conns) != tc.conns {
 			t.Errorf("call %d: %v, %d connections", i, outcome, len(conns))
 		}
 	}
-	if p.CloseIdle(1); p.connections.(*room).used() != 1 || len(p.idle) != 1 {
-		t.Errorf("without the first provider: %d open at %d places", p.connections.(*room).used(), len(p.idle))
+	if p.CloseIdle(1); p.connections.(*descriptors).used() != 1 || len(p.idle) != 1 {
+		t.Errorf("without the first endpoint: %d open at %d places", p.connections.(*descriptors).used(), len(p.idle))
 	}
 }
