--- a/lab/chaos/processes.go
+++ b/lab/chaos/processes.go
@@ -15,7 +15,7 @@
 
 	"ryerill/config"
 	"ryerill/fleet"
-	badnet "ryerill/lab/faultnet"
+	"ryerill/lab/faultnet"
 	"ryerill/lab/processes"
 )
 
@@ -65,7 +65,7 @@
 	usual, _ := f.Ledger.Served(time.Now().Add(-measured), time.Now())
 	n.began = time.Now()
 	n.play(ctx, sch)
-	f.Relays.Do(func(net *badnet.Network) { net.Heal(); net.Usual(badnet.Link{}) })
+	f.Relays.Do(func(net *faultnet.Network) { net.Heal(); net.Usual(faultnet.Link{}) })
 	f.Ledger.Spoil(-1)
 	for i, c := range f.Replicas {
 		c.Signal(syscall.SIGCONT)
@@ -221,7 +221,7 @@
 
 // begin carries a trouble out, and ends it.
 func (n *processRun) begin(ctx context.Context, st *Step) {
-	net := func(change func(*badnet.Network)) { n.f.Relays.Do(change) }
+	net := func(change func(*faultnet.Network)) { n.f.Relays.Do(change) }
 	back := func() {
 		for _, i := range st.Whom {
 			// Another trouble that hit the same copy may have brought it back: then there is nothing to wait for.
@@ -234,21 +234,21 @@
 	}
 	switch st.Kind {
 	case Cut, Deaf:
-		net(func(b *badnet.Network) {
+		net(func(b *faultnet.Network) {
 			for _, name := range n.names(st) {
 				b.CutOff(name, st.Kind == Deaf)
 			}
 		})
 		pause(ctx, st.For)
-		net((*badnet.Network).Heal)
+		net((*faultnet.Network).Heal)
 	case Split:
-		net(func(b *badnet.Network) { b.Split(n.names(st)) })
+		net(func(b *faultnet.Network) { b.Split(n.names(st)) })
 		pause(ctx, st.For)
-		net((*badnet.Network).Heal)
+		net((*faultnet.Network).Heal)
 	case Bad:
-		net(func(b *badnet.Network) { b.Usual(st.Link) })
+		net(func(b *faultnet.Network) { b.Usual(st.Link) })
 		pause(ctx, st.For)
-		net(func(b *badnet.Network) { b.Usual(badnet.Link{}) })
+		net(func(b *faultnet.Network) { b.Usual(faultnet.Link{}) })
 	case Stop:
 		for _, i := range st.Whom {
 			n.f.Replicas[i].Signal(syscall.SIGSTOP)
--- a/lab/chaos/schedule.go
+++ b/lab/chaos/schedule.go
@@ -13,7 +13,7 @@
 
 	"github.com/goccy/go-yaml"
 
-	badnet "ryerill/lab/faultnet"
+	"ryerill/lab/faultnet"
 )
 
 // Schedule is what happens in one night.
@@ -31,7 +31,7 @@
 	Kind string        `yaml:"kind"`
 	Whom []int         `yaml:"whom,omitempty"` // copies
 	For  time.Duration `yaml:"for,omitempty"`
-	Link badnet.Link   `yaml:"link,omitempty"`
+	Link faultnet.Link   `yaml:"link,omitempty"`
 	Much float64       `yaml:"much,omitempty"`
 }
 
@@ -83,7 +83,7 @@
 		case Split:
 			st.Whom = some(copies / 2)
 		case Bad:
-			st.Link = badnet.Link{Drop: 0.4 * rng.Float64(), Duplicate: 0.2 * rng.Float64(), Reorder: 0.2 * rng.Float64(), Corrupt: 0.05 * rng.Float64(),
+			st.Link = faultnet.Link{Drop: 0.4 * rng.Float64(), Duplicate: 0.2 * rng.Float64(), Reorder: 0.2 * rng.Float64(), Corrupt: 0.05 * rng.Float64(),
 				Delay: time.Duration(rng.IntN(200)) * time.Millisecond, Jitter: time.Duration(1+rng.IntN(300)) * time.Millisecond}
 		case Kill:
 			st.Whom = some(max(copies/4, 2))
--- a/lab/chaos/virtual.go
+++ b/lab/chaos/virtual.go
@@ -10,7 +10,7 @@
 	"ryerill/fleet/membership"
 	"ryerill/fleet/quota"
 	"ryerill/fleet/rollout"
-	badnet "ryerill/lab/faultnet"
+	"ryerill/lab/faultnet"
 	"ryerill/lab/membershipsim"
 )
 
@@ -78,7 +78,7 @@
 	rng     *rand.Rand
 	costs   map[string]float64 // by target
 	zones   [3]float64         // what the zones lose now
-	links   []badnet.Link
+	links   []faultnet.Link
 	plans   int
 	bad     *Violation
 	figures Stats
@@ -97,7 +97,7 @@
 
 // Play plays a night in virtual time.
 func Play(sch Schedule, m Mutation) (Stats, *Violation) {
-	net := badnet.New(membershipsim.Lan, sch.Seed)
+	net := faultnet.New(membershipsim.Lan, sch.Seed)
 	v := &virtual{s: membershipsim.New(sch.Replicas, net, sch.Seed), rng: rand.New(rand.NewPCG(sch.Seed, 22)), costs: map[string]float64{}, strange: m}
 	v.figures = Stats{Copies: sch.Replicas, Steps: len(sch.Steps), Length: sch.Length}
 	v.s.Seen = func(c membershipsim.Change) {
--- a/lab/faultnet/relay/relay.go
+++ b/lab/faultnet/relay/relay.go
@@ -1,241 +1,159 @@
-// Package relay plays the laboratory's bad network on loopback: between each pair
-// of processes stands a relay, one for each direction, for datagrams and streams
-// at one port. A process is told the relay's address for each other one, so that
-// both ends of what passes are known.
 package relay
 
 import (
 	"errors"
-	"fmt"
 	"net"
 	"net/netip"
 	"sync"
 	"time"
 
-	badnet "ryerill/lab/faultnet"
+	"ryerill/lab/faultnet"
 )
 
-const (
-	most   = 64 << 10              // bytes of a datagram, and of a piece of a stream
-	stuck  = 20 * time.Millisecond // between looks at a way that is cut, for streams
-	dial   = time.Second
-	linger = 30 * time.Second // a stream on which nothing passes for so long ends
-)
-
-// Relays are the ways among a number of processes. Methods are safe for
-// concurrent use.
-type Relays struct {
-	start time.Time
-	rng   uint64
-
-	mu    sync.Mutex
-	net   *badnet.Network
-	real  map[string]netip.AddrPort
-	ways  map[[2]string]*way
-	conns map[net.Conn]struct{}
-	ended bool
-	all   sync.WaitGroup
-}
-
-// way is the relay from one process to another.
-type way struct {
-	r        *Relays
-	from, to string
-	udp      *net.UDPConn
-	tcp      *net.TCPListener
-	back     netip.AddrPort // where from's datagrams come from
-}
-
-// New returns relays that behave as n says. n must be changed by Do alone.
-func New(n *badnet.Network) *Relays {
-	return &Relays{start: time.Now(), net: n, real: map[string]netip.AddrPort{}, ways: map[[2]string]*way{}, conns: map[net.Conn]struct{}{}}
-}
+// relay passes on what one process sends to another, and the answers to it.
+type relay struct {
+	relays    *Relays
+	from, to  string
+	datagrams *net.UDPConn
+	streams   *net.TCPListener
 
-// Add tells where a process is.
-func (r *Relays) Add(name string, at netip.AddrPort) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.real[name] = at
-}
-
-// Do changes or reads the network.
-func (r *Relays) Do(change func(*badnet.Network)) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	change(r.net)
+	sender netip.AddrPort // the latest that from sent datagrams from; relays.mu guards it
 }
 
-// Way is the address by which one process reaches another.
-func (r *Relays) Way(from, to string) (string, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if w := r.ways[[2]string{from, to}]; w != nil {
-		return w.tcp.Addr().String(), nil
-	}
-	if r.ended {
-		return "", errors.New("the relays have ended")
-	}
-	w := &way{r: r, from: from, to: to}
-	for tries := 0; ; tries++ {
-		var err error
-		if w.tcp, err = net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
-			return "", err
-		}
-		w.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: w.tcp.Addr().(*net.TCPAddr).Port})
-		if err == nil {
-			break
+// serveDatagrams passes datagrams on until the relay is closed.
+func (y *relay) serveDatagrams() {
+	defer y.relays.goroutines.Done()
+	buffer := make([]byte, maxPiece)
+	for {
+		n, source, err := y.datagrams.ReadFromUDPAddrPort(buffer)
+		if errors.Is(err, net.ErrClosed) {
+			return
 		}
-		if w.tcp.Close(); tries > 20 {
-			return "", fmt.Errorf("no port for both kinds: %w", err)
+		if err != nil {
+			continue // an ICMP answer to something that was sent
 		}
+		y.passOn(buffer[:n], netip.AddrPortFrom(source.Addr().Unmap(), source.Port()))
 	}
-	r.ways[[2]string{from, to}] = w
-	r.all.Add(2)
-	go w.datagrams()
-	go w.streams()
-	return w.tcp.Addr().String(), nil
 }
 
-// Close ends all ways and what passes on them.
-func (r *Relays) Close() {
+// passOn sends the copies of a datagram that arrive, each when it is due.
+func (y *relay) passOn(datagram []byte, source netip.AddrPort) {
+	r := y.relays
 	r.mu.Lock()
-	r.ended = true
-	for _, w := range r.ways {
-		w.udp.Close()
-		w.tcp.Close()
-	}
-	for c := range r.conns {
-		c.Close()
+	defer r.mu.Unlock()
+	from, to := y.from, y.to
+	destination := r.processes[y.to]
+	if source == destination { // an answer, to where the datagrams come from
+		from, to = y.to, y.from
+		destination = y.sender
+	} else {
+		y.sender = source
 	}
-	r.mu.Unlock()
-	r.all.Wait()
-}
-
-func (r *Relays) now() time.Duration { return time.Since(r.start) }
-
-func (w *way) datagrams() {
-	defer w.r.all.Done()
-	buf := make([]byte, most)
-	for {
-		n, from, err := w.udp.ReadFromUDPAddrPort(buf)
-		if errors.Is(err, net.ErrClosed) {
-			return
-		}
-		if err != nil {
-			continue // an answer of the network to something sent
+	for _, delivery := range r.network.Send(r.now(), from, to, len(datagram)) {
+		payload := append([]byte(nil), datagram...)
+		if delivery.Corrupt && len(payload) > 0 {
+			r.corruptByte(payload)
 		}
-		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-		r := w.r
-		r.mu.Lock()
-		a, b, to := w.from, w.to, r.real[w.to]
-		if from == to { // an answer to where a datagram came from
-			a, b, to = w.to, w.from, w.back
-		} else {
-			w.back = from
-		}
-		copies := r.net.Send(r.now(), a, b, n)
-		for _, c := range copies {
-			text := append([]byte(nil), buf[:n]...)
-			if c.Corrupt && n > 0 {
-				r.rng = r.rng*6364136223846793005 + 1442695040888963407
-				text[int(r.rng>>33)%n] ^= 1 << (r.rng >> 61)
-			}
-			r.all.Add(1)
-			time.AfterFunc(c.At-r.now(), func() {
-				defer r.all.Done()
-				w.udp.WriteToUDPAddrPort(text, to)
-			})
-		}
-		r.mu.Unlock()
+		r.goroutines.Add(1)
+		time.AfterFunc(delivery.At-r.now(), func() {
+			defer r.goroutines.Done()
+			// What can't be sent any more, as the process or the relay has ended, is lost like any datagram.
+			_, _ = y.datagrams.WriteToUDPAddrPort(payload, destination)
+		})
 	}
 }
 
-func (w *way) streams() {
-	defer w.r.all.Done()
+// serveStreams accepts streams until the relay is closed.
+func (y *relay) serveStreams() {
+	defer y.relays.goroutines.Done()
 	for {
-		in, err := w.tcp.AcceptTCP()
+		accepted, err := y.streams.AcceptTCP()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			continue
 		}
-		w.r.all.Add(1)
-		go w.stream(in)
+		y.relays.goroutines.Add(1)
+		go y.serveStream(accepted)
 	}
 }
 
-// hold notes a connection that Close is to end, and tells whether it may begin.
-func (r *Relays) hold(c net.Conn) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if !r.ended {
-		r.conns[c] = struct{}{}
-	}
-	return !r.ended
-}
-
-func (r *Relays) drop(c net.Conn) {
-	c.Close()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.conns, c)
-}
-
-func (w *way) stream(in *net.TCPConn) {
-	r := w.r
-	defer r.all.Done()
-	defer r.drop(in)
-	if !r.hold(in) {
+// serveStream connects an accepted stream with the process that it is for, and passes
+// both directions on until both have ended.
+func (y *relay) serveStream(accepted *net.TCPConn) {
+	r := y.relays
+	defer r.goroutines.Done()
+	defer r.release(accepted)
+	if !r.track(accepted) {
 		return
 	}
 	r.mu.Lock()
-	to := r.real[w.to]
+	destination := r.processes[y.to]
 	r.mu.Unlock()
-	out, err := net.DialTimeout("tcp", to.String(), dial)
+	dialled, err := net.DialTimeout("tcp", destination.String(), dialTimeout)
 	if err != nil {
-		in.SetLinger(0)
+		accepted.SetLinger(0) // the client gets a reset, as if nobody listened
 		return
 	}
-	defer r.drop(out)
-	if !r.hold(out) {
+	defer r.release(dialled)
+	if !r.track(dialled) {
 		return
 	}
 	var both sync.WaitGroup
 	both.Add(2)
-	go func() { defer both.Done(); r.pump(out.(*net.TCPConn), in, w.from, w.to) }()
-	go func() { defer both.Done(); r.pump(in, out.(*net.TCPConn), w.to, w.from) }()
+	go func() {
+		defer both.Done()
+		r.copyStream(dialled.(*net.TCPConn), accepted, y.from, y.to)
+	}()
+	go func() {
+		defer both.Done()
+		r.copyStream(accepted, dialled.(*net.TCPConn), y.to, y.from)
+	}()
 	both.Wait()
 }
 
-// pump passes one direction on. While its way is cut it stands still.
-func (r *Relays) pump(out, in *net.TCPConn, from, to string) {
-	defer out.CloseWrite()
-	buf := make([]byte, most)
+// copyStream passes one direction of a stream on until it ends, and then ends its writing
+// side.
+func (r *Relays) copyStream(destination, source *net.TCPConn, from, to string) {
+	defer func() {
+		_ = destination.CloseWrite() // it fails if the other end has gone, and then nothing is left to end
+	}()
+	buffer := make([]byte, maxPiece)
 	for {
-		in.SetReadDeadline(time.Now().Add(linger))
-		n, err := in.Read(buf)
+		source.SetReadDeadline(time.Now().Add(idleTimeout))
+		n, readErr := source.Read(buffer)
 		if n > 0 {
-			for {
-				r.mu.Lock()
-				at, cut := r.net.Stream(r.now(), from, to, n)
-				ended := r.ended
-				r.mu.Unlock()
-				if ended {
-					return
-				}
-				if !cut {
-					time.Sleep(at - r.now())
-					break
-				}
-				time.Sleep(stuck)
+			if !r.awaitArrival(from, to, n) {
+				return
 			}
-			if _, err := out.Write(buf[:n]); err != nil {
+			if _, err := destination.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
-		if err != nil {
+		if readErr != nil {
 			return
 		}
 	}
 }
+
+// awaitArrival waits until a piece of a stream arrives: as long as its path is partitioned,
+// and then for its delay. It returns false once the relays are closed.
+func (r *Relays) awaitArrival(from, to string, bytes int) bool {
+	for {
+		var at time.Duration
+		var ok, isClosed bool
+		r.Do(func(network *faultnet.Network) {
+			at, ok = network.Stream(r.now(), from, to, bytes)
+			isClosed = r.isClosed
+		})
+		if isClosed {
+			return false
+		}
+		if ok {
+			time.Sleep(at - r.now())
+			return true
+		}
+		time.Sleep(partitionInterval)
+	}
+}
--- a/lab/membershipsim/measure.go
+++ b/lab/membershipsim/measure.go
@@ -6,16 +6,16 @@
 	"time"
 
 	"ryerill/fleet/membership"
-	badnet "ryerill/lab/faultnet"
+	"ryerill/lab/faultnet"
 )
 
 // Lan is the network of a site: well under a millisecond one way.
-var Lan = badnet.Link{Delay: 300 * time.Microsecond, Jitter: 400 * time.Microsecond}
+var Lan = faultnet.Link{Delay: 300 * time.Microsecond, Jitter: 400 * time.Microsecond}
 
 // Known starts n copies that know each other, as after a restart of all of them, and
 // lets them come to rest.
-func Known(n int, link badnet.Link, seed uint64) *Sim {
-	s := New(n, badnet.New(link, seed), seed)
+func Known(n int, link faultnet.Link, seed uint64) *Sim {
+	s := New(n, faultnet.New(link, seed), seed)
 	records := make([]membership.Record, n)
 	for i := range records {
 		tags := &membership.Tags{Address: Name(i), Zone: "z0", Pools: []string{"main"}, ProgramVersion: "v1", SettingsHash: "0123456789abcdef", Phase: membership.Serving}
@@ -169,7 +169,7 @@
 // MeasureJoin starts n copies within a second, all from one seed, and tells how long
 // it takes until all know all.
 func MeasureJoin(n int, seed uint64) (took time.Duration, bytes float64) {
-	s := New(n, badnet.New(Lan, seed), seed)
+	s := New(n, faultnet.New(Lan, seed), seed)
 	rng := rand.New(rand.NewPCG(seed, 9))
 	for i := range n {
 		s.At(time.Duration(rng.IntN(1000))*time.Millisecond, func() { s.Start(i, Name(0)) })
--- a/lab/membershipsim/members.go
+++ b/lab/membershipsim/members.go
@@ -10,7 +10,7 @@
 
 	"ryerill/fleet/membership"
 	"ryerill/fleet/placement"
-	badnet "ryerill/lab/faultnet"
+	"ryerill/lab/faultnet"
 )
 
 // connect is how long an exchange waits for an answer until it is given up.
@@ -48,7 +48,7 @@
 
 // Sim is a fleet in virtual time.
 type Sim struct {
-	Net      *badnet.Network
+	Net      *faultnet.Network
 	Replicas []*Replica
 	Now      time.Duration
 	Config   func(i int, c *membership.Config) // changes what a copy is told at its start
@@ -67,7 +67,7 @@
 func Name(i int) string { return fmt.Sprintf("m%05d", i) }
 
 // New returns a fleet of n copies that are not started.
-func New(n int, net *badnet.Network, seed uint64) *Sim {
+func New(n int, net *faultnet.Network, seed uint64) *Sim {
 	s := &Sim{Net: net, byName: map[string]*Replica{}, seed: seed}
 	for i := range n {
 		c := &Replica{Name: Name(i), Address: Name(i), wakes: -1}
@@ -238,8 +238,8 @@
 	over := func(from, to *Replica, msg *membership.Message, then func()) {
 		size := Size(msg)
 		c.Exchange += uint64(size)
-		at, cut := s.Net.Stream(s.Now, from.Name, to.Name, size)
-		if cut || !to.Up || to.Stopped || c.life != life {
+		at, ok := s.Net.Stream(s.Now, from.Name, to.Name, size)
+		if !ok || !to.Up || to.Stopped || c.life != life {
 			broken(connect)
 			return
 		}
--- a/lab/membershipsim/members_test.go
+++ b/lab/membershipsim/members_test.go
@@ -5,16 +5,16 @@
 	"time"
 
 	"ryerill/fleet/membership"
-	badnet "ryerill/lab/faultnet"
+	"ryerill/lab/faultnet"
 )
 
 // lan is a quiet network.
-var lan = badnet.Link{Delay: 300 * time.Microsecond, Jitter: 400 * time.Microsecond}
+var lan = faultnet.Link{Delay: 300 * time.Microsecond, Jitter: 400 * time.Microsecond}
 
 // fleet starts n copies at once, all from one seed, and plays until all know all.
 func fleet(t *testing.T, n int, seed uint64) *Sim {
 	t.Helper()
-	s := New(n, badnet.New(lan, seed), seed)
+	s := New(n, faultnet.New(lan, seed), seed)
 	for i := range n {
 		s.Start(i, Name(0))
 	}
@@ -145,7 +145,7 @@
 		}},
 		{"one way is cut: nobody dies of it", func(t *testing.T, s *Sim) {
 			died := s.deaths()
-			s.Net.Set(Name(1), Name(2), badnet.Link{Cut: true})
+			s.Net.Set(Name(1), Name(2), faultnet.Link{Partitioned: true})
 			s.Run(s.Now + 30*time.Second)
 			if len(died) > 0 {
 				t.Errorf("held for dead: %v", died)
@@ -170,7 +170,7 @@
 		}},
 		{"a bad neighbour hears nobody well and kills nobody", func(t *testing.T, s *Sim) {
 			died := s.deaths()
-			s.Net.Set("*", Name(6), badnet.Link{Drop: 0.6})
+			s.Net.Set("*", Name(6), faultnet.Link{Drop: 0.6})
 			s.Run(s.Now + time.Minute)
 			if delete(died, Name(6)); len(died) > 0 {
 				t.Errorf("held for dead: %v", died)
@@ -179,7 +179,7 @@
 			s.until(t, 10*time.Second, "peace", whole(s))
 		}},
 		{"a fifth is lost and half a second late: it ends when that ends", func(t *testing.T, s *Sim) {
-			s.Net.Usual(badnet.Link{Drop: 0.2, Delay: 500 * time.Millisecond, Jitter: 100 * time.Millisecond, Duplicate: 0.1, Reorder: 0.1})
+			s.Net.Usual(faultnet.Link{Drop: 0.2, Delay: 500 * time.Millisecond, Jitter: 100 * time.Millisecond, Duplicate: 0.1, Reorder: 0.1})
 			s.Run(s.Now + 30*time.Second)
 			s.Net.Usual(lan)
 			s.until(t, 15*time.Second, "peace", whole(s))
--- a/lab/membershipsim/property_test.go
+++ b/lab/membershipsim/property_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 
 	"ryerill/fleet/membership"
-	badnet "ryerill/lab/faultnet"
+	"ryerill/lab/faultnet"
 )
 
 // Along any schedule of cuts, losses, stops, kills, restarts and departures: the
@@ -19,7 +19,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		floor := rapid.IntRange(2, 5).Draw(t, "written")
 		n := floor + rapid.IntRange(0, 3).Draw(t, "beyond")
-		s := New(n, badnet.New(lan, 1), rapid.Uint64().Draw(t, "seed"))
+		s := New(n, faultnet.New(lan, 1), rapid.Uint64().Draw(t, "seed"))
 		type key struct{ who, of string }
 		newest := map[key]membership.State{}
 		s.Seen = func(c Change) {
@@ -74,7 +74,7 @@
 				s.Net.Split(half)
 				cut = true
 			case "loss":
-				s.Net.Usual(badnet.Link{Drop: 0.3, Delay: 20 * time.Millisecond, Jitter: 50 * time.Millisecond, Duplicate: 0.1, Reorder: 0.2})
+				s.Net.Usual(faultnet.Link{Drop: 0.3, Delay: 20 * time.Millisecond, Jitter: 50 * time.Millisecond, Duplicate: 0.1, Reorder: 0.2})
 			case "heal":
 				s.Net.Heal()
 				s.Net.Usual(lan)
--- a/lab/processes/copies.go
+++ b/lab/processes/copies.go
@@ -28,7 +28,7 @@
 
 	"ryerill/config"
 	"ryerill/fleet"
-	badnet "ryerill/lab/faultnet"
+	"ryerill/lab/faultnet"
 	"ryerill/lab/faultnet/relay"
 )
 
@@ -88,7 +88,7 @@
 	if opt.Written == 0 {
 		opt.Written = opt.Replicas
 	}
-	f = &Fleet{Opt: opt, Relays: relay.New(badnet.New(badnet.Link{}, 1)), Ledger: newLedger(), keys: filepath.Join(opt.Dir, "keys")}
+	f = &Fleet{Opt: opt, Relays: relay.New(faultnet.New(faultnet.Link{}, 1)), Ledger: newLedger(), keys: filepath.Join(opt.Dir, "keys")}
 	defer func() {
 		if err != nil {
 			f.Close()
@@ -190,7 +190,7 @@
 			if other == c {
 				continue
 			}
-			way, err := f.Relays.Way(c.Name, other.Name)
+			way, err := f.Relays.Address(c.Name, other.Name)
 			if err != nil {
 				return err
 			}
--- a/lab/processes/copies_test.go
+++ b/lab/processes/copies_test.go
@@ -21,7 +21,7 @@
 
 	"ryerill/config"
 	"ryerill/fleet"
-	badnet "ryerill/lab/faultnet"
+	"ryerill/lab/faultnet"
 	"ryerill/lab/modelcheck/mutant"
 )
 
@@ -221,15 +221,15 @@
 		}
 	})
 	t.Run("one way cut", func(t *testing.T) {
-		f.Relays.Do(func(n *badnet.Network) { n.Set("c01", "c02", badnet.Link{Cut: true}) })
+		f.Relays.Do(func(n *faultnet.Network) { n.Set("c01", "c02", faultnet.Link{Partitioned: true}) })
 		time.Sleep(4 * time.Second)
 		if !f.agree() {
 			t.Error("somebody is held for dead")
 		}
-		f.Relays.Do(func(n *badnet.Network) { n.Heal() })
+		f.Relays.Do(func(n *faultnet.Network) { n.Heal() })
 	})
 	t.Run("split and healed", func(t *testing.T) {
-		f.Relays.Do(func(n *badnet.Network) { n.Split(names(f.Replicas[:5]), names(f.Replicas[5:])) })
+		f.Relays.Do(func(n *faultnet.Network) { n.Split(names(f.Replicas[:5]), names(f.Replicas[5:])) })
 		until(t, 15*time.Second, "each half to miss the other", func() bool {
 			a, _ := f.Replicas[0].Status()
 			b, _ := f.Replicas[9].Status()
@@ -240,15 +240,15 @@
 			t.Errorf("the smaller half holds itself for sound: %v, %+v", s.Partitioned, s.Pools["main"])
 		}
 		time.Sleep(2 * time.Second)
-		f.Relays.Do(func(n *badnet.Network) { n.Heal() })
+		f.Relays.Do(func(n *faultnet.Network) { n.Heal() })
 		took := until(t, 15*time.Second, "it to heal", f.agree)
 		if t.Log("healed after", took); took > 5*time.Second {
 			t.Errorf("healed after %v", took)
 		}
 	})
 	t.Run("a fifth lost, late, torn and doubled", func(t *testing.T) {
-		f.Relays.Do(func(n *badnet.Network) {
-			n.Usual(badnet.Link{Drop: 0.2, Corrupt: 0.05, Duplicate: 0.1, Reorder: 0.1, Delay: 5 * time.Millisecond, Jitter: 10 * time.Millisecond})
+		f.Relays.Do(func(n *faultnet.Network) {
+			n.Usual(faultnet.Link{Drop: 0.2, Corrupt: 0.05, Duplicate: 0.1, Reorder: 0.1, Delay: 5 * time.Millisecond, Jitter: 10 * time.Millisecond})
 		})
 		// A few frames a second come to each copy: some copy may see none of a kind for long.
 		until(t, 30*time.Second, "every copy to have dropped frames, torn and seen before", func() bool {
@@ -259,7 +259,7 @@
 			}
 			return true
 		})
-		f.Relays.Do(func(n *badnet.Network) { n.Usual(badnet.Link{}) })
+		f.Relays.Do(func(n *faultnet.Network) { n.Usual(faultnet.Link{}) })
 		until(t, 15*time.Second, "peace", f.agree)
 	})
 	t.Run("half killed in a moment", func(t *testing.T) {
@@ -410,26 +410,26 @@
 	}
 	until(t, 20*time.Second, "the busy copy to borrow what it wants", borrows(380))
 	f.rates(t)
-	faults := func(d time.Duration, change func(*badnet.Network)) {
+	faults := func(d time.Duration, change func(*faultnet.Network)) {
 		f.Relays.Do(change)
 		for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 			f.rates(t)
 		}
 	}
-	faults(3*time.Second, func(n *badnet.Network) {
-		n.Usual(badnet.Link{Drop: 0.2, Duplicate: 0.2, Delay: 100 * time.Millisecond, Jitter: 400 * time.Millisecond})
+	faults(3*time.Second, func(n *faultnet.Network) {
+		n.Usual(faultnet.Link{Drop: 0.2, Duplicate: 0.2, Delay: 100 * time.Millisecond, Jitter: 400 * time.Millisecond})
 	})
-	faults(6*time.Second, func(n *badnet.Network) { n.Usual(badnet.Link{}); n.Split(names(f.Replicas[:3]), names(f.Replicas[3:])) })
+	faults(6*time.Second, func(n *faultnet.Network) { n.Usual(faultnet.Link{}); n.Split(names(f.Replicas[:3]), names(f.Replicas[3:])) })
 	if s, err := f.Replicas[0].Shared(); err != nil || s.Quotas[0].Rate < 125 || s.Quotas[0].Rate > 376 {
 		t.Errorf("cut off with two others it may spend %+v, %v", s.Quotas, err)
 	}
-	faults(2*time.Second, func(n *badnet.Network) { n.Heal() })
+	faults(2*time.Second, func(n *faultnet.Network) { n.Heal() })
 	f.Replicas[4].Kill()
-	faults(time.Second, func(*badnet.Network) {})
+	faults(time.Second, func(*faultnet.Network) {})
 	if err := f.Launch(t.Context(), 4); err != nil {
 		t.Fatal(err)
 	}
-	faults(2*time.Second, func(*badnet.Network) {})
+	faults(2*time.Second, func(*faultnet.Network) {})
 	until(t, 20*time.Second, "it to borrow again", borrows(380))
 	s, err := f.Replicas[5].Shared()
 	if served := float64(f.Ledger.Sum().Served); err != nil || s.Sums["served"].Value < 0.5*served || s.Sums["served"].Lower > served {
@@ -522,10 +522,10 @@
 	}
 
 	t.Run("harmless, with a fifth of all frames lost", func(t *testing.T) {
-		f.Relays.Do(func(n *badnet.Network) { n.Usual(badnet.Link{Drop: 0.2}) })
+		f.Relays.Do(func(n *faultnet.Network) { n.Usual(faultnet.Link{Drop: 0.2}) })
 		start(f.plan(t, "more-attempts", stages, func(p *config.PoolFile) { p.Limits.MaxAttempts = 4 }))
 		took := until(t, 90*time.Second, "the plan to end", ended("more-attempts"))
-		f.Relays.Do(func(n *badnet.Network) { n.Usual(badnet.Link{}) })
+		f.Relays.Do(func(n *faultnet.Network) { n.Usual(faultnet.Link{}) })
 		s := f.rollout()
 		if t.Log("took", took); s.Phase != "done" || f.holding(s.Target) != 9 {
 			t.Errorf("%s: %s, %d hold it\n%s", s.Phase, s.Reason, f.holding(s.Target), strings.Join(s.History, "\n"))
@@ -577,7 +577,7 @@
 		start(f.plan(t, "never", stages, func(p *config.PoolFile) { p.Limits.MaxAttempts = 6 }))
 		until(t, 30*time.Second, "the first stage", func() bool { s := f.rollout(); return s.Phase == "soaking" && leader() != nil })
 		cut := leader()
-		f.Relays.Do(func(n *badnet.Network) { n.CutOff(cut.Name, false) })
+		f.Relays.Do(func(n *faultnet.Network) { n.CutOff(cut.Name, false) })
 		other := f.Replicas[0]
 		if other == cut {
 			other = f.Replicas[8]
@@ -586,7 +586,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(5 * time.Second)
-		f.Relays.Do(func(n *badnet.Network) { n.Heal() })
+		f.Relays.Do(func(n *faultnet.Network) { n.Heal() })
 		until(t, 60*time.Second, "the plan to end everywhere", func() bool {
 			for _, c := range f.Replicas {
 				text, err := c.Ask("GET", "/ops/rollout", "")
--- a/lab/processes/versions_test.go
+++ b/lab/processes/versions_test.go
@@ -14,7 +14,7 @@
 
 	"ryerill/config"
 	"ryerill/fleet"
-	badnet "ryerill/lab/faultnet"
+	"ryerill/lab/faultnet"
 )
 
 // both builds the program and one that speaks a later level, and tells the versions that
@@ -58,10 +58,10 @@
 	until(t, 20*time.Second, "all to know all", f.agree)
 	said := hex.EncodeToString([]byte("\xa1\x18\x64\x65later"))
 	// c01 speaks with those alone that don't know what it says.
-	f.Relays.Do(func(n *badnet.Network) {
+	f.Relays.Do(func(n *faultnet.Network) {
 		for _, other := range []string{"c03", "c05"} {
-			n.Set("c01", other, badnet.Link{Cut: true})
-			n.Set(other, "c01", badnet.Link{Cut: true})
+			n.Set("c01", other, faultnet.Link{Partitioned: true})
+			n.Set(other, "c01", faultnet.Link{Partitioned: true})
 		}
 	})
 	f.Replicas[1].Kill()
@@ -73,7 +73,7 @@
 		m := f.Replicas[3].find("c01")
 		return m.Epoch == epoch && m.UnknownTags == said && m.Levels == [2]uint8{1, 2}
 	})
-	f.Relays.Do(func(n *badnet.Network) { n.Heal() })
+	f.Relays.Do(func(n *faultnet.Network) { n.Heal() })
 	until(t, 20*time.Second, "all to know all", f.agree)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
--- a/lab/statesyncsim/sharing.go
+++ b/lab/statesyncsim/sharing.go
@@ -15,7 +15,7 @@
 	"ryerill/fleet/quota"
 	"ryerill/fleet/statesync"
 	"ryerill/lab/baseline"
-	badnet "ryerill/lab/faultnet"
+	"ryerill/lab/faultnet"
 	"ryerill/lab/scenario"
 	"ryerill/lab/sim"
 )
@@ -26,7 +26,7 @@
 // Hub leads what the copies of one run say to each other.
 type Hub struct {
 	arm    string
-	net    *badnet.Network
+	net    *faultnet.Network
 	copies []*Copy
 	zones  int
 	now    time.Duration
@@ -43,7 +43,7 @@
 // cut is something that happens to the network between copies.
 type cut struct {
 	at   time.Duration
-	do   func(*badnet.Network)
+	do   func(*faultnet.Network)
 	done bool
 }
 
@@ -80,16 +80,16 @@
 		for i := range max(int(t.Fraction*float64(copies)), 1) {
 			whom = append(whom, name(i))
 		}
-		begin, end := func(n *badnet.Network) {
+		begin, end := func(n *faultnet.Network) {
 			for _, c := range whom {
 				n.CutOff(c, t.Kind == scenario.OneWay)
 			}
-		}, (*badnet.Network).Heal
+		}, (*faultnet.Network).Heal
 		switch t.Kind {
 		case scenario.Split:
-			begin = func(n *badnet.Network) { n.Split(whom) }
+			begin = func(n *faultnet.Network) { n.Split(whom) }
 		case scenario.Lossy:
-			begin, end = func(n *badnet.Network) { n.Usual(t.Link) }, func(n *badnet.Network) { n.Usual(lan) }
+			begin, end = func(n *faultnet.Network) { n.Usual(t.Link) }, func(n *faultnet.Network) { n.Usual(lan) }
 		}
 		h.cuts = append(h.cuts, cut{at: epoch + t.At, do: begin}, cut{at: epoch + t.At + t.For, do: end})
 	}
@@ -99,7 +99,7 @@
 func name(i int) string { return fmt.Sprintf("c%04d", i) }
 
 // lan is the network between copies where nothing is wrong with it.
-var lan = badnet.Link{Delay: time.Millisecond, Jitter: 2 * time.Millisecond}
+var lan = faultnet.Link{Delay: time.Millisecond, Jitter: 2 * time.Millisecond}
 
 // Copy is one proxy.
 type Copy struct {
@@ -123,7 +123,7 @@
 
 // New returns the hub of a run.
 func New(arm string, seed uint64, zones int) *Hub {
-	return &Hub{arm: arm, net: badnet.New(lan, seed), zones: zones, Lost: map[balancer.EndpointID]int{}}
+	return &Hub{arm: arm, net: faultnet.New(lan, seed), zones: zones, Lost: map[balancer.EndpointID]int{}}
 }
 
 // Decider makes one copy; it goes into sim.Options.New.
--- a/lab/statesyncsim/sharing_test.go
+++ b/lab/statesyncsim/sharing_test.go
@@ -52,7 +52,7 @@
 				t.Errorf("tier %d: %d copies share, want %d; %d bytes", tier, got, n, h.tiers[tier].Bytes)
 			}
 		}
-		if n := h.tiers[0].net.Total; arm == "shared" && (n.Dropped == 0 || n.Cut == 0 || n.Duplicated == 0) {
+		if n := h.tiers[0].net.Total; arm == "shared" && (n.Dropped == 0 || n.Partitioned == 0 || n.Duplicated == 0) {
 			t.Errorf("the network did nothing: %+v", n)
 		}
 	}
