--- a/fleet/quota/cluster_test.go
+++ b/fleet/quota/cluster_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	faultnet "ryerill/lab/faultnet"
+	"ryerill/lab/faultnet"
 )
 
 // cluster is a number of replicas whose clocks run at different rates, on a network in virtual time.
@@ -162,9 +162,9 @@
 			case "continue":
 				c.suspended = false
 			case "cut":
-				m.net.CutOff(replicaName(i), false)
+				m.net.Isolate(replicaName(i), false)
 			case "one way":
-				m.net.CutOff(replicaName(i), true)
+				m.net.Isolate(replicaName(i), true)
 			case "split":
 				m.net.Split([]string{replicaName(0), replicaName(i)})
 			case "heal":
--- a/lab/chaos/processes.go
+++ b/lab/chaos/processes.go
@@ -236,7 +236,7 @@
 	case Cut, Deaf:
 		net(func(b *faultnet.Network) {
 			for _, name := range n.names(st) {
-				b.CutOff(name, st.Kind == Deaf)
+				b.Isolate(name, st.Kind == Deaf)
 			}
 		})
 		pause(ctx, st.For)
--- a/lab/chaos/virtual.go
+++ b/lab/chaos/virtual.go
@@ -511,7 +511,7 @@
 	switch st.Kind {
 	case Cut, Deaf:
 		for _, name := range names() {
-			v.s.Net.CutOff(name, st.Kind == Deaf)
+			v.s.Net.Isolate(name, st.Kind == Deaf)
 		}
 	case Split:
 		v.s.Net.Split(names())
--- a/lab/faultnet/network.go
+++ b/lab/faultnet/network.go
@@ -68,8 +68,8 @@
 // replica.
 func (n *Network) Set(from, to string, l Link) { n.links[path{from, to}] = l }
 
-// CutOff partitions a replica from all others: in both directions, or only what it sends.
-func (n *Network) CutOff(name string, outgoingOnly bool) {
+// Isolate partitions a replica from all others: in both directions, or only what it sends.
+func (n *Network) Isolate(name string, outgoingOnly bool) {
 	n.Set(name, anyReplica, Link{Partitioned: true})
 	if !outgoingOnly {
 		n.Set(anyReplica, name, Link{Partitioned: true})
--- a/lab/membershipsim/members_test.go
+++ b/lab/membershipsim/members_test.go
@@ -163,7 +163,7 @@
 			}
 		}},
 		{"what one can send is cut: it hears that it is dead, and says so", func(t *testing.T, s *Sim) {
-			s.Net.CutOff(Name(3), true)
+			s.Net.Isolate(Name(3), true)
 			s.until(t, 20*time.Second, "it to be missed", s.allHold(3, membership.Dead))
 			s.Net.Heal()
 			s.until(t, 5*time.Second, "it to be back", whole(s))
@@ -220,7 +220,7 @@
 			}
 		}},
 		{"a person says that a dead one is gone; it comes back all the same", func(t *testing.T, s *Sim) {
-			s.Net.CutOff(Name(13), false)
+			s.Net.Isolate(Name(13), false)
 			s.until(t, 8*time.Second, "it to be missed", s.allHold(13, membership.Dead))
 			s.Tell(0, membership.Event{Kind: membership.Forget, Name: Name(13)})
 			s.until(t, 5*time.Second, "all to know", s.allHold(13, membership.Left))
--- a/lab/membershipsim/property_test.go
+++ b/lab/membershipsim/property_test.go
@@ -61,10 +61,10 @@
 			i := rapid.IntRange(0, n-1).Draw(t, "whom")
 			switch rapid.SampledFrom([]string{"cut", "one way", "split", "loss", "heal", "stop", "continue", "kill", "restart", "depart", "another"}).Draw(t, "what") {
 			case "cut":
-				s.Net.CutOff(Name(i), false)
+				s.Net.Isolate(Name(i), false)
 				cut = true
 			case "one way":
-				s.Net.CutOff(Name(i), true)
+				s.Net.Isolate(Name(i), true)
 				cut = true
 			case "split":
 				var half []string
--- a/lab/processes/copies_test.go
+++ b/lab/processes/copies_test.go
@@ -577,7 +577,7 @@
 		start(f.plan(t, "never", stages, func(p *config.PoolFile) { p.Limits.MaxAttempts = 6 }))
 		until(t, 30*time.Second, "the first stage", func() bool { s := f.rollout(); return s.Phase == "soaking" && leader() != nil })
 		cut := leader()
-		f.Relays.Do(func(n *faultnet.Network) { n.CutOff(cut.Name, false) })
+		f.Relays.Do(func(n *faultnet.Network) { n.Isolate(cut.Name, false) })
 		other := f.Replicas[0]
 		if other == cut {
 			other = f.Replicas[8]
--- a/lab/statesyncsim/sharing.go
+++ b/lab/statesyncsim/sharing.go
@@ -82,7 +82,7 @@
 		}
 		begin, end := func(n *faultnet.Network) {
 			for _, c := range whom {
-				n.CutOff(c, t.Kind == scenario.OneWay)
+				n.Isolate(c, t.Kind == scenario.OneWay)
 			}
 		}, (*faultnet.Network).Heal
 		switch t.Kind {
