--- a/lab/chaos/virtual.go
+++ b/lab/chaos/virtual.go
@@ -100,7 +100,7 @@
 	net := faultnet.New(membershipsim.Lan, sch.Seed)
 	v := &virtual{s: membershipsim.New(sch.Replicas, net, sch.Seed), rng: rand.New(rand.NewPCG(sch.Seed, 22)), costs: map[string]float64{}, strange: m}
 	v.figures = Stats{Copies: sch.Replicas, Steps: len(sch.Steps), Length: sch.Length}
-	v.s.Seen = func(c membershipsim.Change) {
+	v.s.OnChange = func(c membershipsim.Change) {
 		switch c.Record.Status {
 		case membership.Dead:
 			v.figures.Deaths++
@@ -110,7 +110,7 @@
 	}
 	for i := range sch.Replicas {
 		v.hands = append(v.hands, &hand{Replica: v.s.Replicas[i], i: i, holds: oldHash, before: oldHash})
-		v.s.Config = func(i int, c *membership.Config) {
+		v.s.Configure = func(i int, c *membership.Config) {
 			c.Tags.SettingsHash, c.Tags.Phase = v.hands[i].holds, membership.Starting
 		}
 	}
@@ -176,7 +176,7 @@
 // the host does.
 func (v *virtual) step() {
 	v.s.Run(v.s.Now + look)
-	v.s.Look(v.floor)
+	v.s.UpdatePlacements(v.floor)
 	second := v.s.Now%time.Second < look
 	for _, h := range v.hands {
 		if h.up() {
@@ -195,7 +195,7 @@
 	if t := h.List.Self().Tags; t.Phase != phase || t.SettingsHash != h.holds {
 		tags := *t
 		tags.Phase, tags.SettingsHash = phase, h.holds
-		v.s.Tell(h.i, membership.Event{Kind: membership.SetTags, Tags: tags})
+		v.s.Deliver(h.i, membership.Event{Kind: membership.SetTags, Tags: tags})
 	}
 	place := h.Tracker.Position("main")
 	among := place.QuotaReplicas
@@ -228,8 +228,8 @@
 	v.budgets(h, h.allot.Tick(now, nil))
 	if h.leaving && (h.allot.FitsWithin(now, math.MaxInt) || v.strange == "who leaves does not wait for its loans") {
 		h.leaving = false
-		h.Depart()
-		v.s.Tell(h.i, membership.Event{Kind: membership.Leave})
+		h.AnnounceLeave()
+		v.s.Deliver(h.i, membership.Event{Kind: membership.Leave})
 		h.gone = true
 		v.s.At(now+500*time.Millisecond, func() { v.s.Kill(h.i) })
 	}
@@ -556,7 +556,7 @@
 		v.zones[st.Whom[0]%3] = st.Much
 	case Disk:
 		for _, i := range st.Whom {
-			v.hands[i].Broken = true
+			v.hands[i].DiskFailed = true
 		}
 	}
 }
@@ -586,7 +586,7 @@
 		v.zones[st.Whom[0]%3] = 0
 	case Disk:
 		for _, i := range st.Whom {
-			v.hands[i].Broken = false
+			v.hands[i].DiskFailed = false
 		}
 	}
 }
--- a/lab/membershipsim/members_test.go
+++ b/lab/membershipsim/scenarios_test.go
@@ -11,8 +11,8 @@
 // lan is a quiet network.
 var lan = faultnet.Link{Delay: 300 * time.Microsecond, Jitter: 400 * time.Microsecond}
 
-// fleet starts n copies at once, all from one seed, and plays until all know all.
-func fleet(t *testing.T, n int, seed uint64) *Sim {
+// startFleet starts n replicas at once, all from one seed, and runs until all know all.
+func startFleet(t *testing.T, n int, seed uint64) *Sim {
 	t.Helper()
 	s := New(n, faultnet.New(lan, seed), seed)
 	for i := range n {
@@ -25,13 +25,13 @@
 	return s
 }
 
-// until plays until something is so, and tells how long it took.
-func (s *Sim) until(t *testing.T, most time.Duration, what string, so func() bool) time.Duration {
+// until runs until a condition holds, and returns how long that took.
+func (s *Sim) until(t *testing.T, timeout time.Duration, what string, holds func() bool) time.Duration {
 	t.Helper()
 	began := s.Now
-	for !so() {
-		if s.Now-began > most {
-			t.Fatalf("after %v still waiting for %s", most, what)
+	for !holds() {
+		if s.Now-began > timeout {
+			t.Fatalf("after %v still waiting for %s", timeout, what)
 		}
 		s.Run(s.Now + 20*time.Millisecond)
 	}
@@ -49,10 +49,10 @@
 	}
 }
 
-// deaths counts who was held for dead by anybody, by name.
+// deaths counts from now on the replicas that see a member dead, by its name.
 func (s *Sim) deaths() map[string]int {
 	out := map[string]int{}
-	s.Seen = func(c Change) {
+	s.OnChange = func(c Change) {
 		if c.Record.Status == membership.Dead {
 			out[c.Record.Name]++
 		}
@@ -60,7 +60,7 @@
 	return out
 }
 
-func TestHardCases(t *testing.T) {
+func TestMembershipScenarios(t *testing.T) {
 	const n = 24
 	half := func(from, to int) (names []string) {
 		for i := from; i < to; i++ {
@@ -80,13 +80,13 @@
 	}
 	for _, tc := range []struct {
 		name string
-		play func(*testing.T, *Sim)
+		run  func(*testing.T, *Sim)
 	}{
 		{"one dies", func(t *testing.T, s *Sim) {
 			s.Kill(5)
 			s.until(t, 5*time.Second, "all to know", s.allHold(5, membership.Dead))
 		}},
-		{"the seed dies, and others still join", func(t *testing.T, s *Sim) {
+		{"the seed dies, and others still join through another", func(t *testing.T, s *Sim) {
 			s.Kill(0)
 			s.Kill(9)
 			s.until(t, 5*time.Second, "all to know", s.allHold(0, membership.Dead))
@@ -102,7 +102,7 @@
 				return s.Equal() && alive == n/2-1 && dead == n/2
 			})
 		}},
-		{"a restart is another life", func(t *testing.T, s *Sim) {
+		{"a restart has a later epoch", func(t *testing.T, s *Sim) {
 			before, _ := s.Replicas[1].List.Find(Name(2))
 			s.Kill(2)
 			s.Run(s.Now + 100*time.Millisecond)
@@ -112,15 +112,15 @@
 				return r.Epoch > before.Epoch && r.Status == membership.Alive && whole(s)()
 			})
 		}},
-		{"leaving for good is not dying", func(t *testing.T, s *Sim) {
-			s.Tell(4, membership.Event{Kind: membership.Leave})
+		{"one that leaves is not held for dead", func(t *testing.T, s *Sim) {
+			s.Deliver(4, membership.Event{Kind: membership.Leave})
 			s.Run(s.Now + 200*time.Millisecond)
 			s.Kill(4)
 			s.until(t, 5*time.Second, "all to know", s.allHold(4, membership.Left))
 		}},
-		{"one stands still for 10 s and accuses nobody when it wakes", func(t *testing.T, s *Sim) {
+		{"one stands still for 10 s and suspects nobody when it wakes", func(t *testing.T, s *Sim) {
 			s.Stop(7)
-			s.until(t, 8*time.Second, "it to be missed", s.allHold(7, membership.Dead))
+			s.until(t, 8*time.Second, "it to be held for dead", s.allHold(7, membership.Dead))
 			s.Run(s.Now + 7*time.Second)
 			died := s.deaths()
 			s.Continue(7)
@@ -132,7 +132,7 @@
 				t.Errorf("it noticed %d stalls", s.Replicas[7].List.Stats.Stalls)
 			}
 		}},
-		{"short stalls kill nobody", func(t *testing.T, s *Sim) {
+		{"short stalls cause no false deaths", func(t *testing.T, s *Sim) {
 			died := s.deaths()
 			for i := range 30 {
 				s.Stop(i % n)
@@ -143,7 +143,7 @@
 				t.Errorf("held for dead: %v", died)
 			}
 		}},
-		{"one way is cut: nobody dies of it", func(t *testing.T, s *Sim) {
+		{"a partition in one direction causes no false deaths", func(t *testing.T, s *Sim) {
 			died := s.deaths()
 			s.Net.Set(Name(1), Name(2), faultnet.Link{Partitioned: true})
 			s.Run(s.Now + 30*time.Second)
@@ -151,7 +151,7 @@
 				t.Errorf("held for dead: %v", died)
 			}
 		}},
-		{"a zone is cut off for a minute", func(t *testing.T, s *Sim) {
+		{"a zone is partitioned for a minute", func(t *testing.T, s *Sim) {
 			s.Net.Split(half(0, 8), half(8, n))
 			s.Run(s.Now + time.Minute)
 			if _, _, dead := s.Replicas[0].List.Count(); dead != n-8 {
@@ -162,13 +162,13 @@
 				t.Errorf("healed after %v", took)
 			}
 		}},
-		{"what one can send is cut: it hears that it is dead, and says so", func(t *testing.T, s *Sim) {
+		{"one can receive but not send: it is held for dead, and refutes that once healed", func(t *testing.T, s *Sim) {
 			s.Net.Isolate(Name(3), true)
-			s.until(t, 20*time.Second, "it to be missed", s.allHold(3, membership.Dead))
+			s.until(t, 20*time.Second, "it to be held for dead", s.allHold(3, membership.Dead))
 			s.Net.Heal()
 			s.until(t, 5*time.Second, "it to be back", whole(s))
 		}},
-		{"a bad neighbour hears nobody well and kills nobody", func(t *testing.T, s *Sim) {
+		{"one with heavy losses causes no false deaths", func(t *testing.T, s *Sim) {
 			died := s.deaths()
 			s.Net.Set("*", Name(6), faultnet.Link{Drop: 0.6})
 			s.Run(s.Now + time.Minute)
@@ -176,59 +176,59 @@
 				t.Errorf("held for dead: %v", died)
 			}
 			s.Net.Heal()
-			s.until(t, 10*time.Second, "peace", whole(s))
+			s.until(t, 10*time.Second, "the fleet to recover", whole(s))
 		}},
-		{"a fifth is lost and half a second late: it ends when that ends", func(t *testing.T, s *Sim) {
+		{"the fleet recovers from losses and long delays", func(t *testing.T, s *Sim) {
 			s.Net.Usual(faultnet.Link{Drop: 0.2, Delay: 500 * time.Millisecond, Jitter: 100 * time.Millisecond, Duplicate: 0.1, Reorder: 0.1})
 			s.Run(s.Now + 30*time.Second)
 			s.Net.Usual(lan)
-			s.until(t, 15*time.Second, "peace", whole(s))
+			s.until(t, 15*time.Second, "the fleet to recover", whole(s))
 		}},
-		{"a name comes back at another address", func(t *testing.T, s *Sim) {
+		{"a replica restarts at another address", func(t *testing.T, s *Sim) {
 			s.Kill(10)
-			s.Config = func(i int, c *membership.Config) { c.Tags.Address = "elsewhere" }
+			s.Configure = func(i int, c *membership.Config) { c.Tags.Address = "elsewhere" }
 			s.Run(s.Now + time.Second)
 			s.Start(10, Name(0))
-			s.until(t, 5*time.Second, "all to call it there", func() bool {
+			s.until(t, 5*time.Second, "all to know the address", func() bool {
 				r, _ := s.Replicas[20].List.Find(Name(10))
 				return r.Tags.Address == "elsewhere" && whole(s)()
 			})
 		}},
-		{"a copied configuration: who came first is told", func(t *testing.T, s *Sim) {
-			told := map[membership.ActionKind]int{}
-			s.Acted = func(_ *Replica, a membership.Action) { told[a.Kind]++ }
-			twin := &Replica{Name: Name(11), wakes: -1}
+		{"of two replicas of one name the first is notified", func(t *testing.T, s *Sim) {
+			actions := map[membership.ActionKind]int{}
+			s.OnAction = func(_ *Replica, a membership.Action) { actions[a.Kind]++ }
+			twin := &Replica{Name: Name(11), tickAt: noTick}
 			s.Replicas = append(s.Replicas, twin)
-			s.Config = func(_ int, c *membership.Config) { c.Tags.Address = "twin" }
+			s.Configure = func(_ int, c *membership.Config) { c.Tags.Address = "twin" }
 			s.Start(n, Name(0))
-			s.until(t, 10*time.Second, "the first to be told", func() bool { return s.Replicas[11].List.Displaced() })
-			if told[membership.Displaced] != 1 {
-				t.Errorf("told: %v", told)
+			s.until(t, 10*time.Second, "the first to be notified", func() bool { return s.Replicas[11].List.Displaced() })
+			if actions[membership.Displaced] != 1 {
+				t.Errorf("actions: %v", actions)
 			}
 		}},
-		{"a clock that ran ahead before the restart", func(t *testing.T, s *Sim) {
+		{"a clock that ran ahead before a restart", func(t *testing.T, s *Sim) {
 			s.Kill(12)
-			s.Config = func(_ int, c *membership.Config) { c.Epoch = 1 << 40 }
+			s.Configure = func(_ int, c *membership.Config) { c.Epoch = 1 << 40 }
 			s.Start(12, Name(0))
 			s.until(t, 5*time.Second, "it to be known", whole(s))
 			s.Kill(12)
-			s.Config = func(_ int, c *membership.Config) { c.Epoch = 5 }
+			s.Configure = func(_ int, c *membership.Config) { c.Epoch = 5 }
 			s.Start(12, Name(0))
-			s.until(t, 5*time.Second, "the next life", func() bool { r, _ := s.Replicas[0].List.Find(Name(12)); return r.Epoch > 1<<40 && whole(s)() })
+			s.until(t, 5*time.Second, "the next epoch", func() bool { r, _ := s.Replicas[0].List.Find(Name(12)); return r.Epoch > 1<<40 && whole(s)() })
 			if s.Replicas[12].List.Displaced() {
 				t.Error("it holds itself for replaced")
 			}
 		}},
-		{"a person says that a dead one is gone; it comes back all the same", func(t *testing.T, s *Sim) {
+		{"a dead one that an operator has removed comes back all the same", func(t *testing.T, s *Sim) {
 			s.Net.Isolate(Name(13), false)
-			s.until(t, 8*time.Second, "it to be missed", s.allHold(13, membership.Dead))
-			s.Tell(0, membership.Event{Kind: membership.Forget, Name: Name(13)})
+			s.until(t, 8*time.Second, "it to be held for dead", s.allHold(13, membership.Dead))
+			s.Deliver(0, membership.Event{Kind: membership.Forget, Name: Name(13)})
 			s.until(t, 5*time.Second, "all to know", s.allHold(13, membership.Left))
 			s.Net.Heal()
 			s.until(t, 5*time.Second, "it to be back", whole(s))
 		}},
-		{"tags that change are known to all", func(t *testing.T, s *Sim) {
-			s.Tell(14, membership.Event{Kind: membership.SetTags, Tags: membership.Tags{Address: Name(14), SettingsHash: "new", Phase: membership.Draining}})
+		{"changed tags reach all", func(t *testing.T, s *Sim) {
+			s.Deliver(14, membership.Event{Kind: membership.SetTags, Tags: membership.Tags{Address: Name(14), SettingsHash: "new", Phase: membership.Draining}})
 			s.until(t, 5*time.Second, "all to know", func() bool {
 				for _, c := range s.Replicas {
 					if r, _ := c.List.Find(Name(14)); r.Tags.SettingsHash != "new" {
@@ -242,18 +242,18 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(3) {
-				tc.play(t, fleet(t, n, seed))
+				tc.run(t, startFleet(t, n, seed))
 			}
 		})
 	}
 }
 
 // Members that stand still for 0.8 s one after another are held for dead by nobody, at any
-// seed: whom a refutation has missed, or who stood still when it came, asks once more.
-func TestShortStallsKillNobodyAtAnySeed(t *testing.T) {
+// seed: a replica that a refutation has not reached probes the suspected member once more.
+func TestShortStallsCauseNoFalseDeathsAtAnySeed(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(150) {
-		s := fleet(t, 24, seed)
+		s := startFleet(t, 24, seed)
 		died := s.deaths()
 		for i := range 30 {
 			s.Stop(i % 24)
--- a/lab/membershipsim/property_test.go
+++ b/lab/membershipsim/schedule_property_test.go
@@ -10,38 +10,38 @@
 	"ryerill/lab/faultnet"
 )
 
-// Along any schedule of cuts, losses, stops, kills, restarts and departures: the
-// parts of a budget that copies hold never come to more than the whole, counts never
-// go back, and once all is quiet all know all and the parts come to the whole. A
-// person has written a number of copies; more may be started once all that were
-// there have met, while nothing is cut.
-func TestPartsNeverExceedTheWhole(t *testing.T) {
+// Along any schedule of partitions, losses, stops, kills, restarts and departures: the
+// quota fractions that replicas hold never come to more than 1, states of members never
+// go back, and once all faults have ended all know all and the fractions come to 1. The
+// configuration states a number of replicas; more may be started once all that were
+// there have met, while nothing is partitioned.
+func TestQuotaFractionsNeverExceedOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		floor := rapid.IntRange(2, 5).Draw(t, "written")
-		n := floor + rapid.IntRange(0, 3).Draw(t, "beyond")
+		minReplicas := rapid.IntRange(2, 5).Draw(t, "written")
+		n := minReplicas + rapid.IntRange(0, 3).Draw(t, "beyond")
 		s := New(n, faultnet.New(lan, 1), rapid.Uint64().Draw(t, "seed"))
-		type key struct{ who, of string }
-		newest := map[key]membership.State{}
-		s.Seen = func(c Change) {
-			k := key{c.Who, c.Record.Name}
+		type view struct{ observer, member string }
+		newest := map[view]membership.State{}
+		s.OnChange = func(c Change) {
+			k := view{c.Observer, c.Record.Name}
 			if newest[k].Newer(c.Record.State) {
-				t.Fatalf("%s: %s went back from %v to %v", c.Who, c.Record.Name, newest[k], c.Record.State)
+				t.Fatalf("%s: %s went back from %v to %v", c.Observer, c.Record.Name, newest[k], c.Record.State)
 			}
 			newest[k] = c.Record.State
 		}
-		cut := false
-		started := floor
-		for i := range floor {
+		partitioned := false
+		started := minReplicas
+		for i := range minReplicas {
 			s.Start(i, Name(0), Name(1))
 		}
-		look := func(span time.Duration) float64 {
+		runChecked := func(span time.Duration) float64 {
 			sum := 0.0
 			for end := s.Now + span; s.Now < end; {
 				s.Run(s.Now + 100*time.Millisecond)
-				s.Look(floor)
+				s.UpdatePlacements(minReplicas)
 				sum = 0
 				for _, c := range s.Replicas {
-					if c.Up && c.Tracker != nil { // one that stands still may wake and spend at once
+					if c.Up && c.Tracker != nil { // a stopped one counts: it may resume and spend at once
 						sum += c.Tracker.Position("main").QuotaFraction()
 					}
 				}
@@ -51,34 +51,34 @@
 							t.Logf("%s: %+v", c.Name, c.Tracker.Position("main"))
 						}
 					}
-					t.Fatalf("at %v the parts come to %v", s.Now, sum)
+					t.Fatalf("at %v the quota fractions come to %v", s.Now, sum)
 				}
 			}
 			return sum
 		}
-		look(2 * time.Second)
+		runChecked(2 * time.Second)
 		for range rapid.IntRange(1, 8).Draw(t, "steps") {
 			i := rapid.IntRange(0, n-1).Draw(t, "whom")
-			switch rapid.SampledFrom([]string{"cut", "one way", "split", "loss", "heal", "stop", "continue", "kill", "restart", "depart", "another"}).Draw(t, "what") {
-			case "cut":
+			switch rapid.SampledFrom([]string{"isolate", "isolate one way", "split", "loss", "heal", "stop", "continue", "kill", "restart", "depart", "another"}).Draw(t, "what") {
+			case "isolate":
 				s.Net.Isolate(Name(i), false)
-				cut = true
-			case "one way":
+				partitioned = true
+			case "isolate one way":
 				s.Net.Isolate(Name(i), true)
-				cut = true
+				partitioned = true
 			case "split":
 				var half []string
 				for j := range i {
 					half = append(half, Name(j))
 				}
 				s.Net.Split(half)
-				cut = true
+				partitioned = true
 			case "loss":
 				s.Net.Usual(faultnet.Link{Drop: 0.3, Delay: 20 * time.Millisecond, Jitter: 50 * time.Millisecond, Duplicate: 0.1, Reorder: 0.2})
 			case "heal":
 				s.Net.Heal()
 				s.Net.Usual(lan)
-				cut = false
+				partitioned = false
 			case "stop":
 				s.Stop(i)
 			case "continue":
@@ -88,7 +88,7 @@
 			case "restart":
 				if i < started && !s.Replicas[i].Up && s.Replicas[i].List != nil {
 					for k := range newest {
-						if k.who == Name(i) {
+						if k.observer == Name(i) {
 							delete(newest, k)
 						}
 					}
@@ -96,8 +96,8 @@
 				}
 			case "depart":
 				if s.Replicas[i].Up && !s.Replicas[i].Stopped && i > 1 {
-					s.Replicas[i].sure, s.Replicas[i].left = false, true
-					s.Tell(i, membership.Event{Kind: membership.Leave})
+					s.Replicas[i].AnnounceLeave()
+					s.Deliver(i, membership.Event{Kind: membership.Leave})
 					s.Run(s.Now + 700*time.Millisecond)
 					s.Kill(i)
 				}
@@ -106,12 +106,12 @@
 				for _, c := range s.Replicas[:started] {
 					met = met && len(c.List.Members()) == started
 				}
-				if !cut && started < n && met {
+				if !partitioned && started < n && met {
 					s.Start(started, Name(0), Name(1))
 					started++
 				}
 			}
-			look(time.Duration(rapid.IntRange(1, 60).Draw(t, "tenths")) * 100 * time.Millisecond)
+			runChecked(time.Duration(rapid.IntRange(1, 60).Draw(t, "tenths")) * 100 * time.Millisecond)
 		}
 		s.Net.Heal()
 		s.Net.Usual(lan)
@@ -119,21 +119,21 @@
 			s.Continue(i)
 			if !s.Replicas[i].Up {
 				for k := range newest {
-					if k.who == Name(i) {
+					if k.observer == Name(i) {
 						delete(newest, k)
 					}
 				}
 				s.Start(i, Name(0), Name(1))
 			}
 		}
-		sum := look(20 * time.Second)
+		sum := runChecked(20 * time.Second)
 		for i := range started {
 			if alive, suspect, dead := s.Replicas[i].List.Count(); alive != started-1 || suspect+dead > 0 {
 				t.Fatalf("%s knows %d alive, %d suspect, %d dead of %d others", Name(i), alive, suspect, dead, started-1)
 			}
 		}
-		if sum < float64(started)/float64(max(started, floor))-0.0001 {
-			t.Fatalf("in the end the parts come to %v", sum)
+		if sum < float64(started)/float64(max(started, minReplicas))-0.0001 {
+			t.Fatalf("in the end the quota fractions come to %v", sum)
 		}
 	})
 }
