--- a/lab/chaos/schedule.go
+++ b/lab/chaos/schedule.go
@@ -31,7 +31,7 @@
 	Kind string        `yaml:"kind"`
 	Whom []int         `yaml:"whom,omitempty"` // copies
 	For  time.Duration `yaml:"for,omitempty"`
-	Link faultnet.Link   `yaml:"link,omitempty"`
+	Link faultnet.Link `yaml:"link,omitempty"`
 	Much float64       `yaml:"much,omitempty"`
 }
 
--- a/lab/processes/copies_test.go
+++ b/lab/processes/copies_test.go
@@ -419,7 +419,10 @@
 	faults(3*time.Second, func(n *faultnet.Network) {
 		n.Usual(faultnet.Link{Drop: 0.2, Duplicate: 0.2, Delay: 100 * time.Millisecond, Jitter: 400 * time.Millisecond})
 	})
-	faults(6*time.Second, func(n *faultnet.Network) { n.Usual(faultnet.Link{}); n.Split(names(f.Replicas[:3]), names(f.Replicas[3:])) })
+	faults(6*time.Second, func(n *faultnet.Network) {
+		n.Usual(faultnet.Link{})
+		n.Split(names(f.Replicas[:3]), names(f.Replicas[3:]))
+	})
 	if s, err := f.Replicas[0].Shared(); err != nil || s.Quotas[0].Rate < 125 || s.Quotas[0].Rate > 376 {
 		t.Errorf("cut off with two others it may spend %+v, %v", s.Quotas, err)
 	}
