--- a/lab/chaos/processes.go
+++ b/lab/chaos/processes.go
@@ -66,7 +66,7 @@
 	n.began = time.Now()
 	n.play(ctx, sch)
 	f.Relays.Do(func(net *faultnet.Network) { net.Heal(); net.Usual(faultnet.Link{}) })
-	f.Ledger.Spoil(-1)
+	f.Ledger.FailEndpoint(-1)
 	for i, c := range f.Replicas {
 		c.Signal(syscall.SIGCONT)
 		if !c.Up() {
@@ -95,7 +95,7 @@
 	stop()
 	all.Wait()
 	sum = f.Ledger.Sum()
-	if sum.Lost+sum.Late+sum.Repeated > 0 || sum.Failed > f.Ledger.Spoilt() || sum.Served == 0 {
+	if sum.Lost+sum.Late+sum.Repeated > 0 || sum.Failed > f.Ledger.InjectedErrors() || sum.Served == 0 {
 		n.fail("one final answer in time, and no repeat against the class", "%+v", sum)
 	}
 	for _, c := range f.Replicas {
@@ -208,7 +208,7 @@
 
 func (n *processRun) disks(whom []int, there bool) {
 	for _, i := range whom {
-		n.f.Disk(i, there) // of two troubles with one disk the second changes nothing
+		n.f.SetDisk(i, there) // of two troubles with one disk the second changes nothing
 	}
 }
 
@@ -285,10 +285,10 @@
 		text, err := n.settings(n.plans)
 		n.mu.Unlock()
 		if err == nil {
-			n.f.Replicas[st.Whom[0]].Ask("POST", "/ops/rollout", text) // refused while another stands
+			n.f.Replicas[st.Whom[0]].Admin("POST", "/ops/rollout", text) // refused while another stands
 		}
 	case Abort:
-		n.f.Replicas[st.Whom[0]].Ask("POST", "/ops/rollout/abort", "")
+		n.f.Replicas[st.Whom[0]].Admin("POST", "/ops/rollout/abort", "")
 	case Disk:
 		n.disks(st.Whom, false)
 		pause(ctx, st.For)
@@ -306,7 +306,7 @@
 				n.fail("keys change", "%v", err)
 			}
 			for _, c := range n.f.Replicas {
-				if _, err := c.Ask("GET", "/ops/readiness", ""); c.Up() && err == nil {
+				if _, err := c.Admin("GET", "/ops/readiness", ""); c.Up() && err == nil {
 					c.Signal(syscall.SIGHUP)
 				}
 			}
@@ -317,22 +317,22 @@
 		defer n.changing.Unlock()
 		for _, i := range st.Whom {
 			if c := n.f.Replicas[i]; c.Up() {
-				ends := c.Ends()
-				if err := n.f.Replace(ctx, i, n.f.Opt.Command); err != nil && ctx.Err() == nil && c.Ends() == ends {
+				ends := c.Terminations()
+				if err := n.f.Replace(ctx, i, n.f.Opt.Command); err != nil && ctx.Err() == nil && c.Terminations() == ends {
 					n.fail("a copy is upgraded", "%v", err)
 				}
 			}
 		}
 	case Trouble, Costly:
-		n.f.Ledger.Spoil(st.Whom[0] % 6)
+		n.f.Ledger.FailEndpoint(st.Whom[0] % 6)
 		pause(ctx, st.For)
-		n.f.Ledger.Spoil(-1)
+		n.f.Ledger.FailEndpoint(-1)
 	}
 }
 
 // settings is a harmless plan over the first copy's file.
 func (n *processRun) settings(number int) (string, error) {
-	text, err := os.ReadFile(n.f.Replicas[0].File)
+	text, err := os.ReadFile(n.f.Replicas[0].ConfigFile)
 	if err != nil {
 		return "", err
 	}
@@ -382,7 +382,7 @@
 }
 
 func (n *processRun) status(c *processes.Replica) (s fleet.RolloutStatus, err error) {
-	text, err := c.Ask("GET", "/ops/rollout", "")
+	text, err := c.Admin("GET", "/ops/rollout", "")
 	if err == nil {
 		err = json.Unmarshal([]byte(text), &s)
 	}
--- a/lab/processes/ledger.go
+++ b/lab/processes/ledger.go
@@ -1,225 +1,195 @@
 package processes
 
 import (
-	"bufio"
-	"context"
 	"fmt"
 	"io"
-	"math/rand/v2"
-	"net"
 	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
 )
 
-// Ledger is what the stand-ins have seen: the proxies have no part in it.
+const (
+	endpointTime  = 2 * time.Millisecond   // that an endpoint takes for a request at first
+	lateTolerance = 200 * time.Millisecond // beyond a deadline, for the machine
+	maxFaults     = 5                      // lost requests that a sum describes
+)
+
+// Ledger records the requests of the simulated clients, and what the simulated endpoints
+// executed of them: the proxies have no part in it. Methods are safe for concurrent use.
 type Ledger struct {
-	work  atomic.Int64 // nanoseconds that a provider takes
-	bad   atomic.Int64 // the number of the provider that errs, and one; 0 is none
-	spoil atomic.Int64 // errors that it answered
-	lax   atomic.Bool  // failures are excused: settings that are meant to fail are on their way
-
-	mu       sync.Mutex
-	requests map[string]*Entry
-	byWhom   map[string]int // runs by provider
+	serviceTime     atomic.Int64 // nanoseconds that an endpoint takes
+	failingEndpoint atomic.Int64 // its index and one; 0 is none
+	injectedErrors  atomic.Int64 // that the failing endpoint has answered
+	excuseFailures  atomic.Bool
+
+	mu      sync.Mutex // guards entries and what they hold
+	entries map[string]*entry
 }
 
-// Entry is one request.
-type Entry struct {
-	Class    string
-	Copy     int
-	Asked    time.Time
-	Answered time.Time
-	Status   int // 0 is none
-	Broken   bool
-	Fault    string
-	Excused  bool // its copy was killed, stopped or ended while it was open
-	Runs     int
-	Again    int // runs of a key within its memory that a provider dropped
+// entry is one request.
+type entry struct {
+	class      string
+	replica    int
+	sentAt     time.Time
+	answeredAt time.Time // zero while it is open
+	status     int       // 0 without a whole answer
+	isBroken   bool      // it got no whole answer, or a wrong one
+	fault      string    // why
+	isExcused  bool      // its replica was killed, stopped or asked to end while it was open
+	executions int
 }
 
 func newLedger() *Ledger {
-	l := &Ledger{requests: map[string]*Entry{}, byWhom: map[string]int{}}
-	l.work.Store(int64(2 * time.Millisecond))
+	l := &Ledger{entries: map[string]*entry{}}
+	l.SetServiceTime(endpointTime)
 	return l
 }
 
-// Work changes how long a provider takes for a request.
-func (l *Ledger) Work(d time.Duration) { l.work.Store(int64(d)) }
+// SetServiceTime sets how long an endpoint takes for a request.
+func (l *Ledger) SetServiceTime(d time.Duration) { l.serviceTime.Store(int64(d)) }
 
-// Spoil makes a provider answer with errors; a number below 0 makes none.
-func (l *Ledger) Spoil(i int) { l.bad.Store(int64(i + 1)) }
+// FailEndpoint makes one endpoint answer all requests with errors; an index below 0 makes
+// none.
+func (l *Ledger) FailEndpoint(index int) { l.failingEndpoint.Store(int64(index + 1)) }
 
-// Excuse has failures that come now be excused, or not any more.
-func (l *Ledger) Excuse(on bool) { l.lax.Store(on) }
+// InjectedErrors returns how many errors the failing endpoint has answered.
+func (l *Ledger) InjectedErrors() int { return int(l.injectedErrors.Load()) }
 
-// Spoilt is how many errors were answered.
-func (l *Ledger) Spoilt() int { return int(l.spoil.Load()) }
+// ExcuseFailures excuses the failures that are answered from now on, or no more: settings
+// that are meant to fail are rolled out.
+func (l *Ledger) ExcuseFailures(on bool) { l.excuseFailures.Store(on) }
 
-func (l *Ledger) provider(i int) http.Handler {
-	name := fmt.Sprintf("p%02d", i)
+// endpoint returns the handler of the simulated endpoint of an index. It answers a request
+// with its id.
+func (l *Ledger) endpoint(index int) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("Req-Id")
-		io.Copy(io.Discard, r.Body)
-		l.mu.Lock()
-		if e := l.requests[id]; e != nil {
-			e.Runs++
-		}
-		l.byWhom[name]++
-		l.mu.Unlock()
-		if l.bad.Load() == int64(i+1) {
-			l.spoil.Add(1)
+		// What can't be read or written any more shows in the entry of the client.
+		_, _ = io.Copy(io.Discard, r.Body)
+		l.recordExecution(id)
+		if l.failingEndpoint.Load() == int64(index+1) {
+			l.injectedErrors.Add(1)
 			http.Error(w, "no", http.StatusInternalServerError)
 			return
 		}
-		time.Sleep(time.Duration(l.work.Load()))
-		io.WriteString(w, id)
+		time.Sleep(time.Duration(l.serviceTime.Load()))
+		_, _ = io.WriteString(w, id)
 	})
 }
 
-// Drive sends so many requests a second to a copy until ctx ends, each class in
-// turn, over connections that it keeps. What a copy that is not up can't answer
-// is excused: a fleet that is switched off would lose it too.
-func (f *Fleet) Drive(ctx context.Context, i, perSecond int) {
-	c, l := f.Replicas[i], f.Ledger
-	lanes := max(perSecond/20, 2)
-	var all sync.WaitGroup
-	for lane := range lanes {
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			tick := time.NewTicker(time.Duration(lanes) * time.Second / time.Duration(perSecond))
-			defer tick.Stop()
-			var conn net.Conn
-			var r *bufio.Reader
-			ends := 0 // of the copy when conn was dialled
-			defer func() {
-				if conn != nil {
-					conn.Close()
-				}
-			}()
-			for n := lane; ; n++ {
-				select {
-				case <-ctx.Done():
-					return
-				case <-tick.C:
-				}
-				if !c.Up() {
-					if conn != nil {
-						conn.Close()
-						conn = nil
-					}
-					continue
-				}
-				if conn == nil {
-					var err error
-					ends = c.Ends()
-					if conn, err = net.DialTimeout("tcp", c.Address, time.Second); err != nil {
-						conn = nil
-						continue
-					}
-					r = bufio.NewReader(conn)
-				}
-				class := []string{"read", "pay", "burn"}[n%3]
-				id := fmt.Sprintf("%016x", rand.Uint64())
-				e := &Entry{Class: class, Copy: i, Asked: time.Now()}
-				l.mu.Lock()
-				l.requests[id] = e
-				l.mu.Unlock()
-				text := fmt.Sprintf("GET /read/1 HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\nReq-Kind: read\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 4000\r\n\r\n", id)
-				if class != "read" {
-					key := ""
-					if class == "pay" {
-						key = "Idempotency-Key: " + id + "\r\n"
-					}
-					text = fmt.Sprintf("POST /%s/1 HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 4000\r\n%sContent-Length: 2\r\n\r\nhi", class, id, class, key)
-				}
-				conn.SetDeadline(time.Now().Add(6 * time.Second))
-				_, err := io.WriteString(conn, text)
-				var resp *http.Response
-				if err == nil {
-					resp, err = http.ReadResponse(r, nil)
-				}
-				var body []byte
-				if err == nil {
-					body, err = io.ReadAll(resp.Body)
-				}
-				l.mu.Lock()
-				e.Answered = time.Now()
-				if err != nil {
-					e.Broken, e.Excused, e.Fault = true, !c.Up() || c.Ends() != ends, err.Error()
-				} else if l.lax.Load() && resp.StatusCode >= 500 {
-					e.Excused = true
-				} else if e.Status = resp.StatusCode; e.Status == 200 && string(body) != id {
-					e.Broken = true
-				}
-				l.mu.Unlock()
-				if err != nil || resp.Close {
-					conn.Close()
-					conn = nil
-				}
-			}
-		}()
+func (l *Ledger) recordExecution(id string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if e := l.entries[id]; e != nil {
+		e.executions++
 	}
-	all.Wait()
 }
 
-// Served is which part of the requests that were asked for in a time were answered well,
-// and how many there were. What is excused does not count.
-func (l *Ledger) Served(from, to time.Time) (part float64, of int) {
+// recordSent records a request that is about to be sent.
+func (l *Ledger) recordSent(id, class string, replica int) *entry {
+	e := &entry{class: class, replica: replica, sentAt: time.Now()}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	good := 0
-	for _, e := range l.requests {
-		if e.Asked.Before(from) || !e.Asked.Before(to) || e.Excused || e.Answered.IsZero() {
+	l.entries[id] = e
+	return e
+}
+
+// recordBroken records that a request got no whole answer.
+func (l *Ledger) recordBroken(e *entry, err error, isExcused bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	e.answeredAt = time.Now()
+	e.isBroken = true
+	e.isExcused = isExcused
+	e.fault = err.Error()
+}
+
+// recordAnswer records an answer. That of a served request has to be its id.
+func (l *Ledger) recordAnswer(e *entry, status int, isID bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	e.answeredAt = time.Now()
+	if l.excuseFailures.Load() && status >= http.StatusInternalServerError {
+		e.isExcused = true
+		return
+	}
+	e.status = status
+	e.isBroken = status == http.StatusOK && !isID
+}
+
+// Served returns the fraction of the requests sent in a period that were served, of those
+// that were answered, and the count of these. What is excused does not count.
+func (l *Ledger) Served(from, to time.Time) (fraction float64, answered int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	served := 0
+	for _, e := range l.entries {
+		if e.sentAt.Before(from) || !e.sentAt.Before(to) || e.isExcused || e.answeredAt.IsZero() {
 			continue
 		}
-		if of++; e.Status == 200 && !e.Broken {
-			good++
+		answered++
+		if e.status == http.StatusOK && !e.isBroken {
+			served++
 		}
 	}
-	return float64(good) / float64(max(of, 1)), of
+	return float64(served) / float64(max(answered, 1)), answered
 }
 
-// Sum is what a ledger comes to.
+// Sum is the sum of a ledger. Failures print it with the names of its fields.
 type Sum struct {
-	Faults                                                        []string // of some that were lost
-	Requests, Served, Shed, Failed, Lost, Late, Repeated, Excused int
-	Copies                                                        map[int]int // served, by copy
+	Faults   []string // of the first requests that were lost
+	Requests int
+	Served   int
+	Shed     int
+	Failed   int
+	Lost     int // no answer, or a wrong one, of a replica that was up
+	Late     int
+	Repeated int         // unsafe requests that were executed more than once
+	Excused  int         // and those that are still open
+	Copies   map[int]int // served, by replica
 }
 
-// Sum adds the ledger up. Lost got no answer from a copy that was up, or a wrong
-// one; Repeated are unsafe requests that ran more than once.
+// Sum adds the ledger up.
 func (l *Ledger) Sum() Sum {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := Sum{Copies: map[int]int{}}
-	for _, e := range l.requests {
-		s.Requests++
-		if e.Class == "burn" && e.Runs > 1 {
-			s.Repeated++
-		}
-		switch {
-		case e.Answered.IsZero():
-			s.Excused++ // the run ended
-		case e.Excused:
-			s.Excused++
-		case e.Broken:
-			if s.Lost++; len(s.Faults) < 5 {
-				s.Faults = append(s.Faults, fmt.Sprintf("%s at copy %d, asked at %s, over after %v: %s", e.Class, e.Copy, e.Asked.Format("15:04:05.000"), e.Answered.Sub(e.Asked), e.Fault))
-			}
-		case e.Status == 200:
-			s.Served++
-			s.Copies[e.Copy]++
-		case e.Status == 429 || e.Status == 503:
-			s.Shed++
-		default:
-			s.Failed++
-		}
-		if !e.Answered.IsZero() && !e.Excused && e.Answered.Sub(e.Asked) > 4*time.Second+200*time.Millisecond {
-			s.Late++
+	sum := Sum{Copies: map[int]int{}}
+	for _, e := range l.entries {
+		sum.add(e)
+	}
+	return sum
+}
+
+func (s *Sum) add(e *entry) {
+	s.Requests++
+	if e.class == unsafeClass && e.executions > 1 {
+		s.Repeated++
+	}
+	if e.answeredAt.IsZero() || e.isExcused {
+		s.Excused++
+		return
+	}
+	switch {
+	case e.isBroken:
+		s.Lost++
+		if len(s.Faults) < maxFaults {
+			s.Faults = append(s.Faults, e.describeFault())
 		}
+	case e.status == http.StatusOK:
+		s.Served++
+		s.Copies[e.replica]++
+	case e.status == http.StatusTooManyRequests || e.status == http.StatusServiceUnavailable:
+		s.Shed++
+	default:
+		s.Failed++
 	}
-	return s
+	if e.answeredAt.Sub(e.sentAt) > requestTimeout+lateTolerance {
+		s.Late++
+	}
+}
+
+func (e *entry) describeFault() string {
+	return fmt.Sprintf("%s at copy %d, asked at %s, over after %v: %s",
+		e.class, e.replica, e.sentAt.Format("15:04:05.000"), e.answeredAt.Sub(e.sentAt), e.fault)
 }
--- a/lab/processes/versions_test.go
+++ b/lab/processes/versions_test.go
@@ -17,9 +17,9 @@
 	"ryerill/lab/faultnet"
 )
 
-// both builds the program and one that speaks a later level, and tells the versions that
-// they print.
-func both(t *testing.T) (commands [2][]string, versions [2]string) {
+// buildBoth builds the program and one that speaks a later protocol level, and returns
+// the commands that serve and the versions that they print.
+func buildBoth(t *testing.T) (commands [2][]string, versions [2]string) {
 	t.Helper()
 	slow(t)
 	for i, build := range []func() (string, error){program, later} {
@@ -37,27 +37,27 @@
 	return commands, versions
 }
 
-// find is what a copy knows of another.
-func (c *Replica) find(name string) (m fleet.MemberStatus) {
-	s, _ := c.Status()
+// find returns what a replica knows of another; nothing if it does not answer.
+func (r *Replica) find(name string) (m fleet.MemberStatus) {
+	s, _ := r.Status()
 	if i := slices.IndexFunc(s.Members, func(m fleet.MemberStatus) bool { return m.Name == name }); i >= 0 {
 		return s.Members[i]
 	}
 	return m
 }
 
-// A program and a later one work side by side: unknown fields are handed on by those that
-// don't know them, unknown fields and kinds of messages break nothing, quotas are lent and
-// a plan is carried through by either.
+// A program and a later one work side by side: replicas pass on fields that they don't
+// know, unknown fields and kinds of messages break nothing, quotas are lent, and either
+// executes a plan.
 func TestVersionsProcesses(t *testing.T) {
-	commands, _ := both(t)
-	f := rig(t, Options{Replicas: 6, Of: func(i int) []string { return commands[i%2] }, Change: func(_ int, file *config.File) {
+	commands, _ := buildBoth(t)
+	f := startLoaded(t, Options{Replicas: 6, CommandOf: func(i int) []string { return commands[i%2] }, Change: func(_ int, file *config.File) {
 		file.Fleet.Sharing = &config.SharingFile{Quotas: true, Counters: true, Evidence: true}
 		file.Pools[0].Tenants = []config.TenantFile{{Name: "acme", Quota: 1000}}
 	}})
 	until(t, 20*time.Second, "all to know all", f.agree)
-	said := hex.EncodeToString([]byte("\xa1\x18\x64\x65later"))
-	// c01 speaks with those alone that don't know what it says.
+	tags := hex.EncodeToString([]byte("\xa1\x18\x64\x65later"))
+	// c01 reaches only replicas that don't know its tags.
 	f.Relays.Do(func(n *faultnet.Network) {
 		for _, other := range []string{"c03", "c05"} {
 			n.Set("c01", other, faultnet.Link{Partitioned: true})
@@ -69,9 +69,9 @@
 		t.Fatal(err)
 	}
 	epoch := f.Replicas[1].find("c01").Epoch
-	until(t, 20*time.Second, "what it says to be handed on", func() bool {
+	until(t, 20*time.Second, "its tags to be passed on", func() bool {
 		m := f.Replicas[3].find("c01")
-		return m.Epoch == epoch && m.UnknownTags == said && m.Levels == [2]uint8{1, 2}
+		return m.Epoch == epoch && m.UnknownTags == tags && m.Levels == [2]uint8{1, 2}
 	})
 	f.Relays.Do(func(n *faultnet.Network) { n.Heal() })
 	until(t, 20*time.Second, "all to know all", f.agree)
@@ -85,7 +85,7 @@
 	f.rates(t)
 	for i, id := range []string{"by-this", "by-later"} {
 		plan := f.plan(t, id, "stages: [{count: 2, soak: 2s}, {part: 1, soak: 2s}]\naway: 2\nwait: 15s\n", func(p *config.PoolFile) { p.Limits.MaxAttempts = 4 + i })
-		if _, err := f.Replicas[i].Ask("POST", "/ops/rollout", plan); err != nil {
+		if _, err := f.Replicas[i].Admin("POST", "/ops/rollout", plan); err != nil {
 			t.Fatal(err)
 		}
 		until(t, 90*time.Second, "the plan to end", func() bool { s := f.rollout(); return s.Plan == id && s.Ended })
@@ -101,26 +101,26 @@
 	}
 }
 
-// Another program goes through the fleet by the operator's own means, here a stand-in
-// that asks this test: forward, then as far as one that can't take it, and back. A
-// program that others could not hear is refused before the first stage.
+// Another program is rolled out by the operator's own command, here a script that waits
+// for this test: to all, then as far as a replica where the command fails, and back. A
+// program that others could not understand is rejected before the first stage.
 func TestProgramsProcesses(t *testing.T) {
-	commands, versions := both(t)
+	commands, versions := buildBoth(t)
 	const n = 5
-	f := rig(t, Options{Replicas: n})
+	f := startLoaded(t, Options{Replicas: n})
 	until(t, 20*time.Second, "all to know all", f.agree)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	spoilt := "" // a copy whose command fails
+	failing := "" // the replica whose command fails
 	for i, c := range f.Replicas {
 		want, done := filepath.Join(f.Opt.Dir, c.Name+".want"), filepath.Join(f.Opt.Dir, c.Name+".done")
-		agent := exec.CommandContext(ctx, commands[0][0], "rollout", "agent", "--door", c.Doors[0]+","+c.Doors[1], "--", "sh", "-c",
+		agent := exec.CommandContext(ctx, commands[0][0], "rollout", "agent", "--door", c.AdminAddresses[0]+","+c.AdminAddresses[1], "--", "sh", "-c",
 			fmt.Sprintf(`echo "$RYERILL_TARGET,$RYERILL_BACK" > %s.part; mv %s.part %s; while [ ! -e %s ]; do sleep 0.05; done; read ok < %s; rm %s; [ "$ok" = yes ]`, want, want, want, done, done, done))
 		if err := agent.Start(); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { stop(); agent.Wait() })
-		go func() { // the operator's means on this machine
+		go func() { // stands for the operator's tools on this machine
 			for ctx.Err() == nil {
 				time.Sleep(50 * time.Millisecond)
 				text, err := os.ReadFile(want)
@@ -133,7 +133,7 @@
 				if (back != "true") == (target == versions[1]) {
 					which = 1
 				}
-				if c.Name == spoilt && back != "true" {
+				if c.Name == failing && back != "true" {
 					answer = "no"
 				} else if err := f.Replace(ctx, i, commands[which]); err != nil {
 					t.Errorf("%s: %v", c.Name, err)
@@ -156,10 +156,10 @@
 			return true
 		}
 	}
-	if _, err := f.Replicas[0].Ask("POST", "/ops/rollout", plan("deaf", "v9", "speaks: [7, 8]\n")); err == nil || !strings.Contains(err.Error(), "could not hear each other") {
-		t.Errorf("a program that nobody could hear: %v", err)
+	if _, err := f.Replicas[0].Admin("POST", "/ops/rollout", plan("deaf", "v9", "speaks: [7, 8]\n")); err == nil || !strings.Contains(err.Error(), "could not hear each other") {
+		t.Errorf("a program that nobody could understand: %v", err)
 	}
-	if _, err := f.Replicas[0].Ask("POST", "/ops/rollout", plan("later", versions[1], "speaks: [1, 2]\n")); err != nil {
+	if _, err := f.Replicas[0].Admin("POST", "/ops/rollout", plan("later", versions[1], "speaks: [1, 2]\n")); err != nil {
 		t.Fatal(err)
 	}
 	until(t, 120*time.Second, "the plan to end", func() bool { s := f.rollout(); return s.Plan == "later" && (s.Ended || s.Phase == "stopped") })
@@ -167,8 +167,8 @@
 		t.Fatalf("%s: %s\n%s", s.Phase, s.Reason, strings.Join(s.History, "\n"))
 	}
 	until(t, 20*time.Second, "all to know all", f.agree)
-	spoilt = "c03"
-	if _, err := f.Replicas[2].Ask("POST", "/ops/rollout", plan("earlier", versions[0], "")); err != nil {
+	failing = "c03"
+	if _, err := f.Replicas[2].Admin("POST", "/ops/rollout", plan("earlier", versions[0], "")); err != nil {
 		t.Fatal(err)
 	}
 	until(t, 120*time.Second, "the plan to go back", func() bool { s := f.rollout(); return s.Plan == "earlier" && (s.Ended || s.Phase == "stopped") })
