--- a/lab/chaos/processes.go
+++ b/lab/chaos/processes.go
@@ -2,415 +2,261 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"os"
-	"path/filepath"
 	"strings"
 	"sync"
 	"syscall"
 	"time"
 
-	"github.com/goccy/go-yaml"
-
 	"ryerill/config"
-	"ryerill/fleet"
 	"ryerill/lab/faultnet"
 	"ryerill/lab/processes"
 )
 
-// What is looked at on processes.
 const (
-	agreeProcesses = 30 * time.Second
-	planProcesses  = 3 * time.Minute
-	mostGrown      = 24              // descriptors that a copy may hold more in the end
-	mostMemory     = 64              // MB that a copy may hold
-	recovery       = 2 * time.Second // after the last trouble's end: two aims
-	recovered      = 0.95            // of the goodput before the first
-	measured       = 3 * time.Second
+	endpoints      = 6
+	requestsSecond = 15 // to each replica
+
+	processPlanTimeout = 3 * time.Minute
+	pollInterval       = 100 * time.Millisecond
+	quotaCheckInterval = 500 * time.Millisecond
+
+	recoveryTime   = 2 * time.Second // after the last fault's end: two latency objectives
+	recoveredPart  = 0.95            // of the goodput before the first fault
+	measuredPeriod = 3 * time.Second
+
+	maxMoreFiles  = 24 // descriptors that a replica may hold more at the end
+	maxResidentMB = 64
+	maxCrashText  = 2000 // bytes of the log from a panic on
 )
 
-// Processes plays a night on real processes of the program, under load, with the
-// ledger kept by the stand-ins behind them.
-func Processes(ctx context.Context, sch Schedule, command []string, say func(string)) (sum processes.Sum, bad *Violation, err error) {
+// Processes runs a schedule on real processes of the program that command starts, under
+// load. It returns the sum of the ledger and the first violation, or nil. Progress is
+// called with a line about each fault, from several goroutines.
+func Processes(
+	ctx context.Context, s Schedule, command []string, progress func(string),
+) (sum processes.Sum, violation *Violation, err error) {
 	dir, err := os.MkdirTemp("", "ryerill-night")
 	if err != nil {
 		return sum, nil, err
 	}
-	defer os.RemoveAll(dir)
-	f, err := processes.Start(ctx, processes.Options{Command: command, Dir: dir, Replicas: sch.Replicas, Endpoints: 6, Change: func(_ int, file *config.File) {
-		file.Fleet.Sharing = &config.SharingFile{Quotas: true, Counters: true, Evidence: true}
-		file.Pools[0].Tenants = []config.TenantFile{{Name: "acme", Quota: whole}}
-	}})
+	defer func() {
+		_ = os.RemoveAll(dir) // what stays behind is in the folder for temporary files
+	}()
+	f, err := processes.Start(ctx, fleetOptions(s, command, dir))
 	if err != nil {
 		return sum, nil, err
 	}
 	defer f.Close()
-	load, stop := context.WithCancel(ctx)
-	defer stop()
-	var all sync.WaitGroup
-	for i := range f.Replicas {
-		all.Add(1)
-		go func() { defer all.Done(); f.Drive(load, i, 15) }()
-	}
-	n := &processRun{f: f, began: time.Now(), say: say}
-	if !n.until(ctx, agreeProcesses, n.agree) {
-		return sum, n.fail("views become equal", "not even at the start: %s", n.views()), nil
+	r := &processRun{fleet: f, startedAt: time.Now(), progress: progress}
+	stopLoad := r.startLoad(ctx)
+	defer stopLoad()
+	if !until(ctx, agreeTimeout, r.agree) {
+		r.fail(ruleViewsAgree, "not even at the start: %s", r.describeViews())
+		return sum, r.violation(), nil
 	}
-	before := map[string]int{}
-	for _, c := range f.Replicas {
-		before[c.Name] = openFiles(c.Pid())
+	filesBefore := r.openFiles()
+	pause(ctx, measuredPeriod)
+	usualGoodput, _ := f.Ledger.Served(time.Now().Add(-measuredPeriod), time.Now())
+	r.startedAt = time.Now()
+	r.injectFaults(ctx, s)
+	if err := r.endFaults(ctx); err != nil {
+		r.fail(ruleReplicaStarts, "%v", err)
+		return f.Ledger.Sum(), r.violation(), nil
 	}
-	pause(ctx, measured)
-	usual, _ := f.Ledger.Served(time.Now().Add(-measured), time.Now())
-	n.began = time.Now()
-	n.play(ctx, sch)
-	f.Relays.Do(func(net *faultnet.Network) { net.Heal(); net.Usual(faultnet.Link{}) })
-	f.Ledger.FailEndpoint(-1)
-	for i, c := range f.Replicas {
-		c.Signal(syscall.SIGCONT)
-		if !c.Up() {
-			c.Await()
-			if err := f.Launch(ctx, i); err != nil {
-				return f.Ledger.Sum(), n.fail("a copy starts", "%v", err), nil
-			}
-		}
-	}
-	over := time.Now()
-	if pause(ctx, recovery+measured+time.Second); n.bad == nil {
-		now, of := f.Ledger.Served(over.Add(recovery), over.Add(recovery+measured))
-		say(fmt.Sprintf("goodput before %.4f, and after %v %.4f of %d", usual, recovery, now, of))
-		if now < recovered*usual || of == 0 {
-			n.fail("goodput is back", "%.4f of %d requests are served %v after the last trouble, %.4f before the first", now, of, recovery, usual)
-		}
-	}
-	switch {
-	case n.bad != nil:
-	case !n.until(ctx, agreeProcesses, n.agree):
-		n.fail("views become equal", "after %v they are not: %s", agreeProcesses, n.views())
-	case !n.until(ctx, planProcesses, n.settled):
-		n.fail("a plan ends or waits for a person", "after %v: %s", planProcesses, n.plan())
-	}
-	say(fmt.Sprintf("at rest %v after the last trouble", time.Since(over).Round(10*time.Millisecond)))
-	stop()
-	all.Wait()
+	endedAt := time.Now()
+	r.checkRecovery(ctx, endedAt, usualGoodput)
+	progress(fmt.Sprintf("at rest %v after the last trouble", time.Since(endedAt).Round(10*time.Millisecond)))
+	stopLoad()
 	sum = f.Ledger.Sum()
-	if sum.Lost+sum.Late+sum.Repeated > 0 || sum.Failed > f.Ledger.InjectedErrors() || sum.Served == 0 {
-		n.fail("one final answer in time, and no repeat against the class", "%+v", sum)
-	}
-	for _, c := range f.Replicas {
-		log := c.Log()
-		if at := strings.Index(log, "panic"); at >= 0 {
-			n.fail("no copy crashes", "%s: %s", c.Name, log[at:min(len(log), at+2000)])
-		}
-		if now := openFiles(c.Pid()); now > before[c.Name]+mostGrown {
-			n.fail("nothing grows", "%s holds %d descriptors, %d before", c.Name, now, before[c.Name])
-		}
-		if mb := memory(c.Pid()); mb > mostMemory {
-			n.fail("nothing grows", "%s holds %d MB", c.Name, mb)
-		}
-	}
-	return sum, n.bad, nil
-}
-
-func openFiles(pid int) int {
-	all, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
-	return len(all)
+	r.checkLedger(&sum)
+	r.checkProcesses(filesBefore)
+	return sum, r.violation(), nil
 }
 
-// memory is what a process holds, in MB.
-func memory(pid int) (mb int) {
-	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
-	var size, resident int
-	fmt.Sscan(string(text), &size, &resident)
-	return resident * os.Getpagesize() >> 20
+// fleetOptions describe a fleet that shares all state and has a tenant with a quota.
+func fleetOptions(s Schedule, command []string, dir string) processes.Options {
+	return processes.Options{
+		Command:   command,
+		Dir:       dir,
+		Replicas:  s.Replicas,
+		Endpoints: endpoints,
+		Change: func(_ int, file *config.File) {
+			file.Fleet.Sharing = &config.SharingFile{Quotas: true, Counters: true, Evidence: true}
+			file.Pools[0].Tenants = []config.TenantFile{{Name: "acme", Quota: totalQuota}}
+		},
+	}
 }
 
+// processRun is one run on processes.
 type processRun struct {
-	f     *processes.Fleet
-	began time.Time
-	say   func(string)
-	mu    sync.Mutex
-	bad   *Violation
-	plans int
-	all   sync.WaitGroup
+	fleet     *processes.Fleet
+	startedAt time.Time // of the faults, once they are injected
+	progress  func(string)
+	faults    sync.WaitGroup // goroutines that inject them
+
+	mu             sync.Mutex // guards what follows
+	firstViolation *Violation
+	plans          int // that were started
 
-	changing sync.Mutex // of keys, and of processes at an upgrade
-	key      int
+	changing  sync.Mutex // held while keys are rotated or a process is upgraded; guards what follows
+	keyNumber int
 }
 
-func (n *processRun) fail(rule, format string, args ...any) *Violation {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.bad == nil {
-		n.bad = &Violation{time.Since(n.began), rule, fmt.Sprintf(format, args...)}
+// fail records the first violation.
+func (r *processRun) fail(rule, format string, args ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.firstViolation == nil {
+		r.firstViolation = &Violation{At: time.Since(r.startedAt), Rule: rule, Text: fmt.Sprintf(format, args...)}
 	}
-	return n.bad
 }
 
-func (n *processRun) until(ctx context.Context, most time.Duration, so func() bool) bool {
-	for end := time.Now().Add(most); !so(); time.Sleep(100 * time.Millisecond) {
-		if time.Now().After(end) || ctx.Err() != nil {
-			return false
-		}
-	}
-	return true
+// violation returns the first violation, or nil.
+func (r *processRun) violation() *Violation {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.firstViolation
 }
 
-// play has each trouble begin and end at its time.
-func (n *processRun) play(ctx context.Context, sch Schedule) {
-	for _, st := range sch.Steps {
-		n.all.Add(1)
+// startLoad sends requests to all replicas. The function that it returns ends that and
+// waits for it; it may be called again.
+func (r *processRun) startLoad(ctx context.Context) (stopLoad func()) {
+	load, cancel := context.WithCancel(ctx)
+	var clients sync.WaitGroup
+	for i := range r.fleet.Replicas {
+		clients.Add(1)
 		go func() {
-			defer n.all.Done()
-			if !pause(ctx, st.At-time.Since(n.began)) {
-				return
-			}
-			n.say(fmt.Sprintf("%v %s %v for %v", time.Since(n.began).Round(100*time.Millisecond), st.Kind, st.Whom, st.For))
-			n.begin(ctx, &st)
+			defer clients.Done()
+			r.fleet.Drive(load, i, requestsSecond)
 		}()
 	}
-	for end := n.began.Add(sch.Length); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(500 * time.Millisecond) {
-		n.rates()
+	return func() {
+		cancel()
+		clients.Wait()
 	}
-	n.all.Wait()
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
-	select {
-	case <-ctx.Done():
-		return false
-	case <-time.After(max(d, 0)):
-		return true
+// injectFaults begins and ends each fault at its time, and checks the quota meanwhile.
+func (r *processRun) injectFaults(ctx context.Context, s Schedule) {
+	for _, step := range s.Steps {
+		r.faults.Add(1)
+		go func() {
+			defer r.faults.Done()
+			if !pause(ctx, step.At-time.Since(r.startedAt)) {
+				return
+			}
+			at := time.Since(r.startedAt).Round(100 * time.Millisecond)
+			r.progress(fmt.Sprintf("%v %s %v for %v", at, step.Kind, step.Replicas, step.Duration))
+			r.inject(ctx, &step)
+		}()
+	}
+	for end := r.startedAt.Add(s.Length); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(quotaCheckInterval) {
+		r.checkQuota()
 	}
+	r.faults.Wait()
 }
 
-// rates looks whether all together may spend more than there is: what moves between
-// two questions is asked again.
-func (n *processRun) rates() {
-	sum := 0.0
-	for range 10 {
-		sum = 0
-		for _, c := range n.f.Replicas {
-			if s, err := c.Shared(); c.Up() && err == nil {
-				for _, b := range s.Quotas {
-					sum += b.Rate
-				}
-			}
+// endFaults ends all faults, and starts the replicas that are not up.
+func (r *processRun) endFaults(ctx context.Context) error {
+	r.fleet.Relays.Do(func(n *faultnet.Network) {
+		n.Heal()
+		n.Usual(faultnet.Link{})
+	})
+	r.fleet.Ledger.FailEndpoint(-1)
+	for i, replica := range r.fleet.Replicas {
+		signal(replica, syscall.SIGCONT)
+		if replica.Up() {
+			continue
 		}
-		if sum <= whole*1.0001 {
-			return
+		_ = replica.Await() // a fault has ended it
+		if err := r.fleet.Launch(ctx, i); err != nil {
+			return err
 		}
-		time.Sleep(30 * time.Millisecond)
 	}
-	n.fail("a budget is never overspent", "all together may spend %.1f of %.0f", sum, whole)
+	return nil
 }
 
-func (n *processRun) disks(whom []int, there bool) {
-	for _, i := range whom {
-		n.f.SetDisk(i, there) // of two troubles with one disk the second changes nothing
+// signal sends a signal to a replica. One that another fault has ended is no failure.
+func signal(replica *processes.Replica, s syscall.Signal) { _ = replica.Signal(s) }
+
+// checkRecovery waits for what must come to hold after the last fault.
+func (r *processRun) checkRecovery(ctx context.Context, endedAt time.Time, usualGoodput float64) {
+	pause(ctx, recoveryTime+measuredPeriod+time.Second)
+	if r.violation() == nil {
+		r.checkGoodput(endedAt.Add(recoveryTime), usualGoodput)
+	}
+	switch {
+	case r.violation() != nil:
+	case !until(ctx, agreeTimeout, r.agree):
+		r.fail(ruleViewsAgree, "after %v they are not: %s", agreeTimeout, r.describeViews())
+	case !until(ctx, processPlanTimeout, r.planSettled):
+		r.fail(rulePlanEnds, "after %v: %s", processPlanTimeout, r.describePlan())
 	}
 }
 
-func (n *processRun) names(st *Step) (out []string) {
-	for _, i := range st.Whom {
-		out = append(out, n.f.Replicas[i].Name)
+// checkGoodput checks the goodput of the measured period from a time on.
+func (r *processRun) checkGoodput(from time.Time, usualGoodput float64) {
+	goodput, requests := r.fleet.Ledger.Served(from, from.Add(measuredPeriod))
+	r.progress(fmt.Sprintf("goodput before %.4f, and after %v %.4f of %d",
+		usualGoodput, recoveryTime, goodput, requests))
+	if goodput < recoveredPart*usualGoodput || requests == 0 {
+		r.fail(ruleGoodputRecovers, "%.4f of %d requests are served %v after the last trouble, %.4f before the first",
+			goodput, requests, recoveryTime, usualGoodput)
 	}
-	return out
 }
 
-// begin carries a trouble out, and ends it.
-func (n *processRun) begin(ctx context.Context, st *Step) {
-	net := func(change func(*faultnet.Network)) { n.f.Relays.Do(change) }
-	back := func() {
-		for _, i := range st.Whom {
-			// Another trouble that hit the same copy may have brought it back: then there is nothing to wait for.
-			if c := n.f.Replicas[i]; !c.Up() && c.Await() != context.Canceled && !c.Up() && ctx.Err() == nil {
-				if err := n.f.Launch(ctx, i); err != nil && !strings.Contains(err.Error(), "in use") {
-					n.fail("a copy starts", "%v", err)
-				}
-			}
-		}
-	}
-	switch st.Kind {
-	case Cut, Deaf:
-		net(func(b *faultnet.Network) {
-			for _, name := range n.names(st) {
-				b.Isolate(name, st.Kind == Deaf)
-			}
-		})
-		pause(ctx, st.For)
-		net((*faultnet.Network).Heal)
-	case Split:
-		net(func(b *faultnet.Network) { b.Split(n.names(st)) })
-		pause(ctx, st.For)
-		net((*faultnet.Network).Heal)
-	case Bad:
-		net(func(b *faultnet.Network) { b.Usual(st.Link) })
-		pause(ctx, st.For)
-		net(func(b *faultnet.Network) { b.Usual(faultnet.Link{}) })
-	case Stop:
-		for _, i := range st.Whom {
-			n.f.Replicas[i].Signal(syscall.SIGSTOP)
-		}
-		pause(ctx, min(st.For, 3*time.Second)) // longer and consumers give up: a fleet that is off would lose that too
-		for _, i := range st.Whom {
-			n.f.Replicas[i].Signal(syscall.SIGCONT)
-		}
-	case Kill, Leave:
-		for _, i := range st.Whom {
-			c := n.f.Replicas[i]
-			c.Signal(syscall.SIGCONT)
-			if c.Signal(map[string]syscall.Signal{Kill: syscall.SIGKILL, Leave: syscall.SIGTERM}[st.Kind]); st.Kind == Kill {
-				c.Await()
-			}
-		}
-		pause(ctx, st.For)
-		back()
-	case Wants:
-		for _, i := range st.Whom {
-			if st.Much > 0 {
-				n.all.Add(1)
-				go func() {
-					defer n.all.Done()
-					load, stop := context.WithTimeout(ctx, st.For)
-					defer stop()
-					n.f.Drive(load, i, int(min(st.Much, 100)))
-				}()
-			}
-		}
-	case Good:
-		n.mu.Lock()
-		n.plans++
-		text, err := n.settings(n.plans)
-		n.mu.Unlock()
-		if err == nil {
-			n.f.Replicas[st.Whom[0]].Admin("POST", "/ops/rollout", text) // refused while another stands
-		}
-	case Abort:
-		n.f.Replicas[st.Whom[0]].Admin("POST", "/ops/rollout/abort", "")
-	case Disk:
-		n.disks(st.Whom, false)
-		pause(ctx, st.For)
-		n.disks(st.Whom, true)
-	case Keys:
-		n.changing.Lock()
-		defer n.changing.Unlock()
-		n.key++
-		old, next := fmt.Sprintf("key-%012d-of-this-fleet", n.key-1), fmt.Sprintf("key-%012d-of-this-fleet", n.key)
-		if n.key == 1 {
-			old = processes.FirstKey
-		}
-		for _, keys := range [][]string{{old, next}, {next, old}, {next}} {
-			if err := n.f.WriteKeys(keys...); err != nil {
-				n.fail("keys change", "%v", err)
-			}
-			for _, c := range n.f.Replicas {
-				if _, err := c.Admin("GET", "/ops/readiness", ""); c.Up() && err == nil {
-					c.Signal(syscall.SIGHUP)
-				}
-			}
-			pause(ctx, 2*time.Second)
-		}
-	case Upgrade:
-		n.changing.Lock()
-		defer n.changing.Unlock()
-		for _, i := range st.Whom {
-			if c := n.f.Replicas[i]; c.Up() {
-				ends := c.Terminations()
-				if err := n.f.Replace(ctx, i, n.f.Opt.Command); err != nil && ctx.Err() == nil && c.Terminations() == ends {
-					n.fail("a copy is upgraded", "%v", err)
-				}
-			}
-		}
-	case Trouble, Costly:
-		n.f.Ledger.FailEndpoint(st.Whom[0] % 6)
-		pause(ctx, st.For)
-		n.f.Ledger.FailEndpoint(-1)
+// checkLedger checks that each request had one answer in time.
+func (r *processRun) checkLedger(sum *processes.Sum) {
+	if sum.Lost+sum.Late+sum.Repeated > 0 || sum.Failed > r.fleet.Ledger.InjectedErrors() || sum.Served == 0 {
+		r.fail(ruleOneAnswer, "%+v", *sum)
 	}
 }
 
-// settings is a harmless plan over the first copy's file.
-func (n *processRun) settings(number int) (string, error) {
-	text, err := os.ReadFile(n.f.Replicas[0].ConfigFile)
-	if err != nil {
-		return "", err
+// openFiles returns how many descriptors each replica holds, by name.
+func (r *processRun) openFiles() map[string]int {
+	files := map[string]int{}
+	for _, replica := range r.fleet.Replicas {
+		files[replica.Name] = processes.OpenFiles(replica.Pid())
 	}
-	file := new(config.File)
-	if err := yaml.Unmarshal(text, file); err != nil {
-		return "", err
-	}
-	file.Pools[0].ReplicaIndex, file.Pools[0].Limits.MaxAttempts = 0, 3+number%3
-	pools, err := yaml.Marshal(map[string]any{"pools": file.Pools})
-	return fmt.Sprintf("id: plan-%d\nkind: settings\nstages: [{count: 1, soak: 1s}, {part: 0.5, soak: 1s}, {part: 1, soak: 1s}]\naway: 2\nwait: 20s\nunknown: 20s\nsettings:\n  %s\n",
-		number, strings.ReplaceAll(strings.TrimSpace(string(pools)), "\n", "\n  ")), err
+	return files
 }
 
-func (n *processRun) agree() bool {
-	digest := ""
-	for _, c := range n.f.Replicas {
-		s, err := c.Status()
-		if err != nil || digest != "" && s.Digest != digest {
-			return false
+// checkProcesses checks that no replica has crashed or holds much more than before.
+func (r *processRun) checkProcesses(filesBefore map[string]int) {
+	filesNow := r.openFiles()
+	for _, replica := range r.fleet.Replicas {
+		name := replica.Name
+		log := replica.Log()
+		if i := strings.Index(log, "panic"); i >= 0 {
+			r.fail(ruleReplicaCrashes, "%s: %s", name, log[i:min(len(log), i+maxCrashText)])
 		}
-		digest = s.Digest
-		alive := 0
-		for _, m := range s.Members {
-			if m.Status == "alive" {
-				alive++
-			}
+		if filesNow[name] > filesBefore[name]+maxMoreFiles {
+			r.fail(ruleNoResourceGrowth, "%s holds %d descriptors, %d before", name, filesNow[name], filesBefore[name])
 		}
-		if alive != len(n.f.Replicas) {
-			return false
+		if mb := processes.ResidentMB(replica.Pid()); mb > maxResidentMB {
+			r.fail(ruleNoResourceGrowth, "%s holds %d MB", name, mb)
 		}
 	}
-	return true
-}
-
-func (n *processRun) views() (text string) {
-	for _, c := range n.f.Replicas {
-		s, err := c.Status()
-		text += fmt.Sprintf("%s %s %v:", c.Name, s.Digest, err)
-		for _, m := range s.Members {
-			if m.Status != "alive" {
-				text += " " + m.Name + " " + m.Status
-			}
-		}
-		text += "; "
-	}
-	return text
-}
-
-func (n *processRun) status(c *processes.Replica) (s fleet.RolloutStatus, err error) {
-	text, err := c.Admin("GET", "/ops/rollout", "")
-	if err == nil {
-		err = json.Unmarshal([]byte(text), &s)
-	}
-	return s, err
 }
 
-func (n *processRun) settled() bool {
-	for _, c := range n.f.Replicas {
-		if s, err := n.status(c); err != nil || !s.Ended && s.Phase != "stopped" {
+// until waits until a condition holds. It returns false after a timeout, or once ctx ends.
+func until(ctx context.Context, timeout time.Duration, holds func() bool) bool {
+	for end := time.Now().Add(timeout); !holds(); time.Sleep(pollInterval) {
+		if time.Now().After(end) || ctx.Err() != nil {
 			return false
 		}
 	}
 	return true
 }
 
-func (n *processRun) plan() (text string) {
-	for _, c := range n.f.Replicas {
-		s, err := n.status(c)
-		text += fmt.Sprintf("%s: %s %s (%s) led by %s number %d %v; ", c.Name, s.Plan, s.Phase, s.Reason, s.Leader, s.FencingToken, err)
-	}
-	return text
-}
-
-// Found is where a schedule that does not balance is kept.
-func Found(dir string, sch Schedule, rule string) (string, error) {
-	file := filepath.Join(dir, fmt.Sprintf("%s-%d-%d.yaml", strings.ReplaceAll(rule, " ", "-"), sch.Replicas, sch.Seed))
-	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return "", err
+// pause waits. It returns false if ctx ends before.
+func pause(ctx context.Context, d time.Duration) bool {
+	select {
+	case <-ctx.Done():
+		return false
+	case <-time.After(max(d, 0)):
+		return true
 	}
-	return file, sch.Write(file)
 }
