--- a/lab/faultnet/link.go
+++ b/lab/faultnet/link.go
@@ -19,7 +19,7 @@
 	// Reorder is the fraction that is held back by a second delay and jitter.
 	Reorder float64       `yaml:"reorder,omitempty"`
 	Delay   time.Duration `yaml:"delay,omitempty"`
-	// Jitter is the most by which a delay is longer than Delay, uniformly drawn.
+	// Jitter is the upper limit of a uniformly drawn addition to Delay.
 	Jitter time.Duration `yaml:"jitter,omitempty"`
 	// BytesPerS is the link's throughput in bytes a second; 0 is unlimited.
 	BytesPerS int `yaml:"bytes_per_s,omitempty"`
--- a/lab/faultnet/network.go
+++ b/lab/faultnet/network.go
@@ -13,7 +13,7 @@
 // anyReplica stands for every replica in the name of a path's end.
 const anyReplica = "*"
 
-// minReorderDelay is the least by which a reordered datagram is held back.
+// minReorderDelay is the minimum by which a reordered datagram is held back.
 const minReorderDelay = time.Millisecond
 
 // Counters count what a network was given to deliver, and its faults.
--- a/lab/processes/replica.go
+++ b/lab/processes/replica.go
@@ -175,7 +175,7 @@
 // Kill ends a replica's process at once and waits until it is gone.
 func (r *Replica) Kill() {
 	_ = r.Signal(syscall.SIGKILL) // one that has ended already is no failure
-	_ = r.Await()                 // it says that the process was killed
+	_ = r.Await()                 // its error is that the process was killed
 }
 
 // Await waits until a replica's newest process has ended, and returns its exit error.
--- a/lab/statesyncsim/replica.go
+++ b/lab/statesyncsim/replica.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// evidenceOf returns what an outcome says of the endpoint; ok is false if nothing.
+// evidenceOf returns an outcome as evidence about the endpoint; ok is false if it is none.
 func evidenceOf(outcome balancer.Outcome) (evidence outlier.Outcome, ok bool) {
 	switch outcome {
 	case balancer.OK:
