--- a/lab/chaos/violation.go
+++ b/lab/chaos/violation.go
@@ -41,4 +41,5 @@
 	Text string
 }
 
+// Error returns the time, the rule and what was found.
 func (v *Violation) Error() string { return fmt.Sprintf("at %v: %s: %s", v.At, v.Rule, v.Text) }
