--- a/lab/realtime/spoil.go
+++ b/lab/realtime/corruption.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// spoils are the ways in which an answer can be spoilt.
-var spoils = []func(id uint64) string{
+// corruptions are the ways in which a response can be corrupted, each a function of the request's id.
+var corruptions = []func(id uint64) string{
 	func(uint64) string { return "\x00\x17noise that is no answer\r\n\r\n" },
 	func(uint64) string {
 		return "HTTP/1.1 200 OK\r\nContent-Length: 12\r\nContent-Length: 40\r\n\r\nhello, world"
@@ -24,6 +24,3 @@
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 40\r\nTransfer-Encoding: chunked\r\n\r\n%016x", id)
 	},
 }
-
-// spoilt returns an answer spoilt in one of the ways.
-func spoilt(kind int, id uint64) string { return spoils[kind](id) }
--- a/lab/realtime/machine.go
+++ b/lab/realtime/machine.go
@@ -8,100 +8,122 @@
 	"ryerill/lab/servermodel"
 )
 
-// machine drives the model of a provider's machine in real time.
+// machine drives the model of an endpoint's machine in real time.
 type machine struct {
 	began time.Time // of the run: the model's time 0
 
-	mu    sync.Mutex
-	node  *servermodel.Server
-	timer *time.Timer
-	gen   int
-	over  bool
+	mu         sync.Mutex // guards the fields below
+	model      *servermodel.Server
+	timer      *time.Timer // fires when the model's next job is due
+	generation int         // of the timer: one that was replaced does nothing
+	stopped    bool
 }
 
 // task is a job whose phases a goroutine waits for.
 type task struct {
 	servermodel.Job
-	done chan struct{} // a phase is done
+	done chan struct{} // receives when a phase is done
 }
 
 func newMachine(began time.Time, spec *scenario.Machine, speed float64, warm bool) *machine {
 	m := &machine{began: began}
-	m.node = servermodel.New(spec, speed, m.now(), warm)
+	m.model = servermodel.New(spec, speed, m.now(), warm)
 	return m
 }
 
 func (m *machine) now() time.Duration { return time.Since(m.began) }
 
-// do changes the model and sees to it that what becomes due is noticed.
-func (m *machine) do(change func(n *servermodel.Server, now time.Duration)) {
+// update changes the model and schedules the timer for what is due next. It does nothing once the machine is stopped.
+func (m *machine) update(change func(model *servermodel.Server, now time.Duration)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.over {
+	if m.stopped {
 		return
 	}
-	change(m.node, m.now())
-	m.arm()
+	change(m.model, m.now())
+	m.scheduleTimer()
 }
 
-func (m *machine) arm() {
-	at, ok := m.node.Next()
+// scheduleTimer sets the timer to the model's next event; mu is held.
+func (m *machine) scheduleTimer() {
+	at, ok := m.model.Next()
 	if !ok {
 		return
 	}
-	m.gen++
-	gen := m.gen
+	m.generation++
+	generation := m.generation
 	wait := max(at-m.now(), 0)
 	if m.timer != nil {
 		m.timer.Stop()
 	}
-	m.timer = time.AfterFunc(wait, func() { m.due(gen) })
+	m.timer = time.AfterFunc(wait, func() { m.completeDue(generation) })
 }
 
-func (m *machine) due(gen int) {
+// completeDue notifies the tasks whose phase is done.
+func (m *machine) completeDue(generation int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.over || gen != m.gen {
+	if m.stopped || generation != m.generation {
 		return
 	}
 	now := m.now()
-	for j := m.node.Pop(now); j != nil; j = m.node.Pop(now) {
-		if t, ok := j.Tag.(*task); ok {
-			t.done <- struct{}{} // holds one; a task has one phase out at a time
+	for job := m.model.Pop(now); job != nil; job = m.model.Pop(now) {
+		if t, ok := job.Tag.(*task); ok {
+			t.done <- struct{}{} // the channel holds one: a task has one phase in work at a time
 		}
 	}
-	m.arm()
+	m.scheduleTimer()
 }
 
-// offer gives a task to the machine.
-func (m *machine) offer(t *task) (v servermodel.Verdict) {
-	t.Tag, t.done = t, make(chan struct{}, 1)
-	v = servermodel.Rejected
-	m.do(func(n *servermodel.Server, now time.Duration) { v = n.Offer(now, &t.Job) })
-	return v
+// offer gives a task to the machine and reports whether it was accepted.
+func (m *machine) offer(t *task) (accepted bool) {
+	t.Tag = t
+	t.done = make(chan struct{}, 1)
+	m.update(func(model *servermodel.Server, now time.Duration) {
+		accepted = model.Offer(now, &t.Job) != servermodel.Rejected
+	})
+	return accepted
 }
 
+// resume starts a task's next phase.
 func (m *machine) resume(t *task, work float64) {
-	m.do(func(n *servermodel.Server, now time.Duration) {
+	m.update(func(model *servermodel.Server, now time.Duration) {
 		t.Left = work
-		n.Resume(now, &t.Job)
+		model.Resume(now, &t.Job)
 	})
 }
 
+// isQueued reports whether a task still waits for its first phase.
+func (m *machine) isQueued(t *task) (queued bool) {
+	m.update(func(*servermodel.Server, time.Duration) { queued = t.Queued() })
+	return queued
+}
+
+// end removes a task.
 func (m *machine) end(t *task) {
-	m.do(func(n *servermodel.Server, now time.Duration) { n.End(now, &t.Job) })
+	m.update(func(model *servermodel.Server, now time.Duration) { model.End(now, &t.Job) })
+}
+
+// setSlowdown makes the machine slower by a factor; 1 is its normal speed.
+func (m *machine) setSlowdown(factor float64) {
+	m.update(func(model *servermodel.Server, now time.Duration) { model.Slow(now, factor) })
+}
+
+// setHung makes the machine hang, or go on.
+func (m *machine) setHung(hung bool) {
+	m.update(func(model *servermodel.Server, now time.Duration) { model.Hang(now, hung) })
 }
 
-// stop ends the machine and returns the work that it did.
+// stop ends the machine and returns the work that it did, in seconds of one core.
 func (m *machine) stop() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.over {
-		m.over = true
-		m.node.Advance(m.now())
+	if !m.stopped {
+		m.stopped = true
+		m.model.Advance(m.now())
 		if m.timer != nil {
 			m.timer.Stop()
 		}
 	}
-	return m.node.Done()
+	return m.model.Done()
 }
--- a/lab/realtime/live_test.go
+++ b/lab/realtime/run_test.go
@@ -118,17 +118,20 @@
 		}
 	}()
 	w := tiny(t)
-	r := &run{w: w, began: time.Now(), names: []string{"inventor"}, makers: map[uint64]string{}, rec: metrics.New(w)}
+	r := &run{scenario: w, began: time.Now(), proxyNames: []string{"inventor"}, executedBy: map[uint64]string{}, recorder: metrics.New(w)}
 	r.oracle = invariant.New(invariant.Config{Classes: w.Balancer(0, 0, 0).Classes, Name: func(int) string { return "inventor" }})
-	c := newCaller()
-	defer c.close()
+	client := newTransport()
+	defer client.close()
 	for class := range w.Classes {
 		id := r.newID(0)
 		now := time.Now()
-		r.took(0, id, class, now, time.Minute)
-		k := &w.Classes[class]
-		a, err := c.ask(context.Background(), l.Addr().String(), request(k.Name, k.EffectKind(), id, "everyone", time.Minute, 7, 0.1, false), now.Add(time.Minute))
-		r.answered(0, id, class, a, err, false)
+		r.recordReceived(0, id, class, now, time.Minute)
+		spec := &w.Classes[class]
+		request := formatRequest(&requestHeader{
+			class: spec.Name, effect: spec.EffectKind(), id: id, tenant: "everyone", timeout: time.Minute, key: 7, work: 0.1,
+		})
+		answer, err := client.roundTrip(context.Background(), l.Addr().String(), request, now.Add(time.Minute))
+		r.recordAnswered(0, id, answer, err, false)
 	}
 	if _, counts := r.oracle.Finish(0); counts[invariant.Foreign] != 2 {
 		t.Errorf("found %v, want two foreign answers", counts)
