--- a/lab/sim/sim_test.go
+++ b/lab/sim/simulation_test.go
@@ -45,7 +45,8 @@
 		}
 		return string(b)
 	}
-	if text() != text() {
+	first, second := text(), text()
+	if first != second {
 		t.Error("two runs of one seed differ")
 	}
 }
