--- a/lab/realtime/run_test.go
+++ b/lab/realtime/run_test.go
@@ -19,9 +19,8 @@
 	"ryerill/lab/scenario"
 )
 
-// tiny is a world of two tiers that a busy machine plays too: nothing here
-// judges how fast it is.
-func tiny(t *testing.T, troubles ...scenario.Fault) *scenario.Scenario {
+// tinyScenario is a scenario of two tiers that a busy machine can run too: nothing here judges how fast it is.
+func tinyScenario(t *testing.T, faults ...scenario.Fault) *scenario.Scenario {
 	t.Helper()
 	w, err := scenario.Parse("tiny", []byte(`name: tiny
 length: 2s
@@ -39,56 +38,73 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Faults = troubles
+	w.Faults = faults
 	w.Complete()
-	if p := w.Check(); len(p) > 0 {
-		t.Fatal(p)
+	if problems := w.Check(); len(problems) > 0 {
+		t.Fatal(problems)
 	}
 	return w
 }
 
-func play(t *testing.T, w *scenario.Scenario) *metrics.Result {
+func mustRun(t *testing.T, w *scenario.Scenario) *metrics.Result {
 	t.Helper()
-	r, err := Run(context.Background(), w, Options{Seed: 1, Build: Embedded})
+	result, err := Run(context.Background(), w, Options{Seed: 1, Build: Embedded})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return result
 }
 
-// The rules hold on sockets through each trouble, and nothing is left over.
-func TestRulesHoldThroughTroubles(t *testing.T) {
-	for _, tr := range []scenario.Fault{
-		{Kind: scenario.Spoil, At: 200 * time.Millisecond, For: time.Second, Fraction: 1, Factor: 0.3},
-		{Kind: scenario.Release, At: 200 * time.Millisecond, For: 800 * time.Millisecond, Fraction: 1, Drain: 300 * time.Millisecond, Pause: 50 * time.Millisecond},
-		{Kind: scenario.Replace, At: 300 * time.Millisecond, Fraction: 0.5, Pause: 100 * time.Millisecond},
-		{Kind: scenario.Err, At: 200 * time.Millisecond, For: time.Second, Fraction: 0.5, Factor: 0.4},
-		{Kind: scenario.Hang, At: 300 * time.Millisecond, For: 500 * time.Millisecond, Fraction: 0.25},
-		{Kind: scenario.Silent, At: 300 * time.Millisecond, For: 800 * time.Millisecond, Fraction: 0.25},
-		{Kind: scenario.Restart, At: 300 * time.Millisecond, Fraction: 0.5, Pause: 200 * time.Millisecond},
-		{Kind: scenario.DiscoverySilent, At: 300 * time.Millisecond, For: 800 * time.Millisecond},
+// The rules hold on sockets through each kind of fault, and no goroutine is left over.
+func TestRulesHoldThroughFaults(t *testing.T) {
+	const ms = time.Millisecond
+	for _, fault := range []scenario.Fault{
+		{Kind: scenario.Spoil, At: 200 * ms, For: time.Second, Fraction: 1, Factor: 0.3},
+		{Kind: scenario.Release, At: 200 * ms, For: 800 * ms, Fraction: 1, Drain: 300 * ms, Pause: 50 * ms},
+		{Kind: scenario.Replace, At: 300 * ms, Fraction: 0.5, Pause: 100 * ms},
+		{Kind: scenario.Err, At: 200 * ms, For: time.Second, Fraction: 0.5, Factor: 0.4},
+		{Kind: scenario.Hang, At: 300 * ms, For: 500 * ms, Fraction: 0.25},
+		{Kind: scenario.Silent, At: 300 * ms, For: 800 * ms, Fraction: 0.25},
+		{Kind: scenario.Restart, At: 300 * ms, Fraction: 0.5, Pause: 200 * ms},
+		{Kind: scenario.DiscoverySilent, At: 300 * ms, For: 800 * ms},
 	} {
-		t.Run(tr.Kind, func(t *testing.T) {
+		t.Run(fault.Kind, func(t *testing.T) {
 			defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-			r := play(t, tiny(t, tr))
-			// A machine too busy to keep time may miss deadlines; answers and repeats must be right on any.
+			result := mustRun(t, tinyScenario(t, fault))
+			// A machine too busy to keep time may miss deadlines; responses and repeats must be right on any.
 			for _, rule := range []string{invariant.NoRepeat, invariant.Foreign} {
-				if r.Metrics["broken."+rule] > 0 {
-					t.Errorf("%s: %v", rule, r.Violations)
+				if result.Metrics["broken."+rule] > 0 {
+					t.Errorf("%s: %v", rule, result.Violations)
 				}
 			}
-			if r.Metrics["served"] = r.Metrics["in_aim"] + r.Metrics["late"]; r.Metrics["served"] < 0.3 {
-				t.Errorf("served %v: %v", r.Metrics["served"], r.Metrics)
+			if served := result.Metrics["in_aim"] + result.Metrics["late"]; served < 0.3 {
+				t.Errorf("served %v: %v", served, result.Metrics)
 			}
-			if tr.Kind == scenario.Spoil && r.Metrics["spoilt"] == 0 {
-				t.Error("no answer was spoilt")
+			if fault.Kind == scenario.Spoil && result.Metrics["spoilt"] == 0 {
+				t.Error("no response was corrupted")
 			}
 		})
 	}
 }
 
-// A proxy that answers with what no provider made is named.
-func TestAProxyThatInventsAnswersIsCaught(t *testing.T) {
+// serveInvented answers requests with what no endpoint made: text of its own, or the id with an endpoint's name.
+func serveInvented(conn net.Conn) {
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
+	for {
+		req, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		body := "made up"
+		if strings.Contains(req.URL.Path, "/pay/") {
+			body = req.Header.Get("Req-Id") + " shop-0 0.1"
+		}
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	}
+}
+
+func TestInventedResponsesAreReported(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -96,30 +112,22 @@
 	defer l.Close()
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go func() {
-				defer c.Close()
-				r := bufio.NewReader(c)
-				for {
-					req, err := http.ReadRequest(r)
-					if err != nil {
-						return
-					}
-					body := "made up"
-					if strings.Contains(req.URL.Path, "/pay/") {
-						body = req.Header.Get("Req-Id") + " shop-0 0.1"
-					}
-					fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-				}
-			}()
+			go serveInvented(conn)
 		}
 	}()
-	w := tiny(t)
-	r := &run{scenario: w, began: time.Now(), proxyNames: []string{"inventor"}, executedBy: map[uint64]string{}, recorder: metrics.New(w)}
-	r.oracle = invariant.New(invariant.Config{Classes: w.Balancer(0, 0, 0).Classes, Name: func(int) string { return "inventor" }})
+	w := tinyScenario(t)
+	r := &run{
+		scenario: w, began: time.Now(), proxyNames: []string{"inventor"}, executedBy: map[uint64]string{},
+		recorder: metrics.New(w),
+	}
+	r.oracle = invariant.New(invariant.Config{
+		Classes: w.Balancer(0, 0, 0).Classes,
+		Name:    func(int) string { return "inventor" },
+	})
 	client := newTransport()
 	defer client.close()
 	for class := range w.Classes {
@@ -138,34 +146,35 @@
 	}
 }
 
-// A proxy that ends by itself ends the run with its last words, and leaves nothing behind.
-func TestAProxyThatCrashesEndsTheRunPlainly(t *testing.T) {
+// A proxy that ends by itself ends the run with the end of its log, and no goroutine is left over.
+func TestCrashedProxyEndsRun(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	script := filepath.Join(t.TempDir(), "crash")
 	if err := os.WriteFile(script, []byte("#!/bin/sh\necho it hurts >&2\nexit 3\n"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	_, err := Run(context.Background(), tiny(t), Options{Build: script})
+	_, err := Run(context.Background(), tinyScenario(t), Options{Build: script})
 	if err == nil || !strings.Contains(err.Error(), "ended by itself") || !strings.Contains(err.Error(), "it hurts") {
 		t.Errorf("got %v", err)
 	}
-	if _, err := Run(context.Background(), tiny(t), Options{Build: "/no/such/program"}); err == nil || !strings.Contains(err.Error(), "/no/such/program") {
+	_, err = Run(context.Background(), tinyScenario(t), Options{Build: "/no/such/program"})
+	if err == nil || !strings.Contains(err.Error(), "/no/such/program") {
 		t.Errorf("got %v", err)
 	}
 }
 
-func TestARunStopsWhenItsContextEnds(t *testing.T) {
+func TestRunStopsWhenContextEnds(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	w := tiny(t)
+	w := tinyScenario(t)
 	w.Length = time.Hour
 	w.Load.Rate = 5
 	ctx, stop := context.WithCancel(context.Background())
-	asked := make(chan struct{}, 1)
-	go func() { <-asked; stop() }()
-	_, err := Run(ctx, w, Options{Build: Embedded, Tell: func(m Moment) {
-		if m.Asked > 0 {
+	sent := make(chan struct{}, 1)
+	go func() { <-sent; stop() }()
+	_, err := Run(ctx, w, Options{Build: Embedded, Tell: func(progress Moment) {
+		if progress.Asked > 0 {
 			select {
-			case asked <- struct{}{}:
+			case sent <- struct{}{}:
 			default:
 			}
 		}
@@ -175,7 +184,7 @@
 	}
 }
 
-func TestAPortThatIsTakenIsSaid(t *testing.T) {
+func TestTakenPortIsReported(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -186,9 +195,9 @@
 	}
 }
 
-func TestUsageIsRead(t *testing.T) {
-	u, err := readUsage(os.Getpid())
-	if err != nil || u.Memory == 0 || u.Sockets == 0 {
-		t.Errorf("%+v, %v", u, err)
+func TestUsageOfProcessIsRead(t *testing.T) {
+	used, err := readUsage(os.Getpid())
+	if err != nil || used.Memory == 0 || used.Sockets == 0 {
+		t.Errorf("%+v, %v", used, err)
 	}
 }
--- a/lab/sim/simulation_test.go
+++ b/lab/sim/simulation_test.go
@@ -15,7 +15,7 @@
 	"ryerill/lab/scenario"
 )
 
-func read(t testing.TB, file string) *scenario.Scenario {
+func readScenario(t testing.TB, file string) *scenario.Scenario {
 	t.Helper()
 	w, err := scenario.Read("../scenarios/" + file)
 	if err != nil {
@@ -24,22 +24,21 @@
 	return w
 }
 
-func play(t testing.TB, w *scenario.Scenario, opt Options) *metrics.Result {
+func mustRun(t testing.TB, w *scenario.Scenario, opt Options) *metrics.Result {
 	t.Helper()
-	r, err := Run(context.Background(), w, opt)
+	result, err := Run(context.Background(), w, opt)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return result
 }
 
-// The same seed gives the same bytes.
-func TestARunIsItsSeed(t *testing.T) {
+func TestSameSeedGivesSameBytes(t *testing.T) {
 	t.Parallel()
-	w := read(t, "roster.yaml")
+	w := readScenario(t, "roster.yaml")
 	w.Length = 8 * time.Second
 	text := func() string {
-		b, err := json.Marshal(play(t, w, Options{Seed: 7}))
+		b, err := json.Marshal(mustRun(t, w, Options{Seed: 7}))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -52,173 +51,213 @@
 }
 
 func BenchmarkRoster(b *testing.B) {
-	w := read(b, "roster.yaml")
+	w := readScenario(b, "roster.yaml")
 	for i := range b.N {
 		start := time.Now()
-		r := play(b, w, Options{Seed: uint64(i)})
+		result := mustRun(b, w, Options{Seed: uint64(i)})
 		b.ReportMetric(w.Length.Seconds()/time.Since(start).Seconds(), "x-real-time")
-		b.ReportMetric(r.Metrics["goodput"], "goodput")
+		b.ReportMetric(result.Metrics["goodput"], "goodput")
 	}
 }
 
-// broken does something wrong to a decider's actions.
-type broken struct {
+// tamper changes the actions that a decider answers an event with.
+type tamper func(event *balancer.Event, actions []balancer.Action) []balancer.Action
+
+// brokenDecider is a decider whose actions are changed.
+type brokenDecider struct {
 	baseline.Decider
-	spoil func(ev *balancer.Event, out []balancer.Action) []balancer.Action
+	tamper tamper
+}
+
+func (b brokenDecider) Handle(
+	now time.Duration, event balancer.Event, actions []balancer.Action,
+) []balancer.Action {
+	return b.tamper(&event, b.Decider.Handle(now, event, actions))
+}
+
+// holdSomeRequests never answers every fiftieth request.
+func holdSomeRequests() tamper {
+	arrived := 0
+	return func(event *balancer.Event, actions []balancer.Action) []balancer.Action {
+		if event.Kind != balancer.RequestArrived {
+			return actions
+		}
+		arrived++
+		if arrived%50 == 0 {
+			return actions[:0]
+		}
+		return actions
+	}
+}
+
+// repeatAnything sends what failed to the next endpoint, whatever its class.
+func repeatAnything() tamper {
+	var endpoints []balancer.EndpointID
+	return func(event *balancer.Event, actions []balancer.Action) []balancer.Action {
+		for _, e := range event.Endpoints {
+			endpoints = append(endpoints, e.ID)
+		}
+		if event.Kind != balancer.AttemptEnded || event.Outcome != balancer.Reset || event.RequestClosed {
+			return actions
+		}
+		next := endpoints[int(event.Request)%len(endpoints)]
+		return []balancer.Action{{Kind: balancer.Send, Request: event.Request, Endpoint: next}}
+	}
+}
+
+// sendToDraining sends all requests to endpoints that drain, once there are any.
+func sendToDraining() tamper {
+	var draining []balancer.EndpointID
+	return func(event *balancer.Event, actions []balancer.Action) []balancer.Action {
+		for _, e := range event.Endpoints {
+			if e.State == balancer.Draining {
+				draining = append(draining, e.ID)
+			}
+		}
+		for i := range actions {
+			if actions[i].Kind == balancer.Send && len(draining) > 0 {
+				actions[i].Endpoint = draining[int(actions[i].Request)%len(draining)]
+			}
+		}
+		return actions
+	}
 }
 
-func (b broken) Handle(now time.Duration, ev balancer.Event, out []balancer.Action) []balancer.Action {
-	return b.spoil(&ev, b.Decider.Handle(now, ev, out))
+// sendToOneCold sends all requests to the first endpoint that has started anew.
+func sendToOneCold() tamper {
+	var cold []balancer.EndpointID
+	return func(event *balancer.Event, actions []balancer.Action) []balancer.Action {
+		for _, e := range event.Endpoints {
+			if e.State == balancer.Ready && e.StartedAt > 0 {
+				cold = append(cold, e.ID)
+			}
+		}
+		for i := range actions {
+			if actions[i].Kind == balancer.Send && len(cold) > 0 {
+				actions[i].Endpoint = cold[0]
+			}
+		}
+		return actions
+	}
 }
 
-// Each rule is broken by a decider made for it, and the oracle names that rule.
-func TestBrokenDecidersAreCaught(t *testing.T) {
+// Each rule is broken by a decider made for it, and the oracle reports that rule.
+func TestBrokenDecidersAreReported(t *testing.T) {
 	t.Parallel()
+	const second = time.Second
 	for _, tc := range []struct {
-		rule     string
-		troubles []scenario.Fault
-		spoil    func(cfg balancer.Config) func(ev *balancer.Event, out []balancer.Action) []balancer.Action
+		rule      string
+		faults    []scenario.Fault
+		newTamper func() tamper
 	}{
-		{invariant.OneAnswer, nil, func(balancer.Config) func(*balancer.Event, []balancer.Action) []balancer.Action {
-			n := 0
-			return func(ev *balancer.Event, out []balancer.Action) []balancer.Action {
-				if ev.Kind == balancer.RequestArrived {
-					if n++; n%50 == 0 { // holds a request for ever
-						return out[:0]
-					}
-				}
-				return out
-			}
-		}},
-		{invariant.NoRepeat, []scenario.Fault{{Kind: scenario.Spoil, At: 2 * time.Second, For: 4 * time.Second, Fraction: 0.3, Factor: 0.5}},
-			func(balancer.Config) func(*balancer.Event, []balancer.Action) []balancer.Action {
-				var servers []balancer.EndpointID
-				return func(ev *balancer.Event, out []balancer.Action) []balancer.Action {
-					for _, s := range ev.Endpoints {
-						servers = append(servers, s.ID)
-					}
-					// Sends what failed to whoever comes next, whatever its class.
-					if ev.Kind == balancer.AttemptEnded && ev.Outcome == balancer.Reset && !ev.RequestClosed {
-						return []balancer.Action{{Kind: balancer.Send, Request: ev.Request, Endpoint: servers[int(ev.Request)%len(servers)]}}
-					}
-					return out
-				}
+		{invariant.OneAnswer, nil, holdSomeRequests},
+		{
+			invariant.NoRepeat,
+			[]scenario.Fault{{Kind: scenario.Spoil, At: 2 * second, For: 4 * second, Fraction: 0.3, Factor: 0.5}},
+			repeatAnything,
+		},
+		{
+			invariant.Drained,
+			[]scenario.Fault{{
+				Kind: scenario.Release, At: second, For: second, Fraction: 0.5, Drain: 6 * second, Pause: second,
 			}},
-		{invariant.Drained, []scenario.Fault{{Kind: scenario.Release, At: time.Second, For: time.Second, Fraction: 0.5, Drain: 6 * time.Second, Pause: time.Second}},
-			func(balancer.Config) func(*balancer.Event, []balancer.Action) []balancer.Action {
-				var drains []balancer.EndpointID
-				return func(ev *balancer.Event, out []balancer.Action) []balancer.Action {
-					for _, s := range ev.Endpoints {
-						if s.State == balancer.Draining {
-							drains = append(drains, s.ID)
-						}
-					}
-					for i := range out {
-						if out[i].Kind == balancer.Send && len(drains) > 0 {
-							out[i].Endpoint = drains[int(out[i].Request)%len(drains)]
-						}
-					}
-					return out
-				}
-			}},
-		{invariant.Pushed, []scenario.Fault{{Kind: scenario.Release, At: time.Second, For: time.Second, Fraction: 0.2, Drain: time.Second, Pause: 200 * time.Millisecond}},
-			func(balancer.Config) func(*balancer.Event, []balancer.Action) []balancer.Action {
-				var cold []balancer.EndpointID
-				return func(ev *balancer.Event, out []balancer.Action) []balancer.Action {
-					for _, s := range ev.Endpoints {
-						if s.State == balancer.Ready && s.StartedAt > 0 {
-							cold = append(cold, s.ID)
-						}
-					}
-					for i := range out { // the newest gets everything
-						if out[i].Kind == balancer.Send && len(cold) > 0 {
-							out[i].Endpoint = cold[0]
-						}
-					}
-					return out
-				}
+			sendToDraining,
+		},
+		{
+			invariant.Pushed,
+			[]scenario.Fault{{
+				Kind: scenario.Release, At: second, For: second, Fraction: 0.2, Drain: second,
+				Pause: 200 * time.Millisecond,
 			}},
+			sendToOneCold,
+		},
 	} {
 		t.Run(tc.rule, func(t *testing.T) {
 			t.Parallel()
-			w := read(t, "pair.yaml")
-			w.Length, w.Faults = 10*time.Second, tc.troubles
+			w := readScenario(t, "pair.yaml")
+			w.Length = 10 * second
+			w.Faults = tc.faults
 			for i := range w.Faults {
 				w.Faults[i].Tier = w.Tiers[0].Name
 			}
-			honest := play(t, w, Options{Seed: 3})
+			honest := mustRun(t, w, Options{Seed: 3})
 			if n := honest.Metrics["violations"]; n != 0 {
 				t.Errorf("the Balancer itself broke rules: %v", honest.Violations)
 			}
-			r := play(t, w, Options{Seed: 3, New: func(cfg balancer.Config, seed uint64) baseline.Decider {
-				d := balancer.New(cfg, seed)
+			result := mustRun(t, w, Options{Seed: 3, New: func(cfg balancer.Config, seed uint64) baseline.Decider {
+				decider := balancer.New(cfg, seed)
 				if cfg.Tier > 0 {
-					return d
+					return decider
 				}
-				return broken{d, tc.spoil(cfg)}
+				return brokenDecider{decider, tc.newTamper()}
 			}})
-			if r.Metrics["broken."+tc.rule] == 0 {
-				t.Errorf("%s was broken and not noticed; found %v", tc.rule, r.Violations)
+			if result.Metrics["broken."+tc.rule] == 0 {
+				t.Errorf("%s was broken and not noticed; found %v", tc.rule, result.Violations)
 			}
 		})
 	}
 }
 
-// Every kind of trouble is played, by each decider, without a stuck run.
-func TestEveryTroubleIsPlayed(t *testing.T) {
+// Every kind of fault is simulated, with each decider, without a stuck run.
+func TestEveryFaultIsSimulated(t *testing.T) {
 	t.Parallel()
 	for _, kind := range scenario.Kinds {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			w := read(t, "pair.yaml")
+			w := readScenario(t, "pair.yaml")
 			w.Length = 9 * time.Second
-			tr := scenario.Fault{Kind: kind, At: 3 * time.Second, For: 3 * time.Second, Fraction: 0.4, Factor: 2, Zone: "west", Count: 1, Tenant: "everyone"}
+			fault := scenario.Fault{
+				Kind: kind, At: 3 * time.Second, For: 3 * time.Second, Fraction: 0.4, Factor: 2, Zone: "west", Count: 1,
+				Tenant: "everyone",
+			}
 			if kind == scenario.Spoil || kind == scenario.Err {
-				tr.Factor = 0.5
+				fault.Factor = 0.5
 			}
-			w.Faults = []scenario.Fault{tr}
+			w.Faults = []scenario.Fault{fault}
 			w.Complete()
-			if p := w.Check(); len(p) > 0 {
-				t.Fatal(p)
+			if problems := w.Check(); len(problems) > 0 {
+				t.Fatal(problems)
 			}
-			if kind == scenario.Reload { // there is nothing to reload in virtual time, and it says so
+			if kind == scenario.Reload { // there is nothing to reload in virtual time: it must be an error
 				if _, err := Run(context.Background(), w, Options{}); err == nil {
-					t.Error("it is played as if it were nothing")
+					t.Error("a scenario with reloads ran without an error")
 				}
 				return
 			}
-			for _, d := range []string{"ryerill", "roundrobin", "least/fixed:10", "p2c/gradient"} {
-				r := play(t, w, Options{Seed: 2, Decider: d})
-				if n := r.Metrics["broken.one-answer"] + r.Metrics["broken.no-repeat"] + r.Metrics["broken.foreign-answer"]; n > 0 {
-					t.Errorf("%s: %v", d, r.Violations)
+			for _, decider := range []string{"ryerill", "roundrobin", "least/fixed:10", "p2c/gradient"} {
+				result := mustRun(t, w, Options{Seed: 2, Decider: decider})
+				broken := result.Metrics["broken.one-answer"] + result.Metrics["broken.no-repeat"] +
+					result.Metrics["broken.foreign-answer"]
+				if broken > 0 {
+					t.Errorf("%s: %v", decider, result.Violations)
 				}
-				if r.Metrics["goodput"] < 0.2 {
-					t.Errorf("%s: goodput %v: the run is stuck", d, r.Metrics["goodput"])
+				if result.Metrics["goodput"] < 0.2 {
+					t.Errorf("%s: goodput %v: the run is stuck", decider, result.Metrics["goodput"])
 				}
 			}
 		})
 	}
 }
 
-func TestARunStopsWhenItsContextEnds(t *testing.T) {
+func TestRunStopsWhenContextEnds(t *testing.T) {
 	t.Parallel()
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
-	if _, err := Run(ctx, read(t, "roster.yaml"), Options{}); !errors.Is(err, context.Canceled) {
+	if _, err := Run(ctx, readScenario(t, "roster.yaml"), Options{}); !errors.Is(err, context.Canceled) {
 		t.Errorf("got %v", err)
 	}
 }
 
-// A thousand proxies and ten thousand providers in one process.
+// A thousand proxies and ten thousand endpoints in one process.
 func BenchmarkLarge(b *testing.B) {
-	w := read(b, "large.yaml")
+	w := readScenario(b, "large.yaml")
 	for i := range b.N {
 		start := time.Now()
-		r := play(b, w, Options{Seed: uint64(i)})
+		result := mustRun(b, w, Options{Seed: uint64(i)})
 		b.ReportMetric(w.Length.Seconds()/time.Since(start).Seconds(), "x-real-time")
-		b.ReportMetric(r.Metrics["goodput"], "goodput")
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		b.ReportMetric(float64(m.Sys)/(1<<30), "GiB")
+		b.ReportMetric(result.Metrics["goodput"], "goodput")
+		var memory runtime.MemStats
+		runtime.ReadMemStats(&memory)
+		b.ReportMetric(float64(memory.Sys)/(1<<30), "GiB")
 	}
 }
