--- a/lab/realtime/client.go
+++ b/lab/realtime/client.go
@@ -43,17 +43,17 @@
 // send sends a scheduled request with all its retries, as its client does.
 func (r *run) send(ctx context.Context, scheduled *load.Request) {
 	class := &r.scenario.Classes[scheduled.Class]
-	r.recordStart(time.Since(r.began) - scheduled.At)
+	r.audit.started(time.Since(r.began) - scheduled.At)
 	deadline := r.began.Add(scheduled.At + class.Deadline)
 	for number := 1; ; number++ {
 		result := r.try(ctx, scheduled, deadline, number)
 		if result.outcome <= metrics.Late {
-			r.recordFinal(scheduled, result.outcome, result.usefulWork)
+			r.audit.finished(scheduled, result.outcome, result.usefulWork)
 			return
 		}
 		if !result.retryable || number > r.scenario.Clients.Retries ||
 			time.Now().Add(result.wait).After(deadline) || ctx.Err() != nil {
-			r.recordFinal(scheduled, result.outcome, 0)
+			r.audit.finished(scheduled, result.outcome, 0)
 			return
 		}
 		time.Sleep(result.wait)
@@ -66,7 +66,7 @@
 	wait := r.scenario.Clients.Wait
 	began := time.Now()
 	timeout := min(time.Duration(r.scenario.Clients.Try*float64(class.Deadline)), deadline.Sub(began))
-	r.count("tries", 1)
+	r.audit.count("tries", 1)
 	if timeout <= 0 {
 		return tryResult{outcome: metrics.TimedOut, wait: wait}
 	}
@@ -78,13 +78,13 @@
 	time.Sleep(delay())
 	id := r.newID(proxy.number)
 	sent := time.Now()
-	r.recordReceived(proxy.number, id, scheduled.Class, sent, timeout)
+	r.audit.received(proxy.number, id, scheduled.Class, sent, timeout)
 	request := formatRequest(&requestHeader{
 		class: class.Name, effect: class.EffectKind(), id: id, tenant: r.scenario.Tenants[scheduled.Tenant].Name,
 		timeout: timeout, key: scheduled.Key, work: scheduled.Work, retry: number > 1,
 	})
 	answer, err := proxy.transport.roundTrip(ctx, proxy.address, request, sent.Add(timeout+r.responseSlack()))
-	r.recordAnswered(proxy.number, id, answer, err, ctx.Err() != nil)
+	r.audit.answered(proxy.number, id, answer, err, ctx.Err() != nil)
 	if err != nil {
 		return failedTry(err, repeatable(class), wait)
 	}
@@ -125,10 +125,8 @@
 
 // shedWait counts a shed try and returns the wait before the next: as Retry-After asks, if the client honours it.
 func (r *run) shedWait(retryAfter time.Duration) time.Duration {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.recorder.Count("refusals", 1)
-	if retryAfter > 0 && r.clientRand.Float64() < r.scenario.Clients.Honour {
+	r.audit.count("refusals", 1)
+	if retryAfter > 0 && r.draws.client() < r.scenario.Clients.Honour {
 		return min(retryAfter, r.scenario.Rules.MaxRetryAfter)
 	}
 	return r.scenario.Clients.Wait
@@ -139,33 +137,6 @@
 	return class.Effect == "safe" || class.Effect == "keyed" && class.Group == "all"
 }
 
-// recordStart records a first try and how late the generator was with it.
-func (r *run) recordStart(lateness time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.lateness = append(r.lateness, lateness)
-	r.recorder.Count("first_tries", 1)
-	r.progress.Asked++
-}
-
-// recordFinal records what has become of a request in the end.
-func (r *run) recordFinal(scheduled *load.Request, outcome metrics.Outcome, usefulWork float64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	latency := time.Since(r.began) - scheduled.At
-	r.recorder.Final(scheduled, outcome, latency)
-	switch outcome {
-	case metrics.OnTime, metrics.Late:
-		r.recorder.Count("work_useful", usefulWork)
-		r.progress.Served++
-		r.recentLatencies = append(r.recentLatencies, latency)
-	case metrics.Shed:
-		r.progress.Refused++
-	default:
-		r.progress.Failed++
-	}
-}
-
 // requestHeader is what a request states in its line and headers.
 type requestHeader struct {
 	class   string
--- a/lab/realtime/discovery.go
+++ b/lab/realtime/discovery.go
@@ -200,7 +200,7 @@
 
 // awaitTurn waits until the calls before this one have been answered; it returns false if that takes too long.
 func (d *discoveryService) awaitTurn(req *http.Request) bool {
-	d.run.count("directory_calls", 1)
+	d.run.audit.count("directory_calls", 1)
 	limits := &d.run.scenario.Discovery
 	d.mu.Lock()
 	start := time.Now()
@@ -221,7 +221,7 @@
 		return false
 	}
 	if timedOut {
-		d.run.count("directory_failed", 1)
+		d.run.audit.count("directory_failed", 1)
 	}
 	return !timedOut
 }
@@ -242,7 +242,7 @@
 		return
 	}
 	for _, entry := range received {
-		d.run.recordListed(proxy, entry.endpoint.name, entry.status == discovery.Ready)
+		d.run.audit.listed(proxy, entry.endpoint.name, entry.status == discovery.Ready)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_, _ = w.Write(text) // a proxy that has left polls again
--- a/lab/realtime/endpoint.go
+++ b/lab/realtime/endpoint.go
@@ -149,7 +149,7 @@
 	e.mu.Unlock()
 	if proxy != nil {
 		proxy.kill()
-		e.run.recordDied(proxy.number)
+		e.run.audit.died(proxy.number)
 	}
 }
 
@@ -199,6 +199,6 @@
 	})
 	if overloaded && proc.overloaded.CompareAndSwap(false, true) {
 		proc.silent.Store(true)
-		proc.endpoint.run.recordOverload(proc.endpoint.name, received, budget)
+		proc.endpoint.run.audit.overloaded(proc.endpoint.name, received, budget)
 	}
 }
--- a/lab/realtime/faults.go
+++ b/lab/realtime/faults.go
@@ -11,9 +11,6 @@
 	"ryerill/lab/scenario"
 )
 
-// faultStream is the random stream that the targets of faults are drawn from; lab/sim uses the same.
-const faultStream = 6
-
 // faultInjector injects the faults of a scenario, each at its time.
 type faultInjector struct {
 	run   *run
@@ -33,7 +30,7 @@
 				targets = append(targets, r.tiers[target.Tier][target.Index])
 			}
 		}
-		injector.schedule(ctx, fault.At, func() { r.report(describe(fault, len(targets))) })
+		injector.schedule(ctx, fault.At, func() { r.audit.report(describe(fault, len(targets))) })
 		if len(targets) > 0 {
 			injector.injectIntoEndpoints(ctx, fault, targets)
 			continue
@@ -52,10 +49,10 @@
 			injector.schedule(ctx, fault.At, func() { service.setSilent(true) })
 			injector.schedule(ctx, fault.At+fault.For, func() {
 				service.setSilent(false)
-				r.report("the directory answers again")
+				r.audit.report("the directory answers again")
 			})
 		case scenario.Burst: // the generator's schedule holds it
-			injector.schedule(ctx, fault.At+fault.For, func() { r.report("the burst is over") })
+			injector.schedule(ctx, fault.At+fault.For, func() { r.audit.report("the burst is over") })
 		}
 	}
 }
@@ -93,7 +90,7 @@
 	}
 }
 
-// describe says what a fault does to a number of endpoints, for those who watch the run.
+// describe returns what a fault does to a number of endpoints, for those who watch the run.
 func describe(fault *scenario.Fault, endpoints int) string {
 	switch fault.Kind {
 	case scenario.Burst:
@@ -279,6 +276,6 @@
 			r.fail(err)
 			return
 		}
-		r.count("reloads_asked", 1)
+		r.audit.count("reloads_asked", 1)
 	}
 }
--- a/lab/realtime/instance.go
+++ b/lab/realtime/instance.go
@@ -167,7 +167,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if !i.endWanted {
-		i.err = fmt.Errorf("proxy %s ended by itself (%w); its last words:\n%s", i.name, err, i.log)
+		i.err = fmt.Errorf("proxy %s ended by itself (%w); the end of its log:\n%s", i.name, err, i.log)
 	}
 }
 
@@ -188,7 +188,7 @@
 		}
 		if time.Now().After(deadline) {
 			i.kill()
-			return fmt.Errorf("proxy %s was not ready within %v; its last words:\n%s", i.name, readyWithin, i.log)
+			return fmt.Errorf("proxy %s was not ready within %v; the end of its log:\n%s", i.name, readyWithin, i.log)
 		}
 	}
 }
--- a/lab/realtime/log.go
+++ b/lab/realtime/log.go
@@ -21,6 +21,7 @@
 // reloadedMessage is what a proxy logs when it has a new configuration.
 var reloadedMessage = []byte("configuration reloaded")
 
+// Write appends to the log; it never fails.
 func (t *logTail) Write(b []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -32,6 +33,7 @@
 	return len(b), nil
 }
 
+// String returns the end of the log, without white space around it.
 func (t *logTail) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/lab/realtime/overhead.go
+++ b/lab/realtime/overhead.go
@@ -62,6 +62,11 @@
 		return nil, err
 	}
 	defer backend.close()
+	service, err := startStaticDiscovery(backend.address())
+	if err != nil {
+		return nil, err
+	}
+	defer service.close()
 	dir, err := os.MkdirTemp("", "ryerill-lab-")
 	if err != nil {
 		return nil, err
@@ -73,26 +78,11 @@
 	if err != nil {
 		return nil, err
 	}
-	argv := slices.Clone(c.Command)
-	env := append(os.Environ(), "GOMAXPROCS=1")
-	if c.Proxy == Ryerill {
-		service, err := startStaticDiscovery(backend.address())
-		if err != nil {
-			return nil, err
-		}
-		defer service.close()
-		file := filepath.Join(dir, "config.json")
-		if err := writeCostConfiguration(file, address, service); err != nil {
-			return nil, err
-		}
-		argv = append(argv, "proxy")
-		env = environment(env, file)
-	} else {
-		argv = append(argv, c.Proxy, address, backend.address())
+	cmd, err := c.proxyCommand(address, backend, service, filepath.Join(dir, "config.json"))
+	if err != nil {
+		return nil, err
 	}
 	log := &logTail{}
-	cmd := exec.Command(argv[0], argv[1:]...)
-	cmd.Env = env
 	cmd.Stdout = log
 	cmd.Stderr = log
 	launch := newLauncher()
@@ -105,11 +95,31 @@
 		_ = cmd.Wait()         // it was killed
 	}()
 	if err := awaitPort(ctx, address); err != nil {
-		return nil, fmt.Errorf("%s never listened: %w; its last words:\n%s", c.Proxy, err, log)
+		return nil, fmt.Errorf("%s never listened: %w; the end of its log:\n%s", c.Proxy, err, log)
 	}
 	return saturate(ctx, c, address, cmd.Process.Pid)
 }
 
+// proxyCommand returns the command that runs the proxy at an address, with its configuration in a file if it has one.
+func (c *Cost) proxyCommand(
+	address string, backend *plainEndpoint, service *staticDiscovery, file string,
+) (*exec.Cmd, error) {
+	argv := slices.Clone(c.Command)
+	env := append(os.Environ(), "GOMAXPROCS=1")
+	if c.Proxy == Ryerill {
+		if err := writeCostConfiguration(file, address, service); err != nil {
+			return nil, err
+		}
+		argv = append(argv, "proxy")
+		env = environment(env, file)
+	} else {
+		argv = append(argv, c.Proxy, address, backend.address())
+	}
+	cmd := exec.Command(argv[0], argv[1:]...)
+	cmd.Env = env
+	return cmd, nil
+}
+
 // writeCostConfiguration writes the configuration of the proxy that is measured.
 func writeCostConfiguration(file, address string, service *staticDiscovery) error {
 	text, err := json.Marshal(map[string]any{
--- a/lab/realtime/run.go
+++ b/lab/realtime/run.go
@@ -9,7 +9,6 @@
 	"time"
 
 	"ryerill/discovery"
-	"ryerill/lab/invariant"
 	"ryerill/lab/load"
 	"ryerill/lab/metrics"
 	"ryerill/lab/scenario"
@@ -23,14 +22,6 @@
 	watchInterval    = 500 * time.Millisecond
 )
 
-// The random streams of a run, beside faultStream; lab/sim uses the same.
-const (
-	delayStream  = 2
-	callsStream  = 3
-	clientStream = 4
-	speedStream  = 7
-)
-
 // run is one run of a scenario.
 type run struct {
 	scenario *scenario.Scenario
@@ -39,28 +30,19 @@
 	dir      string    // for the proxies' configurations
 	began    time.Time // time 0 of the scenario; set anew before the first request
 	launcher *launcher
+	audit    *audit
+	draws    *draws
 
 	discovery []*discoveryService // by tier
 	tiers     [][]*endpoint       // by tier, those that ran at the start
 
-	mu              sync.Mutex // guards the fields below; never held while anything blocks
-	recorder        *metrics.Recorder
-	oracle          *invariant.Checker
-	callsRand       *rand.Rand
-	delayRand       *rand.Rand
-	clientRand      *rand.Rand
-	proxyZones      []int    // by the proxy's number
-	proxyNames      []string // by the proxy's number
-	lastSerial      uint64   // in the ids of requests
-	executedBy      map[uint64]string
-	proxies         []*instance  // all that ever ran
-	front           []*frontSlot // the clients' view of the first tier's proxies
-	nextFront       []int        // round robin over front, by the client's zone
-	lateness        []time.Duration
-	progress        Moment
-	recentLatencies []time.Duration // since the last progress report
-	failure         error           // that ended the run
-	replacements    []*endpoint     // started in the place of others
+	mu           sync.Mutex   // guards the fields below; never held while anything blocks
+	lastSerial   uint64       // in the ids of requests
+	proxies      []*instance  // all that ever ran
+	front        []*frontSlot // the clients' view of the first tier's proxies
+	nextFront    []int        // round robin over front, by the client's zone
+	failure      error        // that ended the run
+	replacements []*endpoint  // started in the place of others
 }
 
 // frontSlot is the place of a proxy of the first tier. proxy is guarded by run.mu.
@@ -89,27 +71,18 @@
 }
 
 func newRun(w *scenario.Scenario, opt Options, dir string) *run {
-	r := &run{
-		scenario:   w,
-		options:    opt,
-		seed:       opt.Seed,
-		dir:        dir,
-		began:      time.Now(),
-		launcher:   newLauncher(),
-		recorder:   metrics.New(w),
-		callsRand:  load.Stream(opt.Seed, callsStream),
-		delayRand:  load.Stream(opt.Seed, delayStream),
-		clientRand: load.Stream(opt.Seed, clientStream),
-		executedBy: map[uint64]string{},
-		nextFront:  make([]int, len(w.Network.Zones)),
+	began := time.Now()
+	return &run{
+		scenario:  w,
+		options:   opt,
+		seed:      opt.Seed,
+		dir:       dir,
+		began:     began,
+		launcher:  newLauncher(),
+		audit:     newAudit(w, began, opt.Tell),
+		draws:     newDraws(opt.Seed),
+		nextFront: make([]int, len(w.Network.Zones)),
 	}
-	r.oracle = invariant.New(invariant.Config{
-		Slack:   w.Rules.Slack + socketSlack,
-		Grace:   w.Rules.Drain + socketSlack,
-		Classes: w.Balancer(0, 0, 0).Classes,
-		Name:    func(number int) string { return r.proxyNames[number] },
-	})
-	return r
 }
 
 // start starts stand-ins and proxies.
@@ -163,11 +136,8 @@
 
 // startProxy starts a proxy that sends to a tier; index is its index among that tier's proxies.
 func (r *run) startProxy(ctx context.Context, tier, index, zone int, name string) (*instance, error) {
-	r.mu.Lock()
-	proxy := &instance{run: r, name: name, number: len(r.proxyNames), tier: tier, index: index, zone: zone}
-	r.proxyNames = append(r.proxyNames, name)
-	r.proxyZones = append(r.proxyZones, zone)
-	r.mu.Unlock()
+	number := r.audit.addProxy(name, zone)
+	proxy := &instance{run: r, name: name, number: number, tier: tier, index: index, zone: zone}
 	if err := proxy.start(ctx); err != nil {
 		return nil, err
 	}
@@ -208,9 +178,8 @@
 func (r *run) play(ctx context.Context) (*metrics.Result, error) {
 	schedule := load.Draw(r.scenario, r.seed)
 	time.Sleep(startWait)
-	r.mu.Lock()
 	r.began = time.Now()
-	r.mu.Unlock()
+	r.audit.begin(r.began)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var background sync.WaitGroup
@@ -268,7 +237,7 @@
 				return
 			}
 		}
-		r.report("")
+		r.audit.report("")
 	}
 }
 
@@ -327,19 +296,10 @@
 		base = r.scenario.Network.Cross
 	}
 	return func() time.Duration {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		return base + time.Duration(r.scenario.Network.Jitter*r.delayRand.Float64()*float64(base))
+		return base + time.Duration(r.scenario.Network.Jitter*r.draws.delay()*float64(base))
 	}
 }
 
-// drawCalls draws how many calls to the next tier are made for a request.
-func (r *run) drawCalls(mean float64) int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return load.Calls(r.callsRand, mean)
-}
-
 // responseSlack is how long beyond its timeout a client waits for a response, so that the oracle sees a late one.
 func (r *run) responseSlack() time.Duration {
 	return r.scenario.Rules.Slack + socketSlack + clientSlack
@@ -362,3 +322,30 @@
 	r.lastSerial++
 	return uint64(proxy)<<proxyNumberShift | r.lastSerial
 }
+
+// result sums the run up, with what the proxies and endpoints used.
+func (r *run) result(end time.Duration) *metrics.Result {
+	workDone := 0.0
+	for _, e := range r.endpoints() {
+		workDone += e.totalWork()
+	}
+	r.audit.count("work_done", workDone)
+	r.countProxyUsage()
+	return r.audit.result(end)
+}
+
+// countProxyUsage counts what all proxies used: the sum of processor times, and the most memory and sockets of one.
+func (r *run) countProxyUsage() {
+	var total time.Duration
+	var most usage
+	for _, proxy := range r.allProxies() {
+		used := proxy.measure()
+		total += used.CPU
+		most = most.max(used)
+		r.audit.count("reloads", float64(proxy.log.reloads.Load()))
+		r.audit.count("proxy_sockets_end", float64(proxy.descriptors()))
+	}
+	r.audit.count("proxy_cpu_s", total.Seconds())
+	r.audit.count("proxy_memory_mb", float64(most.Memory)/(1<<20))
+	r.audit.count("proxy_sockets", float64(most.Sockets))
+}
--- a/lab/realtime/run_test.go
+++ b/lab/realtime/run_test.go
@@ -120,28 +120,23 @@
 		}
 	}()
 	w := tinyScenario(t)
-	r := &run{
-		scenario: w, began: time.Now(), proxyNames: []string{"inventor"}, executedBy: map[uint64]string{},
-		recorder: metrics.New(w),
-	}
-	r.oracle = invariant.New(invariant.Config{
-		Classes: w.Balancer(0, 0, 0).Classes,
-		Name:    func(int) string { return "inventor" },
-	})
+	r := &run{}
+	a := newAudit(w, time.Now(), nil)
+	a.addProxy("inventor", 0)
 	client := newTransport()
 	defer client.close()
 	for class := range w.Classes {
 		id := r.newID(0)
 		now := time.Now()
-		r.recordReceived(0, id, class, now, time.Minute)
+		a.received(0, id, class, now, time.Minute)
 		spec := &w.Classes[class]
 		request := formatRequest(&requestHeader{
 			class: spec.Name, effect: spec.EffectKind(), id: id, tenant: "everyone", timeout: time.Minute, key: 7, work: 0.1,
 		})
 		answer, err := client.roundTrip(context.Background(), l.Addr().String(), request, now.Add(time.Minute))
-		r.recordAnswered(0, id, answer, err, false)
+		a.answered(0, id, answer, err, false)
 	}
-	if _, counts := r.oracle.Finish(0); counts[invariant.Foreign] != 2 {
+	if _, counts := a.oracle.Finish(0); counts[invariant.Foreign] != 2 {
 		t.Errorf("found %v, want two foreign answers", counts)
 	}
 }
--- a/lab/sim/client.go
+++ b/lab/sim/client.go
@@ -76,7 +76,7 @@
 	if ratio <= 1 || s.front[0].proxy == nil {
 		return false
 	}
-	return s.clientRand.Float64() < ratio/(ratio+float64(len(s.front)-1))
+	return s.draws.client.Float64() < ratio/(ratio+float64(len(s.front)-1))
 }
 
 func (c *clientRequest) class() *scenario.Class {
@@ -168,7 +168,7 @@
 func (c *clientRequest) retry(harmless bool, retryAfter time.Duration) {
 	s := c.simulation
 	wait := s.scenario.Clients.Wait
-	if retryAfter > 0 && s.clientRand.Float64() < s.scenario.Clients.Honour {
+	if retryAfter > 0 && s.draws.client.Float64() < s.scenario.Clients.Honour {
 		wait = min(retryAfter, s.scenario.Rules.MaxRetryAfter)
 	}
 	if !harmless || c.tries > s.scenario.Clients.Retries || s.now+wait >= c.deadline {
--- a/lab/sim/discovery.go
+++ b/lab/sim/discovery.go
@@ -49,7 +49,7 @@
 		return
 	}
 	for _, subscriber := range d.subscribers {
-		d.notify(subscriber, time.Duration(d.simulation.delayRand.Float64()*float64(maxPublishDelay)))
+		d.notify(subscriber, time.Duration(d.simulation.draws.delay.Float64()*float64(maxPublishDelay)))
 	}
 }
 
--- a/lab/sim/endpoint.go
+++ b/lab/sim/endpoint.go
@@ -117,7 +117,7 @@
 	case e.draining:
 		a.endLater(balancer.Rejected)
 		return
-	case e.errorPart > 0 && e.simulation.workRand.Float64() < e.errorPart:
+	case e.errorPart > 0 && e.simulation.draws.work.Float64() < e.errorPart:
 		a.endLater(balancer.Error)
 		return
 	}
--- a/lab/sim/execution.go
+++ b/lab/sim/execution.go
@@ -25,7 +25,7 @@
 	spec := e.tier.spec
 	ex := &execution{attempt: a}
 	if e.tier.index+1 < len(e.simulation.tiers) {
-		ex.callsLeft = load.Calls(e.simulation.workRand, spec.Calls)
+		ex.callsLeft = load.Calls(e.simulation.draws.work, spec.Calls)
 	}
 	ex.phaseWork = a.request.work * spec.Work / float64(ex.callsLeft+1)
 	ex.Left = ex.phaseWork
@@ -47,7 +47,7 @@
 
 // drawOutcome draws how an executed request is answered.
 func (e *endpoint) drawOutcome() balancer.Outcome {
-	draw := e.simulation.workRand.Float64()
+	draw := e.simulation.draws.work.Float64()
 	errorPart := e.tier.spec.Node.Errors
 	switch {
 	case draw < errorPart:
--- a/lab/sim/faults.go
+++ b/lab/sim/faults.go
@@ -26,7 +26,7 @@
 				s.at(fault.At, func() { s.replace(e, fault) })
 			}
 		case scenario.Restart:
-			for _, index := range s.scenario.FaultProxies(fault, s.faultRand) {
+			for _, index := range s.scenario.FaultProxies(fault, s.draws.fault) {
 				s.at(fault.At, func() { s.restartProxy(index, fault) })
 			}
 		case scenario.DiscoverySilent:
@@ -44,7 +44,7 @@
 // targets draws the endpoints that a fault affects.
 func (s *simulation) targets(fault *scenario.Fault) []*endpoint {
 	var targets []*endpoint
-	for _, target := range s.scenario.FaultTargets(fault, s.faultRand) {
+	for _, target := range s.scenario.FaultTargets(fault, s.draws.fault) {
 		targets = append(targets, s.tiers[target.Tier].endpoints[target.Index])
 	}
 	return targets
--- a/lab/sim/proxy.go
+++ b/lab/sim/proxy.go
@@ -43,7 +43,7 @@
 	}
 	s.proxyNames = append(s.proxyNames, name)
 	cfg := s.scenario.Balancer(t.index, index, zone)
-	seed := s.seedRand.Uint64()
+	seed := s.draws.seed.Uint64()
 	if s.options.New != nil {
 		p.decider = s.options.New(cfg, seed)
 	} else {
--- a/lab/sim/simulation.go
+++ b/lab/sim/simulation.go
@@ -53,12 +53,7 @@
 	now          time.Duration
 	lastSequence uint64 // of events
 	agenda       agenda
-
-	delayRand  *rand.Rand
-	workRand   *rand.Rand // of calls and errors
-	clientRand *rand.Rand
-	seedRand   *rand.Rand // of deciders
-	faultRand  *rand.Rand // of the targets of faults
+	draws        draws
 
 	tiers       []*tier
 	front       []*frontSlot // the clients' view of the first tier's proxies
@@ -71,6 +66,25 @@
 	spareLists  [][]balancer.Action // action lists for reuse, one for each depth of dispatch
 }
 
+// draws are the random streams of a run.
+type draws struct {
+	delay  *rand.Rand // jitter of the network and of discovery
+	work   *rand.Rand // calls and errors
+	client *rand.Rand // choices of clients
+	seed   *rand.Rand // of deciders
+	fault  *rand.Rand // targets of faults
+}
+
+func newDraws(seed uint64) draws {
+	return draws{
+		delay:  load.Stream(seed, delayStream),
+		work:   load.Stream(seed, workStream),
+		client: load.Stream(seed, clientStream),
+		seed:   load.Stream(seed, seedStream),
+		fault:  load.Stream(seed, faultStream),
+	}
+}
+
 // tier is the endpoints of a tier with the discovery service that lists them.
 type tier struct {
 	index     int
@@ -96,15 +110,11 @@
 		return nil, err
 	}
 	s := &simulation{
-		scenario:   w,
-		options:    opt,
-		delayRand:  load.Stream(opt.Seed, delayStream),
-		workRand:   load.Stream(opt.Seed, workStream),
-		clientRand: load.Stream(opt.Seed, clientStream),
-		seedRand:   load.Stream(opt.Seed, seedStream),
-		faultRand:  load.Stream(opt.Seed, faultStream),
-		recorder:   metrics.New(w),
-		nextFront:  make([]int, len(w.Network.Zones)),
+		scenario:  w,
+		options:   opt,
+		draws:     newDraws(opt.Seed),
+		recorder:  metrics.New(w),
+		nextFront: make([]int, len(w.Network.Zones)),
 	}
 	s.oracle = invariant.New(invariant.Config{
 		Slack:   w.Rules.Slack,
@@ -217,7 +227,7 @@
 	} else if from != to {
 		base = s.scenario.Network.Cross
 	}
-	return base + time.Duration(s.scenario.Network.Jitter*s.delayRand.Float64()*float64(base))
+	return base + time.Duration(s.scenario.Network.Jitter*s.draws.delay.Float64()*float64(base))
 }
 
 // sample records the concurrency limits of the front proxies, and their requests in flight, ten times a second.
