--- a/lab/realtime/audit.go
+++ b/lab/realtime/audit.go
@@ -36,18 +36,18 @@
 	recentLatencies []time.Duration // since the last periodic report
 }
 
-func newAudit(w *scenario.Scenario, began time.Time, onReport func(Moment)) *audit {
+func newAudit(sc *scenario.Scenario, began time.Time, onReport func(Moment)) *audit {
 	a := &audit{
-		scenario:   w,
+		scenario:   sc,
 		onReport:   onReport,
 		began:      began,
-		recorder:   metrics.New(w),
+		recorder:   metrics.New(sc),
 		executedBy: map[uint64]string{},
 	}
 	a.oracle = invariant.New(invariant.Config{
-		Slack:   w.Rules.Slack + socketSlack,
-		Grace:   w.Rules.Drain + socketSlack,
-		Classes: w.Balancer(0, 0, 0).Classes,
+		Slack:   sc.Rules.Slack + socketSlack,
+		Grace:   sc.Rules.Drain + socketSlack,
+		Classes: sc.Balancer(0, 0, 0).Classes,
 		Name:    func(number int) string { return a.proxyNames[number] },
 	})
 	return a
--- a/lab/realtime/configuration.go
+++ b/lab/realtime/configuration.go
@@ -44,14 +44,14 @@
 }
 
 // platformSettings returns a scenario as the platform's settings state it to one proxy.
-func platformSettings(w *scenario.Scenario, tier, index, zone int) map[string]any {
-	cfg := w.Balancer(tier, index, zone)
+func platformSettings(sc *scenario.Scenario, tier, index, zone int) map[string]any {
+	cfg := sc.Balancer(tier, index, zone)
 	var tiers []string
-	for i := range w.Tiers {
-		tiers = append(tiers, w.Tiers[i].Name)
+	for i := range sc.Tiers {
+		tiers = append(tiers, sc.Tiers[i].Name)
 	}
 	return map[string]any{
-		"Areas":          w.Network.Zones,
+		"Areas":          sc.Network.Zones,
 		"Zone":           zone,
 		"Tiers":          tiers,
 		"Tier":           tier,
@@ -70,7 +70,7 @@
 			"RetryAfter":     true,
 			"SecondCopies":   true,
 			"MayCancel":      true,
-			"IdleClose":      w.Tiers[tier].Node.Connect.Idle.Microseconds(),
+			"IdleClose":      sc.Tiers[tier].Node.Connect.Idle.Microseconds(),
 		},
 		"Contract": map[string]any{
 			"AnswerSlack":       cfg.Contract.AnswerSlack.Microseconds(),
@@ -121,13 +121,13 @@
 
 // fileConfiguration returns a variant of the configuration as a file states it.
 func (i *instance) fileConfiguration(listen string, variant int) *config.File {
-	w := i.run.scenario
+	sc := i.run.scenario
 	file := &config.File{
 		Name:      i.name,
 		Machine:   config.MachineFile{Cores: proxyCores, MemoryMB: proxyMemoryMB, Sockets: proxySockets},
 		Listeners: []config.ListenerFile{{Name: "main", Address: listen}},
 	}
-	for tier := range w.Tiers {
+	for tier := range sc.Tiers {
 		pool := i.poolConfiguration(tier, variant)
 		for _, class := range pool.Classes {
 			file.Routes = append(file.Routes, config.RouteFile{
@@ -148,33 +148,33 @@
 
 // poolConfiguration returns the pool of a tier.
 func (i *instance) poolConfiguration(tier, variant int) config.PoolFile {
-	w := i.run.scenario
-	spec := &w.Tiers[tier]
+	sc := i.run.scenario
+	spec := &sc.Tiers[tier]
 	pool := config.PoolFile{
 		Name:         spec.Name,
-		Zone:         w.Network.Zones[i.zone],
-		Zones:        w.Network.Zones,
+		Zone:         sc.Network.Zones[i.zone],
+		Zones:        sc.Network.Zones,
 		ReplicaIndex: i.index,
-		ReplicaCount: w.Tiers[0].Proxies,
+		ReplicaCount: sc.Tiers[0].Proxies,
 		Discovery:    i.discoveryAddresses[tier],
 		Limits: config.LimitsFile{
-			MaxAttempts:     w.Rules.Attempts,
-			MaxRetryAfter:   w.Rules.MaxRetryAfter,
+			MaxAttempts:     sc.Rules.Attempts,
+			MaxRetryAfter:   sc.Rules.MaxRetryAfter,
 			ConnectTimeout:  spec.Node.Connect.Timeout,
 			IdleClose:       spec.Node.Connect.Idle,
 			MaxOpenRequests: maxOpenRequests - variant%3,
 		},
 		Rules: config.RulesFile{
-			AnswerSlack:      w.Rules.Slack,
-			DrainGrace:       w.Rules.Drain,
+			AnswerSlack:      sc.Rules.Slack,
+			DrainGrace:       sc.Rules.Drain,
 			InitialCapacity:  spec.Node.Cold.From,
 			WarmUpPeriod:     spec.Node.Cold.For,
 			OverloadMultiple: spec.Node.Cold.Tips,
 			OverloadPeriod:   spec.Node.Cold.Within,
 		},
 	}
-	for i := range w.Classes {
-		class := &w.Classes[i]
+	for index := range sc.Classes {
+		class := &sc.Classes[index]
 		if class.Tier != spec.Name {
 			continue
 		}
--- a/lab/realtime/run.go
+++ b/lab/realtime/run.go
@@ -53,7 +53,7 @@
 
 // Run runs a scenario once on sockets. It ends early, with an error, if ctx ends or a proxy ends by itself. All that
 // it started has ended when it returns.
-func Run(ctx context.Context, w *scenario.Scenario, opt Options) (*metrics.Result, error) {
+func Run(ctx context.Context, sc *scenario.Scenario, opt Options) (*metrics.Result, error) {
 	dir, err := os.MkdirTemp("", "ryerill-lab-")
 	if err != nil {
 		return nil, fmt.Errorf("sockets: %w", err)
@@ -61,7 +61,7 @@
 	defer func() {
 		_ = os.RemoveAll(dir) // what is left lies in the system's temporary folder
 	}()
-	r := newRun(w, opt, dir)
+	r := newRun(sc, opt, dir)
 	defer r.launcher.close()
 	defer r.close()
 	if err := r.start(ctx); err != nil {
@@ -70,18 +70,18 @@
 	return r.play(ctx)
 }
 
-func newRun(w *scenario.Scenario, opt Options, dir string) *run {
+func newRun(sc *scenario.Scenario, opt Options, dir string) *run {
 	began := time.Now()
 	return &run{
-		scenario:  w,
+		scenario:  sc,
 		options:   opt,
 		seed:      opt.Seed,
 		dir:       dir,
 		began:     began,
 		launcher:  newLauncher(),
-		audit:     newAudit(w, began, opt.Tell),
+		audit:     newAudit(sc, began, opt.Tell),
 		draws:     newDraws(opt.Seed),
-		nextFront: make([]int, len(w.Network.Zones)),
+		nextFront: make([]int, len(sc.Network.Zones)),
 	}
 }
 
--- a/lab/realtime/run_test.go
+++ b/lab/realtime/run_test.go
@@ -22,7 +22,7 @@
 // tinyScenario is a scenario of two tiers that a busy machine can run too: nothing here judges how fast it is.
 func tinyScenario(t *testing.T, faults ...scenario.Fault) *scenario.Scenario {
 	t.Helper()
-	w, err := scenario.Parse("tiny", []byte(`name: tiny
+	sc, err := scenario.Parse("tiny", []byte(`name: tiny
 length: 2s
 network: {zones: [east, west], cross: 1ms, consumer: 200us}
 tiers:
@@ -38,17 +38,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Faults = faults
-	w.Complete()
-	if problems := w.Check(); len(problems) > 0 {
+	sc.Faults = faults
+	sc.Complete()
+	if problems := sc.Check(); len(problems) > 0 {
 		t.Fatal(problems)
 	}
-	return w
+	return sc
 }
 
-func mustRun(t *testing.T, w *scenario.Scenario) *metrics.Result {
+func mustRun(t *testing.T, sc *scenario.Scenario) *metrics.Result {
 	t.Helper()
-	result, err := Run(context.Background(), w, Options{Seed: 1, Build: Embedded})
+	result, err := Run(context.Background(), sc, Options{Seed: 1, Build: Embedded})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,17 +119,17 @@
 			go serveInvented(conn)
 		}
 	}()
-	w := tinyScenario(t)
+	sc := tinyScenario(t)
 	r := &run{}
-	a := newAudit(w, time.Now(), nil)
+	a := newAudit(sc, time.Now(), nil)
 	a.addProxy("inventor", 0)
 	client := newTransport()
 	defer client.close()
-	for class := range w.Classes {
+	for class := range sc.Classes {
 		id := r.newID(0)
 		now := time.Now()
 		a.received(0, id, class, now, time.Minute)
-		spec := &w.Classes[class]
+		spec := &sc.Classes[class]
 		request := formatRequest(&requestHeader{
 			class: spec.Name, effect: spec.EffectKind(), id: id, tenant: "everyone", timeout: time.Minute, key: 7, work: 0.1,
 		})
@@ -160,13 +160,13 @@
 
 func TestRunStopsWhenContextEnds(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	w := tinyScenario(t)
-	w.Length = time.Hour
-	w.Load.Rate = 5
+	sc := tinyScenario(t)
+	sc.Length = time.Hour
+	sc.Load.Rate = 5
 	ctx, stop := context.WithCancel(context.Background())
 	sent := make(chan struct{}, 1)
 	go func() { <-sent; stop() }()
-	_, err := Run(ctx, w, Options{Build: Embedded, Tell: func(progress Moment) {
+	_, err := Run(ctx, sc, Options{Build: Embedded, Tell: func(progress Moment) {
 		if progress.Asked > 0 {
 			select {
 			case sent <- struct{}{}:
--- a/lab/scenario/targets.go
+++ b/lab/scenario/targets.go
@@ -15,16 +15,16 @@
 // FaultTargets returns the endpoints that a fault affects: all endpoints of the lost zone, or the fault's fraction
 // of the tier that it names. Both hosts of the laboratory call it with a stream of the same seed, fault by fault, so
 // that a scenario affects the same endpoints in virtual time and on sockets.
-func (w *Scenario) FaultTargets(fault *Fault, rng *rand.Rand) []Target {
+func (s *Scenario) FaultTargets(fault *Fault, rng *rand.Rand) []Target {
 	if fault.Kind == ZoneLoss {
-		return w.zoneTargets(fault.Zone)
+		return s.zoneTargets(fault.Zone)
 	}
 	var targets []Target
-	for tier := range w.Tiers {
-		if fault.Tier != "all" && fault.Tier != w.Tiers[tier].Name {
+	for tier := range s.Tiers {
+		if fault.Tier != "all" && fault.Tier != s.Tiers[tier].Name {
 			continue
 		}
-		for _, index := range drawFraction(fault.Fraction, w.Tiers[tier].Endpoints, rng) {
+		for _, index := range drawFraction(fault.Fraction, s.Tiers[tier].Endpoints, rng) {
 			targets = append(targets, Target{Tier: tier, Index: index})
 		}
 	}
@@ -32,23 +32,23 @@
 }
 
 // FaultProxies returns the indices of the front proxies that a fault of kind Restart affects.
-func (w *Scenario) FaultProxies(fault *Fault, rng *rand.Rand) []int {
-	return drawFraction(fault.Fraction, w.Tiers[0].Proxies, rng)
+func (s *Scenario) FaultProxies(fault *Fault, rng *rand.Rand) []int {
+	return drawFraction(fault.Fraction, s.Tiers[0].Proxies, rng)
 }
 
 // EndpointZone returns the zone of an endpoint, or of a front proxy, by its index: they take the zones in turn.
-func (w *Scenario) EndpointZone(index int) int { return index % len(w.Network.Zones) }
+func (s *Scenario) EndpointZone(index int) int { return index % len(s.Network.Zones) }
 
 // StepTime returns when the step of an index begins, for a fault whose steps are spread evenly over its length.
-func (t *Fault) StepTime(index, steps int) time.Duration {
-	return t.At + time.Duration(float64(t.For)*float64(index)/float64(steps))
+func (f *Fault) StepTime(index, steps int) time.Duration {
+	return f.At + time.Duration(float64(f.For)*float64(index)/float64(steps))
 }
 
-func (w *Scenario) zoneTargets(zone string) []Target {
+func (s *Scenario) zoneTargets(zone string) []Target {
 	var targets []Target
-	for tier := range w.Tiers {
-		for index := range w.Tiers[tier].Endpoints {
-			if w.Network.Zones[w.EndpointZone(index)] == zone {
+	for tier := range s.Tiers {
+		for index := range s.Tiers[tier].Endpoints {
+			if s.Network.Zones[s.EndpointZone(index)] == zone {
 				targets = append(targets, Target{Tier: tier, Index: index})
 			}
 		}
--- a/lab/scenario/targets_test.go
+++ b/lab/scenario/targets_test.go
@@ -30,9 +30,9 @@
 		{"the lost zone in all tiers", Fault{Kind: ZoneLoss, Zone: "east"}, []int{2, 5}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := twoTiers()
-			targets := w.FaultTargets(&tc.fault, rand.New(rand.NewPCG(1, 2)))
-			got := make([]int, len(w.Tiers))
+			s := twoTiers()
+			targets := s.FaultTargets(&tc.fault, rand.New(rand.NewPCG(1, 2)))
+			got := make([]int, len(s.Tiers))
 			seen := map[Target]bool{}
 			for _, target := range targets {
 				got[target.Tier]++
@@ -40,10 +40,10 @@
 					t.Errorf("%+v is there twice", target)
 				}
 				seen[target] = true
-				if target.Index < 0 || target.Index >= w.Tiers[target.Tier].Endpoints {
+				if target.Index < 0 || target.Index >= s.Tiers[target.Tier].Endpoints {
 					t.Errorf("%+v is no endpoint", target)
 				}
-				if tc.fault.Kind == ZoneLoss && w.Network.Zones[w.EndpointZone(target.Index)] != tc.fault.Zone {
+				if tc.fault.Kind == ZoneLoss && s.Network.Zones[s.EndpointZone(target.Index)] != tc.fault.Zone {
 					t.Errorf("%+v is in another zone", target)
 				}
 			}
@@ -56,21 +56,21 @@
 
 // Both hosts draw from streams of their own and must come to the same targets.
 func TestFaultTargetsDependOnTheStreamOnly(t *testing.T) {
-	w := twoTiers()
+	s := twoTiers()
 	fault := Fault{Kind: Slow, Tier: "all", Fraction: 0.5}
-	draw := func() []Target { return w.FaultTargets(&fault, rand.New(rand.NewPCG(3, 4))) }
+	draw := func() []Target { return s.FaultTargets(&fault, rand.New(rand.NewPCG(3, 4))) }
 	if first, second := draw(), draw(); !slices.Equal(first, second) {
 		t.Errorf("got %v and %v", first, second)
 	}
 }
 
 func TestFaultProxies(t *testing.T) {
-	w := twoTiers()
+	s := twoTiers()
 	rng := rand.New(rand.NewPCG(1, 2))
-	if got := w.FaultProxies(&Fault{Kind: Restart, Fraction: 0.5}, rng); len(got) != 2 {
+	if got := s.FaultProxies(&Fault{Kind: Restart, Fraction: 0.5}, rng); len(got) != 2 {
 		t.Errorf("got proxies %v, want two of four", got)
 	}
-	if got := w.FaultProxies(&Fault{Kind: Restart}, rng); len(got) != 1 {
+	if got := s.FaultProxies(&Fault{Kind: Restart}, rng); len(got) != 1 {
 		t.Errorf("got proxies %v, want one at least", got)
 	}
 }
--- a/lab/sim/simulation.go
+++ b/lab/sim/simulation.go
@@ -96,8 +96,8 @@
 }
 
 // Run runs a scenario once. It ends early, with ctx's error, if ctx ends.
-func Run(ctx context.Context, w *scenario.Scenario, opt Options) (*metrics.Result, error) {
-	s, err := newSimulation(w, opt)
+func Run(ctx context.Context, sc *scenario.Scenario, opt Options) (*metrics.Result, error) {
+	s, err := newSimulation(sc, opt)
 	if err != nil {
 		return nil, err
 	}
@@ -105,26 +105,26 @@
 }
 
 // newSimulation sets up the time 0 of a run.
-func newSimulation(w *scenario.Scenario, opt Options) (*simulation, error) {
-	if err := check(w, opt); err != nil {
+func newSimulation(sc *scenario.Scenario, opt Options) (*simulation, error) {
+	if err := check(sc, opt); err != nil {
 		return nil, err
 	}
 	s := &simulation{
-		scenario:  w,
+		scenario:  sc,
 		options:   opt,
 		draws:     newDraws(opt.Seed),
-		recorder:  metrics.New(w),
-		nextFront: make([]int, len(w.Network.Zones)),
+		recorder:  metrics.New(sc),
+		nextFront: make([]int, len(sc.Network.Zones)),
 	}
 	s.oracle = invariant.New(invariant.Config{
-		Slack:   w.Rules.Slack,
-		Grace:   w.Rules.Drain,
-		Classes: w.Balancer(0, 0, 0).Classes,
+		Slack:   sc.Rules.Slack,
+		Grace:   sc.Rules.Drain,
+		Classes: sc.Balancer(0, 0, 0).Classes,
 		Name:    func(number int) string { return s.proxyNames[number] },
 	})
 	s.startEndpoints()
 	s.startProxies()
-	s.schedule = load.Draw(w, opt.Seed)
+	s.schedule = load.Draw(sc, opt.Seed)
 	if len(s.schedule) > 0 {
 		s.at(s.schedule[0].At, func() { s.send(0) })
 	}
@@ -134,19 +134,19 @@
 }
 
 // check returns an error if a scenario can't be run in virtual time, or the decider has no known name.
-func check(w *scenario.Scenario, opt Options) error {
-	if w.Parallel {
-		return fmt.Errorf("world %s: parallel tiers are played on sockets only", w.Name)
+func check(sc *scenario.Scenario, opt Options) error {
+	if sc.Parallel {
+		return fmt.Errorf("world %s: parallel tiers are played on sockets only", sc.Name)
 	}
-	for i := range w.Faults {
-		if w.Faults[i].Kind == scenario.Reload {
-			return fmt.Errorf("world %s: reloads are played on sockets only", w.Name)
+	for i := range sc.Faults {
+		if sc.Faults[i].Kind == scenario.Reload {
+			return fmt.Errorf("world %s: reloads are played on sockets only", sc.Name)
 		}
 	}
 	if opt.New != nil {
 		return nil
 	}
-	_, err := baseline.New(opt.Decider, w.Balancer(0, 0, 0), 0)
+	_, err := baseline.New(opt.Decider, sc.Balancer(0, 0, 0), 0)
 	return err
 }
 
--- a/lab/sim/simulation_test.go
+++ b/lab/sim/simulation_test.go
@@ -17,16 +17,16 @@
 
 func readScenario(t testing.TB, file string) *scenario.Scenario {
 	t.Helper()
-	w, err := scenario.Read("../scenarios/" + file)
+	sc, err := scenario.Read("../scenarios/" + file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return w
+	return sc
 }
 
-func mustRun(t testing.TB, w *scenario.Scenario, opt Options) *metrics.Result {
+func mustRun(t testing.TB, sc *scenario.Scenario, opt Options) *metrics.Result {
 	t.Helper()
-	result, err := Run(context.Background(), w, opt)
+	result, err := Run(context.Background(), sc, opt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,10 +35,10 @@
 
 func TestSameSeedGivesSameBytes(t *testing.T) {
 	t.Parallel()
-	w := readScenario(t, "roster.yaml")
-	w.Length = 8 * time.Second
+	sc := readScenario(t, "roster.yaml")
+	sc.Length = 8 * time.Second
 	text := func() string {
-		b, err := json.Marshal(mustRun(t, w, Options{Seed: 7}))
+		b, err := json.Marshal(mustRun(t, sc, Options{Seed: 7}))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,11 +51,11 @@
 }
 
 func BenchmarkRoster(b *testing.B) {
-	w := readScenario(b, "roster.yaml")
+	sc := readScenario(b, "roster.yaml")
 	for i := range b.N {
 		start := time.Now()
-		result := mustRun(b, w, Options{Seed: uint64(i)})
-		b.ReportMetric(w.Length.Seconds()/time.Since(start).Seconds(), "x-real-time")
+		result := mustRun(b, sc, Options{Seed: uint64(i)})
+		b.ReportMetric(sc.Length.Seconds()/time.Since(start).Seconds(), "x-real-time")
 		b.ReportMetric(result.Metrics["goodput"], "goodput")
 	}
 }
@@ -174,17 +174,17 @@
 	} {
 		t.Run(tc.rule, func(t *testing.T) {
 			t.Parallel()
-			w := readScenario(t, "pair.yaml")
-			w.Length = 10 * second
-			w.Faults = tc.faults
-			for i := range w.Faults {
-				w.Faults[i].Tier = w.Tiers[0].Name
+			sc := readScenario(t, "pair.yaml")
+			sc.Length = 10 * second
+			sc.Faults = tc.faults
+			for i := range sc.Faults {
+				sc.Faults[i].Tier = sc.Tiers[0].Name
 			}
-			honest := mustRun(t, w, Options{Seed: 3})
+			honest := mustRun(t, sc, Options{Seed: 3})
 			if n := honest.Metrics["violations"]; n != 0 {
 				t.Errorf("the Balancer itself broke rules: %v", honest.Violations)
 			}
-			result := mustRun(t, w, Options{Seed: 3, New: func(cfg balancer.Config, seed uint64) baseline.Decider {
+			result := mustRun(t, sc, Options{Seed: 3, New: func(cfg balancer.Config, seed uint64) baseline.Decider {
 				decider := balancer.New(cfg, seed)
 				if cfg.Tier > 0 {
 					return decider
@@ -204,8 +204,8 @@
 	for _, kind := range scenario.Kinds {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			w := readScenario(t, "pair.yaml")
-			w.Length = 9 * time.Second
+			sc := readScenario(t, "pair.yaml")
+			sc.Length = 9 * time.Second
 			fault := scenario.Fault{
 				Kind: kind, At: 3 * time.Second, For: 3 * time.Second, Fraction: 0.4, Factor: 2, Zone: "west", Count: 1,
 				Tenant: "everyone",
@@ -213,19 +213,19 @@
 			if kind == scenario.Spoil || kind == scenario.Err {
 				fault.Factor = 0.5
 			}
-			w.Faults = []scenario.Fault{fault}
-			w.Complete()
-			if problems := w.Check(); len(problems) > 0 {
+			sc.Faults = []scenario.Fault{fault}
+			sc.Complete()
+			if problems := sc.Check(); len(problems) > 0 {
 				t.Fatal(problems)
 			}
 			if kind == scenario.Reload { // there is nothing to reload in virtual time: it must be an error
-				if _, err := Run(context.Background(), w, Options{}); err == nil {
+				if _, err := Run(context.Background(), sc, Options{}); err == nil {
 					t.Error("a scenario with reloads ran without an error")
 				}
 				return
 			}
 			for _, decider := range []string{"ryerill", "roundrobin", "least/fixed:10", "p2c/gradient"} {
-				result := mustRun(t, w, Options{Seed: 2, Decider: decider})
+				result := mustRun(t, sc, Options{Seed: 2, Decider: decider})
 				broken := result.Metrics["broken.one-answer"] + result.Metrics["broken.no-repeat"] +
 					result.Metrics["broken.foreign-answer"]
 				if broken > 0 {
@@ -250,11 +250,11 @@
 
 // A thousand proxies and ten thousand endpoints in one process.
 func BenchmarkLarge(b *testing.B) {
-	w := readScenario(b, "large.yaml")
+	sc := readScenario(b, "large.yaml")
 	for i := range b.N {
 		start := time.Now()
-		result := mustRun(b, w, Options{Seed: uint64(i)})
-		b.ReportMetric(w.Length.Seconds()/time.Since(start).Seconds(), "x-real-time")
+		result := mustRun(b, sc, Options{Seed: uint64(i)})
+		b.ReportMetric(sc.Length.Seconds()/time.Since(start).Seconds(), "x-real-time")
 		b.ReportMetric(result.Metrics["goodput"], "goodput")
 		var memory runtime.MemStats
 		runtime.ReadMemStats(&memory)
