--- a/lab/cli/demo.go
+++ b/lab/cli/demo.go
@@ -52,7 +52,7 @@
 		"tries a second, for %v.\n\n", strings.TrimSpace(s.About), s.Tiers[0].Endpoints, s.Load.Rate, s.Length)
 	table := progressTable{out: stdout, overwrites: isTerminal(stdout)}
 	table.printHead()
-	res, err := realtime.Run(ctx, s, realtime.Options{Seed: demoSeed, Command: command, Tell: table.update})
+	res, err := realtime.Run(ctx, s, realtime.Options{Seed: demoSeed, Command: command, OnProgress: table.update})
 	if err != nil {
 		return shortError{fmt.Errorf("demo: %w", err)}
 	}
--- a/lab/cli/progress.go
+++ b/lab/cli/progress.go
@@ -26,7 +26,7 @@
 type progressTable struct {
 	out        io.Writer
 	overwrites bool // out is a terminal
-	previous   realtime.Moment
+	previous   realtime.Progress
 	rows       int
 }
 
@@ -36,12 +36,12 @@
 }
 
 // update prints an event at once, and progress if the last row is old enough.
-func (t *progressTable) update(m realtime.Moment) {
-	if m.Said != "" {
+func (t *progressTable) update(m realtime.Progress) {
+	if m.Event != "" {
 		if t.overwrites {
 			fmt.Fprint(t.out, eraseLine)
 		}
-		fmt.Fprintf(t.out, "%5.1fs -- %s\n", m.At.Seconds(), m.Said)
+		fmt.Fprintf(t.out, "%5.1fs -- %s\n", m.At.Seconds(), m.Event)
 		return
 	}
 	span := m.At - t.previous.At
@@ -50,9 +50,9 @@
 	}
 	perSecond := func(now, before int) float64 { return float64(now-before) / span.Seconds() }
 	row := fmt.Sprintf("%5.1fs %8.0f %8.0f %8d %8d %9s %9s %7d",
-		m.At.Seconds(), perSecond(m.Asked, t.previous.Asked), perSecond(m.Served, t.previous.Served),
-		m.Refused-t.previous.Refused, m.Failed-t.previous.Failed,
-		m.P50.Round(time.Millisecond), m.P95.Round(time.Millisecond), m.Broken)
+		m.At.Seconds(), perSecond(m.Sent, t.previous.Sent), perSecond(m.Served, t.previous.Served),
+		m.Shed-t.previous.Shed, m.Failed-t.previous.Failed,
+		m.P50.Round(time.Millisecond), m.P95.Round(time.Millisecond), m.Violations)
 	t.previous = m
 	t.rows++
 	t.printRow(row)
--- a/lab/cli/progress_test.go
+++ b/lab/cli/progress_test.go
@@ -10,12 +10,12 @@
 
 // Each row shows what happened since the one before it; an update that comes too soon makes none.
 func TestProgressTable(t *testing.T) {
-	moments := []realtime.Moment{
-		{At: time.Second, Asked: 100, Served: 90, P50: 12 * time.Millisecond},
-		{At: 1500 * time.Millisecond, Asked: 120, Served: 100},
-		{At: 1600 * time.Millisecond, Said: "providers slow"},
-		{At: 3 * time.Second, Asked: 300, Served: 190, Failed: 10},
-		{At: 4 * time.Second, Asked: 400, Served: 290, Failed: 10},
+	moments := []realtime.Progress{
+		{At: time.Second, Sent: 100, Served: 90, P50: 12 * time.Millisecond},
+		{At: 1500 * time.Millisecond, Sent: 120, Served: 100},
+		{At: 1600 * time.Millisecond, Event: "providers slow"},
+		{At: 3 * time.Second, Sent: 300, Served: 190, Failed: 10},
+		{At: 4 * time.Second, Sent: 400, Served: 290, Failed: 10},
 	}
 	for _, tc := range []struct {
 		name       string
--- a/lab/invariant/checker.go
+++ b/lab/invariant/checker.go
@@ -73,8 +73,8 @@
 	c.violated(rule, at, c.config.Name(proxy)+" "+fmt.Sprintf(format, args...))
 }
 
-// Took records that a proxy accepted a request whose client waits until a time.
-func (c *Checker) Took(at time.Duration, proxy int, id uint64, class int, until time.Duration) {
+// Accepted records that a proxy accepted a request whose client waits until a time.
+func (c *Checker) Accepted(at time.Duration, proxy int, id uint64, class int, until time.Duration) {
 	c.requests[key{proxy, id}] = &request{class: class, until: until}
 }
 
@@ -200,8 +200,8 @@
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint.ID == endpoint && !a.neverRan })
 }
 
-// Left records that the client of a request has left, so that no answer is owed.
-func (c *Checker) Left(at time.Duration, proxy int, id uint64) {
+// ClientLeft records that the client of a request has left, so that no answer is owed.
+func (c *Checker) ClientLeft(at time.Duration, proxy int, id uint64) {
 	k := key{proxy, id}
 	r := c.requests[k]
 	if r == nil || r.over {
@@ -219,8 +219,8 @@
 // Forget drops a request that no proxy accepted, or whose proxy ended: no answer is owed.
 func (c *Checker) Forget(proxy int, id uint64) { delete(c.requests, key{proxy, id}) }
 
-// Broken returns how many violations there were until now.
-func (c *Checker) Broken() int {
+// ViolationCount returns how many violations there were until now.
+func (c *Checker) ViolationCount() int {
 	total := 0
 	for _, count := range c.counts {
 		total += count
@@ -228,13 +228,13 @@
 	return total
 }
 
-// Spoilt records that a client was served with what no endpoint made for its request.
-func (c *Checker) Spoilt(at time.Duration, proxy int, id uint64, what string) {
+// ServedCorrupt records that a client was served with what no endpoint made for its request.
+func (c *Checker) ServedCorrupt(at time.Duration, proxy int, id uint64, what string) {
 	c.violatedBy(proxy, Foreign, at, "served request %d with %s", id, what)
 }
 
-// Told records what a proxy has learnt of an endpoint: that it is ready, or that it drains or is gone.
-func (c *Checker) Told(at time.Duration, proxy int, endpoint uint64, ready bool) {
+// EndpointUpdated records what a proxy has learnt of an endpoint: that it is ready, or that it drains or is gone.
+func (c *Checker) EndpointUpdated(at time.Duration, proxy int, endpoint uint64, ready bool) {
 	k := key{proxy, endpoint}
 	if ready {
 		delete(c.unavailable, k)
@@ -245,14 +245,14 @@
 	}
 }
 
-// Tipped records that an endpoint was overloaded while it warmed up. sent and budget are seconds of work.
-func (c *Checker) Tipped(at time.Duration, endpoint string, sent, budget float64) {
-	c.violated(Pushed, at, fmt.Sprintf("%s fell over: sent %.2f s of work within its span, its budget was %.2f s",
+// EndpointOverloaded records that an endpoint was overloaded while it warmed up. sent and budget are seconds of work.
+func (c *Checker) EndpointOverloaded(at time.Duration, endpoint string, sent, budget float64) {
+	c.violated(Overloaded, at, fmt.Sprintf("%s fell over: sent %.2f s of work within its span, its budget was %.2f s",
 		endpoint, sent, budget))
 }
 
-// Died drops the requests of a proxy that was killed: no answer is owed.
-func (c *Checker) Died(proxy int) {
+// ProxyKilled drops the requests of a proxy that was killed: no answer is owed.
+func (c *Checker) ProxyKilled(proxy int) {
 	maps.DeleteFunc(c.requests, func(k key, _ *request) bool { return k.proxy == proxy })
 	maps.DeleteFunc(c.unavailable, func(k key, _ time.Duration) bool { return k.proxy == proxy })
 }
--- a/lab/invariant/checker_test.go
+++ b/lab/invariant/checker_test.go
@@ -42,15 +42,15 @@
 		{"answered within the slack", safe, func(c *Checker) { c.Answered(second+20*time.Millisecond, 0, 1, Failed, 0) }, ""},
 		{"answered after the slack", safe, func(c *Checker) { c.Answered(second+21*time.Millisecond, 0, 1, Failed, 0) }, OneAnswer},
 		{"never answered", safe, func(c *Checker) {}, OneAnswer},
-		{"left in time", safe, func(c *Checker) { c.Left(second/2, 0, 1) }, ""},
-		{"left only after its time", safe, func(c *Checker) { c.Left(2*second, 0, 1) }, OneAnswer},
-		{"answer of an unknown request", safe, func(c *Checker) { c.Left(1, 0, 1); c.Answered(1, 0, 9, Failed, 0) }, OneAnswer},
+		{"left in time", safe, func(c *Checker) { c.ClientLeft(second/2, 0, 1) }, ""},
+		{"left only after its time", safe, func(c *Checker) { c.ClientLeft(2*second, 0, 1) }, OneAnswer},
+		{"answer of an unknown request", safe, func(c *Checker) { c.ClientLeft(1, 0, 1); c.Answered(1, 0, 9, Failed, 0) }, OneAnswer},
 		{"sent after its answer", safe, func(c *Checker) { c.Answered(1, 0, 1, Failed, 0); c.Sent(2, 0, 1, a1) }, OneAnswer},
-		{"killed proxy", safe, func(c *Checker) { c.Died(0) }, ""},
+		{"killed proxy", safe, func(c *Checker) { c.ProxyKilled(0) }, ""},
 		{"safe repeat anywhere", safe, func(c *Checker) { c.Sent(0, 0, 1, a1); c.Sent(1, 0, 1, b1); c.Answered(2, 0, 1, Shed, 0) }, ""},
 		{"keyed repeat in its group", keyed, func(c *Checker) { c.Sent(0, 0, 1, a1); c.Sent(1, 0, 1, a2); c.Answered(2, 0, 1, Failed, 0) }, ""},
 		{"keyed repeat beyond its group", keyed, func(c *Checker) { c.Sent(0, 0, 1, a1); c.Sent(1, 0, 1, b1); c.Answered(2, 0, 1, Failed, 0) }, NoRepeat},
-		{"keyed repeat beyond its idempotency window", keyed, func(c *Checker) { c.Sent(0, 0, 1, a1); c.Sent(11*second, 0, 1, a2); c.Left(2, 0, 1) }, NoRepeat},
+		{"keyed repeat beyond its idempotency window", keyed, func(c *Checker) { c.Sent(0, 0, 1, a1); c.Sent(11*second, 0, 1, a2); c.ClientLeft(2, 0, 1) }, NoRepeat},
 		{"keyed, never ran", keyed, func(c *Checker) {
 			c.Sent(0, 0, 1, a1)
 			c.Ended(1, 0, 1, 0, true)
@@ -59,28 +59,28 @@
 		}, ""},
 		{"keyed called retryable", keyed, func(c *Checker) { c.Sent(0, 0, 1, a1); c.Ended(1, 0, 1, 0, false); c.Answered(3, 0, 1, Shed, 0) }, NoRepeat},
 		{"unsafe repeat", unsafe, func(c *Checker) { c.Sent(0, 0, 1, a1); c.Sent(1, 0, 1, a2); c.Answered(2, 0, 1, Failed, 0) }, NoRepeat},
-		{"within the grace", safe, func(c *Checker) { c.Told(0, 0, 1, false); c.Sent(second, 0, 1, a1); c.Left(1, 0, 1) }, ""},
-		{"after the grace", safe, func(c *Checker) { c.Told(0, 0, 1, false); c.Sent(second+1, 0, 1, a1); c.Left(1, 0, 1) }, Drained},
+		{"within the grace", safe, func(c *Checker) { c.EndpointUpdated(0, 0, 1, false); c.Sent(second, 0, 1, a1); c.ClientLeft(1, 0, 1) }, ""},
+		{"after the grace", safe, func(c *Checker) { c.EndpointUpdated(0, 0, 1, false); c.Sent(second+1, 0, 1, a1); c.ClientLeft(1, 0, 1) }, Drained},
 		{"drain reported again", safe, func(c *Checker) {
-			c.Told(0, 0, 1, false)
-			c.Told(second, 0, 1, false)
+			c.EndpointUpdated(0, 0, 1, false)
+			c.EndpointUpdated(second, 0, 1, false)
 			c.Sent(second+1, 0, 1, a1)
-			c.Left(1, 0, 1)
+			c.ClientLeft(1, 0, 1)
 		}, Drained},
 		{"ready again", safe, func(c *Checker) {
-			c.Told(0, 0, 1, false)
-			c.Told(1, 0, 1, true)
+			c.EndpointUpdated(0, 0, 1, false)
+			c.EndpointUpdated(1, 0, 1, true)
 			c.Sent(2*second, 0, 1, a1)
-			c.Left(1, 0, 1)
+			c.ClientLeft(1, 0, 1)
 		}, ""},
-		{"another proxy knows of the drain", safe, func(c *Checker) { c.Told(0, 1, 1, false); c.Sent(2*second, 0, 1, a1); c.Left(1, 0, 1) }, ""},
-		{"overloaded while warming up", safe, func(c *Checker) { c.Tipped(0, "a1", 3, 2); c.Left(1, 0, 1) }, Pushed},
+		{"another proxy knows of the drain", safe, func(c *Checker) { c.EndpointUpdated(0, 1, 1, false); c.Sent(2*second, 0, 1, a1); c.ClientLeft(1, 0, 1) }, ""},
+		{"overloaded while warming up", safe, func(c *Checker) { c.EndpointOverloaded(0, "a1", 3, 2); c.ClientLeft(1, 0, 1) }, Overloaded},
 		{"answer of another endpoint", safe, func(c *Checker) { c.Sent(0, 0, 1, a1); c.Answered(1, 0, 1, Served, 3) }, Foreign},
-		{"corrupt answer", safe, func(c *Checker) { c.Spoilt(0, 0, 1, "noise"); c.Left(1, 0, 1) }, Foreign},
+		{"corrupt answer", safe, func(c *Checker) { c.ServedCorrupt(0, 0, 1, "noise"); c.ClientLeft(1, 0, 1) }, Foreign},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := newChecker()
-			c.Took(0, 0, 1, tc.class, second)
+			c.Accepted(0, 0, 1, tc.class, second)
 			tc.do(c)
 			kept, counts := c.Finish(time.Minute)
 			if tc.want == "" && len(kept) > 0 {
@@ -96,11 +96,11 @@
 func TestEvidenceIsBoundedAndNamesTheEndpoint(t *testing.T) {
 	c := newChecker()
 	for range 3 * maxKept {
-		c.Tipped(0, "a1", 3, 2)
+		c.EndpointOverloaded(0, "a1", 3, 2)
 	}
 	kept, counts := c.Finish(0)
-	if len(kept) != maxKept || counts[Pushed] != 3*maxKept {
-		t.Errorf("kept %d, counted %d", len(kept), counts[Pushed])
+	if len(kept) != maxKept || counts[Overloaded] != 3*maxKept {
+		t.Errorf("kept %d, counted %d", len(kept), counts[Overloaded])
 	}
 	if !strings.Contains(kept[0].Evidence, "a1") {
 		t.Errorf("the evidence %q names nobody", kept[0].Evidence)
--- a/lab/invariant/invariant.go
+++ b/lab/invariant/invariant.go
@@ -12,15 +12,15 @@
 
 // The rules by name.
 const (
-	OneAnswer = "one-answer"     // one final answer for each request, before its client gives up
-	NoRepeat  = "no-repeat"      // no attempt, and no answer that allows a retry, against the request's class
-	Drained   = "drained"        // nothing new to an endpoint some time after its drain is known
-	Pushed    = "pushed-over"    // no endpoint is overloaded while it warms up
-	Foreign   = "foreign-answer" // an answer is one that an endpoint made for that request
+	OneAnswer  = "one-answer"     // one final answer for each request, before its client gives up
+	NoRepeat   = "no-repeat"      // no attempt, and no answer that allows a retry, against the request's class
+	Drained    = "drained"        // nothing new to an endpoint some time after its drain is known
+	Overloaded = "pushed-over"    // no endpoint is overloaded while it warms up
+	Foreign    = "foreign-answer" // an answer is one that an endpoint made for that request
 )
 
 // All lists the rules.
-var All = []string{OneAnswer, NoRepeat, Drained, Pushed, Foreign}
+var All = []string{OneAnswer, NoRepeat, Drained, Overloaded, Foreign}
 
 // Violation is one violation of a rule with its evidence.
 type Violation struct {
--- a/lab/metrics/recovery.go
+++ b/lab/metrics/recovery.go
@@ -93,7 +93,7 @@
 	switch fault.Kind {
 	case scenario.Release, scenario.Replace:
 		tier := &s.Tiers[max(s.TierIndex(fault.Tier), 0)]
-		return max(end, fault.At+fault.Drain+fault.Pause+tier.Node.Cold.For)
+		return max(end, fault.At+fault.Drain+fault.Pause+tier.Machine.Cold.For)
 	case scenario.Restart:
 		return max(end, fault.At+fault.Pause)
 	}
--- a/lab/realtime/audit.go
+++ b/lab/realtime/audit.go
@@ -22,7 +22,7 @@
 // concurrent use.
 type audit struct {
 	scenario *scenario.Scenario
-	onReport func(Moment) // nil if nobody watches
+	onReport func(Progress) // nil if nobody watches
 
 	mu              sync.Mutex // guards the fields below; never held while anything blocks
 	began           time.Time  // time 0 of the scenario
@@ -32,11 +32,11 @@
 	proxyZones      []int             // by the proxy's number
 	executedBy      map[uint64]string // the endpoint that executed a request, by the request's id
 	lateness        []time.Duration   // of the generator
-	progress        Moment
+	progress        Progress
 	recentLatencies []time.Duration // since the last periodic report
 }
 
-func newAudit(sc *scenario.Scenario, began time.Time, onReport func(Moment)) *audit {
+func newAudit(sc *scenario.Scenario, began time.Time, onReport func(Progress)) *audit {
 	a := &audit{
 		scenario:   sc,
 		onReport:   onReport,
@@ -81,7 +81,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	when := at.Sub(a.began)
-	a.oracle.Took(when, proxy, id, class, when+timeout)
+	a.oracle.Accepted(when, proxy, id, class, when+timeout)
 }
 
 // attempted records an attempt that reached an endpoint and returns its number among the request's attempts.
@@ -123,7 +123,7 @@
 	defer a.mu.Unlock()
 	a.lateness = append(a.lateness, lateness)
 	a.recorder.Count("first_tries", 1)
-	a.progress.Asked++
+	a.progress.Sent++
 }
 
 // finished records what has become of a request in the end.
@@ -138,7 +138,7 @@
 		a.progress.Served++
 		a.recentLatencies = append(a.recentLatencies, latency)
 	case metrics.Shed:
-		a.progress.Refused++
+		a.progress.Shed++
 	default:
 		a.progress.Failed++
 	}
@@ -148,21 +148,21 @@
 func (a *audit) listed(proxy int, endpoint string, ready bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.oracle.Told(time.Since(a.began), proxy, uint64(scenario.EndpointID(endpoint)), ready)
+	a.oracle.EndpointUpdated(time.Since(a.began), proxy, uint64(scenario.EndpointID(endpoint)), ready)
 }
 
 // overloaded records that an endpoint was overloaded while cold.
 func (a *audit) overloaded(endpoint string, received, budget float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.oracle.Tipped(time.Since(a.began), endpoint, received, budget)
+	a.oracle.EndpointOverloaded(time.Since(a.began), endpoint, received, budget)
 }
 
 // died records that a proxy was killed: it owes no responses.
 func (a *audit) died(proxy int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.oracle.Died(proxy)
+	a.oracle.ProxyKilled(proxy)
 }
 
 // answered records what came back for a request; left reports whether the client has left.
@@ -178,13 +178,13 @@
 			a.oracle.Forget(proxy, id)
 			return
 		}
-		a.oracle.Left(now, proxy, id)
+		a.oracle.ClientLeft(now, proxy, id)
 		return
 	}
 	switch answer.status {
 	case http.StatusOK:
 		if !a.isGenuine(id, answer.body) {
-			a.oracle.Spoilt(now, proxy, id, fmt.Sprintf("%.60q, which no provider made for it", answer.body))
+			a.oracle.ServedCorrupt(now, proxy, id, fmt.Sprintf("%.60q, which no provider made for it", answer.body))
 		}
 		a.oracle.Answered(now, proxy, id, invariant.Served, 0)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -208,7 +208,7 @@
 	a.mu.Lock()
 	progress := a.progress
 	progress.At = time.Since(a.began)
-	progress.Said = event
+	progress.Event = event
 	slices.Sort(a.recentLatencies)
 	if n := len(a.recentLatencies); n > 0 {
 		progress.P50 = a.recentLatencies[(n-1)/2]
@@ -217,7 +217,7 @@
 	if event == "" {
 		a.recentLatencies = a.recentLatencies[:0]
 	}
-	progress.Broken = a.oracle.Broken()
+	progress.Violations = a.oracle.ViolationCount()
 	a.mu.Unlock()
 	a.onReport(progress)
 }
--- a/lab/realtime/configuration.go
+++ b/lab/realtime/configuration.go
@@ -70,7 +70,7 @@
 			"RetryAfter":     true,
 			"SecondCopies":   true,
 			"MayCancel":      true,
-			"IdleClose":      sc.Tiers[tier].Node.Connect.Idle.Microseconds(),
+			"IdleClose":      sc.Tiers[tier].Machine.Connect.Idle.Microseconds(),
 		},
 		"Contract": map[string]any{
 			"AnswerSlack":       cfg.Contract.AnswerSlack.Microseconds(),
@@ -160,17 +160,17 @@
 		Limits: config.LimitsFile{
 			MaxAttempts:     sc.Rules.Attempts,
 			MaxRetryAfter:   sc.Rules.MaxRetryAfter,
-			ConnectTimeout:  spec.Node.Connect.Timeout,
-			IdleClose:       spec.Node.Connect.Idle,
+			ConnectTimeout:  spec.Machine.Connect.Timeout,
+			IdleClose:       spec.Machine.Connect.Idle,
 			MaxOpenRequests: maxOpenRequests - variant%3,
 		},
 		Rules: config.RulesFile{
 			AnswerSlack:      sc.Rules.Slack,
 			DrainGrace:       sc.Rules.Drain,
-			InitialCapacity:  spec.Node.Cold.From,
-			WarmUpPeriod:     spec.Node.Cold.For,
-			OverloadMultiple: spec.Node.Cold.Tips,
-			OverloadPeriod:   spec.Node.Cold.Within,
+			InitialCapacity:  spec.Machine.Cold.From,
+			WarmUpPeriod:     spec.Machine.Cold.For,
+			OverloadMultiple: spec.Machine.Cold.Tips,
+			OverloadPeriod:   spec.Machine.Cold.Within,
 		},
 	}
 	for index := range sc.Classes {
--- a/lab/realtime/connection.go
+++ b/lab/realtime/connection.go
@@ -34,7 +34,7 @@
 		if err != nil {
 			return
 		}
-		spec := &proc.endpoint.spec().Node.Connect
+		spec := &proc.endpoint.spec().Machine.Connect
 		if proc.conns.Add(1) > int64(spec.Most) {
 			proc.conns.Add(-1)
 			reset(conn)
@@ -88,7 +88,7 @@
 		reset(c.Conn)
 		<-readerDone
 	}()
-	spec := &c.process.endpoint.spec().Node.Connect
+	spec := &c.process.endpoint.spec().Machine.Connect
 	setUp := time.Duration(2 * spec.Trips * float64(c.delay())) // charged to the first request
 	idle := time.NewTimer(spec.Idle)
 	defer idle.Stop()
@@ -204,7 +204,7 @@
 	e := proc.endpoint
 	e.run.audit.executed(id, e.name)
 	draw := rand.Float64()
-	errorPart := e.spec().Node.Errors
+	errorPart := e.spec().Machine.Errors
 	switch {
 	case draw < errorPart:
 		return c.respond(responseError)
--- a/lab/realtime/endpoint.go
+++ b/lab/realtime/endpoint.go
@@ -50,7 +50,7 @@
 // start starts a process at the endpoint's addresses, or at new ones the first time.
 func (e *endpoint) start(warm bool) error {
 	proc := &process{endpoint: e, ended: make(chan struct{})}
-	proc.machine = newMachine(e.run.began, &e.spec().Node, e.speed, warm)
+	proc.machine = newMachine(e.run.began, &e.spec().Machine, e.speed, warm)
 	if err := proc.listen(); err != nil {
 		return err
 	}
@@ -192,9 +192,9 @@
 	var overloaded bool
 	var received, budget float64
 	proc.machine.update(func(model *servermodel.Server, now time.Duration) {
-		overloaded = model.Tipped()
+		overloaded = model.Overloaded()
 		received = model.Received
-		cold := &proc.endpoint.spec().Node.Cold
+		cold := &proc.endpoint.spec().Machine.Cold
 		budget = cold.Tips * model.Capacity(now) * model.Rate() * cold.Within.Seconds()
 	})
 	if overloaded && proc.overloaded.CompareAndSwap(false, true) {
--- a/lab/realtime/execution.go
+++ b/lab/realtime/execution.go
@@ -74,7 +74,7 @@
 
 // cancelsRunning reports whether a cancel stops running work too.
 func (ex *execution) cancelsRunning() bool {
-	return ex.connection.process.endpoint.spec().Node.Cancel == "all"
+	return ex.connection.process.endpoint.spec().Machine.Cancel == "all"
 }
 
 // awaitPhase waits for the end of a phase and returns false if the execution is aborted.
--- a/lab/realtime/faults.go
+++ b/lab/realtime/faults.go
@@ -60,7 +60,7 @@
 // affectsEndpoints reports whether a fault of a kind has endpoints as its targets.
 func affectsEndpoints(kind string) bool {
 	switch kind {
-	case scenario.Slow, scenario.Hang, scenario.Spoil, scenario.Err, scenario.Silent, scenario.ZoneLoss,
+	case scenario.Slow, scenario.Hang, scenario.Corrupt, scenario.Err, scenario.Silent, scenario.ZoneLoss,
 		scenario.Release, scenario.Replace:
 		return true
 	}
@@ -146,7 +146,7 @@
 		if r.waitUntil(ctx, end) {
 			proc.errorPart.Store(0)
 		}
-	case scenario.Spoil:
+	case scenario.Corrupt:
 		proc.corruptPart.Store(uint64(fault.Factor * millionths))
 		if r.waitUntil(ctx, end) {
 			proc.corruptPart.Store(0)
--- a/lab/realtime/realtime.go
+++ b/lab/realtime/realtime.go
@@ -19,7 +19,7 @@
 	Command []string
 
 	// Tell is called with the progress, from several goroutines, for those who watch; it may be nil.
-	Tell func(Moment)
+	OnProgress func(Progress)
 }
 
 // command returns the command line of a proxy process.
@@ -30,14 +30,14 @@
 	return o.Command
 }
 
-// Moment is the progress of a run.
-type Moment struct {
-	At       time.Duration // since the first request could be sent
-	Said     string        // what has happened, for people; empty in a periodic report
-	Asked    int           // first tries until now
-	Served   int
-	Refused  int // shed
-	Failed   int
-	P50, P95 time.Duration // latency of what was served since the last periodic report
-	Broken   int           // violations of the rules until now
+// Progress is the progress of a run.
+type Progress struct {
+	At         time.Duration // since the first request could be sent
+	Event      string        // what has happened, for people; empty in a periodic report
+	Sent       int           // first tries until now
+	Served     int
+	Shed       int // shed
+	Failed     int
+	P50, P95   time.Duration // latency of what was served since the last periodic report
+	Violations int           // violations of the rules until now
 }
--- a/lab/realtime/run.go
+++ b/lab/realtime/run.go
@@ -79,7 +79,7 @@
 		dir:       dir,
 		began:     began,
 		launcher:  newLauncher(),
-		audit:     newAudit(sc, began, opt.Tell),
+		audit:     newAudit(sc, began, opt.OnProgress),
 		draws:     newDraws(opt.Seed),
 		nextFront: make([]int, len(sc.Network.Zones)),
 	}
@@ -123,7 +123,7 @@
 			name:  fmt.Sprintf("%s-%d", spec.Name, i),
 			zone:  r.scenario.EndpointZone(i),
 			group: i / spec.Group,
-			speed: load.Speed(speeds, &spec.Node),
+			speed: load.Speed(speeds, &spec.Machine),
 		}
 		if err := e.start(true); err != nil {
 			return err
--- a/lab/realtime/run_test.go
+++ b/lab/realtime/run_test.go
@@ -59,7 +59,7 @@
 func TestRulesHoldThroughFaults(t *testing.T) {
 	const ms = time.Millisecond
 	for _, fault := range []scenario.Fault{
-		{Kind: scenario.Spoil, At: 200 * ms, For: time.Second, Fraction: 1, Factor: 0.3},
+		{Kind: scenario.Corrupt, At: 200 * ms, For: time.Second, Fraction: 1, Factor: 0.3},
 		{Kind: scenario.Release, At: 200 * ms, For: 800 * ms, Fraction: 1, Drain: 300 * ms, Pause: 50 * ms},
 		{Kind: scenario.Replace, At: 300 * ms, Fraction: 0.5, Pause: 100 * ms},
 		{Kind: scenario.Err, At: 200 * ms, For: time.Second, Fraction: 0.5, Factor: 0.4},
@@ -80,7 +80,7 @@
 			if served := result.Metrics["in_aim"] + result.Metrics["late"]; served < 0.3 {
 				t.Errorf("served %v: %v", served, result.Metrics)
 			}
-			if fault.Kind == scenario.Spoil && result.Metrics["spoilt"] == 0 {
+			if fault.Kind == scenario.Corrupt && result.Metrics["spoilt"] == 0 {
 				t.Error("no response was corrupted")
 			}
 		})
@@ -166,8 +166,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	sent := make(chan struct{}, 1)
 	go func() { <-sent; stop() }()
-	_, err := Run(ctx, sc, Options{Build: Embedded, Tell: func(progress Moment) {
-		if progress.Asked > 0 {
+	_, err := Run(ctx, sc, Options{Build: Embedded, OnProgress: func(progress Progress) {
+		if progress.Sent > 0 {
 			select {
 			case sent <- struct{}{}:
 			default:
--- a/lab/scenario/balancer.go
+++ b/lab/scenario/balancer.go
@@ -13,7 +13,7 @@
 
 // Balancer returns the configuration of the balancer of a proxy that sends to a tier: the proxy of an index, in a zone.
 func (s *Scenario) Balancer(tier, index, zone int) balancer.Config {
-	machine := &s.Tiers[tier].Node
+	machine := &s.Tiers[tier].Machine
 	config := balancer.Config{
 		Tier:            tier,
 		Tiers:           len(s.Tiers),
--- a/lab/scenario/checker.go
+++ b/lab/scenario/checker.go
@@ -160,7 +160,7 @@
 	}
 	c.number(key+"work", tier.Work, 1e-6, 100)
 	c.number(key+"group", float64(tier.Group), 1, maxEndpoints)
-	c.checkMachine(key+"node.", &tier.Node)
+	c.checkMachine(key+"node.", &tier.Machine)
 }
 
 func (c *checker) checkMachine(key string, machine *Machine) {
@@ -266,7 +266,7 @@
 		if !c.tenants[fault.Tenant] {
 			c.bad(key+"tenant", fault.Tenant, "the name of a tenant")
 		}
-	case Spoil, Err:
+	case Corrupt, Err:
 		c.number(key+"factor", fault.Factor, 0, 1)
 	case Reload:
 		c.number(key+"count", float64(fault.Count), 1, maxReloads)
--- a/lab/scenario/defaults.go
+++ b/lab/scenario/defaults.go
@@ -62,11 +62,11 @@
 
 // defaultFaultFactors are the factors of the kinds of fault that have a default.
 var defaultFaultFactors = map[string]float64{
-	Slow:  5,
-	Burst: 2,
-	Spoil: 0.3,
-	Err:   0.3,
-	Heavy: 5,
+	Slow:    5,
+	Burst:   2,
+	Corrupt: 0.3,
+	Err:     0.3,
+	Heavy:   5,
 }
 
 // setDefault gives a value that is zero its default.
@@ -81,7 +81,7 @@
 func (s *Scenario) Complete() {
 	s.Network.complete()
 	for i := range s.Tiers {
-		s.Tiers[i].complete(&s.Node)
+		s.Tiers[i].complete(&s.Machine)
 	}
 	for i := range s.Classes {
 		s.Classes[i].complete()
@@ -116,8 +116,8 @@
 func (t *Tier) complete(common *Machine) {
 	setDefault(&t.Work, defaultTierWork)
 	setDefault(&t.Group, t.Endpoints)
-	inherit(reflect.ValueOf(&t.Node).Elem(), reflect.ValueOf(common).Elem())
-	t.Node.complete()
+	inherit(reflect.ValueOf(&t.Machine).Elem(), reflect.ValueOf(common).Elem())
+	t.Machine.complete()
 }
 
 // inherit fills in the zero fields of a structure from another one of its type.
--- a/lab/scenario/fault.go
+++ b/lab/scenario/fault.go
@@ -15,7 +15,7 @@
 	Release         = "release"   // endpoints are replaced one after another, with drains
 	Replace         = "replace"   // endpoints end, and others start at their addresses under new names
 	Restart         = "restart"   // proxies of the first tier restart
-	Spoil           = "spoil"     // Factor is the part of an endpoint's answers that are corrupt
+	Corrupt         = "spoil"     // Factor is the part of an endpoint's answers that are corrupt
 	DiscoverySilent = "directory" // the discovery service answers nothing
 	ZoneLoss        = "zone-loss" // a zone's machines go silent
 	Reload          = "reload"    // proxies load Count new configurations; sockets only
@@ -31,7 +31,7 @@
 
 // Kinds lists the kinds of fault.
 var Kinds = []string{
-	Slow, Silent, Hang, Burst, Release, Replace, Restart, Spoil, DiscoverySilent, ZoneLoss, Reload, Err, Heavy,
+	Slow, Silent, Hang, Burst, Release, Replace, Restart, Corrupt, DiscoverySilent, ZoneLoss, Reload, Err, Heavy,
 	Cut, OneWay, Split, Lossy,
 }
 
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -14,7 +14,7 @@
 	Length    time.Duration `yaml:"length" json:"length" jsonschema_description:"how long consumers ask; 1s to 1h"`
 	Warmup    time.Duration `yaml:"warmup" json:"warmup,omitempty" jsonschema_description:"what is asked before this is not counted"`
 	Network   Network       `yaml:"network" json:"network,omitempty"`
-	Node      Machine       `yaml:"node" json:"node,omitempty" jsonschema_description:"what the tiers' nodes leave out"`
+	Machine   Machine       `yaml:"node" json:"node,omitempty" jsonschema_description:"what the tiers' nodes leave out"`
 	Parallel  bool          `yaml:"parallel" json:"parallel,omitempty" jsonschema_description:"the tiers stand side by side, each a pool of the same front proxies, and no chain; sockets only"`
 	Tiers     []Tier        `yaml:"tiers" json:"tiers" jsonschema:"minItems=1,maxItems=4"`
 	Classes   []Class       `yaml:"classes" json:"classes" jsonschema:"minItems=1"`
@@ -44,7 +44,7 @@
 	Work      float64 `yaml:"work" json:"work" jsonschema_description:"part of a class's work done for each call, above 0"`
 	Calls     float64 `yaml:"calls" json:"calls,omitempty" jsonschema_description:"calls to the next tier for each request, on average, one after another"`
 	Group     int     `yaml:"group" json:"group,omitempty" jsonschema_description:"providers that drop each other's repeats of a key; default all"`
-	Node      Machine `yaml:"node" json:"node,omitempty"`
+	Machine   Machine `yaml:"node" json:"node,omitempty"`
 }
 
 // Machine is the machine of one endpoint.
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := s.Tiers[0].Node
+	n := s.Tiers[0].Machine
 	if diff := cmp.Diff([]float64{7, 9, 0.7, 6}, []float64{n.Cores, float64(n.Slots), n.Cold.From, n.Cold.For.Seconds()}); diff != "" {
 		t.Error(diff)
 	}
--- a/lab/servermodel/server.go
+++ b/lab/servermodel/server.go
@@ -12,14 +12,14 @@
 	"ryerill/lab/scenario"
 )
 
-// Verdict is what becomes of a job that is offered.
-type Verdict uint8
+// Admission is what becomes of a job that is offered.
+type Admission uint8
 
 // The verdicts.
 const (
-	Working  Verdict = iota // it has a slot
-	Waiting                 // it waits for a slot
-	Rejected                // there is no space in the queue: nothing of it ran
+	Working  Admission = iota // it has a slot
+	Waiting                   // it waits for a slot
+	Rejected                  // there is no space in the queue: nothing of it ran
 )
 
 const (
@@ -32,8 +32,8 @@
 
 // Server is one machine. It is not safe for concurrent use, and times must not decrease from call to call.
 type Server struct {
-	Conns    int     // connections open; the owner's
-	Received float64 // work sent to it while it warms up, within the span that may overload it
+	OpenConnections int     // connections open; the owner's
+	Received        float64 // work sent to it while it warms up, within the span that may overload it
 
 	spec        *scenario.Machine
 	speed       float64 // of a core: this machine's draw
@@ -133,7 +133,7 @@
 }
 
 // Offer gives a job to the server.
-func (s *Server) Offer(now time.Duration, job *Job) Verdict {
+func (s *Server) Offer(now time.Duration, job *Job) Admission {
 	s.Advance(now)
 	s.receive(job.Left)
 	switch {
--- a/lab/servermodel/server_test.go
+++ b/lab/servermodel/server_test.go
@@ -62,7 +62,7 @@
 	var jobs []*Job
 	for i := range 6 {
 		jobs = append(jobs, &Job{Left: 1})
-		want := []Verdict{Working, Working, Working, Waiting, Waiting, Rejected}[i]
+		want := []Admission{Working, Working, Working, Waiting, Waiting, Rejected}[i]
 		if v := s.Offer(0, jobs[i]); v != want {
 			t.Errorf("job %d: %v, want %v", i, v, want)
 		}
@@ -101,10 +101,10 @@
 		t.Errorf("at half of its capacity a job of 250ms took %v", at)
 	}
 	// 2 cores at about 0.55: within a second 2.2 s of work are its budget, with slack for chance.
-	for i := 0; i < 12 && !s.Tipped(); i++ {
+	for i := 0; i < 12 && !s.Overloaded(); i++ {
 		s.Offer(time.Second, &Job{Left: 0.5})
 	}
-	if !s.Tipped() {
+	if !s.Overloaded() {
 		t.Error("6 s of work in an instant did not overload it")
 	}
 	if _, ok := s.Next(); ok {
--- a/lab/servermodel/warmup.go
+++ b/lab/servermodel/warmup.go
@@ -26,8 +26,8 @@
 // Cold reports whether the server is warming up.
 func (s *Server) Cold() bool { return !s.startedWarm && s.now-s.startedAt < s.spec.Cold.For }
 
-// Tipped reports whether the server was overloaded while it warmed up, and so does nothing any more.
-func (s *Server) Tipped() bool { return s.overloaded }
+// Overloaded reports whether the server was overloaded while it warmed up, and so does nothing any more.
+func (s *Server) Overloaded() bool { return s.overloaded }
 
 // receive records work that is sent to a server that warms up, and overloads it if that is too much within its span.
 func (s *Server) receive(work float64) {
--- a/lab/sim/attempt.go
+++ b/lab/sim/attempt.go
@@ -53,7 +53,7 @@
 		return
 	}
 	r.done = true
-	p.simulation.oracle.Left(p.simulation.now, p.number, uint64(r.id))
+	p.simulation.oracle.ClientLeft(p.simulation.now, p.number, uint64(r.id))
 	p.dispatch(balancer.Event{Kind: balancer.ClientLeft, Request: r.id})
 	r.release()
 }
@@ -126,18 +126,18 @@
 func (a *attempt) connect() {
 	s := a.request.proxy.simulation
 	to := a.to
-	spec := &to.tier.spec.Node.Connect
+	spec := &to.tier.spec.Machine.Connect
 	a.process = to.process
 	s.recorder.Count("opened", 1)
 	switch {
 	case to.silent:
 		s.after(spec.Timeout, func() { a.end(balancer.ConnectFailed) })
-	case !to.running || to.machine.Conns >= spec.Most:
+	case !to.running || to.machine.OpenConnections >= spec.Most:
 		s.after(2*a.delay, func() { a.end(balancer.ConnectFailed) })
 	default:
 		process := to.process
 		machine := to.machine
-		machine.Conns++
+		machine.OpenConnections++
 		a.connected = true
 		s.after(a.delay, func() {
 			if process == to.process && to.running {
--- a/lab/sim/connections.go
+++ b/lab/sim/connections.go
@@ -23,10 +23,10 @@
 		idle.usedAt = idle.usedAt[:0] // reset when the process ended or came back
 		return 0, false
 	}
-	maxIdle := p.tier.spec.Node.Connect.Idle
+	maxIdle := p.tier.spec.Machine.Connect.Idle
 	for len(idle.usedAt) > 0 && p.simulation.now-idle.usedAt[0] >= maxIdle {
 		idle.usedAt = idle.usedAt[1:]
-		to.machine.Conns--
+		to.machine.OpenConnections--
 	}
 	if len(idle.usedAt) == 0 || !to.running && !to.silent {
 		return 0, false
@@ -40,7 +40,7 @@
 	idle := p.connections[id]
 	to := p.tier.byID[id]
 	if idle != nil && to != nil && idle.process == to.process {
-		to.machine.Conns -= len(idle.usedAt)
+		to.machine.OpenConnections -= len(idle.usedAt)
 	}
 	delete(p.connections, id)
 }
@@ -51,7 +51,7 @@
 		return
 	}
 	if !reusable {
-		a.to.machine.Conns--
+		a.to.machine.OpenConnections--
 		return
 	}
 	p := a.request.proxy
--- a/lab/sim/endpoint.go
+++ b/lab/sim/endpoint.go
@@ -58,7 +58,7 @@
 	e.wakeAt = 0
 	e.corruptPart = 0
 	e.errorPart = 0
-	e.machine = servermodel.New(&e.tier.spec.Node, e.speed, e.simulation.now, warm)
+	e.machine = servermodel.New(&e.tier.spec.Machine, e.speed, e.simulation.now, warm)
 	if !warm {
 		e.startedAt = e.simulation.now
 	}
@@ -136,14 +136,14 @@
 
 // detectOverload makes the endpoint silent once its machine was overloaded while cold.
 func (e *endpoint) detectOverload() {
-	if !e.machine.Tipped() || e.overloaded {
+	if !e.machine.Overloaded() || e.overloaded {
 		return
 	}
 	e.overloaded = true
 	now := e.simulation.now
-	cold := &e.tier.spec.Node.Cold
+	cold := &e.tier.spec.Machine.Cold
 	budget := cold.Tips * e.machine.Capacity(now) * e.machine.Rate() * cold.Within.Seconds()
-	e.simulation.oracle.Tipped(now, e.name, e.machine.Received, budget)
+	e.simulation.oracle.EndpointOverloaded(now, e.name, e.machine.Received, budget)
 	e.stop(true)
 }
 
--- a/lab/sim/execution.go
+++ b/lab/sim/execution.go
@@ -48,7 +48,7 @@
 // drawOutcome draws how an executed request is answered.
 func (e *endpoint) drawOutcome() balancer.Outcome {
 	draw := e.simulation.draws.work.Float64()
-	errorPart := e.tier.spec.Node.Errors
+	errorPart := e.tier.spec.Machine.Errors
 	switch {
 	case draw < errorPart:
 		return balancer.Error
@@ -120,7 +120,7 @@
 	if ex == nil || process != e.process || !e.running {
 		return
 	}
-	if ex.Queued() || e.tier.spec.Node.Cancel == "all" {
+	if ex.Queued() || e.tier.spec.Machine.Cancel == "all" {
 		e.remove(ex)
 		e.scheduleWake()
 	}
--- a/lab/sim/faults.go
+++ b/lab/sim/faults.go
@@ -63,7 +63,7 @@
 			e.machine.Hang(s.now, on)
 			e.reschedule()
 		}
-	case scenario.Spoil:
+	case scenario.Corrupt:
 		return func(e *endpoint, on bool) { e.corruptPart = valueIf(on, fault.Factor, 0) }
 	case scenario.Err:
 		return func(e *endpoint, on bool) { e.errorPart = valueIf(on, fault.Factor, 0) }
--- a/lab/sim/proxy.go
+++ b/lab/sim/proxy.go
@@ -125,7 +125,7 @@
 	r.proxy = p
 	r.id = p.lastID
 	p.requests[r.id] = r
-	s.oracle.Took(s.now, p.number, uint64(r.id), r.class, r.deadline)
+	s.oracle.Accepted(s.now, p.number, uint64(r.id), r.class, r.deadline)
 	p.dispatch(balancer.Event{
 		Kind: balancer.RequestArrived, Request: r.id, Class: r.class, Tenant: r.tenant, Key: r.key,
 		Remaining: max(r.deadline-s.now, 0), ClientRetry: r.clientRetry,
@@ -170,7 +170,7 @@
 		return
 	}
 	p.alive = false
-	p.simulation.oracle.Died(p.number)
+	p.simulation.oracle.ProxyKilled(p.number)
 	for _, id := range slices.Sorted(maps.Keys(p.requests)) {
 		for _, a := range p.requests[id].attempts {
 			a.abandon()
@@ -187,7 +187,7 @@
 func (p *proxy) updateEndpoints(kind balancer.ListKind, list []balancer.Endpoint) {
 	s := p.simulation
 	for i := range list {
-		s.oracle.Told(s.now, p.number, uint64(list[i].ID), list[i].State == balancer.Ready)
+		s.oracle.EndpointUpdated(s.now, p.number, uint64(list[i].ID), list[i].State == balancer.Ready)
 	}
 	if kind != balancer.ListChanges { // what a whole list leaves out is gone
 		list = slices.DeleteFunc(list, func(e balancer.Endpoint) bool { return e.State == balancer.Gone })
--- a/lab/sim/simulation.go
+++ b/lab/sim/simulation.go
@@ -160,7 +160,7 @@
 		s.tiers = append(s.tiers, t)
 		for i := range spec.Endpoints {
 			name := fmt.Sprintf("%s-%d", spec.Name, i)
-			e := s.newEndpoint(t, name, s.scenario.EndpointZone(i), i/spec.Group, load.Speed(speeds, &spec.Node))
+			e := s.newEndpoint(t, name, s.scenario.EndpointZone(i), i/spec.Group, load.Speed(speeds, &spec.Machine))
 			e.start(true)
 			t.discovery.publish(e, balancer.Ready)
 		}
--- a/lab/sim/simulation_test.go
+++ b/lab/sim/simulation_test.go
@@ -153,7 +153,7 @@
 		{invariant.OneAnswer, nil, holdSomeRequests},
 		{
 			invariant.NoRepeat,
-			[]scenario.Fault{{Kind: scenario.Spoil, At: 2 * second, For: 4 * second, Fraction: 0.3, Factor: 0.5}},
+			[]scenario.Fault{{Kind: scenario.Corrupt, At: 2 * second, For: 4 * second, Fraction: 0.3, Factor: 0.5}},
 			repeatAnything,
 		},
 		{
@@ -164,7 +164,7 @@
 			sendToDraining,
 		},
 		{
-			invariant.Pushed,
+			invariant.Overloaded,
 			[]scenario.Fault{{
 				Kind: scenario.Release, At: second, For: second, Fraction: 0.2, Drain: second,
 				Pause: 200 * time.Millisecond,
@@ -210,7 +210,7 @@
 				Kind: kind, At: 3 * time.Second, For: 3 * time.Second, Fraction: 0.4, Factor: 2, Zone: "west", Count: 1,
 				Tenant: "everyone",
 			}
-			if kind == scenario.Spoil || kind == scenario.Err {
+			if kind == scenario.Corrupt || kind == scenario.Err {
 				fault.Factor = 0.5
 			}
 			sc.Faults = []scenario.Fault{fault}
