--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -120,12 +120,14 @@
 	left int64
 }
 
+// Read implements [io.Reader].
 func (s *sized) Read(p []byte) (int, error) {
 	if s.left == 0 {
 		return 0, io.EOF
 	}
 	n, err := s.r.Read(p[:min(int64(len(p)), s.left)])
-	if s.left -= int64(n); errors.Is(err, io.EOF) && s.left > 0 {
+	s.left -= int64(n)
+	if errors.Is(err, io.EOF) && s.left > 0 {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
@@ -138,6 +140,7 @@
 	over bool
 }
 
+// Read implements [io.Reader].
 func (c *chunks) Read(p []byte) (int, error) {
 	if c.over {
 		return 0, io.EOF
