--- a/internal/overridestore/file.go
+++ b/internal/overridestore/file.go
@@ -52,7 +52,7 @@
 func (s *Store) lock(deadline time.Time) (unlock func(), err error) {
 	file, err := os.OpenFile(s.path+".lock", os.O_CREATE|os.O_RDWR|syscall.O_NOFOLLOW, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("write override file: %w", err)
+		return nil, fmt.Errorf("the overrides can't be kept: %w", err)
 	}
 	for {
 		err = syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
--- a/internal/overridestore/store.go
+++ b/internal/overridestore/store.go
@@ -202,7 +202,7 @@
 	// Without reading first, a change that another process has written would be lost.
 	switch held, err := s.read(); {
 	case errors.Is(err, errUnreadable):
-		return override.Set{}, fmt.Errorf("read override file: %w", err)
+		return override.Set{}, fmt.Errorf("the overrides can't be read: %w", err)
 	case err == nil && held.Version > base.Version:
 		base = held
 	}
@@ -211,7 +211,7 @@
 		return set, nil
 	}
 	if err := s.write(set); err != nil {
-		return override.Set{}, fmt.Errorf("write override file: %w", err)
+		return override.Set{}, fmt.Errorf("the overrides can't be kept: %w", err)
 	}
 	return set, nil
 }
