--- a/balancer/action.go
+++ b/balancer/action.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// ActionKind tells which fields of an Action are set.
+// ActionKind determines which fields of an Action are set.
 type ActionKind uint8
 
 // The kinds of action, each with the fields that it sets.
 const (
 	// Send sends an attempt: Request, Endpoint, Timeout and WriteTimeout.
 	Send ActionKind = iota + 1
-	// Shed answers that the request is refused and that a retry is harmless: Request and RetryAfter.
+	// Shed answers that the request was shed and that a retry is harmless: Request and RetryAfter.
 	Shed
 	// Fail answers that the request has failed, with no promise: Request.
 	Fail
 	// Cancel cancels an attempt in flight: Request and Attempt.
 	Cancel
-	// SetTimer has TimerFired come back: Delay and Token.
+	// SetTimer schedules a TimerFired event: Delay and Token.
 	SetTimer
 	// Probe asks an endpoint for its state: Endpoint.
 	Probe
@@ -26,9 +26,9 @@
 	CloseIdle
 	// SendToPeer sends a message to a peer: Peer, 0xffff for every peer, and Payload.
 	SendToPeer
-	// Subscribe asks for the endpoint list and its changes: Enabled.
+	// Subscribe starts or stops watching the endpoint list: Enabled.
 	Subscribe
-	// FetchEndpoints asks for the endpoint list once. It sets no field.
+	// FetchEndpoints requests the endpoint list once. It sets no field.
 	FetchEndpoints
 	// Log writes a line to the log: Text.
 	Log
@@ -44,7 +44,7 @@
 	Request      RequestID
 	Endpoint     EndpointID
 	Timeout      time.Duration // Send: the attempt ends after this
-	RetryAfter   time.Duration // Shed: how long the client is asked to wait; 0 if it is not asked
+	RetryAfter   time.Duration // Shed: how long the client is asked to wait; 0 states none
 	Delay        time.Duration // SetTimer: when it fires, from now
 	WriteTimeout time.Duration // Send: the last byte has to be written in this time
 	Payload      []byte
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -5,9 +5,9 @@
 	quotaBurst    = 2.0 // seconds of quota that a tenant may save up
 )
 
-// admits reports whether r finds a free slot. At the front the lowest priorities meet a lower limit, and so
-// does a class that fails more than others: one that hangs everywhere would fill the limit with attempts that
-// come to nothing. Harm: the class of the lowest priority may fare much worse.
+// admits reports whether r finds a free slot. At the front a lower limit applies to the lowest priorities,
+// and to a class that fails more than others: one that hangs everywhere would fill the limit with attempts
+// that fail. Harm: the class of the lowest priority may be served much less.
 func (b *Balancer) admits(r *request) bool {
 	limit := b.limiter.maxIFR + b.limiter.burstCredit
 	if b.cfg.Tier == 0 {
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -60,7 +60,7 @@
 type attemptTable struct {
 	byClass       []attemptList
 	inFlight      int
-	siblings      int // in flight from other Balancers at this one's place
+	siblings      int // in flight from other processes of the same replica
 	busyEndpoints int // with attempts in flight
 	lateEndpoints int // with attempts marked late
 	ages          []float64
--- a/balancer/config.go
+++ b/balancer/config.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Effect says how often a request of a class may be executed.
+// Effect is how often a request of a class may be executed.
 type Effect uint8
 
 // The kinds of effect.
@@ -17,7 +17,7 @@
 	Unsafe               // must never be executed twice
 )
 
-// Group says which endpoints drop each other's repeats of a keyed request.
+// Group is which endpoints drop each other's repeats of a keyed request.
 type Group uint8
 
 // The extents of a group.
@@ -37,7 +37,7 @@
 	Name              string
 	LatencyObjective  time.Duration // an answer within this time has the full value
 	ObjectivePerWork  float64       // the objective grows by this multiple of a request's own work
-	Deadline          time.Duration // the longest time that a client waits, over all its tries
+	Deadline          time.Duration // the longest time that a client waits, over all its retries
 	PriorityWeight    float64       // value of an answer within the objective
 	LateWeight        float64       // fraction of the value that is left after the objective
 	Effect            Effect
@@ -64,7 +64,7 @@
 	Zone            int     // zone of this balancer
 	ReplicaIndex    int     // index among the replicas that send to the tier
 	ReplicaCount    int     // number of replicas that send to the tier
-	Subscribe       bool    // the endpoint list must be asked for
+	Subscribe       bool    // the host must be asked to watch the endpoint list
 	WeightByWork    bool    // values count for each unit of work rather than for each request
 	OverQuotaWeight float64 // fraction of the value that is left to a tenant's requests above its quota
 	LoadReportNames []string
@@ -73,7 +73,7 @@
 	Goal            Goal
 }
 
-// Goal says how service is valued where that is not by priority weights alone.
+// Goal is how service is valued where that is not by priority weights alone.
 type Goal struct {
 	// LogLossWeight is the weight of the nines: of how far the unserved fraction of short spans lies below the
 	// whole.
--- a/balancer/endpointlist.go
+++ b/balancer/endpointlist.go
@@ -7,12 +7,12 @@
 
 const (
 	maxPollDelay     = 10 * time.Second // or the contract's, if less: while a watch is broken drains are missed
-	firstPollShare   = 1.0 / 32         // of maxPollDelay is the wait for a request for the list; it is doubled
-	maxPollDoublings = 3                // for each that failed, up to so many times,
-	minPollWait      = 0.1              // and this part of it passes at least, by chance up to the whole more
+	firstPollShare   = 1.0 / 32         // of maxPollDelay: the wait before a poll, doubled after each failure
+	maxPollDoublings = 3                // bounds the doublings
+	minPollWait      = 0.1              // of the wait passes at least; jitter adds up to the whole of it
 )
 
-// listUpdated takes in an endpoint list, or that there was none.
+// listUpdated applies an endpoint list, or records that the request for it failed.
 func (b *Balancer) listUpdated(event *Event) {
 	switch event.ListKind {
 	case ListFailed:
@@ -31,7 +31,7 @@
 	b.chooseSubset()
 }
 
-// schedulePoll sets a timer to ask for the list, at a random moment: all replicas may start or fail at once.
+// schedulePoll sets a timer with jitter to poll the list: all replicas may start or fail at once.
 func (b *Balancer) schedulePoll() {
 	if !b.cfg.Subscribe || b.poll.scheduled {
 		return
@@ -43,7 +43,7 @@
 	b.act(&Action{Kind: SetTimer, Delay: delay, Token: pollToken})
 }
 
-// applyList takes in the entries of a list. Draining and gone endpoints get nothing from then on.
+// applyList applies the entries of a list. From then on nothing is sent to draining and gone endpoints.
 func (s *endpointSet) applyList(event *Event, now time.Duration) {
 	for _, e := range s.listed {
 		if e.State != Gone {
@@ -62,11 +62,11 @@
 		s.applyEntry(entry, mayBeOld, now)
 	}
 	s.sortRing()
-	s.removeIf(func(e *endpoint) bool { return e.State == Gone && !s.remembered(e, now) })
+	s.removeIf(func(e *endpoint) bool { return e.State == Gone && !s.retained(e, now) })
 	s.version = event.Version
 }
 
-// applyEntry takes in one entry. A list that may be old ends no drain and makes no endpoint warm.
+// applyEntry applies one entry. A list that may be stale ends no drain and makes no endpoint warm.
 func (s *endpointSet) applyEntry(entry Endpoint, mayBeOld bool, now time.Duration) {
 	e := s.byID[entry.ID]
 	switch {
--- a/balancer/endpointlist_test.go
+++ b/balancer/endpointlist_test.go
@@ -128,7 +128,7 @@
 		t.Errorf("suspicions %d and %d, %d endpoints counted", alive.suspicion(), dead.suspicion(),
 			h.b.endpoints.subset.available)
 	}
-	h.now += time.Duration(rememberPeriods)*h.b.cfg.Contract.WarmUpPeriod + time.Second
+	h.now += time.Duration(retentionPeriods)*h.b.cfg.Contract.WarmUpPeriod + time.Second
 	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges})
 	if len(h.b.endpoints.listed) != 8 || len(h.b.endpoints.byID) != 8 {
 		t.Errorf("%d endpoints are remembered for ever", len(h.b.endpoints.listed))
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -15,8 +15,8 @@
 	listed     []*endpoint // in the order in which lists first named them
 	byID       map[EndpointID]*endpoint
 	byRank     rankIndex
-	ring       []*endpoint // in an order that all replicas derive from the identifiers alone,
-	ringSorted bool        // unless endpoints were added since it was sorted
+	ring       []*endpoint // in an order that all replicas derive from the identifiers alone
+	ringSorted bool        // no endpoint was added since ring was sorted
 	version    uint64      // of the latest list
 
 	subset  subset
@@ -24,20 +24,20 @@
 	scanned int          // endpoints scanned by picks so far: work that tests count
 }
 
-// subset describes the endpoints that this replica keeps to.
+// subset describes the endpoints that this replica prefers.
 type subset struct {
 	size      int
 	available int  // endpoints that they are chosen from
 	zoneLocal bool // they are of this replica's zone
 }
 
-// division says among how many quotas and warm-up budgets are divided.
+// division holds among how many replicas and processes quotas and warm-up budgets are divided.
 type division struct {
 	replicas  int // that may be alive, each with an equal part
-	processes int // at this replica's place, which share its part
+	processes int // of this replica, which share its part: two during an upgrade
 }
 
-// add takes in an endpoint that no list has named before, and returns its state.
+// add adds an endpoint that no list has named before, and returns its state.
 func (s *endpointSet) add(entry Endpoint, now time.Duration) *endpoint {
 	e := newEndpoint(entry, now)
 	s.byID[e.ID] = e
--- a/balancer/endpointstate.go
+++ b/balancer/endpointstate.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// attemptResult is what the latest attempt said of whether an endpoint is there.
+// attemptResult is the latest attempt's evidence of whether an endpoint is alive.
 type attemptResult int8
 
 const (
 	resultUnknown attemptResult = iota // there was none since the list last named the endpoint
 	resultServed
-	resultFailed // it timed out, or there was no connection
+	resultFailed // it timed out, could not connect, or the connection broke
 )
 
 // endpoint is what is known of an endpoint that is listed or was.
@@ -24,10 +24,10 @@
 	warmUpBudget tokenBucket   // attempts that may be sent while it warms up
 
 	index        int  // in the list
-	inSubset     bool // of the endpoints that this replica keeps to
+	inSubset     bool // of the endpoints that this replica prefers
 	rank         int  // in the index, or unranked
-	rankPosition int  // there
-	rankPenalty  int  // half slots by which it ranks behind its peers, but for its health
+	rankPosition int  // among the endpoints of its rank in the index
+	rankPenalty  int  // half slots added to its rank for suspicion and zone; health is not included
 }
 
 // newEndpoint returns the state of an endpoint that no list has named before.
@@ -41,7 +41,7 @@
 	e.warmUpBudget = tokenBucket{tokens: credit, filledAt: now}
 }
 
-// health is what attempts found out of an endpoint of late. It decays.
+// health is what recent attempts have shown of an endpoint. It decays.
 type health struct {
 	penalty         float64 // slots that failures hold, as of updatedAt
 	relativeLatency float64 // against its peers' mean, as of updatedAt; 1 is as fast as they
--- a/balancer/event.go
+++ b/balancer/event.go
@@ -30,7 +30,7 @@
 	StartedAt time.Duration // clock time of its latest start; 0 is long ago
 }
 
-// ListKind says how the Endpoints of an EndpointListUpdated event are to be read.
+// ListKind is how the Endpoints of an EndpointListUpdated event are to be read.
 type ListKind uint8
 
 // The kinds of endpoint list.
@@ -78,7 +78,7 @@
 // NeverRan reports whether the outcome proves that the attempt was not executed.
 func (o Outcome) NeverRan() bool { return o == Rejected || o == ConnectFailed || o == NotSent }
 
-// EventKind tells which fields of an Event are set.
+// EventKind determines which fields of an Event are set.
 type EventKind uint8
 
 // The kinds of event, each with the fields that it sets.
@@ -119,7 +119,7 @@
 	Key           uint64 // requests of a class that is ordered by key run in order with each; 0 is none
 	Version       uint64 // of the list
 	Endpoint      EndpointID
-	Remaining     time.Duration // until the client gives this try up
+	Remaining     time.Duration // until the client's deadline for this request
 	ExpectedWork  time.Duration // expected work; 0 is unknown
 	Elapsed       time.Duration // since the attempt was sent
 	LoadReport    []float32     // in the order of Config.LoadReportNames
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -10,9 +10,9 @@
 	maxSlowness     = 10.0 // of one answer against the typical latency
 )
 
-// recordOutcome records what the end of an attempt says of its endpoint and class. A failed attempt goes
-// on holding its slot for a while, and more with each that follows, or an endpoint that errs quickly would be
-// idle always. What all endpoints fail at holds less of a slot, so that a failure of all excludes none.
+// recordOutcome updates the health of an attempt's endpoint and the averages of its class. A failed attempt
+// goes on holding its slot for a while, and more with each that follows, or an endpoint that errs quickly
+// would look idle. The higher the class's error rate the less it holds: a failure of all excludes none.
 func (b *Balancer) recordOutcome(e *endpoint, class int, outcome Outcome, elapsed time.Duration) {
 	penalty, relativeLatency := e.health.at(b.now, b.endpoints.halfLife)
 	blame := max(0, 1-2*b.stats.errorRate[class])
@@ -34,7 +34,7 @@
 	}
 	typical := &b.stats.typicalLatency[class]
 	took := elapsed.Seconds()
-	if outcome == OK || outcome == Timeout && took > *typical { // one cut shorter by its client says nothing
+	if outcome == OK || outcome == Timeout && took > *typical { // a shorter time-out is no evidence
 		relativeLatency = moveTowards(relativeLatency, min(took / *typical, maxSlowness), latencyGain)
 		*typical = moveTowards(*typical, took, averageGain)
 	}
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -2,17 +2,17 @@
 
 // This file holds what a host sets and reads between events.
 
-// noPart is the divisor for a replica that has no part of what all replicas divide.
-const noPart = 1 << 30
+// noFraction is the divisor for a replica that has no part yet of what all replicas divide: it leaves practically 0.
+const noFraction = 1 << 30
 
-// SetLimits replaces what the deployment allows, from the next event on. What the Balancer has learnt stays.
+// SetLimits replaces what the deployment allows, from the next event on. Limit, averages and health stay.
 // Figures that are missing get New's defaults.
 func (b *Balancer) SetLimits(limits Limits) {
 	limits.complete()
 	b.cfg.Limits = limits
 }
 
-// SetSiblings sets how many other Balancers stand at this one's place, as two processes of one proxy do at an
+// SetSiblings sets how many other Balancers serve as the same replica, as two processes of one proxy do at an
 // upgrade, and how many attempts they have in flight: the limit is for all of them together, and so are quotas
 // and warm-up budgets.
 func (b *Balancer) SetSiblings(others, inFlight int) {
@@ -26,7 +26,7 @@
 	count = max(count, 1)
 	index = min(max(index, 0), count-1)
 	if alive <= 0 {
-		alive = noPart
+		alive = noFraction
 	}
 	b.division.replicas = alive
 	if index != b.cfg.ReplicaIndex || count != b.cfg.ReplicaCount {
@@ -36,8 +36,8 @@
 	}
 }
 
-// Penalize says that several replicas found an endpoint bad: it ranks behind its peers for a while, as if
-// attempts of this replica had failed. It never makes usable one that is not.
+// Penalize lowers an endpoint's rank for a while, as if attempts of this replica had failed: several replicas have
+// found it bad. It never makes usable one that is not.
 func (b *Balancer) Penalize(id EndpointID) {
 	e := b.endpoints.byID[id]
 	if e == nil || !b.endpoints.usable(e, b.now) {
--- a/balancer/keyorder.go
+++ b/balancer/keyorder.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// enqueue has r wait behind the requests with its key, for as long as it can be answered in time.
+// enqueue appends r to the queue of its key, where it waits for as long as it can be answered in time.
 func (b *Balancer) enqueue(r *request, key uint64) {
 	r.key = key
 	r.startBy = r.deadline - b.minTime(r)
--- a/balancer/limiter.go
+++ b/balancer/limiter.go
@@ -13,18 +13,18 @@
 	maxSamples         = 256   // in a window
 	overdueShare       = 0.6   // of the busy endpoints that must have an attempt beyond Lmax in flight
 	windowPercentile   = 60    // above the median, yet slow or hung endpoints and chance hardly move it
-	lmaxShare          = 0.6   // Lmax at the front: the rest is kept for what queues next,
-	lmaxShareInTime    = 0.55  // and more of it where late answers are worth nothing: jams cost all then
+	lmaxShare          = 0.6   // Lmax at the front: the remainder is a reserve for queueing that comes next
+	lmaxShareInTime    = 0.55  // the same where late answers have no value: congestion loses all of it then
 	backoffRatio       = 0.9   // a cut; windows are short, and several in one objective still fall fast
 	minBackoff         = 0.5   // of the cuts for several windows at once
 	maxSlots           = 10.0  // maxConcurrencyLimit an endpoint: on calm days it must not bind
-	initialSlots       = 8.0   // initialConcurrencyLimit an endpoint: more is for when peers are away,
-	initialSlotsInTime = 4.0   // and less where late answers are worth nothing: a start that jams loses all
+	initialSlots       = 8.0   // initialConcurrencyLimit an endpoint: more is for when peers are away
+	initialSlotsInTime = 4.0   // the same where late answers have no value: a congested start loses all of it
 	minSlots           = 1.0   // minConcurrencyLimit an endpoint: less would leave endpoints idle
 	maxStep            = 0.1   // growth is 1, or this part of the ceiling if less: many replicas grow at once
-	burstAllowance     = 3.0   // attempts above the limit that chance may bunch,
-	maxDebt            = 8.0   // and, in limits below 1, that may be owed;
-	creditWindow       = 0.25  // paid back over this many objectives: on average the limit holds
+	burstAllowance     = 3.0   // attempts above the limit that a random burst may reach
+	maxDebt            = 8.0   // attempts that may be overdrawn where the limit is below 1
+	creditWindow       = 0.25  // objectives over which credit is paid back: on average the limit holds
 )
 
 // limiter bounds the attempts in flight to the next tier by one AIMD limit. Once endpoints are known,
@@ -35,7 +35,7 @@
 	initialSlots           float64
 	objective              time.Duration // the shortest of a class
 
-	burstCredit float64 // slots unused of late, negative if overdrawn
+	burstCredit float64 // slots unused recently, negative if overdrawn
 	creditAt    time.Duration
 	window      sampleWindow
 	windowEnd   time.Duration
@@ -97,7 +97,7 @@
 func (l *limiter) sampleOverdue(now time.Duration, attempts *attemptTable) {
 	attempts.markLate(now, l.lmax)
 	if float64(attempts.lateEndpoints) > overdueShare*float64(attempts.busyEndpoints) {
-		l.window.fill(attempts.youngestLate(now, l.window.room()))
+		l.window.fill(attempts.youngestLate(now, l.window.free()))
 	}
 }
 
--- a/balancer/quota.go
+++ b/balancer/quota.go
@@ -13,8 +13,8 @@
 	expiresAt time.Duration
 }
 
-// rate is how many requests a second this replica may admit of a quota that is its place's part of whole, where
-// equal is the part of each replica if SetQuota has said nothing.
+// rate is how many requests a second this process may admit of a tenant's quota. whole is the quota divided among the
+// processes of a replica; equal is whole divided among the replicas, which holds until SetQuota is called.
 func (q *tenantQuota) rate(now time.Duration, whole, equal float64) float64 {
 	switch {
 	case !q.set:
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -7,9 +7,9 @@
 	objectiveMargin  = 0.97 // attempts end shortly before the objective where later answers are worth nothing
 	minTimeShare     = 0.3  // with less time left than this part of the typical latency nothing is sent
 	idempotencyShare = 0.9  // of the window is used: what counts is when a repeat arrives
-	quickErrorShare  = 0.25 // an error within this part of the typical latency was not made deeper down
-	minRetryAfter    = 0.25 // in latency objectives: half of one away the limit has had time to move,
-	retryAfterSpread = 0.5  // and the spread keeps clients apart
+	quickErrorShare  = 0.25 // an error within this part of the typical latency comes from the tier itself
+	minRetryAfter    = 0.25 // in latency objectives: the limit needs about half of one to adapt
+	retryAfterSpread = 0.5  // jitter, in latency objectives: clients must not come back all at once
 )
 
 // requestArrived sends a new request, sheds it or lets it wait for its key.
@@ -83,7 +83,7 @@
 	return true
 }
 
-// attemptEnded records how an attempt ended and, if an answer is still owed, tries again or gives it.
+// attemptEnded records how an attempt ended and, if an answer is still owed, sends another or answers.
 func (b *Balancer) attemptEnded(event *Event) {
 	r := b.requests[event.Request]
 	if r == nil || !r.open || event.Attempt != len(r.attempts)-1 {
@@ -110,15 +110,15 @@
 	b.advance(r.key)
 }
 
-// latencySample returns what an attempt of r that has ended says of the tier's latency, if anything.
+// latencySample returns the sample that an ended attempt of r gives of the tier's latency, if any.
 func (b *Balancer) latencySample(r *request, o Outcome, elapsed time.Duration) (time.Duration, bool) {
 	objective := r.class.LatencyObjective
 	switch o {
 	case OK:
 		return elapsed, true
-	case Timeout, Cancelled: // cut short, it says something beyond Lmax only
+	case Timeout, Cancelled: // cut short: a lower bound of the latency, useful beyond Lmax only
 		return elapsed, float64(elapsed) > b.limiter.lmax*float64(objective)
-	case Error: // if a deeper tier has shed it, that asks for a cut here
+	case Error: // if a deeper tier has shed it, the limit must be cut here
 		quick := quickErrorShare * b.stats.typicalLatency[r.classIndex]
 		return max(elapsed, objective), elapsed.Seconds() > quick
 	case ConnectFailed:
--- a/balancer/samples.go
+++ b/balancer/samples.go
@@ -11,18 +11,18 @@
 	count  int // samples since the last reset, also those overwritten
 }
 
-// addLatency puts in a latency of an attempt whose class has an objective.
+// addLatency adds a latency, scaled by the latency objective of the attempt's class.
 func (w *sampleWindow) addLatency(latency, objective time.Duration) {
 	w.values[w.count%maxSamples] = float64(latency) / float64(objective)
 	w.count++
 }
 
-// room is how many more fit in before the oldest are overwritten.
-func (w *sampleWindow) room() int { return max(maxSamples-w.count, 0) }
+// free is how many more fit in before the oldest are overwritten.
+func (w *sampleWindow) free() int { return max(maxSamples-w.count, 0) }
 
-// fill puts in as many latencies as there is room for, which is none once the oldest are overwritten.
+// fill adds latencies as long as no sample is overwritten.
 func (w *sampleWindow) fill(latencies []float64) {
-	if w.room() == 0 {
+	if w.free() == 0 {
 		return
 	}
 	w.count += copy(w.values[w.count:], latencies)
--- a/balancer/samples_test.go
+++ b/balancer/samples_test.go
@@ -18,8 +18,8 @@
 	for range maxSamples {
 		w.addLatency(time.Second, time.Second)
 	}
-	if w.room() != 0 {
-		t.Errorf("room for %d in a full window", w.room())
+	if w.free() != 0 {
+		t.Errorf("room for %d in a full window", w.free())
 	}
 	for range maxSamples {
 		w.addLatency(2*time.Second, time.Second)
@@ -52,7 +52,7 @@
 		t.Errorf("%d samples up to %v, want %d up to 3", w.count, w.percentile(100), maxSamples)
 	}
 	w.reset()
-	if w.count != 0 || w.room() != maxSamples {
+	if w.count != 0 || w.free() != maxSamples {
 		t.Errorf("%d samples after a reset", w.count)
 	}
 }
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -80,7 +80,7 @@
 func (sim *simulation) isDrained(s Endpoint) bool {
 	start, ok := sim.drained[s.ID]
 	return ok && s.StartedAt <= start &&
-		float64(sim.now-sim.drainedAt[s.ID]) < rememberPeriods*float64(sim.cfg.Contract.WarmUpPeriod)
+		float64(sim.now-sim.drainedAt[s.ID]) < retentionPeriods*float64(sim.cfg.Contract.WarmUpPeriod)
 }
 
 // finish takes a request that is answered and has no attempt in flight from the queue of its key.
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -6,11 +6,11 @@
 const (
 	maxRestoredRate    = 1e9 // attempts a second
 	maxRestoredLatency = 1e6 // seconds
-	observedSpans      = 100 // warm-up periods over which a restored rate counts as observed
+	observedSpans      = 100 // warm-up periods for which a restored rate counts as observed already
 )
 
-// Snapshot is what a Balancer has learnt of its tier, so that the next one at its place need not learn it
-// again. Slices are by class.
+// Snapshot is what a Balancer has learnt of its tier, so that the process that replaces it at an upgrade need not
+// learn it again. Slices are by class.
 type Snapshot struct {
 	Limit          float64   `json:"Limit"` // on attempts in flight
 	Rate           float64   `json:"Rate"`  // attempts served a second
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	subsetPerSlot = 0.7  // endpoints that a replica keeps to, for each attempt of its first limit,
-	minSubset     = 2.0  // but no fewer than these: all replicas that keep to one can fill it
-	minZoneShare  = 0.17 // of the endpoints that a zone must have for its replicas to keep to them
+	subsetPerSlot = 0.7  // endpoints in the subset, for each attempt of the first limit
+	minSubset     = 2.0  // endpoints in the subset at least: replicas that share a single one can fill it
+	minZoneShare  = 0.17 // of all endpoints that a zone must have for its replicas to stay in the zone
 )
 
-// chooseSubset chooses the endpoints that this replica keeps to, and bounds the limit by its part of all.
+// chooseSubset chooses the endpoints that this replica prefers, and bounds the limit by its part of all.
 func (b *Balancer) chooseSubset() {
 	if part := b.endpoints.chooseSubset(b.now); part > 0 { // else what the limit has learnt stays
 		b.limiter.resize(part)
 	}
 }
 
-// chooseSubset chooses the endpoints that this replica keeps to: many replicas that each meet all would not
-// know their health. All derive one ring of a zone's endpoints, each its place by ReplicaIndex: its subset is
-// that up to the next place at least. It returns the endpoints a replica. Harm: late lists shift places.
+// chooseSubset chooses the endpoints that this replica prefers: of many replicas that use all, none would
+// know their health. All derive one ring of a zone's endpoints; ReplicaIndex gives a subset's start, and it
+// goes at least up to the next one's. It returns the endpoints a replica. Harm: late lists shift starts.
 func (s *endpointSet) chooseSubset(now time.Duration) (part float64) {
 	defer s.rebuildIndex(now)
 	var all, local []*endpoint
--- a/balancer/warmup.go
+++ b/balancer/warmup.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	warmUpSafety = 0.5  // part of the budget used: the estimate is rough and chance bunches attempts
+	warmUpSafety = 0.5  // part of the budget used: the estimate is rough and attempts come in random bursts
 	savedShare   = 0.25 // of the budget of a period that is saved beyond an attempt
 	minObserved  = 0.01 // part of its span over which the rate of attempts served counts as observed, at least
 )
