--- a/proxy/activity.go
+++ b/proxy/activity.go
@@ -8,7 +8,7 @@
 )
 
 // maxAttemptResults bounds the attempts' results that wait for the fleet's next observation;
-// beyond it further ones would say nothing that these don't.
+// further ones would add no evidence.
 const maxAttemptResults = 4096
 
 // activity is what a pool records for the fleet. The pool's mutex guards it. Methods of
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -19,7 +19,7 @@
 	timeout   time.Duration // from its last byte on, of a request that streams
 }
 
-// startAttemptLocked starts the attempt that an action asks for.
+// startAttemptLocked starts the attempt of a Send action.
 func (c *core) startAttemptLocked(action *balancer.Action) {
 	r := c.requests.open[action.Request]
 	if r == nil {
--- a/proxy/budget.go
+++ b/proxy/budget.go
@@ -31,7 +31,7 @@
 	sockets      budget
 	bodies       budget // bytes
 	openRequests budget
-	work         budget // of the present span: nothing is given back, it begins anew
+	work         budget // used in the present span; never given back, each span starts from 0
 
 	// trimIdle closes up to n idle connections to endpoints; nil until the pool has some.
 	trimIdle atomic.Pointer[func(n int)]
--- a/proxy/core.go
+++ b/proxy/core.go
@@ -14,8 +14,8 @@
 	"ryerill/upstream"
 )
 
-// core is a pool. It stands between sockets and decisions and knows no protocol: what
-// happens becomes events, the Balancer decides them, and the core executes the actions.
+// core is a pool. It connects sockets with decisions and knows no protocol: it turns what
+// happens into events, has the Balancer decide them, and executes the actions.
 //
 // One mutex guards the Balancer and all that belongs to its decisions. Actions
 // are executed in order before it is released, so none of them may block.
@@ -52,7 +52,7 @@
 	clock     clock
 	counters  *counters
 	overrides override.Set
-	// refetch has discovery asked for the whole list, whatever is known: the known list of a
+	// refetch requests the whole list from discovery even where one is known: the known list of a
 	// second process of a proxy may be as old as the first one.
 	refetch bool
 	shared  bool // activity is recorded for the fleet
@@ -94,7 +94,7 @@
 	if cfg.CountsDiscoverySocket {
 		c.resources.sockets.used.Add(1) // of its guarantee: no other pool can have it
 	}
-	kind := balancer.ListFull // the configuration's own list is all there is
+	kind := balancer.ListFull // without discovery the configuration's list is complete
 	known := cfg.KnownEndpoints
 	if cfg.Discovery != "" {
 		kind = balancer.ListCached
@@ -125,7 +125,7 @@
 func (c *core) Classes() *downstream.PoolClasses { return &c.classes }
 
 // ReserveBody implements [downstream.Service].
-func (c *core) ReserveBody(bytes int) (give func(), ok bool) {
+func (c *core) ReserveBody(bytes int) (release func(), ok bool) {
 	if !c.resources.bodies.Take(bytes) {
 		return nil, false
 	}
@@ -166,8 +166,8 @@
 }
 
 // drain ends a pool that no route leads to any more, once all its requests have their results,
-// after the timeout at the latest. What its attempts still hold then they
-// give back at their own deadlines.
+// after the timeout at the latest. Attempts that are still in flight then release what they
+// hold at their own deadlines.
 func (c *core) drain(timeout time.Duration) {
 	c.mu.Lock()
 	c.requests.drain()
--- a/proxy/decisions.go
+++ b/proxy/decisions.go
@@ -56,7 +56,7 @@
 	return true
 }
 
-// decide asks the Balancer. Should the decision code panic over one
+// decide has the Balancer decide. Should the decision code panic over one
 // event, the others still deserve a result: a request that it could not
 // decide fails at once, and any other is answered when its time is over.
 func (l *decisionLoop) decide(event *balancer.Event) {
--- a/proxy/discovery.go
+++ b/proxy/discovery.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// start opens the client that a pool's configuration asks for. It watches the list until stop.
+// start opens the discovery client if the configuration names a discovery service. It watches the list until stop.
 func (w *discoveryWatch) start(cfg *config.Pool, known discovery.EndpointList, buffers *buffer.Pool, c *core) {
 	if cfg.Discovery == "" {
 		w.markListed()
--- a/proxy/endpoints.go
+++ b/proxy/endpoints.go
@@ -13,8 +13,8 @@
 	"ryerill/override"
 )
 
-// maxNames bounds the endpoint names that a pool remembers as once listed,
-// beyond those that are.
+// maxNames bounds the names of formerly listed endpoints that a pool keeps, so that
+// operators can take one down that is not listed now.
 const maxNames = 4096
 
 // listedEndpoint is an endpoint of the list.
@@ -25,12 +25,12 @@
 	listed  balancer.Endpoint // as the list has it
 	current balancer.Endpoint // the same under the overrides, as the Balancer has it
 
-	// ready says that requests may be sent: by the list and by the overrides. Attempts look
-	// at it without the pool's mutex.
+	// ready is whether requests may be sent, by the list and by the overrides. Attempts read
+	// it without the pool's mutex.
 	ready atomic.Bool
 }
 
-// override lays overrides over what the list says.
+// override applies overrides to the listed state.
 func (e *listedEndpoint) override(overrides override.Set) {
 	e.current = overrides.Apply(e.name, e.listed)
 	e.ready.Store(e.current.State == balancer.Ready)
@@ -47,8 +47,8 @@
 	return endpointTable{byID: make(map[balancer.EndpointID]*listedEndpoint), names: make(map[string]struct{})}
 }
 
-// addName remembers a name that is listed. At the bound those that are not listed any
-// more are forgotten, which must be rare, however many are listed.
+// addName records a name that is listed. At the bound the names that are not listed any
+// more are removed: a scan of all endpoints, which must be rare however many are listed.
 func (t *endpointTable) addName(name string) {
 	if len(t.names) >= maxNames+2*len(t.byID) {
 		clear(t.names)
@@ -59,7 +59,7 @@
 	t.names[name] = struct{}{}
 }
 
-// suspend has nothing sent to any endpoint until it is listed again.
+// suspend prevents requests to each endpoint until it is listed again.
 func (t *endpointTable) suspend() {
 	for _, e := range t.byID {
 		e.ready.Store(false)
@@ -67,8 +67,8 @@
 }
 
 // get returns the endpoint of a name at an address, a new one if there is none. An
-// attempt on its way to an address that the name had before is not sent: it would
-// reach whoever has that address now. An empty address is any.
+// attempt that has not yet been sent to the name's former address is not sent any more:
+// another endpoint may have that address now. An empty address matches any.
 func (t *endpointTable) get(name, address string) *listedEndpoint {
 	id := endpointID(name)
 	e := t.byID[id]
@@ -160,8 +160,8 @@
 	}
 }
 
-// setOverrides lays new overrides over the list. From here on nothing is sent to
-// endpoints that are down.
+// setOverrides applies new overrides to the list. From then on attempts to endpoints that are
+// down fail their last check before the first byte, MaySend.
 func (c *core) setOverrides(overrides override.Set) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/proxy/processes.go
+++ b/proxy/processes.go
@@ -178,7 +178,7 @@
 	return poolState{InFlight: inFlight, Learnt: c.decisions.balancer.Snapshot()}
 }
 
-// setSiblings states how many other processes serve in this proxy's place, and what they have in flight.
+// setSiblings sets how many other processes serve as this replica, and how many attempts they have in flight.
 func (c *core) setSiblings(siblings, inFlight int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -71,12 +71,12 @@
 // Option changes how a proxy is made.
 type Option func(*Proxy)
 
-// WithLogger makes the proxy log to log, which must not block, in place of
+// WithLogger makes the proxy log to log, which must not block, instead of
 // slog's default.
 func WithLogger(log *slog.Logger) Option { return func(p *Proxy) { p.log = log } }
 
 // WithProcessShare makes the proxy report which part of the machine's memory is its own:
-// less than 1 while another process of the same proxy lives. The function must not block.
+// less than 1 while another process of the same proxy is running. The function must not block.
 func WithProcessShare(share func(part float64)) Option {
 	return func(p *Proxy) { p.processes.onShare = share }
 }
@@ -85,7 +85,7 @@
 func WithProgram(version string) Option { return func(p *Proxy) { p.version = version } }
 
 // WithRollouts has the proxy take part in its fleet's rollouts: change brings settings
-// into force here, parsePlan reads a plan that a person hands over.
+// into force here, parsePlan parses a plan that an operator submits.
 func WithRollouts(change fleet.ChangeFunc, parsePlan func(text []byte) (rollout.Plan, error)) Option {
 	return func(p *Proxy) { p.rollouts = rollouts{change: change, parsePlan: parsePlan} }
 }
@@ -186,8 +186,8 @@
 	return p.admin.Address()
 }
 
-// Readiness implements [admin.Controller]. A drain is no reason against a second process while
-// the first one lives: it is ready to take over what that has, the drain among it.
+// Readiness implements [admin.Controller]. A drain does not make a second process unready while
+// the first one runs: it is ready to take over the first one's state, including its drain.
 func (p *Proxy) Readiness() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/proxy/reload.go
+++ b/proxy/reload.go
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// present returns the listener that listens where a configuration says, if no other entry has it.
+// present returns the listener that listens already at an entry's address, if no other entry has it.
 // Only a reload changes the proxy's listeners while it runs, so they can be read without its mutex.
 func (r *reload) present(entry config.Listener) *listener {
 	anyPort := strings.HasSuffix(entry.Address, ":0") // each is another address: the name decides
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -10,12 +10,12 @@
 	"ryerill/message"
 )
 
-// maxUpload bounds how long the rest of a request may take to come in. The
-// listener ends it long before, by the pace at which it comes.
+// maxUpload bounds how long the remainder of a request may take to be received. The
+// listener ends a slow one long before, by its pace.
 const maxUpload = time.Hour
 
-// retryAfterFull is when to come back to a pool that has as many requests open as it
-// may have: what is lent is divided anew many times in it.
+// retryAfterFull is the advice to clients of a pool that has no allowance left for another
+// request: in this time the resources are rebalanced many times.
 const retryAfterFull = 500 * time.Millisecond
 
 // noTicket is the ticket of a request that was answered at once: the Balancer's ids begin at 1.
@@ -28,8 +28,8 @@
 	deadline time.Time // the client gives up
 	attempts []*attempt
 	inFlight int  // attempts
-	done     bool // it has its result, or nobody waits for one
-	received bool // its last byte is in
+	done     bool // it has its result, or its client has left
+	received bool // its last byte has been received
 	// expiry answers the request should no decision come in time, whatever the reason.
 	expiry *time.Timer
 }
@@ -63,7 +63,7 @@
 	return true
 }
 
-// drain says that no new requests come.
+// drain has drained closed once the table is empty. No request may be added afterwards.
 func (t *requestTable) drain() {
 	t.draining = true
 	t.checkDrained()
@@ -156,8 +156,8 @@
 	c.releaseLocked(r)
 }
 
-// replyLocked gives a request its final result, unless it has had one or nobody
-// waits for it. It reports whether it did.
+// replyLocked gives a request its final result, unless it has had one or its client
+// has left. It reports whether it did.
 func (c *core) replyLocked(r *openRequest, result message.Result) bool {
 	if r == nil || r.done {
 		return false
@@ -176,7 +176,7 @@
 	return true
 }
 
-// receivedLocked records that a request's last byte is in.
+// receivedLocked records that a request's last byte has been received.
 func (c *core) receivedLocked(r *openRequest) {
 	if !r.received {
 		r.received = true
@@ -184,8 +184,8 @@
 	}
 }
 
-// recordEnd counts the one end of a request. The mutex is held, but where a response has
-// passed through.
+// recordEnd counts the end of a request, once. The mutex is held, except at the end of a
+// streamed response.
 func (c *core) recordEnd(r *openRequest, kind message.ResultKind) {
 	if r.received {
 		c.counters.inFlight.Add(-1)
@@ -211,7 +211,7 @@
 	c.requests.checkDrained()
 }
 
-// trackedStream is the rest of a response as it is passed on.
+// trackedStream counts the bytes of a streamed response as it is passed on.
 type trackedStream struct {
 	io.ReadCloser
 	bytes int
@@ -226,7 +226,7 @@
 	return n, err
 }
 
-// endWithStream counts a request whose response has begun to pass through at the response's end.
+// endWithStream has a request whose response is streamed counted at the end of that stream.
 func (c *core) endWithStream(r *openRequest, response *message.Response) {
 	stream := &trackedStream{ReadCloser: response.Stream}
 	response.Stream = stream
--- a/proxy/resources.go
+++ b/proxy/resources.go
@@ -71,9 +71,9 @@
 	return r.pools[name]
 }
 
-// claim states what the pools are owed from now on, and reports false if that
-// can't be. Pools that had a claim and have none now go on with what is left
-// until [resources.release]. Guarantees of new pools come with the next rebalancings.
+// claim replaces the claims of the pools, and reports false if their guarantees exceed the
+// machine's resources. Pools that had a claim and have none now keep what others leave
+// until [resources.release]. Guarantees of new pools take effect with the next rebalancings.
 func (r *resources) claim(pools []config.Pool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,7 +110,7 @@
 	r.setClaimsLocked()
 }
 
-// release says that a pool that left has nothing open any more.
+// release removes a pool that has left and has nothing open any more.
 func (r *resources) release(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -235,7 +235,7 @@
 	}
 }
 
-// usageOf returns what a pool uses and, up to a limit, was denied since this was asked last.
+// usageOf returns what a pool uses and, up to a limit, was denied since the last call.
 func usageOf(b *budget, limit int) fairshare.Usage {
 	return fairshare.Usage{
 		Used:   int(b.used.Load()),
--- a/proxy/rollout.go
+++ b/proxy/rollout.go
@@ -18,7 +18,7 @@
 	parsePlan func(text []byte) (rollout.Plan, error)
 }
 
-// reportRefused is the command by which an operator's own means say that they could not make a
+// reportRefused is the command by which an operator's tooling reports that it could not make a
 // change. Its argument is the plan and the reason.
 const reportRefused = "refused"
 
--- a/proxy/router.go
+++ b/proxy/router.go
@@ -11,8 +11,8 @@
 	"ryerill/route"
 )
 
-// router finds the pool of a request. It never changes: a reload puts another one in its
-// place, and a request that has found its pool ends there.
+// router finds the pool of a request. It is immutable: a reload replaces it, and a request
+// that has found its pool stays with that pool.
 type router struct {
 	table       *route.Table
 	targets     []routeTarget // by the table's index
--- a/proxy/statesync.go
+++ b/proxy/statesync.go
@@ -138,9 +138,9 @@
 	}
 }
 
-// evidenceOf returns what an attempt's outcome says of its endpoint, if anything: one that was cancelled
-// or never sent says nothing.
-func evidenceOf(outcome balancer.Outcome) (evidence outlier.Outcome, says bool) {
+// evidenceOf returns the evidence that an attempt's outcome gives of its endpoint, if any: one that was
+// cancelled or never sent gives none.
+func evidenceOf(outcome balancer.Outcome) (evidence outlier.Outcome, ok bool) {
 	switch outcome {
 	case balancer.OK:
 		return outlier.Succeeded, true
