--- a/downstream/conn.go
+++ b/downstream/conn.go
@@ -25,12 +25,12 @@
 	writeTimeout = 5 * time.Second  // a message is written in this time
 	watchMargin  = 30 * time.Second // a connection is watched this long beyond its request's time
 
-	// What is received after a last response is read for so long, lest the response be reset,
+	// What is received after a last response is read for this long: closing over unread bytes would reset it.
 	lingerPeriod = 500 * time.Millisecond
-	// or for so long if another connection is to have its place.
+	// An evicted connection lingers only this long: another one waits for its slot.
 	shortLingerPeriod = 5 * time.Millisecond
 
-	// A client that can't be read is looked at so often: 0.3 s after it has left nothing of it is sent on.
+	// How often a client that can't be read is polled: 0.3 s after it has left nothing of it may be sent on.
 	clientPollInterval = 100 * time.Millisecond
 )
 
@@ -44,12 +44,12 @@
 	stateIdle      connState = iota // between requests
 	stateReading                    // part of a request has been received
 	stateBusy                       // a request is open
-	stateLingering                  // its sending side is closed: what is still received is thrown away
+	stateLingering                  // its sending side is closed: what is still received is discarded
 	stateClosed
 )
 
-// conn is a connection of a client. One goroutine, serve, reads it and closes it; while a request is open this read
-// tells when the client leaves. Another goroutine writes each result.
+// conn is a connection of a client. One goroutine, serve, reads it and closes it; while a request is open its read
+// detects that the client has left. Another goroutine writes each result.
 type conn struct {
 	server     *Server
 	nc         *net.TCPConn
@@ -59,9 +59,9 @@
 	// Of the goroutine that reads:
 	readLimit    int64  // bytes that one request may still bring
 	broken       bool   // the connection itself broke, or the client has left
-	overLimit    bool   // requests are answered that there is no room
+	overLimit    bool   // requests are shed: the server has no capacity for the connection
 	http10       bool   // the client speaks HTTP/1.0
-	requestClass string // that the present request states; empty is none known
+	requestClass string // that the present request states; empty if none is known
 	pacing       bodyPacing
 
 	// Guarded by server.mu:
@@ -70,7 +70,7 @@
 	stateDeadline   time.Time // when the connection is to leave its state at the latest
 	hasRequested    bool      // it has brought a request
 	uploadAbandoned bool      // the body that is being received is not wanted any more
-	evicted         bool      // its place is given away once it ends
+	evicted         bool      // it is to end as soon as possible, unless a request has been received already
 	open            openRequest
 }
 
@@ -121,9 +121,9 @@
 	}
 }
 
-// evictLocked ends a connection that has no request open. It wakes the reader, which alone can tell that no request
-// has been received at the last moment: a request that has reached this machine counts as accepted, so closing over
-// it loses it. The server's mutex is held.
+// evictLocked ends a connection that has no request open. It wakes the reader, since only the reader knows whether a
+// request was received at the last moment: one that has reached this machine counts as accepted, and closing the
+// connection would lose it. The server's mutex is held.
 func (c *conn) evictLocked() {
 	if c.state != stateBusy && c.state != stateClosed && !c.evicted {
 		c.evicted = true
@@ -132,8 +132,8 @@
 	}
 }
 
-// Read reads from the client, no more than one request may bring. What was received before the connection was evicted,
-// or its idle time was over, is read all the same.
+// Read reads from the client, at most what one request may bring. What was received before the connection was evicted,
+// or before its idle timeout, is still read.
 func (c *conn) Read(p []byte) (int, error) {
 	if c.readLimit <= 0 {
 		return 0, io.EOF
@@ -156,8 +156,8 @@
 	return n, err
 }
 
-// readsPastDeadline reports whether what lies there is read although the deadline is over: it was, or may have been,
-// received before.
+// readsPastDeadline reports whether bytes that wait are read although the deadline is over: they were, or may
+// have been, received before it.
 func (c *conn) readsPastDeadline() bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -189,7 +189,7 @@
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	deadline := time.Now().Add(requestTimeout)
-	if !c.hasRequested { // a client that sends its first request slowly, or stops in it, is told in time
+	if !c.hasRequested { // a client that sends its first request slowly, or stops in it, must be answered in time
 		deadline = c.acceptedAt.Add(max(requestTimeout, time.Since(c.acceptedAt)+firstHeadTimeout))
 	}
 	c.enterStateLocked(stateReading, deadline)
@@ -219,8 +219,8 @@
 	return err == nil
 }
 
-// beginLingerLocked closes the sending side, and says how long what is still received is read. Nothing of it is acted
-// upon: the client has been told that this connection ends, and sends it again on another. The server's mutex is held.
+// beginLingerLocked closes the sending side, and sets how long what is still received is read. None of it is executed:
+// the last response announced the close, so the client sends it again on another connection. The server's mutex is held.
 func (c *conn) beginLingerLocked(period time.Duration) {
 	if c.state == stateLingering || c.state == stateClosed {
 		return
@@ -232,8 +232,8 @@
 	_ = c.nc.CloseWrite() // one that is broken has no sending side
 }
 
-// linger ends a connection whose client is still there: the sending side first, and the rest once the client has closed
-// its own, or in a while. Closing over bytes that have not been read would reset it, and the last response with it.
+// linger ends a connection whose client is still connected: the sending side first, the receiving side once the client
+// has closed its own, or after a timeout. Closing over unread bytes would reset it, and lose the last response.
 func (c *conn) linger() {
 	if c.broken {
 		return
@@ -259,7 +259,7 @@
 	}
 }
 
-// close closes the connection, once, and gives its place back.
+// close closes the connection, once, and frees its slot in the server.
 func (c *conn) close() {
 	c.nc.Close()
 	c.server.buffers.PutReader(c.reader)
--- a/downstream/downstream.go
+++ b/downstream/downstream.go
@@ -10,7 +10,7 @@
 	"ryerill/message"
 )
 
-// PoolClasses is what the settings of a pool say of requests: classes and tenants, by index.
+// PoolClasses is what the settings of a pool state about requests: classes and tenants, by index.
 type PoolClasses struct {
 	Classes   []string          // names
 	Deadlines []time.Duration   // by class: for requests that state none
@@ -24,7 +24,7 @@
 	message.Handler
 	Classes() *PoolClasses
 
-	// ReserveBody takes memory for a body of so many bytes at most, and returns the function that gives it back. It
+	// ReserveBody reserves memory for a body of so many bytes at most, and returns the function that releases it. It
 	// reports false if there is none now.
 	ReserveBody(bytes int) (release func(), ok bool)
 }
@@ -36,7 +36,7 @@
 	Target  string // path and query as they are sent on
 }
 
-// Router is what a server needs to know of the proxy behind it. Its methods are safe for concurrent use.
+// Router is what a server needs of the proxy. Its methods are safe for concurrent use.
 type Router interface {
 	// Find returns the route of a request that states a class, or an error of package route.
 	Find(req *http.Request, class string) (Route, error)
--- a/downstream/eviction.go
+++ b/downstream/eviction.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// A new connection is about to bring a request, and a request to be whole, for so long.
+	// For this long a new connection is expected to bring a request, and one that has begun to be received whole.
 	freshPeriod = 50 * time.Millisecond
 	// A connection that has been idle for longer may be closed at any time.
 	settledAfter = 2 * time.Second
 )
 
-// evictionRank says how well a connection can be spared; lower ranks go first.
+// evictionRank orders connections for eviction; the lowest rank is evicted first.
 type evictionRank int
 
 const (
@@ -21,8 +21,8 @@
 	notEvictable
 )
 
-// freeDescriptor frees a descriptor: one of the reserve, at once, and that of the connection that can be spared best,
-// soon. It reports whether the first is free now.
+// freeDescriptor frees a descriptor of the reserve at once, and evicts a connection, whose descriptor is free soon. It
+// reports whether the reserve had one.
 func (s *Server) freeDescriptor() bool {
 	s.mu.Lock()
 	candidate := s.evictionCandidateLocked(time.Now())
@@ -33,8 +33,8 @@
 	return s.descriptors.Lend()
 }
 
-// evictionCandidateLocked returns the connection that can be spared best, or nil. Among equals it is the one that has
-// been in its state for longest. s.mu is held.
+// evictionCandidateLocked returns the connection of the lowest eviction rank, or nil. Among equals it is the one that
+// has been in its state for longest. s.mu is held.
 func (s *Server) evictionCandidateLocked(now time.Time) (candidate *conn) {
 	lowest := notEvictable
 	for c := range s.conns {
--- a/downstream/head.go
+++ b/downstream/head.go
@@ -22,7 +22,7 @@
 	http1.HeaderDeadline,
 }
 
-// checkHead checks a request's head by its very bytes and says how its body is delimited. [http.ReadRequest] would
+// checkHead checks a request's head as received and returns how its body is delimited. [http.ReadRequest] would
 // repair what it can and drop a length beside a transfer coding: an endpoint that reads the same bytes otherwise
 // would find a second request in the body of the first.
 func checkHead(head []byte) (framing.Body, error) {
--- a/downstream/request.go
+++ b/downstream/request.go
@@ -41,7 +41,7 @@
 	text   string
 }
 
-// Error says what is wrong with the request.
+// Error implements error: it is what is wrong with the request.
 func (e *requestError) Error() string { return e.text }
 
 // retryAfter is when to come back, where that helps.
@@ -55,7 +55,7 @@
 // badRequest is a requestError of status 400.
 func badRequest(text string) error { return &requestError{http.StatusBadRequest, text} }
 
-// readHead reads the head of the next request and says how its body is delimited. An error that is not a requestError
+// readHead reads the head of the next request and how its body is delimited. An error that is not a requestError
 // means that the client broke off.
 func (c *conn) readHead() (*http.Request, framing.Body, error) {
 	c.readLimit = maxHeadBytes
@@ -103,7 +103,7 @@
 	return body, newUpload(c, source, message.MaxBody-int64(body.Len())), nil
 }
 
-// answerExpectation tells a client that waits for it that it may send the body.
+// answerExpectation answers 100 Continue to a client that waits for it before it sends the body.
 func (c *conn) answerExpectation(expectation string) error {
 	switch {
 	case expectation == "":
@@ -224,8 +224,8 @@
 	return first
 }
 
-// parse reads what the headers of a request say, by the classes of its pool. routeClass is the class of requests that
-// state none; if it is empty that is the first segment of the path.
+// parse parses the headers of a request, by the classes of its pool. routeClass is the class of requests that state
+// none; if it is empty that is the first segment of the path.
 func (p *PoolClasses) parse(req *http.Request, body *buffer.Body, routeClass string) (*message.Request, error) {
 	receivedAt := time.Now()
 	if err := checkRequestLine(req); err != nil {
@@ -293,7 +293,7 @@
 }
 
 // checkEffect requires that a request fits the effect of its class, which decides how often it may be executed: a
-// method that says otherwise can't be meant.
+// method that contradicts it must be a mistake.
 func checkEffect(effect balancer.Effect, req *http.Request, body *buffer.Body) error {
 	methodFits := false
 	switch effect {
--- a/downstream/response.go
+++ b/downstream/response.go
@@ -17,7 +17,7 @@
 // progressTimeout ends a long response of which the client takes nothing for so long.
 const progressTimeout = 10 * time.Second
 
-// headCapacity is room for the head of most responses.
+// headCapacity is the initial size of a head's buffer: enough for most responses.
 const headCapacity = 256
 
 // responseHead is the head of a response.
@@ -71,7 +71,7 @@
 	return http.StatusBadGateway
 }
 
-// writeResult writes a final result and tells the reader, over written, whether the connection goes on.
+// writeResult writes a final result and notifies the reader, over written, whether the connection goes on.
 func (c *conn) writeResult(result message.Result, id string, closes bool, stream *upload, written chan<- bool) {
 	defer result.Response.Free()
 	c.server.releaseID(id, c)
@@ -119,12 +119,12 @@
 		(body.Len() == 0 || c.writePart(body.AppendTo(nil), chunked)) &&
 		c.copyStream(rest, chunked)
 	if !whole && c.http10 {
-		_ = c.nc.SetLinger(0) // a plain end would say that this was all
+		_ = c.nc.SetLinger(0) // reset: without chunks an orderly close would make the body look complete
 	}
 	return whole
 }
 
-// copyStream writes the rest of a response as it is received. It reports whether all of it is written.
+// copyStream writes the remainder of a response as it is received. It reports whether all of it is written.
 func (c *conn) copyStream(rest io.Reader, chunked bool) bool {
 	block := c.server.buffers.Block()
 	defer c.server.buffers.PutBlock(block)
@@ -152,8 +152,8 @@
 	return err == nil
 }
 
-// writeReadiness says whether this proxy can be used. It can from its first moment on, with the endpoints known from
-// before. It reports whether the connection goes on.
+// writeReadiness answers whether this proxy is ready. It is from its start on, with the endpoints known from before. It
+// reports whether the connection goes on.
 func (c *conn) writeReadiness(closes bool) (goesOn bool) {
 	phase := c.server.phase()
 	head := responseHead{
--- a/downstream/serve.go
+++ b/downstream/serve.go
@@ -12,7 +12,7 @@
 	"ryerill/message"
 )
 
-// readyPath is where this proxy says whether it can be used.
+// readyPath is the path of the readiness check.
 const readyPath = "/ready"
 
 // serve handles the connection's requests one after another, and ends it.
@@ -75,7 +75,7 @@
 	return goesOn
 }
 
-// serveReadiness answers the question whether this proxy can be used.
+// serveReadiness answers a readiness check.
 func (c *conn) serveReadiness(req *http.Request, framed framing.Body) (goesOn bool) {
 	body, stream, err := c.readBody(req, framed)
 	if err == nil && stream != nil {
@@ -99,7 +99,7 @@
 		c.writeMessage(shed.encode(), nil)
 		return false
 	}
-	if socket.PeerClosed(c.nc) { // while its request lay here: in the listener's queue, or behind another
+	if socket.PeerClosed(c.nc) { // while its request waited in the listener's queue, or after another request
 		c.broken = true
 		return false
 	}
@@ -110,15 +110,15 @@
 	return true
 }
 
-// watchFrom has the next read tell when the client leaves, for the time that its request may take and some more.
+// watchFrom prepares the read that detects that the client has left, for the time that its request may take and more.
 func (c *conn) watchFrom(start time.Time, remaining time.Duration) {
 	c.pacing = bodyPacing{}
 	c.readLimit = maxHeadBytes
 	c.nc.SetReadDeadline(start.Add(remaining + watchMargin))
 }
 
-// awaitUpload waits until the rest of a request's body has been received: until then the connection is the upload's to
-// read. It reports false if the connection ends with it.
+// awaitUpload waits until the remainder of a request's body has been received: until then only the upload reads the
+// connection. It reports false if the connection ends with it.
 func (c *conn) awaitUpload(stream *upload, open openRequest, id string, written <-chan bool) bool {
 	for ended := false; !ended; {
 		select {
@@ -145,16 +145,16 @@
 		c.reject(err)
 		return false
 	}
-	<-written // with a close
+	<-written // the result, which announces a close
 	return false
 }
 
 // awaitResult waits until the result is written, and reports whether the connection goes on, or that the client has
-// left, which may show behind the beginning of a next request.
+// left, which may be seen only after the beginning of a next request.
 func (c *conn) awaitResult(written <-chan bool) (goesOn, clientLeft bool) {
 	if _, err := c.reader.Peek(1); err != nil {
 		c.server.mu.Lock()
-		hasResult := len(written) > 0 // a result that is written lets go of the connection after all is recorded
+		hasResult := len(written) > 0 // writeResult sends on written last, once all is recorded
 		c.server.mu.Unlock()
 		if !hasResult {
 			return false, true
--- a/downstream/server.go
+++ b/downstream/server.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// Connections beyond the limit that are told so.
+	// Connections beyond the limit that are answered 503, their requests having been read.
 	reservedConnections = 8
 	// Descriptors kept aside for when the process has no others.
 	reservedDescriptors = 2
@@ -26,7 +26,7 @@
 	// While all connections end, a new one may still bring a request for so long.
 	newConnectionGrace = 500 * time.Millisecond
 
-	overloadRetryAfter = time.Second // for clients for whom there is no connection
+	overloadRetryAfter = time.Second // advice to clients that are rejected for lack of capacity
 )
 
 // Server accepts the connections of clients and speaks HTTP/1.1 on them.
@@ -52,8 +52,8 @@
 	drainTimer  *time.Timer   // ends idle connections once that drain has come so far
 }
 
-// Listen opens the address for clients. Of the connections that it may hold, a few are kept for telling clients that
-// there is no room.
+// Listen opens the address for clients. Of the connections that it may hold, a few are reserved for answering clients
+// beyond the limit that they are shed.
 //
 // A shared address may be listened at by several processes, to which the system distributes new connections.
 func Listen(address string, maxConnections int, shared bool, buffers *buffer.Pool) (*Server, error) {
@@ -126,7 +126,7 @@
 	for {
 		nc, err := s.listener.AcceptTCP()
 		lastDescriptor := socket.OutOfDescriptors(err) && s.freeDescriptor()
-		if lastDescriptor { // for one who asks whether this proxy is ready, and to tell others that there is no room
+		if lastDescriptor { // readiness checks must be answered even now, and other requests shed
 			nc, err = s.listener.AcceptTCP()
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -141,8 +141,8 @@
 			continue
 		}
 		backoff.Reset()
-		refuse := lastDescriptor && !s.descriptors.Fill() // it may have come much later
-		s.addConn(nc, refuse)
+		shed := lastDescriptor && !s.descriptors.Fill() // others may have been closed since
+		s.addConn(nc, shed)
 	}
 }
 
@@ -214,11 +214,10 @@
 	}
 }
 
-// addConn starts a connection. At the limit another makes room; if all have requests open the new one is told so, and
-// beyond the reserve it is not even read.
-//
-// refuse says that it holds the last descriptor: then it is answered that there is no room, too.
-func (s *Server) addConn(nc *net.TCPConn, refuse bool) {
+// addConn starts a connection. At the limit another is evicted for it; if all have requests open its requests are shed,
+// and beyond the reserve it is answered unread. With shed, which means that it holds the last descriptor, its requests
+// are shed in any case.
+func (s *Server) addConn(nc *net.TCPConn, shed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	limit := s.maxConnections + reservedConnections
@@ -230,7 +229,7 @@
 		return
 	}
 	c := newConn(s, nc)
-	c.overLimit = refuse
+	c.overLimit = shed
 	if len(s.conns)-s.evicted >= s.maxConnections {
 		candidate := s.evictionCandidateLocked(c.stateSince)
 		if candidate != nil {
@@ -243,7 +242,7 @@
 	go c.serve()
 }
 
-// refuseUnread answers a connection that there is no room, and closes it.
+// refuseUnread sheds a connection without reading its request, and closes it.
 func refuseUnread(nc *net.TCPConn) {
 	nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	refusal := responseHead{status: http.StatusServiceUnavailable, retryAfter: overloadRetryAfter, closes: true}
@@ -254,7 +253,7 @@
 }
 
 // claimID records that a request with this id is open. It reports false if another one is: ids are fresh on every
-// request, and endpoints tell requests by them.
+// request, and endpoints identify requests by them.
 func (s *Server) claimID(id string, c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/downstream/upload.go
+++ b/downstream/upload.go
@@ -29,7 +29,7 @@
 	return p.began.Add(bodyGrace + time.Duration(earned))
 }
 
-// upload is the rest of a long body while it is received. Until it has ended, whoever reads it reads the connection.
+// upload is the remainder of a long body while it is received. Until it has ended only its reader reads the connection.
 type upload struct {
 	conn      *conn
 	body      io.Reader
@@ -37,11 +37,11 @@
 
 	// mu guards what follows. The server's mutex may be taken while it is held.
 	mu        sync.Mutex
-	consumed  bool
-	reading   bool
-	abandoned bool
+	consumed  bool          // part of it has been read: the request can't be sent again
+	reading   bool          // a Read is under way
+	abandoned bool          // it is not wanted any more: the Read under way ends it
 	err       error         // why it has ended; io.EOF is its end
-	ended     chan struct{} // closed then
+	ended     chan struct{} // closed once err is set
 }
 
 func newUpload(c *conn, body io.Reader, remaining int64) *upload {
@@ -72,7 +72,7 @@
 	return n, err
 }
 
-// beginRead records that somebody reads, or returns why the upload has ended.
+// beginRead records that a Read is under way, or returns why the upload has ended.
 func (u *upload) beginRead() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -91,7 +91,7 @@
 	return u.consumed
 }
 
-// isUnread reports whether nobody reads it now: its end would go unnoticed.
+// isUnread reports whether no Read is under way, so that the client's leaving would not be noticed.
 func (u *upload) isUnread() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -104,7 +104,7 @@
 	close(u.ended)
 }
 
-// abandon ends the upload, whoever reads it, and reports whether all of it had been received.
+// abandon ends the upload, also while it is read, and reports whether all of it had been received.
 func (u *upload) abandon() (whole bool) {
 	u.mu.Lock()
 	switch {
