--- a/downstream/conn.go
+++ b/downstream/conn.go
@@ -49,7 +49,7 @@
 )
 
 // conn is a connection of a client. One goroutine, serve, reads it and closes it; while a request is open its read
-// detects that the client has left. Another goroutine writes each result.
+// detects that the client has left. Another goroutine writes each result, and closes the socket behind a truncated one.
 type conn struct {
 	server     *Server
 	nc         *net.TCPConn
@@ -220,7 +220,7 @@
 }
 
 // beginLingerLocked closes the sending side, and sets how long what is still received is read. None of it is executed:
-// the last response announced the close, so the client sends it again on another connection. The server's mutex is held.
+// the last response announced the close, so the client sends it again elsewhere. The server's mutex is held.
 func (c *conn) beginLingerLocked(period time.Duration) {
 	if c.state == stateLingering || c.state == stateClosed {
 		return
--- a/downstream/serve.go
+++ b/downstream/serve.go
@@ -154,7 +154,7 @@
 func (c *conn) awaitResult(written <-chan bool) (goesOn, clientLeft bool) {
 	if _, err := c.reader.Peek(1); err != nil {
 		c.server.mu.Lock()
-		hasResult := len(written) > 0 // writeResult sends on written last, once all is recorded
+		hasResult := len(written) > 0 // writeResult sends before it unlocks the mutex
 		c.server.mu.Unlock()
 		if !hasResult {
 			return false, true
--- a/upstream/attempt.go
+++ b/upstream/attempt.go
@@ -21,10 +21,10 @@
 	// WriteDeadline is when the last byte of the request has to be written; zero is no bound. A request part of whose
 	// body is still to be received may take longer.
 	WriteDeadline time.Time
-	MaySend       func() bool // asked right before the first byte is written
+	MaySend       func() bool // called right before the first byte is written; false prevents that
 
-	// OnWritten is called once the last byte is written, and returns until when to wait from then on; zero is as
-	// before. It may be nil.
+	// OnWritten is called once the last byte is written, and returns the new deadline; zero keeps the present one. It
+	// may be nil.
 	OnWritten func() time.Time
 
 	// mu guards what follows.
@@ -62,7 +62,7 @@
 	}
 }
 
-// lastWrite is until when the last byte of the request may be written.
+// lastWrite is the time by which the last byte of the request must be written.
 func (a *Attempt) lastWrite() time.Time {
 	if !a.WriteDeadline.IsZero() && a.WriteDeadline.Before(a.Deadline) {
 		return a.WriteDeadline
@@ -122,8 +122,8 @@
 	return !a.cancelled && conn.SetDeadline(a.lastWrite()) == nil
 }
 
-// release keeps Cancel away from a connection that the attempt does not hold any more, which may be another attempt's
-// already.
+// release detaches the attempt from its connection, which may soon be another attempt's: Cancel must not end that. It
+// reports whether the attempt was cancelled.
 func (a *Attempt) release() (cancelled bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -30,9 +30,9 @@
 	endErr      error // what ended the receiving side; nil while it goes on
 }
 
-// Read reads from the endpoint. The system reports a reset once, to whoever reads or looks first, and a plain end from
-// then on, which would make a truncated response that states no length look whole: what ended the connection first ends
-// every read.
+// Read reads from the endpoint. The system reports a reset once, to the first read or peek, and an orderly end
+// afterwards, which would make a truncated response that states no length look whole. So the first error is kept for
+// all reads.
 func (c *conn) Read(b []byte) (int, error) {
 	if c.endErr != nil {
 		return 0, c.endErr
@@ -54,7 +54,7 @@
 }
 
 // isUsable reports whether a connection that was idle may carry a request: nothing has been received on it, neither
-// bytes that no request asked for nor its end.
+// unsolicited bytes nor its end.
 func (c *conn) isUsable(maxIdle time.Duration) bool {
 	return time.Since(c.idleSince) < maxIdle && c.peek() == socket.Quiet
 }
--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -33,8 +33,8 @@
 		}
 		return balancer.ConnectFailed, nil
 	}
-	// A dial takes its time: MaySend is asked again, since the rule on drains counts from a request's first byte, and
-	// so is whether the attempt is still wanted.
+	// A dial takes time. The rule on drains counts from a request's first byte, so beginWrite checks MaySend only now,
+	// and whether the attempt was cancelled or is too late.
 	if !a.hold(conn) || !a.beginWrite() {
 		cancelled := a.release()
 		if cancelled {
@@ -83,7 +83,7 @@
 	case uploadBroke:
 		return balancer.NotSent, nil, false
 	case answeredEarly:
-		// How long the whole request would have been waited for means nothing now.
+		// The deadline was for an answer to the whole request, which is never written now.
 		if limit := time.Now().Add(progressTimeout); limit.Before(a.Deadline) {
 			a.Deadline = limit
 		}
@@ -98,8 +98,8 @@
 	return p.readResponse(conn, a, written == writtenWhole)
 }
 
-// readResponse reads the response behind any interim ones. requestWhole says that the whole request was written,
-// without which the connection can't be used again.
+// readResponse reads the final response, after any interim ones. requestWhole is whether the whole request was written:
+// otherwise the connection can't be used again.
 func (p *Pool) readResponse(
 	conn *conn, a *Attempt, requestWhole bool,
 ) (outcome balancer.Outcome, response *message.Response, reusable bool) {
@@ -160,8 +160,8 @@
 	return reusable && conn.reader.Buffered() == 0
 }
 
-// isOwnFault reports whether a connection could not be opened for want of something here: that says nothing of the
-// endpoint.
+// isOwnFault reports whether a connection could not be opened for lack of a resource of this machine, which is no
+// evidence against the endpoint.
 func isOwnFault(err error) bool {
 	return errors.Is(err, errNoDescriptor) || socket.OutOfDescriptors(err) || errors.Is(err, syscall.EADDRNOTAVAIL)
 }
--- a/upstream/head.go
+++ b/upstream/head.go
@@ -9,7 +9,7 @@
 	"ryerill/message"
 )
 
-// headCapacity is room for the head of most requests.
+// headCapacity is the initial size of a head's buffer: enough for most requests.
 const headCapacity = 512
 
 // encodeHead writes the head of a request that may take up to remaining. Method, target and headers are passed on
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -19,7 +19,7 @@
 	minSweepInterval = 100 * time.Millisecond
 )
 
-// errNoDescriptor says that as many connections are open as the budget allows and none of them is idle.
+// errNoDescriptor means that as many connections are open as the budget allows and none of them is idle.
 var errNoDescriptor = errors.New("no descriptor for another connection to an endpoint")
 
 // Budget is what a pool may use of a resource of the machine. Its methods are safe for concurrent use and don't block.
--- a/upstream/response.go
+++ b/upstream/response.go
@@ -18,7 +18,7 @@
 const maxHoldBack = 300 * time.Millisecond
 
 // readBody reads the body of a success: whole if it is short, else its beginning, and the connection goes with the
-// stream of what follows. persistent says that the connection can be used again behind the body.
+// stream of what follows. persistent is whether the connection can be used again after the body.
 func (p *Pool) readBody(
 	conn *conn, a *Attempt, header http.Header, framed framing.Body, persistent bool,
 ) (outcome balancer.Outcome, response *message.Response, reusable bool) {
@@ -89,12 +89,12 @@
 	}
 }
 
-// download is the rest of a response's body. It holds the connection until Close.
+// download is the remainder of a response's body. It holds the connection until Close.
 type download struct {
 	pool       *Pool
 	conn       *conn
 	body       io.Reader
-	persistent bool  // the connection may be used again behind the body
+	persistent bool  // the connection may be used again after the body
 	whole      bool  // the body's end has been read
 	remaining  int64 // bytes that it may still bring
 }
--- a/upstream/write.go
+++ b/upstream/write.go
@@ -21,7 +21,7 @@
 	writtenWhole    writeResult = iota // its last byte is written
 	answeredEarly                      // the endpoint has answered before, which ends the writing
 	connectionBroke                    // the connection broke
-	uploadBroke                        // the rest of the request was not received: no fault of the endpoint's
+	uploadBroke                        // the remainder of the request was not received: no fault of the endpoint
 )
 
 // writeRequest writes the whole request, with the part of its body that is still to be received.
@@ -43,7 +43,7 @@
 	return p.writeStream(conn, a, buffers)
 }
 
-// writeStream writes what is buffered and then the rest of the body as it is received.
+// writeStream writes what is buffered and then the remainder of the body as it is received.
 func (p *Pool) writeStream(conn *conn, a *Attempt, buffers net.Buffers) writeResult {
 	block := p.buffers.Block()
 	defer p.buffers.PutBlock(block)
