--- a/admin/routes.go
+++ b/admin/routes.go
@@ -13,12 +13,12 @@
 // handler executes a request. Its error is answered by [errorResponse].
 type handler func(controller Controller, req request) (response, error)
 
-// route is what a path takes and does.
+// route is the handlers of a path and the bodies that it accepts.
 type route struct {
 	get, post handler // nil: the path doesn't take the method
-	// name says what the body must name; empty where it names nothing.
+	// name describes what the body must name; empty where it names nothing.
 	name string
-	// anyBody says that any body is passed on. Without name and anyBody there must be none.
+	// anyBody is whether any body is passed on. Without name and anyBody there must be none.
 	anyBody bool
 }
 
--- a/admin/server.go
+++ b/admin/server.go
@@ -1,7 +1,7 @@
-// Package admin is the management endpoint: a listener of its own at which operators ask
-// for the state of a proxy and give it orders. It speaks HTTP/1.1, one request to a
-// connection. It knows no endpoint and no discovery: what a request asks for it passes
-// on to a [Controller].
+// Package admin is the management endpoint: a listener of its own at which operators query
+// the state of a proxy and give it commands. It speaks HTTP/1.1, one request to a
+// connection. It knows no endpoint and no discovery: it passes each request on to a
+// [Controller].
 package admin
 
 import (
@@ -23,13 +23,17 @@
 
 const (
 	maxConnections = 32
-	readTimeout    = 3 * time.Second        // from the accept on until the request is in
+	readTimeout    = 3 * time.Second        // from the accept on until the request has been received
 	writeTimeout   = 500 * time.Millisecond // for the response
 	linger         = 200 * time.Millisecond // what arrives after a response is read for so long, lest it be reset
 	maxLinger      = 64 << 10               // bytes that are read then
-	spare          = 2                      // descriptors set aside for when there are no others
+
+	reservedDescriptors = 2 // set aside for when there are no others
 )
 
+// pastDeadline ends an operation that is under way on a connection.
+var pastDeadline = time.Unix(1, 0)
+
 // Server is the listener with its connections.
 type Server struct {
 	listener   *net.TCPListener
@@ -50,8 +54,8 @@
 type conn struct {
 	tcp        tcpConn
 	acceptedAt time.Time
-	received   bool // the request is in
-	answered   bool // the response is out: it only lingers
+	received   bool // the request has been received
+	answered   bool // the response has been written: the connection only lingers
 }
 
 // Listen opens a server at an address; no request is answered before [Server.Serve].
@@ -62,7 +66,7 @@
 	}
 	return &Server{
 		listener: listener.(*net.TCPListener),
-		reserve:  socket.NewReserve(spare),
+		reserve:  socket.NewReserve(reservedDescriptors),
 		conns:    make(map[*conn]struct{}),
 	}, nil
 }
@@ -76,7 +80,7 @@
 	s.reserve.Close()
 }
 
-// Serve answers requests until ctx ends and those that are in have their response.
+// Serve answers requests until ctx ends and those received by then have their response.
 func (s *Server) Serve(ctx context.Context, controller Controller) {
 	s.controller = controller
 	defer context.AfterFunc(ctx, s.stop)()
@@ -101,14 +105,14 @@
 	s.serving.Wait()
 }
 
-// stop ends accepting, and connections whose request is not in.
+// stop ends accepting, and connections whose request has not been received.
 func (s *Server) stop() {
 	s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
 		if !c.received {
-			c.tcp.SetDeadline(time.Unix(1, 0))
+			c.tcp.SetDeadline(pastDeadline)
 		}
 	}
 }
@@ -131,8 +135,8 @@
 	go s.serve(c)
 }
 
-// evictableLocked returns the connection that makes room for another: the oldest that has its
-// response, else the oldest whose request is not in. Those that wait for their
+// evictableLocked returns the connection to close for a new one: the oldest that has its
+// response, else the oldest whose request has not been received. Those that wait for their
 // response, which takes moments, stay; nil is none.
 func (s *Server) evictableLocked() (evicted *conn) {
 	for c := range s.conns {
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -18,10 +18,10 @@
 	handoverCloseAfter = 1200 * time.Millisecond
 )
 
-// Plan says when each phase begins, counted from the start of the drain or shutdown.
+// Plan is when each phase begins, counted from the start of the drain or shutdown.
 type Plan struct {
 	KeepsProcess       bool          // one listener closes and the process stays: nobody kills it
-	Ready              bool          // "/ready" goes on saying yes: another process of this proxy serves
+	Ready              bool          // the readiness check still succeeds: another process of this proxy serves
 	CloseAfterResponse time.Duration // each response closes its connection
 	CloseIdle          time.Duration // idle connections are closed
 	Reject             time.Duration // new requests are rejected at once
@@ -40,8 +40,8 @@
 }
 
 // Shutdown is the plan of a process that ends and is killed after a while at the
-// earliest. It serves the connections that it has for half of that time, as no other
-// process may serve in its place.
+// earliest. It serves the connections that it has for half of that time, as there may be
+// no other process that serves.
 func Shutdown(killedAfter time.Duration) Plan {
 	return Plan{
 		CloseAfterResponse: killedAfter / 2,
@@ -65,7 +65,7 @@
 
 // Phase is what holds at one moment.
 type Phase struct {
-	Ready               bool // "/ready" says yes
+	Ready               bool // the readiness check succeeds
 	ClosesAfterResponse bool // each response closes its connection
 	ClosesIdle          bool // idle connections are closed
 	Rejects             bool // new requests are rejected
--- a/fairshare/fairshare.go
+++ b/fairshare/fairshare.go
@@ -1,12 +1,12 @@
 // Package fairshare divides what one machine has (sockets, bytes of bodies, open
 // requests, work a second) among pools. Each pool is guaranteed a part, which
-// is never lent; the rest is lent by weight to those that want more, by
+// is never lent; the remainder is lent to those that want more, by
 // weighted max-min fairness (Bertsekas and Gallager, Data Networks,
-// 6.5.2), and falls back when others want it.
+// 6.5.2), and is returned when others want it.
 //
 // The package is pure. A [Ledger] is stepped by its host some times a second
 // with what each pool uses and wants; in between, a pool may take up to its
-// allowance without asking anybody, so that no lock is shared on a request's way.
+// allowance on its own, so that no lock is shared on a request's way.
 package fairshare
 
 import (
@@ -16,10 +16,10 @@
 	"slices"
 )
 
-// Claim is what a pool is owed.
+// Claim is what a pool is entitled to.
 type Claim struct {
 	Guarantee int     // its own at all times; 0 or more
-	Weight    float64 // its part of the rest against the others' weights; 0 borrows nothing
+	Weight    float64 // its part of what is lent, against the others' weights; 0 borrows nothing
 	Max       int     // its allowance never exceeds this; 0 is no bound
 }
 
@@ -100,11 +100,11 @@
 	}
 }
 
-// Rates divides what is used up and comes anew in each span, as work a second
-// does: nothing is held beyond a span, so that each pool takes part in the whole. Used
-// is what a pool took in the span before. The allowance of each is its guarantee and, of
-// the rest, what weighted max-min fairness gives it. What nobody wanted is spread
-// by weight, lest the first that wants it wait.
+// Rates divides a resource that is renewed in each span, such as work a second: nothing is
+// held beyond a span, so the whole is divided anew each time. Used is what a pool took
+// in the span before. The allowance of each is its guarantee and, of the remainder, what
+// weighted max-min fairness gives it. What no pool wanted is spread by weight, so
+// that the first to want it need not wait for the next span.
 func Rates(total int, claims map[string]Claim, usage map[string]Usage) map[string]int {
 	names := slices.Sorted(maps.Keys(claims))
 	rest := total
--- a/fairshare/ledger.go
+++ b/fairshare/ledger.go
@@ -100,8 +100,8 @@
 	return max(more-counted, 0)
 }
 
-// lend divides what is not guaranteed: first by what pools want, and then, lest the first
-// that wants some wait for a step, the rest as well.
+// lend divides what is not guaranteed: first by what pools want, and then what is left over as
+// well, so that the first pool to want some need not wait for the next step.
 func (l *Ledger) lend(names []string, usage map[string]Usage) (lent []int) {
 	rest := l.total
 	var wants []int
--- a/internal/handover/registry.go
+++ b/internal/handover/registry.go
@@ -34,7 +34,7 @@
 	pollInterval = 100 * time.Millisecond // between reads of the other processes' files
 	maxProcesses = 64                     // files that are read
 	maxFile      = 64 << 10               // bytes of a file that are read
-	maxText      = maxFile - 64           // bytes of text: the state stands in the same line
+	maxText      = maxFile - 64           // bytes of text: the state precedes it in the same line
 )
 
 // lineFormat is a file's only line: the state in a column of fixed width, and the text.
@@ -93,7 +93,7 @@
 	return file, nil
 }
 
-// Publish states what this process is at, and a line of text for the others. A
+// Publish publishes the state of this process and a line of text for the others. A
 // text that is too long is left out. What can't be written now [Registry.Watch] writes later.
 func (r *Registry) Publish(state State, text []byte) {
 	if len(text) > maxText {
@@ -107,8 +107,8 @@
 	}
 }
 
-// writeLocked writes the line, if that can be. It does so in one call: who reads meanwhile meets
-// the old line, the new one, or one that it can't parse.
+// writeLocked writes the line, if possible, in one call: a concurrent reader gets the old line,
+// the new one, or one that it can't parse.
 func (r *Registry) writeLocked() {
 	_, err := r.file.WriteAt(r.line, 0)
 	if err != nil && !r.unpublished {
--- a/internal/overridestore/file.go
+++ b/internal/overridestore/file.go
@@ -18,10 +18,10 @@
 // maxFile bounds the bytes of the file that are read.
 const maxFile = 1 << 20
 
-// errUnreadable says that the file can't be read now, and may be later: what it holds is unknown.
+// errUnreadable means that the file can't be read now, and may be later: what it holds is unknown.
 var errUnreadable = errors.New("the file can't be read now")
 
-// fileVersion tells one writing of a file from another.
+// fileVersion identifies one write of a file among others.
 type fileVersion struct {
 	inode    uint64
 	size     int64
--- a/internal/overridestore/store.go
+++ b/internal/overridestore/store.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	pollInterval  = 100 * time.Millisecond // between looks at the file: what another process writes applies here soon
+	pollInterval  = 100 * time.Millisecond // between checks of the file: what another process writes applies here soon
 	updateTimeout = 400 * time.Millisecond // after which a change that can't be persisted is undone
 	retryInterval = 5 * time.Millisecond   // between attempts to lock or write the file
 )
 
-// ErrBusy says that another process held the file for too long. Nothing has changed.
+// ErrBusy means that another process held the file for too long. Nothing has changed.
 var ErrBusy = errors.New("another change is under way: call again")
 
-// ErrNotPersisted says that the disk has not taken the change yet. It is in force here, and
+// ErrNotPersisted means that the change is not on disk yet. It is in force here, and
 // another process of this proxy may not know of it.
 var ErrNotPersisted = errors.New("in force, but not kept yet as the disk is slow: call again")
 
@@ -63,7 +63,7 @@
 }
 
 // Open returns a store with the overrides that the file holds. If the file can't be read
-// that is logged, and the store begins with none: serving goes before. From then on
+// that is logged, and the store begins with none: serving comes first. From then on
 // each new set is passed to notify, in order, by [Store.Update] or
 // [Store.Watch]; notify must not block.
 func Open(path string, log *slog.Logger, notify func(override.Set)) *Store {
@@ -234,8 +234,8 @@
 	}
 }
 
-// poll reads the file if it has changed. What could not be read, for want of a
-// descriptor say, the next poll tries again.
+// poll reads the file if it has changed. If that fails, for lack of a descriptor for
+// example, the next poll retries.
 func (s *Store) poll() {
 	info, err := os.Lstat(s.path)
 	if err != nil {
--- a/message/message.go
+++ b/message/message.go
@@ -22,7 +22,7 @@
 
 // Upload is the part of a request's body that has not been received when the request is accepted. It can be read once.
 type Upload interface {
-	// Read returns io.EOF at the body's end. Another error says that the client broke off, or that the request ended.
+	// Read returns io.EOF at the body's end. Another error means that the client broke off, or that the request ended.
 	io.Reader
 	// Consumed reports whether any of it has been read: then the request can't be sent again.
 	Consumed() bool
@@ -115,12 +115,12 @@
 	RetryAfter time.Duration // advice for the client; 0 is none
 }
 
-// Handler accepts requests of the downstream side and sees to it that each receives its result. Its methods are safe
-// for concurrent use.
+// Handler accepts requests of the downstream side and ensures that each receives its result. Its methods are safe for
+// concurrent use.
 type Handler interface {
-	// Accept takes a request over. The ticket names it in later calls.
+	// Accept takes ownership of a request. The ticket identifies it in later calls.
 	Accept(*Request) (ticket uint64)
-	// ClientLeft says that the client has gone away. It reports whether a result was still owed.
+	// ClientLeft ends a request whose client has disconnected. It reports whether a result was still owed.
 	ClientLeft(ticket uint64) (owed bool)
 	// Expire has the request answered now, unless it has been.
 	Expire(ticket uint64)
--- a/override/overrides.go
+++ b/override/overrides.go
@@ -17,10 +17,10 @@
 	restoreExpiry = time.Hour // after which a restore is dropped: any endpoint has warmed up by then
 )
 
-// ErrTooMany says that as many endpoints are down as a [Set] can hold.
+// ErrTooMany means that as many endpoints are down as a [Set] can hold.
 var ErrTooMany = errors.New("too many providers are out already: call some back first")
 
-// Set is the overrides that hold. It is a value: its methods return a changed copy, or,
+// Set is the overrides in force. It is an immutable value: its methods return a changed set, or,
 // where nothing changes, the set itself. Times are Unix time.
 type Set struct {
 	Version    uint64                   // grows with each change
@@ -45,7 +45,7 @@
 	return maps.Clone(times)
 }
 
-// TakeDown takes an endpoint down. One that is down already stays so since it was.
+// TakeDown takes an endpoint down. For one that is down already the earlier time stays.
 // The error is [ErrTooMany].
 func (s Set) TakeDown(name string, now time.Duration) (Set, error) {
 	if s.IsDown(name) {
