--- a/config/build.go
+++ b/config/build.go
@@ -31,7 +31,7 @@
 	maxLongDuration  = 24 * time.Hour // of idle connections and idempotency windows
 )
 
-// Words of the settings, and what the balancer calls their meanings.
+// Enumerated values of the settings, and the balancer's constants for them.
 var (
 	effects = map[string]balancer.Effect{"safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
 	groups  = map[string]balancer.Group{
--- a/config/checker.go
+++ b/config/checker.go
@@ -14,7 +14,7 @@
 type Problem struct {
 	Key   string // path of the setting, as in pools[0].classes[1].aim
 	Value any    // value that the file states
-	Want  string // what is expected in its place
+	Want  string // what is expected instead
 	Warn  bool   // only a warning: the file is accepted all the same
 }
 
@@ -31,7 +31,7 @@
 	c.problems = append(c.problems, Problem{Key: key, Value: value, Want: want})
 }
 
-// warn records what is likely a mistake, but no reason to refuse the file.
+// warn records what is likely a mistake, but no reason to reject the file.
 func (c *checker) warn(key string, value any, want string) {
 	c.problems = append(c.problems, Problem{Key: key, Value: value, Want: want, Warn: true})
 }
@@ -51,7 +51,7 @@
 	}
 }
 
-// oneOf requires one of a few words, and suggests the closest.
+// oneOf requires one of a few enumerated values, and suggests the closest.
 func (c *checker) oneOf(key, value string, words ...string) {
 	if !slices.Contains(words, value) {
 		c.bad(key, value, "one of "+strings.Join(words, ", ")+yamlfile.Suggest(value, words))
--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,5 @@
-// Package config is the one place where a proxy's configuration is read,
-// checked and given defaults. Its errors name the faulty key and its value.
+// Package config alone reads a proxy's configuration, checks it and completes
+// it with defaults. Its errors name the faulty key and its value.
 package config
 
 import (
@@ -45,10 +45,10 @@
 	KnownEndpoints discovery.EndpointList // endpoints of the start, perhaps long out of date where there is discovery
 	Settings       Settings
 	Guarantee      Shares        // what no other pool can take
-	Weight         float64       // its part of what is lent, against other pools'
+	Weight         float64       // its part of what is lent, against other pools' weights
 	Drain          time.Duration // how long it may finish its requests once a reload has removed it
 
-	// CountsDiscoverySocket says that the connection to the discovery service is one of the pool's guaranteed sockets.
+	// CountsDiscoverySocket is whether the connection to the discovery service is one of the pool's guaranteed sockets.
 	// In the platform's form it is one of the reserved descriptors.
 	CountsDiscoverySocket bool
 }
@@ -77,7 +77,7 @@
 }
 
 // Load reads the configuration that the environment names: the platform's JSON, or a file of [File]'s form. It returns
-// warnings too, which are no reason to refuse it.
+// warnings too, which are no reason to reject it.
 func Load(getenv func(string) string) (Config, []string, error) {
 	return load(getenv, environmentFirst)
 }
--- a/config/convert.go
+++ b/config/convert.go
@@ -9,7 +9,7 @@
 	"ryerill/discovery"
 )
 
-// Words of the settings for what the balancer knows by constants.
+// Enumerated values of the settings, by the balancer's constants for them.
 var (
 	effectNames = map[balancer.Effect]string{
 		balancer.Safe: "safe", balancer.Keyed: "keyed", balancer.Unsafe: "unsafe",
--- a/config/fleet.go
+++ b/config/fleet.go
@@ -29,7 +29,7 @@
 	BytesPerSecond   int               `yaml:"bytes_per_s,omitempty" json:"bytes_per_s,omitempty" jsonschema_description:"of news beside probes; default 1200"`
 }
 
-// SharingFile says what replicas share beyond membership.
+// SharingFile is what replicas share beyond membership.
 type SharingFile struct {
 	Quotas         bool `yaml:"quotas,omitempty" json:"quotas,omitempty" jsonschema_description:"what one copy does not need of a tenant's quota another may use"`
 	Counters       bool `yaml:"counts,omitempty" json:"counts,omitempty" jsonschema_description:"arrivals, calls in flight and how requests ended are counted over all copies"`
--- a/config/plan.go
+++ b/config/plan.go
@@ -37,7 +37,7 @@
 	Observation time.Duration `yaml:"soak,omitempty"`
 }
 
-// GuardrailsFile says by how much a stage may be worse before it is stopped.
+// GuardrailsFile is by how much a stage may be worse before it is stopped.
 type GuardrailsFile struct {
 	Goodput          float64 `yaml:"goodput,omitempty"`
 	Latency          float64 `yaml:"latency,omitempty"`
@@ -48,7 +48,7 @@
 	Memory   float64 `yaml:"memory,omitempty"`
 }
 
-// planKinds are the words of a plan's kind.
+// planKinds are the enumerated values of a plan's kind.
 var planKinds = map[string]rollout.Kind{"settings": rollout.Settings, "program": rollout.Program}
 
 // planReader turns a plan file into a plan. Its errors name file, line, column and key.
@@ -84,7 +84,7 @@
 	return plan, nil
 }
 
-// at says where a key stands at which an error was found.
+// at adds the file and position of a key to an error found there.
 func (r *planReader) at(key string, err error) error {
 	return fmt.Errorf("%s%s: %w", r.name, r.tree.Position(key), err)
 }
--- a/config/platform.go
+++ b/config/platform.go
@@ -16,7 +16,7 @@
 // platformName names the one listener, route and pool of the platform's form.
 const platformName = "main"
 
-// precedence says which discovery address holds where both the environment and the file state one.
+// precedence is which discovery address applies where both the environment and the file state one.
 type precedence uint8
 
 const (
@@ -162,12 +162,12 @@
 	}
 	settings.check(c)
 	settings.complete()
-	// On sockets a list that nobody pushes has to be asked for, also where nothing is stated.
+	// The proxy has to subscribe to a list that no agent pushes, also where the settings don't state it.
 	settings.Balancer.Subscribe = !settings.PushedDiscovery
 	return settings
 }
 
-// check reports what the settings say that can't be.
+// check records impossible settings.
 func (s *Settings) check(c *platformChecker) {
 	b := &s.Balancer
 	if len(b.Classes) == 0 {
--- a/config/settings.go
+++ b/config/settings.go
@@ -61,8 +61,8 @@
 	lists   map[string][]string // of scalars
 	err     error
 
-	// strict refuses what no setting can mean: figures below 0, fractions above 1, unknown words. A simulation
-	// goes on with them, read as what makes the balancer most careful.
+	// strict rejects impossible values: figures below 0, fractions above 1, unknown enumerated values. A simulation
+	// continues with them, read as what makes the balancer most careful.
 	strict bool
 }
 
@@ -256,7 +256,7 @@
 	return false
 }
 
-// lenientOneOf reads one of some words; another one is refused only where reading is strict.
+// lenientOneOf reads an enumerated value; an unknown one is rejected only where reading is strict.
 func (v *values) lenientOneOf(path string, words ...string) string {
 	if !v.strict {
 		return v.scalars[path]
@@ -264,7 +264,7 @@
 	return v.oneOf(path, words...)
 }
 
-// oneOf reads one of some words, or an empty string where it is missing.
+// oneOf reads an enumerated value, or an empty string where it is missing.
 func (v *values) oneOf(path string, words ...string) string {
 	if text := v.scalars[path]; text == "" || slices.Contains(words, text) {
 		return text
@@ -273,7 +273,7 @@
 	return ""
 }
 
-// effect reads a missing word as the strictest kind, and an unknown one where it is not refused: it can only make the
+// effect reads a missing value as the strictest kind, and an unknown one where it is not rejected: it can only make the
 // balancer more careful.
 func (v *values) effect(path string) balancer.Effect {
 	switch v.lenientOneOf(path, "pure", "token", "side_effect") {
@@ -285,7 +285,7 @@
 	return balancer.Unsafe
 }
 
-// group reads a missing or unknown word as the narrowest group, like effect.
+// group reads a missing or unknown value as the narrowest group, like effect.
 func (v *values) group(path string) balancer.Group {
 	switch v.lenientOneOf(path, "all", "zone", "cell") {
 	case "all":
--- a/discovery/client.go
+++ b/discovery/client.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// A call of a watch waits this long for something newer, so that silence is noticed soon after.
+	// A call of a watch waits this long for a newer list, so that a silent service is noticed soon after.
 	watchWait = 2 * time.Second
 	// An answer is overdue after this, beyond what its call may wait.
 	answerTimeout = 1200 * time.Millisecond
-	// Before the next call when an answer without changes came early.
+	// The pause before the next call when an answer without changes came early.
 	emptyPause = 50 * time.Millisecond
 
 	// An agent on this machine answers at once and at no cost, and what it knows binds the proxy as if it had been
-	// read. So it is watched in short calls, and asked again well within the time in which a drain must be heeded.
+	// read. So it is watched in short calls, and called again well within the time in which a drain must take effect.
 	agentWatchWait     = time.Second
 	agentAnswerTimeout = 300 * time.Millisecond
 	agentMinPause      = 25 * time.Millisecond // after a call that failed, doubled with each further one
@@ -33,19 +33,19 @@
 type Listener interface {
 	// EndpointsListed receives a whole list, or changes of the one before.
 	EndpointsListed(EndpointList)
-	// ListingFailed says that a call failed, or that the watch ended; what was listed still holds.
+	// ListingFailed reports that a call failed, or that the watch ended; the last list stays in force.
 	ListingFailed(error)
 }
 
-// errAddressChanged ends a call to a service that is no longer the one to ask.
+// errAddressChanged ends a call to a service that SetAddress has replaced.
 var errAddressChanged = errors.New("another discovery service is asked now")
 
-// Client calls one discovery service, and only when it is told to. It is safe for concurrent use.
+// Client calls one discovery service: once by Fetch, repeatedly by Subscribe. It is safe for concurrent use.
 type Client struct {
 	listener Listener
 	buffers  *buffer.Pool
 	reserve  *socket.Reserve
-	agent    bool            // on this machine: the watch goes on by itself
+	agent    bool            // an agent on this machine: a watch continues after failed calls
 	ctx      context.Context // ends with the proxy; all calls are made in the background
 
 	notifying sync.Mutex // held while the listener is notified, so that nothing of an old service follows SetAddress
@@ -54,7 +54,7 @@
 	mu             sync.Mutex
 	address        string
 	addressChanges int    // how often the address has changed
-	holdsList      bool   // a list is known, so that changes of it can be asked for
+	holdsList      bool   // a list is known, so that changes of it can be requested
 	index          uint64 // version of that list; any number may be one, 0 too
 	watchWanted    bool   // also while a watch that failed is not yet started again
 	stopWatch      context.CancelFunc
@@ -105,8 +105,8 @@
 	}
 }
 
-// SetAddress makes address the service to ask. A watch goes on there at once and with the whole list, since another
-// service may count its versions otherwise; the call that is out at the old one is dropped. Once SetAddress has
+// SetAddress replaces the service by the one at address. A watch continues there at once and with the whole list, since
+// another service may count its versions otherwise; a call in flight at the old one is dropped. Once SetAddress has
 // returned, the listener is notified of nothing more from the old service.
 func (c *Client) SetAddress(address string) {
 	c.notifying.Lock()
@@ -128,7 +128,7 @@
 	c.startWatchLocked()
 }
 
-// Fetch asks once for the whole list. It returns at once.
+// Fetch requests the whole list once. It returns at once.
 func (c *Client) Fetch() {
 	c.mu.Lock()
 	conn := c.newConnectionLocked()
@@ -140,8 +140,7 @@
 	}()
 }
 
-// notify tells the listener how a call ended, unless the call does not matter any more. It reports whether it has
-// passed on a list.
+// notify notifies the listener of how a call ended, unless it is obsolete. It reports whether it has passed on a list.
 func (c *Client) notify(ctx context.Context, conn *connection, list EndpointList, err error) bool {
 	c.notifying.Lock()
 	defer c.notifying.Unlock()
--- a/discovery/watch.go
+++ b/discovery/watch.go
@@ -20,8 +20,8 @@
 	}()
 }
 
-// watch calls again as soon as an answer is in: the service forgets a watch 200 ms after its last answer, and what
-// changes in between binds the proxy all the same.
+// watch calls again as soon as an answer is received: the service forgets a watch 200 ms after its last answer, and a
+// change in between still binds the proxy.
 func (c *Client) watch(ctx context.Context, number int, conn *connection) {
 	agentPause := agentMinPause
 	for {
@@ -63,7 +63,7 @@
 	return fmt.Sprintf("%s?since=%d&timeout_ms=%d", path, c.index, wait.Milliseconds()), wait
 }
 
-// watchEnded records that a watch has failed, unless another has taken its place.
+// watchEnded records that a watch has failed, unless another has replaced it.
 func (c *Client) watchEnded(number int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/route/find.go
+++ b/route/find.go
@@ -22,7 +22,7 @@
 	return found.index, nil
 }
 
-// find looks below the exact host, then below wildcards from the longest on, then below any host.
+// find searches the exact host's rules, then those of wildcards, longest first, then those of any host.
 func (t *Table) find(host, path string, request *Request) *rule {
 	if found := t.exactHosts[host].find(path, 0, request); found != nil {
 		return found
@@ -45,8 +45,8 @@
 	return strings.ToLower(strings.TrimSuffix(host, "."))
 }
 
-// isPlain reports whether a path can be matched segment by segment: another reader would resolve dot segments, and so
-// see another path.
+// isPlain reports whether a path can be matched segment by segment: an endpoint would resolve dot segments, and so
+// execute another path.
 func isPlain(path string) bool {
 	for part := range strings.SplitSeq(path[1:], "/") {
 		mayBeDots := len(part) <= maxDotSegment && strings.Contains(part, ".")
@@ -61,8 +61,8 @@
 	return true
 }
 
-// find looks below a node for the rest of a path: literals first, then any segment, then the rule for all that is
-// below, which is the precedence of rules.
+// find searches a node's children for the remainder of a path in order of precedence: literals, then any segment, then
+// the rules for all paths below the node.
 func (n *node) find(path string, depth int, request *Request) *rule {
 	if n == nil {
 		return nil
@@ -82,7 +82,7 @@
 	return n.rest.find(request)
 }
 
-// findBehind goes on behind a segment that matched. more says that other segments follow it.
+// findBehind continues after a segment that matched; more is whether other segments follow it.
 func (n *node) findBehind(next string, more bool, depth int, request *Request) *rule {
 	if n == nil {
 		return nil
@@ -96,7 +96,7 @@
 	return n.rest.find(request)
 }
 
-// Target returns the path and query that are sent on by a rule: unchanged, or with what stands before the rule's *
+// Target returns the path and query that are sent on by a rule: unchanged, or with the part before the rule's *
 // replaced.
 func (t *Table) Target(index int, target string) string {
 	r := &t.rules[index]
--- a/route/leaf.go
+++ b/route/leaf.go
@@ -21,7 +21,7 @@
 	return [4]leafKey{{method, class}, {method, ""}, {"", class}, {"", ""}}
 }
 
-// statedOrAny returns a list, or one of "" in the place of none.
+// statedOrAny returns a list, or for an empty one a list of "" alone.
 func statedOrAny(list []string) []string {
 	if len(list) == 0 {
 		return []string{""}
--- a/route/route.go
+++ b/route/route.go
@@ -38,7 +38,7 @@
 	Headers []Header // all must match
 	Pool    string
 
-	// Rewrite replaces what stands before the * of the path, if it is stated.
+	// Rewrite replaces the part before the * of the path, if it is stated.
 	Rewrite string
 }
 
--- a/route/table.go
+++ b/route/table.go
@@ -15,7 +15,7 @@
 	rules         []rule
 }
 
-// node is a place in a tree of paths.
+// node is a node in a tree of path segments.
 type node struct {
 	literals map[string]*node // next segment, by its text
 	named    *node            // next segment, whatever its text
@@ -107,7 +107,7 @@
 	return hosts[name]
 }
 
-// child finds or makes the node behind a segment.
+// child finds or makes the child node for a segment.
 func (n *node) child(s segment) *node {
 	if s.named {
 		if n.named == nil {
--- a/simadapter/protocol.go
+++ b/simadapter/protocol.go
@@ -3,8 +3,8 @@
 //
 // All numbers are little-endian. A batch is a frame: its length without itself (4 bytes), the clock in microseconds
 // (8), the number of records (4), the number of the batch (4), and the records. A record is a code (1), an instance (2)
-// and the fields of its code. A reply is the number of its records (4), the length of the rest (4), the number of the
-// batch that it answers (4), and its records.
+// and the fields of its code. A reply is the number of its records (4), the length of what follows (4), the number of
+// the batch that it answers (4), and its records.
 package simadapter
 
 import "time"
--- a/simadapter/reader.go
+++ b/simadapter/reader.go
@@ -13,7 +13,7 @@
 // readStep is by how much a frame is read at a time, whatever length it claims.
 const readStep = 1 << 20
 
-// errShort says that a record is not wholly there.
+// errShort means that a record is truncated.
 var errShort = errors.New("ends early")
 
 // Reader reads batches. Its records are valid until the next batch. It is not safe for concurrent use.
--- a/simadapter/record.go
+++ b/simadapter/record.go
@@ -7,7 +7,7 @@
 	"ryerill/balancer"
 )
 
-// RecordKind tells what a Record is.
+// RecordKind is the kind of a Record.
 type RecordKind uint8
 
 // The kinds of record.
@@ -176,7 +176,7 @@
 		f.short = true
 		return nil
 	}
-	// A list is made anew: events decoded earlier may still hold the one it replaces.
+	// A list gets a slice of its own: events decoded earlier may still hold the one that it replaces.
 	list := make([]balancer.Endpoint, count)
 	for i := range list {
 		if err := decodeEndpoint(f, &list[i]); err != nil {
