--- a/fleet/codec/replay.go
+++ b/fleet/codec/replay.go
@@ -10,7 +10,7 @@
 	windowSpan  = windowWords * wordBits // numbers
 )
 
-// replayFilter tells frames that were received before from new ones, by sender.
+// replayFilter distinguishes frames that were received before from new ones, by sender.
 type replayFilter struct {
 	windows map[string]*replayWindow
 }
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -24,7 +24,7 @@
 	Sharing          *SharingConfig // state that replicas share; nil is none
 }
 
-// SharingConfig tells which state replicas share.
+// SharingConfig selects the state that replicas share.
 type SharingConfig struct {
 	Quotas, Counters, Evidence bool
 	BytesPerSecond             int // 0 is the default
--- a/fleet/counter/estimate.go
+++ b/fleet/counter/estimate.go
@@ -12,7 +12,7 @@
 	staleAfter    = 10 * time.Second
 )
 
-// Value is a sum over all replicas and how far it can be trusted.
+// Value is a sum over all replicas and how exact it is.
 type Value struct {
 	Estimate float64
 	Lower    float64 // bounds of the true value
--- a/fleet/counter/set.go
+++ b/fleet/counter/set.go
@@ -12,7 +12,7 @@
 
 // Bounds of what is kept and sent.
 const (
-	MaxKeys    = 64   // that one replica counts apart; the rest is counted under one common key
+	MaxKeys    = 64   // that one replica counts apart; the others are counted under one common key
 	MaxMembers = 8192 // replicas whose counts are kept
 	MaxZones   = 256  // whose sums are kept
 
@@ -78,7 +78,7 @@
 }
 
 // ZoneUpdate returns the sum over the named replicas of this replica's zone and itself, to be sent to other zones. One
-// sender for a zone is enough; a receiver of the sum can't tell which replica counted what.
+// sender for a zone is enough; a receiver of the sum does not see which replica counted what.
 func (s *Set) ZoneUpdate(now time.Duration, names []string) Update {
 	s.advance(now)
 	s.version++
@@ -95,7 +95,7 @@
 	return update
 }
 
-// Merge takes an update in, and tells whether it was newer than what was known.
+// Merge takes an update in, and reports whether it was newer than what was known.
 func (s *Set) Merge(now time.Duration, update Update) bool {
 	s.advance(now)
 	if !update.valid() {
@@ -137,7 +137,7 @@
 
 func (s *Set) advance(now time.Duration) { s.now = max(s.now, now) }
 
-// merge takes an update in that was valid at a time, and tells whether it was newer than what was known.
+// merge takes an update in that was valid at a time, and reports whether it was newer than what was known.
 func (t *table) merge(key string, update Update, validAt time.Duration) bool {
 	current := t.entries[key]
 	if current == nil {
--- a/fleet/counter/update.go
+++ b/fleet/counter/update.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// entry is the latest update of a replica or zone, and the counts before it, which tell the rate.
+// entry is the latest update of a replica or zone, and the counts before it, which give the rate.
 type entry struct {
 	Update
 	validAt    time.Duration // when it was received, less its age
@@ -100,7 +100,7 @@
 	previousAt time.Duration
 }
 
-// supersededBy tells whether an update that was valid at a time replaces this one. Of two senders for a zone the one
+// supersededBy reports whether an update that was valid at a time replaces this one. Of two senders for a zone the one
 // with the younger counts holds.
 func (e *entry) supersededBy(update *Update, validAt time.Duration) bool {
 	switch {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -106,7 +106,7 @@
 }
 
 // epochRandomBits of an epoch are random: two processes of a copied configuration may
-// start in one millisecond and must be told apart all the same.
+// start in one millisecond and must still be distinguished.
 const epochRandomBits = 16
 
 func drawEpoch(now time.Time) uint64 {
--- a/fleet/membership/event.go
+++ b/fleet/membership/event.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// EventKind tells which fields of an Event are set.
+// EventKind determines which fields of an Event are set.
 type EventKind uint8
 
 // The kinds of event.
@@ -43,7 +43,7 @@
 	Records  []Record
 }
 
-// ActionKind tells which fields of an Action are set.
+// ActionKind determines which fields of an Action are set.
 type ActionKind uint8
 
 // The kinds of action.
--- a/fleet/membership/learn.go
+++ b/fleet/membership/learn.go
@@ -119,7 +119,7 @@
 	return reasonDiscovered
 }
 
-// learnAboutSelf takes in what others hold of this member, and refutes what is wrong.
+// learnAboutSelf handles a record that others have of this member, and refutes what is wrong.
 func (l *List) learnAboutSelf(record *Record) {
 	switch {
 	case l.displaced || record.Epoch < l.self.Epoch || l.self.Status == Left:
@@ -134,7 +134,7 @@
 		l.prober.health.refuted(l.now)
 		l.raiseIncarnation(record.Incarnation+1, nil)
 	case record.Incarnation > l.self.Incarnation:
-		// Announced by this process before it lost the count.
+		// Only this member raises its incarnation, so its own record must be the newest one again.
 		l.raiseIncarnation(record.Incarnation+1, nil)
 	}
 }
--- a/fleet/membership/list.go
+++ b/fleet/membership/list.go
@@ -53,7 +53,7 @@
 	return l
 }
 
-// Handle takes one event and appends what is to be done to out. Times must not go
+// Handle processes one event and appends what is to be done to out. Times must not go
 // back; one that is much later than NextTick shows that this process stood still.
 func (l *List) Handle(now time.Duration, event Event, out []Action) []Action {
 	now = max(now, l.now)
--- a/fleet/membership/message.go
+++ b/fleet/membership/message.go
@@ -1,6 +1,6 @@
 package membership
 
-// MessageKind tells what a message is for.
+// MessageKind is the purpose of a message.
 type MessageKind uint8
 
 // The kinds of message. Those up to Gossip are datagrams; the sync messages pass
--- a/fleet/membership/prober.go
+++ b/fleet/membership/prober.go
@@ -18,7 +18,7 @@
 	minTimeout time.Duration
 	health     localHealth
 	rtt        rttEstimator
-	sequence   uint32 // of the latest ping, for whomever it was sent
+	sequence   uint32 // of the latest ping, whether sent for this member or for another
 	current    *probe // nil if none is under way
 	recent     [recentPings]sentPing
 	urgent     []*member // to be probed before those of the round
--- a/fleet/membership/record.go
+++ b/fleet/membership/record.go
@@ -55,7 +55,7 @@
 }
 
 // maxIncarnation bounds incarnations: a member raises its own by one at a time and
-// never comes near, so a greater one is forged or broken.
+// never comes near, so a greater one is forged or corrupt.
 const maxIncarnation = 1 << 30
 
 // valid reports whether a record can be true at all.
--- a/fleet/membership/rtt.go
+++ b/fleet/membership/rtt.go
@@ -19,5 +19,5 @@
 	e.smoothed += (rtt - e.smoothed) / 8
 }
 
-// timeout is within what nearly all acks arrive.
+// timeout is the time within which nearly all acks arrive.
 func (e *rttEstimator) timeout() time.Duration { return e.smoothed + 4*e.deviation }
--- a/fleet/membership/status.go
+++ b/fleet/membership/status.go
@@ -24,7 +24,7 @@
 // reachable reports whether a member of this status is probed and gossiped to.
 func (s Status) reachable() bool { return s == Alive || s == Suspect }
 
-// Phase is the part of its life that a member announces.
+// Phase is the stage of its lifecycle that a member announces.
 type Phase uint8
 
 // The phases of a member.
--- a/fleet/outlier/detector.go
+++ b/fleet/outlier/detector.go
@@ -1,6 +1,6 @@
 // Package outlier detects endpoints that fail, from what several replicas have seen of them. Replicas send each other
-// evidence, never verdicts, and each reader evaluates the evidence itself, so that one faulty replica, or a zone that
-// is partitioned, has no endpoint ejected by the others. It is pure.
+// evidence, never conclusions, and each one evaluates the evidence itself: so one faulty replica, or a partitioned
+// zone, can't cause the others to eject an endpoint. It is pure.
 package outlier
 
 import (
@@ -66,7 +66,7 @@
 	}
 }
 
-// Merge takes evidence of another replica in that was valid an age ago, and tells whether it was newer than what was
+// Merge takes evidence of another replica in that was valid an age ago, and reports whether it was newer than what was
 // known.
 func (d *Detector) Merge(now time.Duration, evidence Evidence, age time.Duration) bool {
 	d.advance(now)
--- a/fleet/outlier/evaluate.go
+++ b/fleet/outlier/evaluate.go
@@ -9,7 +9,7 @@
 	"ryerill/internal/seedrand"
 )
 
-// Parameters of verdicts.
+// Parameters of the evaluation.
 const (
 	// MaxEjectedFraction is the greatest fraction of a pool's endpoints that may be ejected by evidence of others.
 	MaxEjectedFraction = 0.3
@@ -66,8 +66,8 @@
 	}
 }
 
-// faultyByReporter counts the endpoints of a pool that look faulty to each reporter, this replica among them. One to
-// which much of the pool looks faulty tells of itself, or of what all endpoints share.
+// faultyByReporter counts the endpoints of a pool that look faulty to each reporter, this replica among them. A
+// reporter to which much of the pool looks faulty shows a fault of its own, or one that all endpoints share.
 func (d *Detector) faultyByReporter(endpoints []Endpoint) map[string]int {
 	startedAt := make(map[uint64]int64, len(endpoints))
 	for _, endpoint := range endpoints {
@@ -143,7 +143,7 @@
 	}
 }
 
-// isFaulty tells whether the evidence is enough for a reader in a zone, one of a number of zones.
+// isFaulty reports whether the evidence is enough for a reader in a zone, one of a number of zones.
 func (a *assessment) isFaulty(readerZone string, zones int) bool {
 	if a.weight < minTotalWeight || len(a.Reporters) < minReporters {
 		return false
@@ -156,7 +156,7 @@
 	return exceedsThresholds(a.failureRate/divisor, a.peerFailureRate/divisor, a.relativeLatency/divisor)
 }
 
-// ShouldProbe tells whether this replica, of an index among a number of replicas, may probe an ejected endpoint now.
+// ShouldProbe reports whether this replica, of an index among a number of replicas, may probe an ejected endpoint now.
 // One replica at a time does, so that the probes of all are as many as one replica's. clock is a time that all
 // replicas have about alike; a difference costs a probe.
 func ShouldProbe(endpoint uint64, clock time.Duration, index, replicaCount int) bool {
--- a/fleet/outlier/evidence.go
+++ b/fleet/outlier/evidence.go
@@ -51,7 +51,7 @@
 	return e.Version > other.Version
 }
 
-// isAgainst tells whether evidence that counts for a number of attempts speaks against its endpoint.
+// isAgainst reports whether evidence that counts for a number of attempts speaks against its endpoint.
 func (e *Evidence) isAgainst(attempts float64) bool {
 	if attempts < minAttempts {
 		return false
--- a/fleet/outlier/local.go
+++ b/fleet/outlier/local.go
@@ -17,7 +17,7 @@
 	publishInterval     = time.Second
 )
 
-// Outcome tells how an attempt ended.
+// Outcome is how an attempt ended.
 type Outcome uint8
 
 // The outcomes that count.
@@ -93,7 +93,7 @@
 }
 
 // RecordOutcome counts an attempt of this replica. relativeLatency is the ratio of its latency to the typical one, 0 if
-// it tells nothing.
+// it is not known.
 func (d *Detector) RecordOutcome(now time.Duration, endpoint Endpoint, outcome Outcome, relativeLatency float64) {
 	d.advance(now)
 	local := d.local[endpoint.ID]
@@ -154,8 +154,8 @@
 	return attempts, failures
 }
 
-// shouldPublish tells whether evidence is to be sent now: what has changed, and rarely, as others need a few reporters
-// and not all evidence that each has.
+// shouldPublish reports whether evidence is to be sent now: at once if it has changed sides, and otherwise seldom, as
+// others need a few reporters and not all evidence that each has.
 func (d *Detector) shouldPublish(id uint64, local *localEvidence, against bool) bool {
 	if against != local.wasAgainst && (against || local.attempts >= minRecoveryAttempts) {
 		return true
@@ -166,7 +166,7 @@
 	return against || d.reportedFaulty(id) && d.now-local.latestAttemptAt <= publishInterval
 }
 
-// reportedFaulty tells whether others have lately sent evidence against an endpoint.
+// reportedFaulty reports whether others have lately sent evidence against an endpoint.
 func (d *Detector) reportedFaulty(id uint64) bool {
 	for _, report := range d.received[id] {
 		if d.now-report.validAt < HalfLife && report.isAgainst(report.Attempts) {
@@ -176,7 +176,7 @@
 	return false
 }
 
-// localFaulty tells whether an endpoint looks faulty by this replica's own evidence.
+// localFaulty reports whether an endpoint looks faulty by this replica's own evidence.
 func (d *Detector) localFaulty(endpoint Endpoint) bool {
 	local := d.local[endpoint.ID]
 	if local == nil || local.startedAt != endpoint.StartedAt {
--- a/fleet/placement/partition.go
+++ b/fleet/placement/partition.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	lossWindow          = 5 * time.Second // losses within it are put down to one cause
-	partitionedLossPart = 0.5             // who lost a greater part than this is likely the partitioned one
-	poorHealth          = 4               // local health from which any loss is put down to this replica
+	lossWindow          = 5 * time.Second // losses within it are attributed to one cause
+	partitionedLossPart = 0.5             // a replica that lost a greater fraction is likely the partitioned one
+	poorHealth          = 4               // local health from which any loss is attributed to this replica
 )
 
 // partitionDetector finds whether this replica is likely the partitioned one: it lost
--- a/fleet/quota/manager.go
+++ b/fleet/quota/manager.go
@@ -41,7 +41,7 @@
 	rateTolerance      = 1e-9 // for rounding, in comparisons of rates
 )
 
-// Kind tells how a limit is spent.
+// Kind is how a limit is spent.
 type Kind uint8
 
 // The kinds of limit.
@@ -137,8 +137,8 @@
 	m.peers = peers
 }
 
-// FitsWithin tells whether what this replica has lent fits into its share of a division by replicaCount. Only then may
-// others count on its share being that small.
+// FitsWithin reports whether what this replica has lent fits into its share of a division by replicaCount. Only then
+// may others rely on its share being that small.
 func (m *Manager) FitsWithin(now time.Duration, replicaCount int) bool {
 	m.advance(now)
 	for _, name := range m.order {
@@ -172,7 +172,7 @@
 	account.demand.add(m.now, units)
 }
 
-// Spend takes units of an amount limit, all or none, and tells whether it did.
+// Spend takes units of an amount limit, all or none, and reports whether it did.
 func (m *Manager) Spend(now time.Duration, name string, units float64) bool {
 	m.advance(now)
 	account := m.accounts[name]
--- a/fleet/quota/message.go
+++ b/fleet/quota/message.go
@@ -28,7 +28,7 @@
 // noRenewal in a request asks for a new loan: sequence numbers start at 1.
 const noRenewal = 0
 
-// valid tells whether a message is well-formed. Nobody requests or grants for another.
+// valid reports whether a message is well-formed. Nobody requests or grants for another.
 func (m *Message) valid(sender string) bool {
 	if !(m.Amount >= 0) || m.Amount > maxUnits || m.Request.Replica == "" {
 		return false
--- a/fleet/rollout/application.go
+++ b/fleet/rollout/application.go
@@ -48,7 +48,7 @@
 	})
 }
 
-// holdsOrdered tells whether this replica has the version that it was last ordered to change to.
+// holdsOrdered reports whether this replica has the version that it was last ordered to change to.
 func (p *Participant) holdsOrdered() bool {
 	self := p.env.replicas.find(p.env.name)
 	latest := p.application.latest
@@ -96,7 +96,7 @@
 	return count
 }
 
-// isOutdated tells whether a replica doesn't have the version that the plan ended with.
+// isOutdated reports whether a replica doesn't have the version that the plan ended with.
 func (s *State) isOutdated(replica *Replica) bool {
 	switch s.Phase {
 	case Done:
--- a/fleet/rollout/baseline.go
+++ b/fleet/rollout/baseline.go
@@ -109,7 +109,7 @@
 	return replica.mean() * prior / (prior + byChance), prior * byChance / (prior + byChance)
 }
 
-// Sufficient tells whether it is known well enough how a replica differs to find out what a change costs it.
+// Sufficient reports whether it is known well enough how a replica differs to find out what a change costs it.
 func (b *Baseline) Sufficient(guardrails Guardrails, name string) bool {
 	_, variance := b.Difference(name)
 	upper, _ := guardrails.bounds()
--- a/fleet/rollout/election.go
+++ b/fleet/rollout/election.go
@@ -48,7 +48,7 @@
 	until     time.Duration
 }
 
-// allows tells whether a candidate may be given the vote, or has it.
+// allows reports whether a candidate may be given the vote, or has it.
 func (v *vote) allows(candidate string, now time.Duration) bool {
 	return now >= v.until || v.candidate == candidate
 }
@@ -70,7 +70,7 @@
 	return e.token != 0 && now < e.leaseUntil && e.token >= e.highestToken
 }
 
-// superseded tells whether another replica has a higher token than this candidate or leader.
+// superseded reports whether another replica has a higher token than this candidate or leader.
 func (e *election) superseded() bool { return e.token != 0 && e.token < e.highestToken }
 
 func (e *election) sawToken(token uint64) { e.highestToken = max(e.highestToken, token) }
@@ -209,12 +209,12 @@
 	}
 }
 
-// sendHighestToken tells a replica that its token is outdated.
+// sendHighestToken notifies a replica that its token is outdated.
 func (e *election) sendHighestToken(env *environment, to string) {
 	env.send(to, Message{Kind: VoteGranted, FencingToken: e.highestToken})
 }
 
-// handlePreVote counts a pre-vote and tells whether it belongs to the current ballot.
+// handlePreVote counts a pre-vote and reports whether it belongs to the current ballot.
 func (e *election) handlePreVote(granted *Message) bool {
 	e.sawToken(granted.FencingToken)
 	if granted.Seq != e.preVote.seq || e.preVote.voters == nil {
@@ -239,7 +239,7 @@
 	}
 }
 
-// acceptsOrder tells whether an order is of the leader that this replica voted for, and of no earlier one.
+// acceptsOrder reports whether an order is of the leader that this replica voted for, and of no earlier one.
 func (e *election) acceptsOrder(order *Message, now time.Duration) bool {
 	return order.FencingToken != 0 && order.FencingToken >= e.highestToken &&
 		order.From == e.vote.candidate && now < e.vote.until
--- a/fleet/rollout/evaluator.go
+++ b/fleet/rollout/evaluator.go
@@ -64,7 +64,7 @@
 	pool    string
 }
 
-// NewEvaluator returns one for replicas that were changed. baseline tells how they differed before; nil if it isn't
+// NewEvaluator returns one for replicas that were changed. baseline is how they differed before; nil if it isn't
 // known.
 func NewEvaluator(guardrails Guardrails, changed []string, baseline *Baseline) *Evaluator {
 	guardrails.complete()
@@ -107,7 +107,7 @@
 	}
 }
 
-// Assess tells what is known, and why.
+// Assess returns what is known about the stage, and why.
 func (e *Evaluator) Assess(time.Duration) (Assessment, string) {
 	upper, lower := e.guardrails.bounds()
 	goodput := e.evidence()
--- a/fleet/rollout/fleet_test.go
+++ b/fleet/rollout/fleet_test.go
@@ -238,7 +238,7 @@
 	return State{}
 }
 
-// agreed tells whether all replicas that are up have the same state.
+// agreed reports whether all replicas that are up have the same state.
 func (c *fleet) agreed() bool {
 	var first *State
 	for _, h := range c.members {
--- a/fleet/rollout/message.go
+++ b/fleet/rollout/message.go
@@ -15,13 +15,13 @@
 	Seq          uint64      `json:"Seq"`    // of a request for votes, and of the answers to it
 }
 
-// MessageKind tells what a message is for.
+// MessageKind is the purpose of a message.
 type MessageKind uint8
 
 // The kinds of message.
 const (
 	VoteRequest    MessageKind = iota + 1
-	VoteGranted                // also tells an outdated sender the highest fencing token, with Seq 0
+	VoteGranted                // also notifies an outdated sender of the highest fencing token, with Seq 0
 	PreVoteRequest             // asks whether a vote would be granted: the answer promises nothing
 	PreVoteGranted
 	StateUpdate
@@ -41,7 +41,7 @@
 	Line     string  // LogLine
 }
 
-// ActionKind tells which fields of an Action are set.
+// ActionKind determines which fields of an Action are set.
 type ActionKind uint8
 
 // The kinds of action.
--- a/fleet/rollout/participant.go
+++ b/fleet/rollout/participant.go
@@ -37,7 +37,7 @@
 // State is the plan's progress as far as it is known here.
 func (p *Participant) State() State { return p.state }
 
-// IsLeader tells whether this replica holds the lease.
+// IsLeader reports whether this replica holds the lease.
 func (p *Participant) IsLeader() bool { return p.election.isLeader(p.env.now) }
 
 // CandidateReason describes this replica's part in the election, to find out why there is no leader.
--- a/fleet/rollout/plan.go
+++ b/fleet/rollout/plan.go
@@ -29,7 +29,7 @@
 	DefaultExpires          = 2 * time.Hour
 )
 
-// Kind tells what a plan changes.
+// Kind is what a plan changes.
 type Kind uint8
 
 // The kinds of change.
--- a/fleet/rollout/replicas.go
+++ b/fleet/rollout/replicas.go
@@ -43,12 +43,12 @@
 	return count
 }
 
-// hasQuorum tells whether a majority is alive.
+// hasQuorum reports whether a majority is alive.
 func (r replicas) hasQuorum() bool { return r.isMajority(r.aliveCount()) }
 
 func (r replicas) isMajority(count int) bool { return 2*count > len(r) }
 
-// isFirst tells whether a replica comes first by name of those that are alive.
+// isFirst reports whether a replica comes first by name of those that are alive.
 func (r replicas) isFirst(name string) bool {
 	return !slices.ContainsFunc(r, func(other Replica) bool { return other.Alive && other.Name < name })
 }
--- a/fleet/rollout/rollback.go
+++ b/fleet/rollout/rollback.go
@@ -43,7 +43,7 @@
 	return replica.Version != p.state.Plan.Target && replica.Ready
 }
 
-// rollBackReplica orders a replica to roll back, and repeats the order until it has. It tells whether there is still
+// rollBackReplica orders a replica to roll back, and repeats the order until it has. It reports whether there is still
 // time for that.
 func (p *Participant) rollBackReplica(replica *Replica) bool {
 	orderedAt, ordered := p.stages.orderedAt[replica.Name]
@@ -58,7 +58,8 @@
 	return !ordered || waited <= time.Duration(rollBackTimeoutFactor)*p.state.Plan.ReadyTimeout
 }
 
-// mayRollBack tells whether one more replica may be ordered to roll back. One that isn't ready is unavailable already.
+// mayRollBack reports whether one more replica may be ordered to roll back. One that isn't ready is already
+// unavailable.
 func (p *Participant) mayRollBack(replica *Replica) bool {
 	limit := p.state.Plan.MaxUnavailable
 	if len(p.stages.orderedAt) >= limit {
--- a/fleet/rollout/stages.go
+++ b/fleet/rollout/stages.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// baselineObserved tells whether it is known well enough how replicas differ while all are unchanged.
+// baselineObserved reports whether it is known well enough how replicas differ while all are unchanged.
 func (p *Participant) baselineObserved() bool {
 	plan := &p.state.Plan
 	end := p.election.ordersFrom + plan.Baseline
@@ -247,8 +247,8 @@
 	p.transition(Changing, fmt.Sprintf("stage %d follows: %s", state.Stage+1, reason))
 }
 
-// observeReplica looks for a crash of a changed replica, or one that lost the change, and tells whether that ended the
-// observation.
+// observeReplica ends the observation if a changed replica crashed, died or lost the change, and reports whether it
+// did.
 func (p *Participant) observeReplica(name string) bool {
 	replica := p.env.replicas.find(name)
 	if replica == nil {
@@ -280,7 +280,7 @@
 	}
 }
 
-// deathsAreComparable tells whether there are unchanged replicas to compare deaths with, and no partition hides most
+// deathsAreComparable reports whether there are unchanged replicas to compare deaths with, and no partition hides most
 // replicas.
 func (p *Participant) deathsAreComparable() bool {
 	all := p.env.replicas
@@ -288,7 +288,7 @@
 	return len(all) > len(p.state.Selected) && !all.isMajority(dead)
 }
 
-// deathsExceedChance tells whether the death of a changed replica is more than unchanged ones show at the same time.
+// deathsExceedChance reports whether the death of a changed replica is more than unchanged ones show at the same time.
 func (p *Participant) deathsExceedChance() bool {
 	all := p.env.replicas
 	selected := p.state.Selected
--- a/fleet/rollout/state.go
+++ b/fleet/rollout/state.go
@@ -36,7 +36,7 @@
 	return names[p]
 }
 
-// Ended tells whether there is no plan, or it has ended.
+// Ended reports whether there is no plan, or it has ended.
 func (p Phase) Ended() bool { return p == Idle || p >= Done }
 
 // State is a plan and its progress, replicated to all. The one with the higher fencing token holds, and of one token
@@ -56,7 +56,7 @@
 	ObservationStart time.Duration `json:"StageAt"` // Age when the stage's observation began
 }
 
-// Newer tells whether s supersedes other.
+// Newer reports whether s supersedes other.
 func (s *State) Newer(other *State) bool {
 	if s.FencingToken != other.FencingToken {
 		return s.FencingToken > other.FencingToken
--- a/fleet/rollout/statistics.go
+++ b/fleet/rollout/statistics.go
@@ -115,7 +115,7 @@
 	changed  sample
 }
 
-// isMeaningful tells whether both sides were offered enough.
+// isMeaningful reports whether both sides were offered enough.
 func (c *comparison) isMeaningful() bool {
 	return c.baseline.offered >= minOffered && c.changed.offered >= minOffered
 }
@@ -193,7 +193,7 @@
 	deathChance = 0.1
 )
 
-// deathExceedsChance tells whether the death of one changed replica is more than chance, with so many dead of a
+// deathExceedsChance reports whether the death of one changed replica is more than chance, with so many dead of a
 // number of unchanged ones.
 func deathExceedsChance(deadUnchanged, unchanged int) bool {
 	if unchanged <= 0 {
--- a/fleet/statesync/queue.go
+++ b/fleet/statesync/queue.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// concerns tells whether a peer needs an item of a sender in a zone: of another zone its sums are enough, and its own
+// concerns reports whether a peer needs an item of a sender in a zone: of another zone its sums are enough, and its own
 // zone the peer knows replica by replica.
 func (i *item) concerns(peer Peer, senderZone string) bool {
 	switch {
