--- a/fleet/membership/gossip.go
+++ b/fleet/membership/gossip.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	gossipInterval     = 100 * time.Millisecond // while there are updates to send
-	gossipFanout       = 3                      // members that are gossiped to at a time
-	retransmitFactor   = 4.0                    // times that an update is sent, for each power of ten of members
-	maxUpdateBytes     = 1000                   // updates in a datagram, which is under 1,200 bytes
-	minBurstBytes      = 16 << 10               // bytes of updates that may be sent at once in a small fleet
-	burstBytesPer      = 64.0                   // and for each reachable member in a large one
-	maxQueuedUpdates   = 1024                   // beyond it the one that was sent most often is dropped
-	maxDisputes        = 512                    // members that are waiting to be asked to refute
-	disputesPerGossip  = 32                     // of them at a time
-	matchesToDropQueue = 4                      // equal digests in a row from which queued updates are known everywhere
+	gossipInterval      = 100 * time.Millisecond // while there are updates to send
+	gossipFanout        = 3                      // members that are gossiped to at a time
+	retransmitFactor    = 4.0                    // times that an update is sent, for each power of ten of members
+	maxUpdateBytes      = 1000                   // updates in a datagram, which is under 1,200 bytes
+	minBurstBytes       = 16 << 10               // bytes of updates that may be sent at once in a small fleet
+	burstBytesPerMember = 64.0                   // or, in a large fleet, for each reachable member
+	maxQueuedUpdates    = 1024                   // beyond it the one that was sent most often is dropped
+	maxDisputes         = 512                    // members that are waiting to be asked to refute
+	disputesPerGossip   = 32                     // of them at a time
+	matchesToDropQueue  = 4                      // equal digests in a row that show that all know the queued updates
 )
 
 // gossiper holds what is to be disseminated.
@@ -81,14 +81,14 @@
 	return q.credit >= 0 || slices.ContainsFunc(q.entries, queuedUpdate.urgent)
 }
 
-// urgent reports whether the update may overdraw the credit: who is suspected,
-// refutes or is dead. Records with tags wait; a synchronization brings them too.
+// urgent reports whether the update may overdraw the credit: that a member is
+// suspected, has refuted or is dead. Records with tags wait; a synchronization brings them too.
 func (u queuedUpdate) urgent() bool { return u.Tags == nil }
 
 // fill adds updates to a message: one at least, and as many more as fit into the
 // datagram and the credit. reachable is the number of members that may receive them.
 func (q *updateQueue) fill(now time.Duration, message *Message, reachable int) {
-	burst := max(minBurstBytes, burstBytesPer*float64(reachable))
+	burst := max(minBurstBytes, burstBytesPerMember*float64(reachable))
 	q.credit = min(q.credit+q.bytesPerSecond*(now-q.creditAt).Seconds(), burst)
 	q.creditAt = now
 	if len(q.entries) == 0 {
--- a/fleet/membership/learn.go
+++ b/fleet/membership/learn.go
@@ -63,7 +63,7 @@
 	if record.Epoch != m.Epoch {
 		m.startEpoch()
 	} else if refutes(record, m) && m.suspectedLocally {
-		m.excuse(l.now)
+		m.recordFalseSuspicion(l.now)
 		l.prober.health.worsen()
 	}
 	m.Record = *record
--- a/fleet/membership/list.go
+++ b/fleet/membership/list.go
@@ -122,8 +122,8 @@
 	l.view.changedAt = l.now
 	l.prober.nextAt = l.now + l.rng.duration(l.cfg.ProbeInterval)
 	l.nextReconnect = l.now
-	l.syncer.nextAt = l.now + l.rng.duration(syncGap)
-	l.nextForget = l.now + rememberLeft
+	l.syncer.nextAt = l.now + l.rng.duration(minSyncInterval)
+	l.nextForget = l.now + leftRetention
 	l.publish(l.self)
 }
 
@@ -173,7 +173,7 @@
 	l.runReconnect()
 	l.runSync()
 	if l.now >= l.nextForget {
-		l.nextForget = l.now + rememberLeft
+		l.nextForget = l.now + leftRetention
 		l.members.forgetLeft(l.now)
 	}
 }
--- a/fleet/membership/local_health.go
+++ b/fleet/membership/local_health.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	maxLocalHealth       = 8 // a member in poor health waits up to nine times as long
-	stalledLocalHealth   = maxLocalHealth / 2
-	refutationsCountedIn = time.Second // refutations within this worsen the local health once
+	maxLocalHealth     = 8 // a member in poor health waits up to nine times as long
+	stalledLocalHealth = maxLocalHealth / 2
+	refutationWindow   = time.Second // refutations within it worsen the local health only once
 )
 
 // localHealth is Lifeguard's local health score: 0 is good. It rises as this member
@@ -23,7 +23,7 @@
 
 // refuted takes note that this member had to refute: it did not answer a probe in time.
 func (h *localHealth) refuted(now time.Duration) {
-	if now-h.refutedAt > refutationsCountedIn {
+	if now-h.refutedAt > refutationWindow {
 		h.refutedAt = now
 		h.worsen()
 	}
--- a/fleet/membership/member.go
+++ b/fleet/membership/member.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// A member that refuted a suspicion of this one is not suspected by it for some time.
+// A member that refuted a suspicion that began here is not suspected from here again for some time.
 const (
-	firstExcuse = time.Second // after the first refutation; doubled with each further one
-	maxExcuses  = 6           // refutations beyond which it is not doubled any more
+	firstSuspicionBackoff = time.Second // after the first refutation; doubled with each further one
+	maxFalseSuspicions    = 6           // beyond so many refutations it is not doubled any more
 )
 
 // noIndex is the index of a member that is on no list.
@@ -23,22 +23,22 @@
 	replicaSetDigest uint64        // as it announced last, in its present epoch
 	index            int           // on the list of its status in memberTable, or noIndex
 
-	deathDisputed        bool          // another member holds it for dead, and no refutation arrived yet
-	suspectedLocally     bool          // the suspicion under way began with a probe of this member
-	falseSuspicions      int           // suspicions that began here and were refuted in this epoch, up to maxExcuses
-	notSuspectedHereTill time.Duration // until when a failed probe does not begin a suspicion
+	deathDisputed              bool          // another member holds it for dead, and no refutation arrived yet
+	suspectedLocally           bool          // the suspicion under way began with a probe of this member
+	falseSuspicions            int           // suspicions that began here and were refuted in this epoch, bounded
+	localSuspicionBlockedUntil time.Duration // until when a failed probe does not begin a suspicion
 }
 
 // startEpoch forgets what is known about an earlier process of the member.
 func (m *member) startEpoch() {
 	m.replicaSetDigest = 0
 	m.falseSuspicions = 0
-	m.notSuspectedHereTill = 0
+	m.localSuspicionBlockedUntil = 0
 	m.lastHeard = neverHeard
 }
 
-// excuse takes note that a suspicion that began here was false.
-func (m *member) excuse(now time.Duration) {
-	m.falseSuspicions = min(m.falseSuspicions+1, maxExcuses)
-	m.notSuspectedHereTill = now + firstExcuse<<(m.falseSuspicions-1)
+// recordFalseSuspicion blocks new suspicions from here, as one of them was refuted.
+func (m *member) recordFalseSuspicion(now time.Duration) {
+	m.falseSuspicions = min(m.falseSuspicions+1, maxFalseSuspicions)
+	m.localSuspicionBlockedUntil = now + firstSuspicionBackoff<<(m.falseSuspicions-1)
 }
--- a/fleet/membership/member_table.go
+++ b/fleet/membership/member_table.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// rememberLeft is how long a member that left is kept: older records of it may
+// leftRetention is how long a member that left is kept: older records of it may
 // still arrive.
-const rememberLeft = 10 * time.Minute
+const leftRetention = 10 * time.Minute
 
 // memberTable holds the other members. Each one that is alive or suspect is in
 // reachable, each dead one in unreachable, once, at its index.
@@ -105,7 +105,7 @@
 // forgetLeft removes the members that left long ago.
 func (t *memberTable) forgetLeft(now time.Duration) {
 	for name, m := range t.byName {
-		if m.Status == Left && now-m.statusSince >= rememberLeft {
+		if m.Status == Left && now-m.statusSince >= leftRetention {
 			delete(t.byName, name)
 		}
 	}
--- a/fleet/membership/member_table_test.go
+++ b/fleet/membership/member_table_test.go
@@ -86,11 +86,11 @@
 	left := table.byName["m0"]
 	left.Status = Left
 	table.statusChanged(left, Alive, &rng)
-	table.forgetLeft(rememberLeft - time.Second)
+	table.forgetLeft(leftRetention - time.Second)
 	if len(table.byName) != 2 {
 		t.Error("it is forgotten too early")
 	}
-	table.forgetLeft(rememberLeft)
+	table.forgetLeft(leftRetention)
 	if len(table.byName) != 1 {
 		t.Error("it is not forgotten")
 	}
--- a/fleet/membership/prober.go
+++ b/fleet/membership/prober.go
@@ -207,7 +207,7 @@
 	if target.Epoch != p.epoch || !target.Status.reachable() {
 		return
 	}
-	if target.Status == Alive && l.now < target.notSuspectedHereTill {
+	if target.Status == Alive && l.now < target.localSuspicionBlockedUntil {
 		return // it has just refuted this member's suspicion: others may suspect it
 	}
 	record := target.withoutTags()
--- a/fleet/membership/reconnect.go
+++ b/fleet/membership/reconnect.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	reconnectInterval = time.Second // between attempts to reconnect, on average
-	reconnecters      = 4.0         // members of the whole fleet, on average, that attempt it each time
+	reconnectInterval   = time.Second // between attempts to reconnect, on average
+	reconnectingMembers = 4.0         // members of the whole fleet, on average, that attempt it each time
 )
 
 // runReconnect tries to reconnect if it is due.
@@ -23,7 +23,7 @@
 func (l *List) pingUnreachable() {
 	fleet := float64(len(l.members.reachable) + 1)
 	lost := l.members.unreachable
-	if len(lost) > 0 && l.rng.Float64() < reconnecters*float64(len(lost))/fleet {
+	if len(lost) > 0 && l.rng.Float64() < reconnectingMembers*float64(len(lost))/fleet {
 		m := lost[l.rng.below(len(lost))]
 		ping := newPing(l.prober.nextSequence(), m.Name)
 		ping.Updates = []Record{m.withoutTags(), l.self}
@@ -44,7 +44,7 @@
 		}
 		return
 	}
-	if l.rng.Float64() < reconnecters/float64(len(l.members.reachable)+1) {
+	if l.rng.Float64() < reconnectingMembers/float64(len(l.members.reachable)+1) {
 		ping := newPing(l.prober.nextSequence(), "")
 		ping.Updates = []Record{l.self}
 		l.sendTo("", seed, ping)
--- a/fleet/membership/sync.go
+++ b/fleet/membership/sync.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	quietView      = 600 * time.Millisecond  // a view that has not changed for so long is synchronized if it differs
-	maxUnquietView = 1500 * time.Millisecond // and one that goes on changing is after so long
-	syncBacklog    = 64                      // queued updates from which gossip would take seconds
-	syncGap        = 500 * time.Millisecond  // between synchronizations that this member starts,
-	membersPerGap  = 1000.0                  // and as many times that as there are multiples of so many members
-	syncTimeout    = 5 * time.Second         // a synchronization that has not ended by then is given up
+	viewQuietPeriod        = 600 * time.Millisecond  // a view unchanged for so long is synchronized if it differs
+	maxSyncDelay           = 1500 * time.Millisecond // and one that keeps changing after so long
+	syncBacklog            = 64                      // queued updates from which gossip would take seconds
+	minSyncInterval        = 500 * time.Millisecond  // between synchronizations that this member starts
+	membersPerSyncInterval = 1000.0                  // above so many members the interval grows in proportion to them
+	syncTimeout            = 5 * time.Second         // a synchronization that has not ended by then is given up
 )
 
-// syncer keeps push/pull synchronizations of whole views: at most one that was
+// syncer schedules push/pull synchronizations of whole views. At most one that was
 // started here is under way.
 type syncer struct {
 	candidate     string // name of a member whose digest differs; empty if there is none
@@ -33,7 +33,7 @@
 	if queuedUpdates >= syncBacklog {
 		return s.nextAt
 	}
-	return max(s.nextAt, min(viewChangedAt+quietView, s.lastStartedAt+maxUnquietView))
+	return max(s.nextAt, min(viewChangedAt+viewQuietPeriod, s.lastStartedAt+maxSyncDelay))
 }
 
 // dueAt is when the next step is due.
@@ -67,7 +67,7 @@
 	s.current = s.started
 	s.endsAt = now + syncTimeout
 	s.lastStartedAt = now
-	gap := time.Duration(max(1, float64(reachable)/membersPerGap) * float64(syncGap))
+	gap := time.Duration(max(1, float64(reachable)/membersPerSyncInterval) * float64(minSyncInterval))
 	s.nextAt = now + gap + rng.duration(gap)
 }
 
--- a/fleet/membership/sync_test.go
+++ b/fleet/membership/sync_test.go
@@ -15,8 +15,8 @@
 		queued    int
 		want      time.Duration
 	}{
-		{"quiet", syncer{lastStartedAt: 9500 * time.Millisecond}, 10 * time.Second, 0, 10*time.Second + quietView},
-		{"changing for long", syncer{lastStartedAt: 5 * time.Second}, 10 * time.Second, 0, 5*time.Second + maxUnquietView},
+		{"quiet", syncer{lastStartedAt: 9500 * time.Millisecond}, 10 * time.Second, 0, 10*time.Second + viewQuietPeriod},
+		{"changing for long", syncer{lastStartedAt: 5 * time.Second}, 10 * time.Second, 0, 5*time.Second + maxSyncDelay},
 		{"long queue", syncer{nextAt: 2 * time.Second}, 10 * time.Second, syncBacklog, 2 * time.Second},
 		{"within the gap", syncer{nextAt: 30 * time.Second}, 10 * time.Second, 0, 30 * time.Second},
 	} {
@@ -42,7 +42,7 @@
 	if !s.end(s.started) || s.current != 0 {
 		t.Error("the present one is not ended")
 	}
-	if s.nextAt < time.Second+syncGap || s.nextAt > time.Second+2*syncGap {
+	if s.nextAt < time.Second+minSyncInterval || s.nextAt > time.Second+2*minSyncInterval {
 		t.Errorf("the next one may start at %v", s.nextAt)
 	}
 }
@@ -51,8 +51,8 @@
 func TestSyncGapGrowsWithFleet(t *testing.T) {
 	rng := newRandom(1, "a")
 	var s syncer
-	s.start(0, 10*membersPerGap, &rng)
-	if s.nextAt < 10*syncGap {
+	s.start(0, 10*membersPerSyncInterval, &rng)
+	if s.nextAt < 10*minSyncInterval {
 		t.Errorf("the next one may start at %v", s.nextAt)
 	}
 }
--- a/fleet/placement/partition.go
+++ b/fleet/placement/partition.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	lossWindow          = 5 * time.Second // losses within it are attributed to one cause
-	partitionedLossPart = 0.5             // a replica that lost a greater fraction is likely the partitioned one
-	poorHealth          = 4               // local health from which any loss is attributed to this replica
+	lossWindow              = 5 * time.Second // losses within it are attributed to one cause
+	partitionedLossFraction = 0.5             // a replica that lost a greater fraction is likely the partitioned one
+	poorHealth              = 4               // local health from which any loss is attributed to this replica
 )
 
 // partitionDetector finds whether this replica is likely the partitioned one: it lost
@@ -44,10 +44,10 @@
 		}
 		d.lastHeard = max(d.lastHeard, m.LastHeard)
 	}
-	d.forgetMissing(snapshot.Members)
+	d.dropMissing(snapshot.Members)
 	d.losses = slices.DeleteFunc(d.losses, func(at time.Duration) bool { return now-at > lossWindow })
 	losses := len(d.losses)
-	lostMost := float64(losses) > partitionedLossPart*float64(losses+alive)
+	lostMost := float64(losses) > partitionedLossFraction*float64(losses+alive)
 	healthy := snapshot.Health < poorHealth
 	switch {
 	case !d.partitioned && losses > 0 && (lostMost || !healthy):
@@ -58,8 +58,8 @@
 	}
 }
 
-// forgetMissing forgets the statuses of those that are not members any more.
-func (d *partitionDetector) forgetMissing(members []membership.MemberInfo) {
+// dropMissing forgets the statuses of those that are not members any more.
+func (d *partitionDetector) dropMissing(members []membership.MemberInfo) {
 	if len(d.statuses) <= len(members) {
 		return
 	}
