--- a/fleet/rollout/application.go
+++ b/fleet/rollout/application.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// settleTime is how long after its start a replica is certain to know which others are alive.
-const settleTime = 5 * time.Second
+// startupGrace is how long after its start a replica is certain to know which others are alive.
+const startupGrace = 5 * time.Second
 
 // order is what a replica was ordered to change to.
 type order struct {
@@ -34,7 +34,7 @@
 func (p *Participant) apply(target string, rollBack bool) {
 	plan := &p.state.Plan
 	ordered := order{plan: plan.ID, target: target}
-	changedByHand := p.application.completed && !p.holdsOrdered()
+	changedByHand := p.application.completed && !p.hasOrderedVersion()
 	if p.application.latest == ordered && !changedByHand {
 		return
 	}
@@ -48,8 +48,8 @@
 	})
 }
 
-// holdsOrdered reports whether this replica has the version that it was last ordered to change to.
-func (p *Participant) holdsOrdered() bool {
+// hasOrderedVersion reports whether this replica has the version that it was last ordered to change to.
+func (p *Participant) hasOrderedVersion() bool {
 	self := p.env.replicas.find(p.env.name)
 	latest := p.application.latest
 	if self == nil || latest == (order{}) || latest.plan != p.state.Plan.ID {
@@ -61,15 +61,15 @@
 	return self.Version == latest.target
 }
 
-// conform has a replica that was away change to the outcome of the plan. As many may be back at once, they take turns
-// by name, with no more unavailable than the plan allows.
-func (p *Participant) conform() {
+// applyOutcome has a replica that was away change to the outcome of the plan. Many may come back at once, so they take
+// turns by name, with no more unavailable than the plan allows.
+func (p *Participant) applyOutcome() {
 	state := &p.state
 	self := p.env.replicas.find(p.env.name)
 	if self == nil || state.Plan.ID == "" || self.RefusedReason != "" || !state.isOutdated(self) {
 		return
 	}
-	if !p.env.replicas.hasQuorum() || p.env.now-p.startedAt < settleTime {
+	if !p.env.replicas.hasQuorum() || p.env.now-p.startedAt < startupGrace {
 		return
 	}
 	switch {
@@ -81,7 +81,7 @@
 	}
 }
 
-// unavailableBeforeSelf counts the peers that aren't ready, and those that are to conform before this replica.
+// unavailableBeforeSelf counts the peers that aren't ready, and those that apply the outcome before this replica.
 func (p *Participant) unavailableBeforeSelf() int {
 	count := 0
 	for i := range p.env.replicas {
--- a/fleet/rollout/baseline.go
+++ b/fleet/rollout/baseline.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	minBaselineWeight = 20.0          // offered, before the difference of a replica counts
-	minVariance       = 0.004 * 0.004 // of the goodput of replicas that are alike
-	minBinomial       = 0.002         // least variance of the outcome of one request
+	minBaselineWeight   = 20.0          // offered, before the difference of a replica counts
+	minVariance         = 0.004 * 0.004 // of the goodput of replicas that are alike
+	minBinomialVariance = 0.002         // least variance of the outcome of one request
 )
 
 // Baseline is how replicas differed before any of them was changed: one that always serves less than others of its zone
@@ -88,7 +88,7 @@
 		replica.offered += report.OfferedWeight
 		replica.served += report.ServedWeight
 		replica.expected += report.OfferedWeight * goodput
-		variance := max(goodput*(1-goodput), minBinomial)
+		variance := max(goodput*(1-goodput), minBinomialVariance)
 		replica.spread += report.OfferedWeight * variance * (1 + report.OfferedWeight/offeredToOthers)
 	}
 }
--- a/fleet/rollout/participant.go
+++ b/fleet/rollout/participant.go
@@ -155,15 +155,15 @@
 	p.env.advance(now)
 	p.env.actions = append(out, p.env.actions...)
 	p.env.replicas = replicas
-	p.application.completed = p.application.completed || p.holdsOrdered()
+	p.application.completed = p.application.completed || p.hasOrderedVersion()
 	if p.state.Phase.Ended() {
 		p.election.withdraw()
-		p.conform()
+		p.applyOutcome()
 	} else {
 		p.state.Age += p.env.now - previous
-		p.lead()
+		p.advancePlan()
 	}
-	p.remind()
+	p.sendPeriodicUpdate()
 	return p.env.takeActions()
 }
 
@@ -194,8 +194,8 @@
 	return p.env.takeActions()
 }
 
-// lead becomes a candidate, keeps the lease and, as leader, takes the plan on.
-func (p *Participant) lead() {
+// advancePlan becomes a candidate, keeps the lease and, as leader, advances the plan.
+func (p *Participant) advancePlan() {
 	if p.election.token == 0 {
 		p.election.considerCampaign(&p.env)
 		return
--- a/fleet/rollout/replication.go
+++ b/fleet/rollout/replication.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-const reminderInterval = 2 * time.Second
+const periodicUpdateInterval = 2 * time.Second
 
-// replication is how the state reaches all replicas: the leader sends it to all, and every replica now and then to one
-// that may have been away.
+// replication is how the state reaches all replicas: the leader sends it to all, and every replica periodically to
+// one peer, which may have been away.
 type replication struct {
-	nextBroadcastAt time.Duration
-	nextReminderAt  time.Duration
-	reminders       int // sent: peers take turns
+	nextBroadcastAt      time.Duration
+	nextPeriodicUpdateAt time.Duration
+	periodicUpdates      int // sent: peers take turns
 }
 
 // stateUpdate returns the state as it is now, as a message.
@@ -21,16 +21,16 @@
 // broadcast sends the state to all peers that are alive.
 func (p *Participant) broadcast() { p.env.sendToPeers(p.stateUpdate()) }
 
-// remind sends the state to the next peer in turn.
-func (p *Participant) remind() {
+// sendPeriodicUpdate sends the state to the next peer in turn, if that is due.
+func (p *Participant) sendPeriodicUpdate() {
 	replicas := p.env.replicas
-	if p.state.FencingToken == 0 || p.env.now < p.replication.nextReminderAt || len(replicas) < 2 {
+	if p.state.FencingToken == 0 || p.env.now < p.replication.nextPeriodicUpdateAt || len(replicas) < 2 {
 		return
 	}
-	p.replication.nextReminderAt = p.env.now + reminderInterval
-	p.replication.reminders++
+	p.replication.nextPeriodicUpdateAt = p.env.now + periodicUpdateInterval
+	p.replication.periodicUpdates++
 	for i := range replicas {
-		peer := &replicas[(p.replication.reminders+i)%len(replicas)]
+		peer := &replicas[(p.replication.periodicUpdates+i)%len(replicas)]
 		if peer.Alive && peer.Name != p.env.name {
 			p.env.send(peer.Name, p.stateUpdate())
 			return
--- a/fleet/rollout/statistics.go
+++ b/fleet/rollout/statistics.go
@@ -127,7 +127,7 @@
 	baseline := &c.baseline
 	changed := &c.changed
 	pooled := (baseline.served + changed.served + 1) / (baseline.offered + changed.offered + 2)
-	binomial := max(pooled*(1-pooled), minBinomial)
+	binomial := max(pooled*(1-pooled), minBinomialVariance)
 	offeredEach := baseline.offered / max(baseline.replicas, 1)
 	widening := max(overdispersion(baseline.goodputs, baseline.goodput(), binomial, offeredEach), 1)
 	variance := binomial * widening * (1/baseline.offered + 1/changed.offered)
--- a/fleet/rollout_host.go
+++ b/fleet/rollout_host.go
@@ -55,14 +55,14 @@
 
 // rolloutHost is this replica's side of rollouts. The fleet's mutex guards it.
 type rolloutHost struct {
-	participant *rollout.Participant
-	change      ChangeFunc
-	activity    func() []PoolActivity
-	reported    map[string]PoolActivity // by pool, at the latest report
-	interval    uint64                  // number of the latest report
-	refusals    map[string]refusal      // by replica, the other ones
-	ownRefusal  refusal
-	desired     DesiredVersion
+	participant      *rollout.Participant
+	change           ChangeFunc
+	activity         func() []PoolActivity
+	reported         map[string]PoolActivity // by pool, at the latest report
+	reportedInterval uint64                  // number of the latest report
+	refusals         map[string]refusal      // by replica, the other ones
+	ownRefusal       refusal
+	desired          DesiredVersion
 
 	fetching      bool
 	fetchFailedAt time.Time // zero after a success
@@ -162,8 +162,8 @@
 	defer f.mu.Unlock()
 	h := f.rollouts
 	f.executeRollout(h.participant.Tick(f.now(), f.replicas(), nil))
-	if interval := uint64(time.Now().UnixNano() / int64(reportInterval)); interval != h.interval {
-		h.interval = interval
+	if interval := uint64(time.Now().UnixNano() / int64(reportInterval)); interval != h.reportedInterval {
+		h.reportedInterval = interval
 		f.reportActivity()
 	}
 	f.persistRollout()
@@ -291,7 +291,7 @@
 			Name:            f.cfg.Name,
 			Zone:            f.cfg.Zone,
 			Pool:            activity.Pool,
-			Interval:        h.interval,
+			Interval:        h.reportedInterval,
 			OfferedWeight:   activity.OfferedWeight - before.OfferedWeight,
 			ServedWeight:    activity.ServedWeight - before.ServedWeight,
 			Responses:       activity.Responses - before.Responses,
