--- a/cli/rolloutagent/agent.go
+++ b/cli/rolloutagent/agent.go
@@ -36,7 +36,7 @@
 	Output  io.Writer     // for messages, and what the command prints
 }
 
-// Run polls the proxy until the context ends. What was wanted before it started is taken as done.
+// Run polls the proxy until the context ends. What was wanted before it started counts as done.
 func (a *Agent) Run(ctx context.Context) error {
 	done := fleet.DesiredVersion{}
 	if status, err := a.Proxy.Rollout(); err == nil {
--- a/cli/serve.go
+++ b/cli/serve.go
@@ -39,10 +39,10 @@
 
 // serve runs the proxy until SIGTERM or SIGINT.
 func serve(getenv func(string) string, stderr io.Writer) error {
-	// Caught from the first moment on and until the process is gone: by itself the signal would end it.
+	// SIGHUP is caught from the start until the process ends: by default it would end the process.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	// Whoever reads the log may go away: by itself the next line would end the process.
+	// The reader of the log may exit: unless SIGPIPE is ignored, the next line would end the process.
 	signal.Ignore(syscall.SIGPIPE)
 	cfg, warnings, err := config.Load(getenv)
 	if err != nil {
@@ -71,7 +71,7 @@
 	if err != nil {
 		return runError{err}
 	}
-	go func() { // as long as the process: there is no end of hangups
+	go func() { // ends with the process: hangups is never closed
 		for range hangups {
 			reload(p, getenv, maxDescriptors, log)
 		}
