--- a/fleet/codec/replay.go
+++ b/fleet/codec/replay.go
@@ -5,9 +5,9 @@
 	// may count once more.
 	maxSenders = 16384
 
-	wordBits    = 64
+	bitsPerWord = 64
 	windowWords = 4
-	windowSpan  = windowWords * wordBits // numbers
+	windowSpan  = windowWords * bitsPerWord // numbers
 )
 
 // replayFilter distinguishes frames that were received before from new ones, by sender.
@@ -67,5 +67,5 @@
 
 // position returns the word and the bit of a number in a window.
 func position(number uint64) (word int, bit uint64) {
-	return int(number % windowSpan / wordBits), 1 << (number % wordBits)
+	return int(number % windowSpan / bitsPerWord), 1 << (number % bitsPerWord)
 }
--- a/fleet/counter/set.go
+++ b/fleet/counter/set.go
@@ -28,8 +28,8 @@
 	now     time.Duration
 
 	own      map[Key]Counts
-	replicas table // by name
-	zones    table // by zone
+	replicas updateTable // by name
+	zones    updateTable // by zone
 
 	minEpochs map[string]uint64 // by replica: updates of earlier epochs have expired
 
@@ -37,8 +37,8 @@
 	Invalid uint64
 }
 
-// table holds the latest update of each sender.
-type table struct {
+// updateTable holds the latest update of each sender.
+type updateTable struct {
 	entries    map[string]*entry
 	maxEntries int
 }
@@ -50,8 +50,8 @@
 		zone:      zone,
 		epoch:     epoch,
 		own:       map[Key]Counts{},
-		replicas:  table{entries: map[string]*entry{}, maxEntries: MaxMembers},
-		zones:     table{entries: map[string]*entry{}, maxEntries: MaxZones},
+		replicas:  updateTable{entries: map[string]*entry{}, maxEntries: MaxMembers},
+		zones:     updateTable{entries: map[string]*entry{}, maxEntries: MaxZones},
 		minEpochs: map[string]uint64{},
 	}
 }
@@ -138,7 +138,7 @@
 func (s *Set) advance(now time.Duration) { s.now = max(s.now, now) }
 
 // merge takes an update in that was valid at a time, and reports whether it was newer than what was known.
-func (t *table) merge(key string, update Update, validAt time.Duration) bool {
+func (t *updateTable) merge(key string, update Update, validAt time.Duration) bool {
 	current := t.entries[key]
 	if current == nil {
 		if len(t.entries) >= t.maxEntries {
--- a/fleet/rollout/evaluator.go
+++ b/fleet/rollout/evaluator.go
@@ -152,8 +152,8 @@
 		if totals[allZones] == nil {
 			totals[allZones] = &comparison{}
 		}
-		totals[allZones].baseline.join(&zone.baseline)
-		totals[allZones].changed.join(&zone.changed)
+		totals[allZones].baseline.merge(&zone.baseline)
+		totals[allZones].changed.merge(&zone.changed)
 		if zone.isMeaningful() {
 			zonesCompared[allZones] = true
 			compared[key.interval] = true
--- a/fleet/rollout/statistics.go
+++ b/fleet/rollout/statistics.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// join adds the sums of another sample.
-func (s *sample) join(other *sample) {
+// merge adds the sums of another sample.
+func (s *sample) merge(other *sample) {
 	s.replicas += other.replicas
 	s.offered += other.offered
 	s.served += other.served
--- a/fleet/rollout_host.go
+++ b/fleet/rollout_host.go
@@ -58,7 +58,7 @@
 	participant      *rollout.Participant
 	change           ChangeFunc
 	activity         func() []PoolActivity
-	reported         map[string]PoolActivity // by pool, at the latest report
+	reportedActivity map[string]PoolActivity // by pool, at the latest report
 	reportedInterval uint64                  // number of the latest report
 	refusals         map[string]refusal      // by replica, the other ones
 	ownRefusal       refusal
@@ -75,11 +75,11 @@
 // EnableRollouts has this replica take part in rollouts. It must be called before Run.
 func (f *Fleet) EnableRollouts(change ChangeFunc, activity func() []PoolActivity) {
 	f.rollouts = &rolloutHost{
-		participant: rollout.New(f.cfg.Name, f.now()),
-		change:      change,
-		activity:    activity,
-		reported:    map[string]PoolActivity{},
-		refusals:    map[string]refusal{},
+		participant:      rollout.New(f.cfg.Name, f.now()),
+		change:           change,
+		activity:         activity,
+		reportedActivity: map[string]PoolActivity{},
+		refusals:         map[string]refusal{},
 	}
 	if f.restored.Rollout != nil {
 		f.rollouts.participant.Restore(*f.restored.Rollout)
@@ -282,8 +282,8 @@
 	}
 	underWay := state.Phase == rollout.Observing || state.Phase == rollout.Changing
 	for _, activity := range h.activity() {
-		before := h.reported[activity.Pool]
-		h.reported[activity.Pool] = activity
+		before := h.reportedActivity[activity.Pool]
+		h.reportedActivity[activity.Pool] = activity
 		if !underWay || state.Leader == "" {
 			continue
 		}
--- a/fleet/statesync/queue.go
+++ b/fleet/statesync/queue.go
@@ -17,13 +17,13 @@
 
 // item is counters or evidence to be sent.
 type item struct {
-	key      itemKey
-	validAt  time.Duration // when it was true
-	sent     int           // times
-	urgent   bool
-	counters *wireCounters     // or
-	evidence *outlier.Evidence // of which one is set
-	size     int               // estimated, in bytes
+	key       itemKey
+	validAt   time.Duration // when it was true
+	transmits int           // times
+	urgent    bool
+	counters  *wireCounters     // or
+	evidence  *outlier.Evidence // of which one is set
+	size      int               // estimated, in bytes
 }
 
 // itemKey names what an item is about: a later item replaces an earlier one of the same key.
@@ -85,7 +85,7 @@
 		}
 		return 1
 	}
-	return cmp.Compare(a.sent, b.sent)
+	return cmp.Compare(a.transmits, b.transmits)
 }
 
 // queue holds items in the order of compareItems until each was sent often enough to reach all.
@@ -123,7 +123,7 @@
 			continue
 		}
 		remaining -= candidate.size
-		candidate.sent++
+		candidate.transmits++
 		candidate.addTo(packet, now)
 		if remaining < minItemBytes {
 			break
@@ -133,7 +133,7 @@
 		return nil
 	}
 	maxSent := retransmitFactor * decimalDigits(peers+1)
-	q.items = slices.DeleteFunc(q.items, func(i item) bool { return i.sent >= maxSent })
+	q.items = slices.DeleteFunc(q.items, func(i item) bool { return i.transmits >= maxSent })
 	slices.SortStableFunc(q.items, compareItems)
 	return packet
 }
--- a/fleet/statesync/syncer.go
+++ b/fleet/statesync/syncer.go
@@ -245,7 +245,7 @@
 	update := received.Item.update(received.AgeMS)
 	if s.Counters.Merge(s.now, update) {
 		item := newCounterItem(s.now, update)
-		item.sent = 1 // by its sender
+		item.transmits = 1 // by its sender
 		s.queue.put(item)
 	}
 }
@@ -261,7 +261,7 @@
 		return
 	}
 	item := newEvidenceItem(s.now-age, evidence)
-	item.sent = 1 // by its sender
+	item.transmits = 1 // by its sender
 	s.queue.put(item)
 }
 
