--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -21,7 +21,7 @@
 	departureGossip = 700 * time.Millisecond // how long the departure is disseminated before the sockets close
 	persistInterval = 30 * time.Second       // between writes of the state file without a change
 
-	// farFuture separates the times of ticks from the time that stands for none.
+	// farFuture is beyond the time of any tick, and below the one by which NextTick says that none is due.
 	farFuture time.Duration = 1 << 62
 )
 
@@ -143,7 +143,7 @@
 	f.goroutines.Wait()
 }
 
-// start hands the first events over.
+// start passes the first events to the membership list.
 func (f *Fleet) start() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/membership/gossip.go
+++ b/fleet/membership/gossip.go
@@ -10,6 +10,7 @@
 const (
 	gossipInterval      = 100 * time.Millisecond // while there are updates to send
 	gossipFanout        = 3                      // members that are gossiped to at a time
+	departureFanout     = 2 * gossipFanout       // members that are sent a departure at once: the process ends soon
 	retransmitFactor    = 4.0                    // times that an update is sent, for each power of ten of members
 	maxUpdateBytes      = 1000                   // updates in a datagram, which is under 1,200 bytes
 	minBurstBytes       = 16 << 10               // bytes of updates that may be sent at once in a small fleet
@@ -94,26 +95,26 @@
 	if len(q.entries) == 0 {
 		return
 	}
-	room := maxUpdateBytes
+	remaining := maxUpdateBytes
 	for i := range message.Updates {
-		room -= message.Updates[i].Size()
+		remaining -= message.Updates[i].Size()
 	}
-	taken := 0
+	added := 0
 	for i := range q.entries {
 		update := &q.entries[i]
 		size := update.Size()
-		if size > room {
+		if size > remaining {
 			break
 		}
 		left := q.credit - float64(size)
-		if taken > 0 && (left < -burst || left < 0 && !update.urgent()) {
+		if added > 0 && (left < -burst || left < 0 && !update.urgent()) {
 			continue
 		}
-		room -= size
+		remaining -= size
 		q.credit -= float64(size)
 		message.Updates = append(message.Updates, update.Record)
 		update.transmits++
-		taken++
+		added++
 	}
 	q.dropSent(reachable)
 }
--- a/fleet/membership/learn.go
+++ b/fleet/membership/learn.go
@@ -176,7 +176,7 @@
 	l.self.Status = Left
 	l.self.Incarnation++
 	l.publish(l.self)
-	for _, m := range l.members.sample(2*gossipFanout, nil, &l.rng) {
+	for _, m := range l.members.sample(departureFanout, nil, &l.rng) {
 		l.sendToMember(m, newGossip(l.self))
 	}
 }
--- a/fleet/membership/record.go
+++ b/fleet/membership/record.go
@@ -30,6 +30,14 @@
 	return s.Epoch == other.Epoch && s.TagsIncarnation == other.TagsIncarnation
 }
 
+// The places of numbers in the version that a state's hash covers. They do not overlap: a status has two bits, and an
+// incarnation is less than maxIncarnation.
+const (
+	incarnationShift     = 32
+	tagsIncarnationShift = 2
+	statusMask           = 1<<tagsIncarnationShift - 1
+)
+
 // hash is the state's contribution to the digest of a view: views that hold the
 // same have the same digest. Whether a member is suspected changes quickly and is
 // not part of it; neither are members that left.
@@ -42,7 +50,8 @@
 		status = Alive
 	}
 	identity := seedrand.HashName(s.Name) ^ seedrand.Mix(s.Epoch)
-	version := uint64(s.Incarnation)<<32 | uint64(s.TagsIncarnation)<<2 | uint64(status&3)
+	version := uint64(s.Incarnation)<<incarnationShift |
+		uint64(s.TagsIncarnation)<<tagsIncarnationShift | uint64(status&statusMask)
 	return seedrand.Mix(identity ^ seedrand.Mix(version))
 }
 
--- a/fleet/membership/suspicion.go
+++ b/fleet/membership/suspicion.go
@@ -12,6 +12,7 @@
 	minSuspicionPeriods = 6.0 // probe intervals: time to disseminate a suspicion and to receive the refutation
 	maxSuspicionFactor  = 6.0 // times the minimum that a suspicion lasts if nobody confirms it
 	lastChancePingers   = 300 // members of the fleet, on average, that ping a suspect before they declare it dead
+	unconfirmableFactor = 2   // times the minimum that a suspicion lasts if no other member could confirm it
 	verifiers           = 4.0 // members of the fleet, on average, that probe a newly suspected member at once
 )
 
@@ -29,11 +30,11 @@
 // members confirmed it independently.
 func (s *suspicion) timeoutAt() time.Duration {
 	if s.neededConfirmations <= 0 { // nobody else could confirm it
-		return s.startedAt + 2*s.min
+		return s.startedAt + unconfirmableFactor*s.min
 	}
 	confirmations := min(len(s.reporters)-1, s.neededConfirmations)
-	part := math.Log(float64(confirmations)+1) / math.Log(float64(s.neededConfirmations)+1)
-	return s.startedAt + s.max - time.Duration(part*float64(s.max-s.min))
+	fraction := math.Log(float64(confirmations)+1) / math.Log(float64(s.neededConfirmations)+1)
+	return s.startedAt + s.max - time.Duration(fraction*float64(s.max-s.min))
 }
 
 // confirmed reports whether as many members reported the suspicion as can shorten it.
--- a/fleet/membership_host.go
+++ b/fleet/membership_host.go
@@ -12,7 +12,7 @@
 	f.sendUnknownKind()
 }
 
-// receive takes in a datagram.
+// receive handles a datagram.
 func (f *Fleet) receive(message *membership.Message, address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -25,7 +25,7 @@
 	}
 }
 
-// handle hands an event to the membership list, carries out its actions and returns the
+// handle passes an event to the membership list, executes its actions and returns the
 // replies among them. The mutex is held.
 func (f *Fleet) handle(event membership.Event) (replies []*membership.Message) {
 	if f.ended {
--- a/fleet/placement/replica_set.go
+++ b/fleet/placement/replica_set.go
@@ -38,6 +38,9 @@
 	return true
 }
 
+// poolHashFactor makes the hash of a replica depend on the order of its pools.
+const poolHashFactor = 31
+
 // setDigest is a digest of the names and pools of the members that may run.
 func setDigest(members []membership.MemberInfo) (digest uint64) {
 	for i := range members {
@@ -48,7 +51,7 @@
 		hash := seedrand.Spread(m.Name)
 		if m.Tags != nil {
 			for _, name := range m.Tags.Pools {
-				hash = hash*31 + seedrand.Spread(name)
+				hash = hash*poolHashFactor + seedrand.Spread(name)
 			}
 		}
 		digest ^= hash
