--- a/cli/fleettables.go
+++ b/cli/fleettables.go
@@ -17,7 +17,7 @@
 	return w.Flush()
 }
 
-// formatMS formats milliseconds; negative ones stand for a time that has not come.
+// formatMS formats milliseconds; negative ones mean that the time has not come.
 func formatMS(ms int64) string {
 	if ms < 0 {
 		return "never"
--- a/cli/rollout.go
+++ b/cli/rollout.go
@@ -132,7 +132,7 @@
 	return &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: run}
 }
 
-// steer returns a command that the proxy carries out under the same name.
+// steer returns a command that the proxy executes under the same name.
 func (c *rolloutCommands) steer(use, short string) *cobra.Command {
 	run := func(*cobra.Command, []string) error {
 		if err := c.client().post(pathRollout+"/"+use, ""); err != nil {
--- a/cmd/proxy/main_test.go
+++ b/cmd/proxy/main_test.go
@@ -67,9 +67,9 @@
   "Limits":{"IdleClose":5000000,"ConnectTimeout":1000000,"MayCancel":true,"TryLimit":3}}}`, listen, backend)
 }
 
-// addressOf reads a program's log until it tells where it serves, and goes on
-// reading lest the program's log fill up. What the log says of reloads is
-// passed on.
+// addressOf returns the address that a program logs when it serves. It keeps reading
+// the log, so that the program never blocks on it, and passes on what it says of
+// reloads.
 func addressOf(t *testing.T, log io.Reader) (string, <-chan string) {
 	t.Helper()
 	found, reloads := make(chan string, 1), make(chan string, 8)
--- a/fleet/counter/set.go
+++ b/fleet/counter/set.go
@@ -95,7 +95,7 @@
 	return update
 }
 
-// Merge takes an update in, and reports whether it was newer than what was known.
+// Merge adds an update, and reports whether it was newer than what was known.
 func (s *Set) Merge(now time.Duration, update Update) bool {
 	s.advance(now)
 	if !update.valid() {
@@ -137,7 +137,7 @@
 
 func (s *Set) advance(now time.Duration) { s.now = max(s.now, now) }
 
-// merge takes an update in that was valid at a time, and reports whether it was newer than what was known.
+// merge adds an update that was valid at a time, and reports whether it was newer than what was known.
 func (t *updateTable) merge(key string, update Update, validAt time.Duration) bool {
 	current := t.entries[key]
 	if current == nil {
--- a/fleet/counter/update.go
+++ b/fleet/counter/update.go
@@ -31,7 +31,7 @@
 	maxAgeMS    = 1e9
 )
 
-// merge takes newer counts of the same process in. Messages may overtake each other, so counts that only grow never
+// merge adopts newer counts of the same process. Messages may overtake each other, so counts that only grow never
 // fall.
 func (c *Counts) merge(other Counts) {
 	c.Arrivals = max(c.Arrivals, other.Arrivals)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -21,7 +21,7 @@
 	departureGossip = 700 * time.Millisecond // how long the departure is disseminated before the sockets close
 	persistInterval = 30 * time.Second       // between writes of the state file without a change
 
-	// farFuture is beyond the time of any tick, and below the one by which NextTick says that none is due.
+	// farFuture is later than any tick and earlier than what NextTick returns if none is due.
 	farFuture time.Duration = 1 << 62
 )
 
@@ -45,7 +45,7 @@
 	persisted persistedSet
 	stateSync *stateSyncHost // nil if no state is shared
 	rollouts  *rolloutHost   // nil if this replica takes no part in rollouts; set before Run
-	abandoned bool           // another process goes on under this name
+	abandoned bool           // another process continues under this name
 	departed  bool           // the end has begun: nothing new is announced
 	ended     bool           // nothing is handled any more
 }
@@ -152,7 +152,7 @@
 	f.handle(membership.Event{Kind: membership.Start})
 }
 
-// depart announces that this replica leaves, unless another process goes on under its
+// depart announces that this replica leaves, unless another process continues under its
 // name, and returns once that is disseminated.
 func (f *Fleet) depart() {
 	f.mu.Lock()
@@ -192,7 +192,7 @@
 	f.announceTags()
 }
 
-// Abandon has Run end without an announcement: another process goes on under this name.
+// Abandon has Run end without an announcement: another process continues under this name.
 func (f *Fleet) Abandon() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/membership/doc.go
+++ b/fleet/membership/doc.go
@@ -10,7 +10,7 @@
 //
 // A List is composed of types with one concern each:
 //
-//   - memberTable: the known members, the order in which they are probed, and those held for dead
+//   - memberTable: the known members, the order in which they are probed, and the dead ones
 //   - viewDigest: the digest by which members compare what they know
 //   - prober: the probe under way, its timeouts and the local health that scales them
 //   - relays: pings that this member sends for others
--- a/fleet/membership/gossip.go
+++ b/fleet/membership/gossip.go
@@ -28,7 +28,7 @@
 	nextAt   time.Duration
 }
 
-// dispute is a member that another one holds for dead while this one does not.
+// dispute is a member that another one considers dead while this one does not.
 type dispute struct {
 	member *member
 	record Record // as the other member holds it
@@ -151,7 +151,7 @@
 	}
 }
 
-// sendDisputes asks members that others hold for dead to refute.
+// sendDisputes asks members that others consider dead to refute.
 func (l *List) sendDisputes() {
 	for range min(disputesPerGossip, len(l.gossiper.disputes)) {
 		disputed := l.gossiper.disputes[0]
@@ -163,7 +163,7 @@
 	}
 }
 
-// disputeDeath has m asked to refute, which another member holds for dead by record.
+// disputeDeath has m asked to refute, which another member considers dead by record.
 func (l *List) disputeDeath(m *member, record *Record) {
 	if m.deathDisputed || len(l.gossiper.disputes) >= maxDisputes {
 		return
--- a/fleet/membership/learn.go
+++ b/fleet/membership/learn.go
@@ -1,6 +1,6 @@
 package membership
 
-// learn takes in a record of a member. A reason that is not empty replaces the one
+// learn merges a record of a member. A reason that is not empty replaces the one
 // that follows from the record.
 func (l *List) learn(record *Record, reason string) {
 	if !record.valid() {
--- a/fleet/membership/list.go
+++ b/fleet/membership/list.go
@@ -54,7 +54,7 @@
 }
 
 // Handle processes one event and appends what is to be done to out. Times must not go
-// back; one that is much later than NextTick shows that this process stood still.
+// back; one much later than NextTick shows that this process was stopped or starved.
 func (l *List) Handle(now time.Duration, event Event, out []Action) []Action {
 	now = max(now, l.now)
 	l.actions = out
@@ -127,7 +127,7 @@
 	l.publish(l.self)
 }
 
-// restore takes in the members that were known before a restart. They are held for
+// restore adds the members that were known before a restart. They are taken to be
 // alive, and probed like others, until they are found to be gone.
 func (l *List) restore(records []Record) {
 	for _, record := range records {
@@ -139,7 +139,7 @@
 	}
 }
 
-// checkStall finds whether this process stood still until now. What it waited for
+// checkStall detects whether this process was stopped until now. What it waited for
 // meanwhile proves nothing about others; they keep the time that they had left.
 func (l *List) checkStall(now time.Duration) {
 	late := now - l.NextTick()
--- a/fleet/membership/local_health.go
+++ b/fleet/membership/local_health.go
@@ -18,10 +18,10 @@
 func (h *localHealth) worsen()  { h.score = min(h.score+1, maxLocalHealth) }
 func (h *localHealth) improve() { h.score = max(h.score-1, 0) }
 
-// stalled takes note that this member was stopped or starved.
+// stalled records that this member was stopped or starved.
 func (h *localHealth) stalled() { h.score = stalledLocalHealth }
 
-// refuted takes note that this member had to refute: it did not answer a probe in time.
+// refuted records that this member had to refute: it did not answer a probe in time.
 func (h *localHealth) refuted(now time.Duration) {
 	if now-h.refutedAt > refutationWindow {
 		h.refutedAt = now
--- a/fleet/membership/member.go
+++ b/fleet/membership/member.go
@@ -23,7 +23,7 @@
 	replicaSetDigest uint64        // as it announced last, in its present epoch
 	index            int           // on the list of its status in memberTable, or noIndex
 
-	deathDisputed              bool          // another member holds it for dead, and no refutation arrived yet
+	deathDisputed              bool          // another member considers it dead, and no refutation arrived yet
 	suspectedLocally           bool          // the suspicion under way began with a probe of this member
 	falseSuspicions            int           // suspicions that began here and were refuted in this epoch, bounded
 	localSuspicionBlockedUntil time.Duration // until when a failed probe does not begin a suspicion
--- a/fleet/membership/prober.go
+++ b/fleet/membership/prober.go
@@ -98,7 +98,7 @@
 	p.recent[p.current.seq%recentPings] = sentPing{seq: p.current.seq, sentAt: now, target: target}
 }
 
-// acknowledgedDirectly takes in the ack of a member, which may belong to a probe that ended.
+// acknowledgedDirectly handles the ack of a member, which may belong to a probe that ended.
 func (p *prober) acknowledgedDirectly(now time.Duration, m *member, seq uint32) {
 	sent := p.recent[seq%recentPings]
 	if sent.seq == seq && sent.target == m {
@@ -109,14 +109,14 @@
 	}
 }
 
-// acknowledgedIndirectly takes in that another member got an ack of target.
+// acknowledgedIndirectly records that another member got an ack of target.
 func (p *prober) acknowledgedIndirectly(target string, seq uint32) {
 	if p.current != nil && p.current.seq == seq && p.current.target.Name == target {
 		p.succeeded()
 	}
 }
 
-// nacked takes in that a member that was asked for an indirect probe has no ack yet.
+// nacked records that a member that was asked for an indirect probe has no ack yet.
 func (p *prober) nacked(seq uint32) {
 	if p.current != nil && p.current.seq == seq {
 		p.current.nacks++
--- a/fleet/membership/receive.go
+++ b/fleet/membership/receive.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// displacedGrace is how long a process may go on beside the one that replaces it
+// displacedGrace is how long a process may keep running beside the one that replaces it
 // until that is reported.
 const displacedGrace = 10 * time.Second
 
-// receive takes in a datagram that came from an address.
+// receive handles a datagram that came from an address.
 func (l *List) receive(message *Message, address string) {
 	if l.displaced || message == nil || message.From.Name == "" {
 		return
@@ -80,7 +80,7 @@
 	}
 }
 
-// sender takes note that a member sent something, and returns it: nil if it is not
+// sender records that a member sent something, and returns it: nil if it is not
 // known, or is a process that a later one of its name replaced.
 func (l *List) sender(state *State, address string) *member {
 	if state.Name == l.self.Name {
@@ -105,7 +105,7 @@
 	return m
 }
 
-// nameConflict takes note that a process sent from an address that m, a later one
+// nameConflict records that a process sent from an address that m, a later one
 // of its name, has replaced; it is sent m's record, from which it learns that.
 func (l *List) nameConflict(m *member, address string) {
 	l.Stats.NameConflicts++
--- a/fleet/membership/reconnect.go
+++ b/fleet/membership/reconnect.go
@@ -17,7 +17,7 @@
 	l.contactSeed()
 }
 
-// pingUnreachable pings a dead member now and then: that is how the sides of a
+// pingUnreachable occasionally pings a dead member: that is how the sides of a
 // partition find each other again. Of the whole fleet the same number of members
 // does so each time, whatever its size.
 func (l *List) pingUnreachable() {
@@ -32,7 +32,7 @@
 }
 
 // contactSeed synchronizes with a seed while no member is reachable, and pings one
-// now and then otherwise.
+// occasionally otherwise.
 func (l *List) contactSeed() {
 	if len(l.cfg.Seeds) == 0 {
 		return
--- a/fleet/membership/record.go
+++ b/fleet/membership/record.go
@@ -93,7 +93,7 @@
 	poolOverhead   = 2  // bytes of the length of a pool's name
 )
 
-// Size returns an upper bound of the bytes that a record takes in a datagram.
+// Size returns an upper bound of the bytes that a record needs in a datagram.
 func (r *Record) Size() int {
 	size := recordOverhead + len(r.Name) + len(r.ReportedBy)
 	if r.Tags == nil {
--- a/fleet/membership/suspicion.go
+++ b/fleet/membership/suspicion.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// confirmSuspicion takes in that reporter suspects m too, and passes it on.
+// confirmSuspicion records that reporter suspects m too, and passes it on.
 func (l *List) confirmSuspicion(m *member, reporter string) {
 	if m.suspicion == nil || !m.suspicion.confirm(reporter) {
 		return
--- a/fleet/membership/sync.go
+++ b/fleet/membership/sync.go
@@ -27,7 +27,7 @@
 }
 
 // startAt is when a synchronization with the candidate is due: once the view is
-// quiet, or has gone on changing for long, or at once where more has changed than
+// quiet, or has kept changing for long, or at once where more has changed than
 // gossip carries, as after a partition.
 func (s *syncer) startAt(viewChangedAt time.Duration, queuedUpdates int) time.Duration {
 	if queuedUpdates >= syncBacklog {
@@ -47,14 +47,14 @@
 	return never
 }
 
-// differs takes in that m's digest differs from this member's.
+// differs records that m's digest differs from this member's.
 func (s *syncer) differs(m *member) {
 	if m.Status == Alive {
 		s.candidate = m.Name
 	}
 }
 
-// agrees takes in that the digest of a member is the same.
+// agrees records that the digest of a member is the same.
 func (s *syncer) agrees(name string) {
 	if s.candidate == name {
 		s.candidate = ""
@@ -151,7 +151,7 @@
 	l.emit(Action{Kind: Reply, Message: response, Exchange: exchange})
 }
 
-// compareRecord takes in one record of a request, or adds to the response what its
+// compareRecord merges one record of a request, or adds to the response what its
 // sender lacks.
 func (l *List) compareRecord(record *Record, response *Message) {
 	if record.Name == l.self.Name {
@@ -203,7 +203,7 @@
 	l.emit(Action{Kind: Reply, Message: final, Exchange: exchange})
 }
 
-// syncFinished takes in the records that this member requested.
+// syncFinished merges the records that this member requested.
 func (l *List) syncFinished(final *Message) {
 	if l.displaced || final == nil {
 		return
@@ -211,7 +211,7 @@
 	l.learnView(final)
 }
 
-// synchronized takes note that views were exchanged with another member. A seed's
+// synchronized records that views were exchanged with another member. A seed's
 // address may turn out to be this member's own.
 func (l *List) synchronized(from *State) {
 	if from.Name != l.self.Name {
@@ -225,9 +225,9 @@
 	}
 }
 
-// learnFromView takes in a record of another member's whole view. One that the other
-// holds for dead and this member does not gets the chance to refute: after a
-// partition each side holds the other one for dead, and neither is believed.
+// learnFromView merges a record of another member's whole view. One that the other
+// considers dead and this member does not gets the chance to refute: after a
+// partition each side considers the other one dead, and neither is believed.
 func (l *List) learnFromView(record *Record) {
 	m := l.members.byName[record.Name]
 	if m != nil && record.valid() && disputable(m, record) {
--- a/fleet/membership/sync_test.go
+++ b/fleet/membership/sync_test.go
@@ -15,8 +15,14 @@
 		queued    int
 		want      time.Duration
 	}{
-		{"quiet", syncer{lastStartedAt: 9500 * time.Millisecond}, 10 * time.Second, 0, 10*time.Second + viewQuietPeriod},
-		{"changing for long", syncer{lastStartedAt: 5 * time.Second}, 10 * time.Second, 0, 5*time.Second + maxSyncDelay},
+		{
+			"quiet", syncer{lastStartedAt: 9500 * time.Millisecond},
+			10 * time.Second, 0, 10*time.Second + viewQuietPeriod,
+		},
+		{
+			"changing for long", syncer{lastStartedAt: 5 * time.Second},
+			10 * time.Second, 0, 5*time.Second + maxSyncDelay,
+		},
 		{"long queue", syncer{nextAt: 2 * time.Second}, 10 * time.Second, syncBacklog, 2 * time.Second},
 		{"within the gap", syncer{nextAt: 30 * time.Second}, 10 * time.Second, 0, 30 * time.Second},
 	} {
--- a/fleet/membership/view_digest.go
+++ b/fleet/membership/view_digest.go
@@ -10,7 +10,7 @@
 	matchesInARow int // members, one after the other, whose digest was the same
 }
 
-// toggle takes a state out of the digest, or puts it in.
+// toggle removes a state from the digest, or adds it.
 func (d *viewDigest) toggle(now time.Duration, state State) {
 	hash := state.hash()
 	if hash == 0 {
--- a/fleet/outlier/detector.go
+++ b/fleet/outlier/detector.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// Merge takes evidence of another replica in that was valid an age ago, and reports whether it was newer than what was
+// Merge adds evidence of another replica that was valid an age ago, and reports whether it was newer than what was
 // known.
 func (d *Detector) Merge(now time.Duration, evidence Evidence, age time.Duration) bool {
 	d.advance(now)
@@ -88,7 +88,7 @@
 	return all.merge(&report{Evidence: evidence, validAt: d.now - age})
 }
 
-// merge takes a report in, unless a later one of its reporter is known or it is the oldest of too many.
+// merge adds a report unless a later one of its reporter is known or it is the oldest of too many.
 func (r reports) merge(added *report) bool {
 	current := r[added.Reporter]
 	if current != nil && !added.newerThan(&current.Evidence) {
--- a/fleet/persistence.go
+++ b/fleet/persistence.go
@@ -15,7 +15,7 @@
 const maxConfirmationAge = time.Hour
 
 // persistedSet is the replica set that would be restored after a restart. Only that one
-// is announced: others rely on this replica to go on counting them.
+// is announced: others rely on this replica to keep counting them.
 type persistedSet struct {
 	digest    uint64
 	confirmed bool
@@ -77,7 +77,7 @@
 	return state
 }
 
-// runPersistence writes the state file now and then until ctx ends, and then once more.
+// runPersistence writes the state file periodically until ctx ends, and then once more.
 func (f *Fleet) runPersistence(ctx context.Context) {
 	ticker := time.NewTicker(persistInterval)
 	defer ticker.Stop()
--- a/fleet/placement/partition.go
+++ b/fleet/placement/partition.go
@@ -27,7 +27,7 @@
 	return partitionDetector{statuses: map[string]membership.Status{}}
 }
 
-// update takes in the members.
+// update processes the members.
 func (d *partitionDetector) update(now time.Duration, snapshot *Snapshot) {
 	alive := 0
 	for i := range snapshot.Members {
--- a/fleet/placement/replica_set.go
+++ b/fleet/placement/replica_set.go
@@ -12,7 +12,7 @@
 	confirmed bool
 }
 
-// update takes in the members. The replica is confirmed once all others announce the
+// update processes the members. The replica is confirmed once all others announce the
 // same set: from then on nobody drops it from theirs unless it leaves. A later process
 // of its name takes the confirmation over.
 func (r *replicaSet) update(snapshot *Snapshot) {
--- a/fleet/placement/tracker.go
+++ b/fleet/placement/tracker.go
@@ -43,7 +43,7 @@
 }
 
 // Confirmed reports whether all replicas that may run count this one. Once they do
-// they go on doing so, over a restart too, until it announces that it leaves.
+// they continue to, over a restart too, until it announces that it leaves.
 func (t *Tracker) Confirmed() bool { return t.replicas.confirmed }
 
 // RestoreConfirmed makes the replica confirmed, as it was before its restart.
@@ -75,7 +75,7 @@
 // Pools returns the names of the tracked pools, sorted.
 func (t *Tracker) Pools() []string { return slices.Sorted(maps.Keys(t.pools)) }
 
-// Update takes in what is known, and reports whether any position has changed. Times
+// Update processes what is known, and reports whether any position has changed. Times
 // must not go back.
 func (t *Tracker) Update(now time.Duration, snapshot Snapshot) (changed bool) {
 	t.now = max(now, t.now)
--- a/fleet/quota/borrower.go
+++ b/fleet/quota/borrower.go
@@ -99,7 +99,7 @@
 	return RequestID{Replica: m.name, Epoch: m.epoch, Seq: seq}
 }
 
-// handleGrant takes a grant in, if it answers a pending request of this process.
+// handleGrant records a grant if it answers a pending request of this process.
 func (m *Manager) handleGrant(grant *Message) {
 	if grant.Request.Replica != m.name || grant.Request.Epoch != m.epoch {
 		m.Stats.Late++ // for a previous process: the lender has counted it, and it is forfeited here
--- a/fleet/quota/manager.go
+++ b/fleet/quota/manager.go
@@ -8,8 +8,8 @@
 // The credit therefore ends before the debit does, however long the messages took and without synchronised clocks. A
 // lost, duplicated or late message can only make a replica spend less.
 //
-// An amount limit (how much a warming endpoint may be sent in all) moves for good: what is granted is spent for the
-// lender whether the grant arrives or not.
+// An amount limit (how much a warming endpoint may be sent in all) is transferred permanently: what is granted counts
+// as spent by the lender whether the grant arrives or not.
 package quota
 
 import (
@@ -207,7 +207,7 @@
 	return m.takeActions()
 }
 
-// Handle takes a message from a peer in and returns the answer, if there is one, appended to out.
+// Handle processes a message from a peer and returns the answer, if there is one, appended to out.
 func (m *Manager) Handle(now time.Duration, from string, message Message, out []Action) []Action {
 	m.advance(now)
 	m.actions = out
--- a/fleet/quota/message.go
+++ b/fleet/quota/message.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// RequestID identifies a request for a loan for good: it is answered once, however often it arrives.
+// RequestID identifies a request for a loan permanently: it is answered once, however often it arrives.
 type RequestID struct {
 	Replica string `json:"Name"` // the borrower
 	Epoch   uint64 `json:"Epoch"`
--- a/fleet/rollout/application.go
+++ b/fleet/rollout/application.go
@@ -11,13 +11,13 @@
 	target string // empty for the version before the plan
 }
 
-// application is how this replica carries out orders.
+// application is how this replica executes orders.
 type application struct {
 	latest    order // zero if there was none
 	completed bool  // this replica has since reached the ordered version
 }
 
-// handleOrder carries out an order of the leader.
+// handleOrder executes an order of the leader.
 func (p *Participant) handleOrder(message *Message) {
 	if !p.election.acceptsOrder(message, p.env.now) {
 		return
--- a/fleet/rollout/baseline.go
+++ b/fleet/rollout/baseline.go
@@ -42,7 +42,7 @@
 	return &Baseline{open: map[cell][]Report{}, replicas: map[string]*difference{}}
 }
 
-// AddReport takes a report of an unchanged replica in.
+// AddReport adds a report of an unchanged replica.
 func (b *Baseline) AddReport(report Report) {
 	if !report.valid() || report.Interval+closingDelay < b.newestInterval || len(b.open) >= maxOpenCells {
 		return
--- a/fleet/rollout/evaluator.go
+++ b/fleet/rollout/evaluator.go
@@ -22,7 +22,7 @@
 	Regressed
 )
 
-// Point is what one interval came to, over all zones, for tables and charts.
+// Point is the result of one interval, over all zones, for tables and charts.
 type Point struct {
 	Interval         uint64  `json:"Span"`
 	BaselineGoodput  float64 `json:"Old"` // of unchanged replicas
@@ -81,7 +81,7 @@
 	return evaluator
 }
 
-// AddReport takes a report of any replica in. Invalid, late and repeated ones are ignored.
+// AddReport adds a report of any replica. Invalid, late and repeated ones are ignored.
 func (e *Evaluator) AddReport(_ time.Duration, report Report) {
 	if !report.valid() || report.Interval+closingDelay < e.newestInterval || len(e.open) >= maxOpenCells {
 		return
@@ -202,7 +202,7 @@
 	}
 }
 
-// addPoint records what an interval came to, for the first pool by name that has both changed and unchanged replicas.
+// addPoint records the result of an interval, for the first pool by name that has both changed and unchanged replicas.
 func (e *Evaluator) addPoint(interval uint64, c *comparison) {
 	baseline := &c.baseline
 	changed := &c.changed
--- a/fleet/rollout/participant.go
+++ b/fleet/rollout/participant.go
@@ -66,7 +66,7 @@
 	return explanation, slices.Clone(p.stages.evaluator.points)
 }
 
-// Restore takes in the state that was persisted before a restart.
+// Restore adopts the state that was persisted before a restart.
 func (p *Participant) Restore(state State) {
 	if state.Newer(&p.state) {
 		p.state = state
@@ -113,7 +113,7 @@
 	abortByOperator = "aborted by a person"
 )
 
-// Command carries out a command of an operator: pause, resume, abort or back. It returns a PlanStateError if no plan is
+// Command executes a command of an operator: pause, resume, abort or back. It returns a PlanStateError if no plan is
 // active.
 func (p *Participant) Command(now time.Duration, command string) error {
 	p.env.advance(now)
@@ -167,7 +167,7 @@
 	return p.env.takeActions()
 }
 
-// Handle takes a message in and returns the actions that follow, appended to out.
+// Handle processes a message and returns the actions that follow, appended to out.
 func (p *Participant) Handle(now time.Duration, message Message, out []Action) []Action {
 	p.env.advance(now)
 	p.env.actions = append(out, p.env.actions...)
--- a/fleet/rollout/replication.go
+++ b/fleet/rollout/replication.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// handleState takes the state of another replica in if it is valid and newer.
+// handleState adopts the state of another replica if it is valid and newer.
 func (p *Participant) handleState(update *Message) {
 	if update.State == nil || update.State.FencingToken != update.FencingToken || update.State.Plan.Check() != nil {
 		return
--- a/fleet/rollout/stages.go
+++ b/fleet/rollout/stages.go
@@ -235,7 +235,7 @@
 	}
 }
 
-// finishStage goes on to the next stage, or ends the plan.
+// finishStage proceeds to the next stage, or ends the plan.
 func (p *Participant) finishStage(reason string) {
 	state := &p.state
 	if state.Stage+1 >= len(state.Plan.Stages) {
--- a/fleet/rollout_fetch.go
+++ b/fleet/rollout_fetch.go
@@ -24,7 +24,7 @@
 	f.goroutines.Go(func() { f.fetchRolloutState(address) })
 }
 
-// fetchRolloutState takes in the state of another replica.
+// fetchRolloutState fetches and adopts the state of another replica.
 func (f *Fleet) fetchRolloutState(address string) {
 	state, text, err := f.requestRolloutState(address)
 	f.mu.Lock()
--- a/fleet/rollout_host.go
+++ b/fleet/rollout_host.go
@@ -169,7 +169,7 @@
 	f.persistRollout()
 }
 
-// persistRollout has the state persisted if it has changed. The mutex is held.
+// persistRollout starts a write of the state file if the rollout has changed. The mutex is held.
 func (f *Fleet) persistRollout() {
 	if !f.stateFile.enabled() || f.persisted.writing || f.departed {
 		return
@@ -179,7 +179,7 @@
 	}
 }
 
-// executeRollout carries out the actions of a rollout. The mutex is held.
+// executeRollout executes the actions of a rollout. The mutex is held.
 func (f *Fleet) executeRollout(actions []rollout.Action) {
 	for _, action := range actions {
 		switch action.Kind {
@@ -193,7 +193,7 @@
 	}
 }
 
-// applyVersion has this replica changed as a rollout orders. The mutex is held.
+// applyVersion changes this replica as a rollout orders. The mutex is held.
 func (f *Fleet) applyVersion(action rollout.Action) {
 	h := f.rollouts
 	f.log.Info("fleet rollout changes this replica", "plan", action.Plan, "target", action.Target,
@@ -212,7 +212,7 @@
 	})
 }
 
-// RolloutRefused takes note that the operator's own tools could not bring about the
+// RolloutRefused records that the operator's own tools could not bring about the
 // desired version of a plan.
 func (f *Fleet) RolloutRefused(plan, reason string) {
 	f.mu.Lock()
@@ -236,7 +236,7 @@
 	f.sendToReplica(to, membership.Rollout, payload)
 }
 
-// receiveRollout takes in a datagram. The mutex is held.
+// receiveRollout handles a datagram. The mutex is held.
 func (f *Fleet) receiveRollout(datagram *membership.Message) {
 	if f.rollouts == nil || !f.fromCurrentProcess(datagram) {
 		return
--- a/fleet/statesync/syncer.go
+++ b/fleet/statesync/syncer.go
@@ -133,7 +133,7 @@
 	return out
 }
 
-// Receive takes a packet from a peer in and returns the answers.
+// Receive processes a packet from a peer and returns the answers.
 func (s *Syncer) Receive(now time.Duration, from string, payload []byte) []Outgoing {
 	s.advance(now)
 	s.Stats.PacketsIn++
@@ -224,7 +224,7 @@
 	}
 }
 
-// receiveQuotas takes messages about quotas in and returns the answers to their sender.
+// receiveQuotas handles messages about quotas and returns the answers to their sender.
 func (s *Syncer) receiveQuotas(from string, messages []quota.Message) []Outgoing {
 	var answer Packet
 	for _, message := range messages {
@@ -240,7 +240,7 @@
 	return s.send(nil, from, &answer)
 }
 
-// receiveCounters takes counters in, and queues them for others if they are new.
+// receiveCounters merges counters, and queues them for others if they are new.
 func (s *Syncer) receiveCounters(received *aged[wireCounters]) {
 	update := received.Item.update(received.AgeMS)
 	if s.Counters.Merge(s.now, update) {
@@ -250,7 +250,7 @@
 	}
 }
 
-// receiveEvidence takes evidence in, and queues it for others if it is new and few reporters are known.
+// receiveEvidence merges evidence, and queues it for others if it is new and few reporters are known.
 func (s *Syncer) receiveEvidence(received *aged[outlier.Evidence]) {
 	evidence := received.Item
 	age := received.age()
--- a/fleet/statesync_host.go
+++ b/fleet/statesync_host.go
@@ -88,7 +88,7 @@
 	return &stateSyncHost{sharing: sharing, syncer: syncer}, nil
 }
 
-// record takes in what the proxy did, apart from its quotas.
+// record adds what the proxy did, apart from its quotas.
 func (h *stateSyncHost) record(now time.Duration, observed *Observations) {
 	for name, units := range observed.Demand {
 		h.syncer.Quotas.AddDemand(now, name, units)
@@ -101,7 +101,7 @@
 	}
 }
 
-// setLimits takes in the whole quotas, in units a second.
+// setLimits sets the whole quotas, in units a second.
 func (h *stateSyncHost) setLimits(now time.Duration, quotas map[string]float64) {
 	var limits []quota.Limit
 	for name, total := range quotas {
@@ -164,7 +164,7 @@
 	}
 }
 
-// syncState takes in what the proxy did, sends what is due to other replicas, and returns
+// syncState records what the proxy did, sends what is due to other replicas, and returns
 // what follows for the proxy.
 func (f *Fleet) syncState(observed *Observations) Directives {
 	f.mu.Lock()
@@ -277,7 +277,7 @@
 	}
 }
 
-// receiveStateSync takes in a packet. The mutex is held.
+// receiveStateSync handles a packet. The mutex is held.
 func (f *Fleet) receiveStateSync(message *membership.Message) {
 	if f.stateSync != nil && f.fromCurrentProcess(message) {
 		f.sendStateSync(f.stateSync.syncer.Receive(f.now(), message.From.Name, message.Payload))
--- a/fleet/status.go
+++ b/fleet/status.go
@@ -9,7 +9,7 @@
 )
 
 // Status is what the management endpoint shows of the fleet. Ages are in milliseconds;
-// -1 stands for never.
+// -1 means never.
 type Status struct {
 	Fleet         string                    `json:"fleet"`
 	Name          string                    `json:"name"`
--- a/fleet/sync_exchange.go
+++ b/fleet/sync_exchange.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// startSync carries out a synchronization that the membership list starts. The mutex is
+// startSync executes a synchronization that the membership list starts. The mutex is
 // held.
 func (f *Fleet) startSync(action *membership.Action) {
 	address := f.transport.override(action.Name, action.Address)
--- a/fleet/transport.go
+++ b/fleet/transport.go
@@ -141,7 +141,7 @@
 	return address
 }
 
-// send sends a datagram. One that can't be sent is as good as lost on the way.
+// send sends a datagram. One that can't be sent counts as lost.
 func (t *transport) send(name, address string, message *membership.Message) {
 	address = t.override(name, address)
 	size, err := t.sendDatagram(address, message)
