--- a/cmd/proxy/compatibility_test.go
+++ b/cmd/proxy/compatibility_test.go
@@ -66,7 +66,7 @@
 			fmt.Fprintln(&now, strings.TrimSpace(text))
 		}
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(50 * time.Millisecond) {
 		if _, text := p.call(t, "GET", "fleet/shared", ""); strings.Contains(text, `"borrowed"`) {
 			break
 		}
--- a/cmd/proxy/exhaustion_test.go
+++ b/cmd/proxy/exhaustion_test.go
@@ -17,8 +17,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// echo is an endpoint that serves all, and holds what asks for it until it is told
-// to let one go. Whoever it holds it tells.
+// echo is an endpoint that answers all requests, save those that ask to be held: it
+// sends on held for each of these, and answers one for each value on let.
 func echo(t *testing.T) (s *httptest.Server, held, let chan struct{}) {
 	t.Helper()
 	held, let = make(chan struct{}, 64), make(chan struct{}, 64)
@@ -49,7 +49,7 @@
 	return resp.StatusCode
 }
 
-// Whoever reads the log may go away: the next line must not end the program.
+// The reader of the log may exit: the next line must not end the program.
 func TestLogReaderGone(t *testing.T) {
 	backend, _, _ := echo(t)
 	cmd := prepare(t, build(t), configuration("127.0.0.1:0", backend.Listener.Addr().String()), "serve")
@@ -70,8 +70,8 @@
 }
 
 // The machine may allow fewer descriptors than the configuration says, or take
-// some away while the program runs. Whoever is beyond them is answered so at once or
-// waits unheard; /ready is answered, and once there is room all is as before.
+// some away while the program runs. A client beyond them is rejected at once or waits
+// unaccepted; /ready is answered, and once descriptors are free all is as before.
 func TestDescriptorsRunOutAndComeBack(t *testing.T) {
 	backend, held, let := echo(t)
 	cmd := prepare(t, build(t), configuration("127.0.0.1:0", backend.Listener.Addr().String()), "serve")
@@ -153,7 +153,7 @@
 				t.Errorf("round %d: what was taken: %v, %v", round, resp, err)
 			}
 		}
-		for end := time.Now().Add(patience); open() > before+1+2*len(busy); time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(testTimeout); open() > before+1+2*len(busy); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("round %d: %d descriptors are left, %d at first", round, open(), before)
 			}
--- a/cmd/proxy/main_test.go
+++ b/cmd/proxy/main_test.go
@@ -18,7 +18,8 @@
 	"time"
 )
 
-const patience = 30 * time.Second
+// testTimeout is how long a test waits for what has to happen.
+const testTimeout = 30 * time.Second
 
 // build compiles the program as the deploy file does.
 func build(t *testing.T) string {
@@ -85,7 +86,7 @@
 	select {
 	case address := <-found:
 		return address, reloads
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("it does not say where it serves")
 		return "", nil
 	}
@@ -98,7 +99,7 @@
 		return nil, nil, err
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c, bufio.NewReader(c), nil
 }
 
@@ -133,7 +134,7 @@
 	io.WriteString(busy, ask())
 	<-arrived
 
-	told := time.Now()
+	signalledAt := time.Now()
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -141,15 +142,15 @@
 	if err == nil {
 		io.WriteString(late, ask())
 	}
-	if time.Since(told) > 400*time.Millisecond {
-		lateR = nil // this machine is too busy for the consumer to be in time: nothing is promised
+	if time.Since(signalledAt) > 400*time.Millisecond {
+		lateR = nil // this machine is too busy for the client to be in time: nothing is promised
 	} else if err != nil {
 		t.Errorf("a consumer that comes right after SIGTERM: %v", err)
 	}
 	if _, err := idleR.ReadByte(); err != io.EOF {
 		t.Errorf("the idle connection ends with %v", err)
 	}
-	if took := time.Since(told); took < 400*time.Millisecond {
+	if took := time.Since(signalledAt); took < 400*time.Millisecond {
 		t.Errorf("it stopped accepting after %v", took)
 	}
 	select {
@@ -175,13 +176,13 @@
 		if err != nil {
 			t.Errorf("it ended with %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("it did not end")
 	}
 }
 
 // SIGHUP under load: a torn file leaves everything as it was, a good one moves
-// the watch to the directory that it names, and no invocation suffers.
+// the watch to the directory that it names, and no request suffers.
 func TestReloadUnderLoad(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "fine") }))
 	t.Cleanup(backend.Close) // after the program
@@ -243,7 +244,7 @@
 			if !strings.Contains(line, step.says) {
 				t.Errorf("after SIGHUP it says %s", line)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("nothing happens on SIGHUP")
 		}
 	}
@@ -253,7 +254,7 @@
 			if got != query {
 				t.Errorf("the new directory is asked for %q", got)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("the new directory is not asked")
 		}
 	}
--- a/cmd/proxy/memory_test.go
+++ b/cmd/proxy/memory_test.go
@@ -63,7 +63,7 @@
 	var uploads atomic.Int64
 	for i := range clients {
 		all.Go(func() {
-			for end := time.Now().Add(patience); i%3 == 0; { // refused is who finds no slot
+			for end := time.Now().Add(testTimeout); i%3 == 0; { // a client that finds no slot is refused
 				if put(listen, fmt.Sprintf("up-%d-%d", i, time.Now().UnixNano()), size, i%2 == 0) {
 					uploads.Add(1)
 					return
@@ -79,7 +79,7 @@
 				return
 			}
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(4 * patience))
+			c.SetDeadline(time.Now().Add(4 * testTimeout))
 			r := bufio.NewReader(c)
 			var resp *http.Response
 			for resp == nil || resp.StatusCode == 503 && err == nil { // its limit lets some in at a time
@@ -90,7 +90,7 @@
 				t.Error(resp, err)
 				return
 			}
-			if i%2 == 0 { // they stand still until others have had theirs
+			if i%2 == 0 { // they pause until others have read theirs
 				io.CopyN(io.Discard, resp.Body, size/4)
 				time.Sleep(100 * time.Millisecond)
 			}
@@ -124,7 +124,7 @@
 		return false
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintf(c, "POST /put HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\nContent-Length: %d\r\n\r\n", id, size)
 	block := make([]byte, 64<<10)
 	for sent := 0; sent < size; sent += len(block) {
--- a/cmd/proxy/start_test.go
+++ b/cmd/proxy/start_test.go
@@ -13,7 +13,7 @@
 // readyWithin is a fifth of the time that a restarted proxy is given.
 const readyWithin = 2 * time.Second
 
-// However the directory is when a proxy starts, it is ready with the list known before,
+// In whatever state the discovery service is when a proxy starts, it is ready with the list known before,
 // and serves; without one it says no at once.
 func TestReadyWhateverDiscoveryDoes(t *testing.T) {
 	program := build(t)
@@ -87,7 +87,7 @@
 	}
 }
 
-// Settings at the edge of what they may say start, serve, and refuse what they must.
+// Settings at the limits of what is valid start, serve, and reject what they must.
 func TestSettingsAtTheEdge(t *testing.T) {
 	program := build(t)
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "fine") }))
@@ -125,7 +125,7 @@
 			if request == "" {
 				request = ask()
 			}
-			for range 2 { // on a new and on a kept connection to the provider
+			for range 2 { // on a new and on a kept connection to the endpoint
 				c, r, err := connect(t, address)
 				if err != nil {
 					t.Fatal(err)
--- a/cmd/proxy/upgrade_test.go
+++ b/cmd/proxy/upgrade_test.go
@@ -56,7 +56,7 @@
 // says waits for a line of the log.
 func (p *process) says(t *testing.T, text string) string {
 	t.Helper()
-	for end := time.After(patience); ; {
+	for end := time.After(testTimeout); ; {
 		select {
 		case line := <-p.log:
 			if strings.Contains(line, text) {
@@ -87,7 +87,7 @@
 
 func (p *process) waitReady(t *testing.T) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		if status, _ := p.call(t, "GET", "readiness", ""); status == 200 {
 			return
 		}
@@ -108,9 +108,9 @@
 	return l.Addr().String()
 }
 
-// Three upgrades in a row under load, over new and kept connections: no more are
-// turned back unheard than the two an upgrade that operators allow, what operators have ordered holds, and a torn or strange file in the
-// directory that the processes share harms nothing.
+// Three upgrades in a row under load, over new and kept connections: no more connections are
+// closed without an answer than the two an upgrade that operators allow, overrides persist, and a
+// torn or foreign file in the directory that the processes share has no effect.
 func TestUpgradeUnderLoad(t *testing.T) {
 	fine := func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "fine") }
 	var atOut, turned atomic.Int64
@@ -132,7 +132,7 @@
 	text := strings.Replace(configuration(listen, backend.Listener.Addr().String()), "127.0.0.1:1", directory.Listener.Addr().String(), 1)
 	now := launch(t, program, text, scratch)
 	now.waitReady(t)
-	for end := time.Now().Add(patience); ; { // until the list is there
+	for end := time.Now().Add(testTimeout); ; { // until the list is there
 		if status, _ := now.call(t, "POST", "backends/down", "s2"); status == 200 {
 			break
 		} else if time.Now().After(end) {
@@ -170,7 +170,7 @@
 						over <- fmt.Errorf("after %d: %w", served, err)
 						return
 					}
-					c.SetDeadline(time.Now().Add(patience))
+					c.SetDeadline(time.Now().Add(testTimeout))
 					r = bufio.NewReader(c)
 				}
 				_, torn := io.WriteString(c, ask()) // it takes the error of a reset that was there before
@@ -211,7 +211,7 @@
 			if err != nil {
 				t.Errorf("the old process ended with %v", err)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("the old process does not end")
 		}
 		now = next
@@ -222,7 +222,7 @@
 	if status, _ := now.call(t, "POST", "backends/up", "s2"); status != 200 {
 		t.Error(status)
 	}
-	for end := time.Now().Add(patience); atOut.Load() == before; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); atOut.Load() == before; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("no work for who is back")
 		}
@@ -248,7 +248,7 @@
 }
 
 // A truncated override file is passed over and the next override is stored again; an override at one
-// process holds in the other; a second process that can't start leaves the first one be.
+// process holds in the other; a second process that can't start does not affect the first one.
 func TestOverrideFileIsSharedByProcesses(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "fine") }))
 	defer backend.Close()
@@ -293,7 +293,7 @@
 		}
 	}
 	// SIGTERM in the middle of a drain, with a successor and without one: the drain
-	// goes over to who is left, and both end in good order.
+	// passes to the process that is left, and both end in good order.
 	if status, _ := first.call(t, "POST", "drain/start", ""); status != 200 {
 		t.Error(status)
 	}
@@ -301,7 +301,7 @@
 		if status, _ := second.call(t, "GET", "readiness", ""); i == 0 && status != 200 {
 			t.Errorf("who is to take a drained proxy over answers %d", status)
 		}
-		for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 			if status, _ := p.call(t, "GET", "readiness", ""); status == 503 {
 				break
 			} else if time.Now().After(end) {
@@ -316,7 +316,7 @@
 			if err != nil {
 				t.Errorf("SIGTERM in a drain: %v", err)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("SIGTERM in a drain does not end it")
 		}
 	}
--- a/fleet/membership/member_table_test.go
+++ b/fleet/membership/member_table_test.go
@@ -18,7 +18,7 @@
 	return table
 }
 
-// Each reachable member is probed once in a round, whoever joins or dies meanwhile.
+// Each reachable member is probed once in a round, whichever members join or die meanwhile.
 func TestEachMemberIsProbedOnceARound(t *testing.T) {
 	rng := newRandom(1, "a")
 	table := tableOf(10, &rng)
