--- a/fleet/outlier/evaluate.go
+++ b/fleet/outlier/evaluate.go
@@ -16,8 +16,8 @@
 
 	maxReporterWeight = 2.0             // attempts that one reporter counts for at most: none decides alone
 	minTotalWeight    = 4.0             // attempts that all reporters must count for
-	minReporters      = 2               // whose evidence must be against the endpoint
-	minZones          = 2               // they must be in, or in the reader's own, if there are several
+	minReporters      = 2               // that must have evidence against the endpoint
+	minZones          = 2               // that these must be in, if there are several; the reader's own zone alone is enough
 	maxFaultyFraction = 0.34            // of a pool: a reporter to which more looks faulty is faulty itself
 	probeSlot         = 2 * time.Second // in which one replica of all may probe an ejected endpoint
 	minWeight         = 1e-9            // to divide by
--- a/fleet/rollout/baseline.go
+++ b/fleet/rollout/baseline.go
@@ -8,12 +8,13 @@
 
 const (
 	minBaselineWeight   = 20.0          // offered, before the difference of a replica counts
+	sufficiencyFactor   = 4.0           // by which the variance of a sufficiently known difference is below the limit
 	minVariance         = 0.004 * 0.004 // of the goodput of replicas that are alike
 	minBinomialVariance = 0.002         // least variance of the outcome of one request
 )
 
-// Baseline is how replicas differed before any of them was changed: one that always serves less than others of its zone
-// isn't to be blamed on a change.
+// Baseline is how replicas differed before any of them was changed, so that a replica which always serves less than
+// others of its zone isn't taken for a regression.
 type Baseline struct {
 	open           map[cell][]Report
 	newestInterval uint64
@@ -94,8 +95,8 @@
 }
 
 // Difference is by how much the goodput of a replica lies above that of others, as a fraction of what it is offered,
-// and the variance of that. How far replicas differ at all is estimated from all of them: the more that is, the more
-// of what one replica shows is believed.
+// and the variance of that. How far replicas differ at all is estimated from all of them: the more they do, the less
+// the difference of one replica is shrunk towards 0.
 func (b *Baseline) Difference(name string) (mean, variance float64) {
 	if b == nil {
 		return 0, minVariance
@@ -109,11 +110,12 @@
 	return replica.mean() * prior / (prior + byChance), prior * byChance / (prior + byChance)
 }
 
-// Sufficient reports whether it is known well enough how a replica differs to find out what a change costs it.
+// Sufficient reports whether the difference of a replica is known well enough to detect what a change costs it.
+// Its variance must be small against the loss of goodput that the guardrails allow.
 func (b *Baseline) Sufficient(guardrails Guardrails, name string) bool {
 	_, variance := b.Difference(name)
 	upper, _ := guardrails.bounds()
-	return variance <= guardrails.Goodput*guardrails.Goodput/(4*upper)
+	return variance <= guardrails.Goodput*guardrails.Goodput/(sufficiencyFactor*upper)
 }
 
 // varianceOfReplicas is the variance of how replicas differ by themselves, beyond chance. It is computed once an
--- a/fleet/rollout/evaluator.go
+++ b/fleet/rollout/evaluator.go
@@ -132,8 +132,8 @@
 		goodput, lower, upper, e.comparedIntervals)
 }
 
-// evidence is the log of how much more likely the loss of goodput is than none. However long it is observed, how
-// replicas differed before is known only so well.
+// evidence is the log of how much more likely the loss of goodput is than none. The
+// uncertainty about how replicas differed before bounds it, however long it is observed.
 func (e *Evaluator) evidence() float64 { return e.goodput / (1 + e.uncertainty) }
 
 // closeIntervals compares the intervals that are over: in each zone that has both changed and unchanged replicas, or,
--- a/fleet/rollout/stages.go
+++ b/fleet/rollout/stages.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// baselineObserved reports whether it is known well enough how replicas differ while all are unchanged.
+// baselineObserved reports whether enough is known about how replicas differ while all are unchanged.
 func (p *Participant) baselineObserved() bool {
 	plan := &p.state.Plan
 	end := p.election.ordersFrom + plan.Baseline
--- a/fleet/rollout/statistics.go
+++ b/fleet/rollout/statistics.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	maxLogEvidence = 3.0 // that one interval adds at most: a single odd second decides nothing
-	sequentialTest = 3.0 // tests that share the probability of a false alarm,
-	assumedStages  = 6.0 // in so many stages
+	maxLogEvidence  = 3.0 // that one interval adds at most: a single outlier decides nothing
+	sequentialTests = 3.0 // of goodput, latency and attempts: they share the probability of a false alarm
+	assumedStages   = 6.0 // among which the probability of a false alarm is divided too
 
 	minReplicasForSpread  = 3   // from which the differences between replicas are estimated
 	assumedOverdispersion = 1.5 // with fewer
@@ -17,7 +17,7 @@
 	minRatio              = 1e-9
 )
 
-// sample sums up the reports of several replicas, changed or unchanged ones, in one interval.
+// sample is the sum of the reports of several replicas, changed or unchanged ones, in one interval.
 type sample struct {
 	replicas float64
 
@@ -176,7 +176,7 @@
 // bounds are the logs of likelihood between which nothing is decided (Wald, 1945). Tests that follow each other share
 // the probability of a false alarm.
 func (g *Guardrails) bounds() (upper, lower float64) {
-	falseAlarm := g.FalseAlarm / (sequentialTest * assumedStages)
+	falseAlarm := g.FalseAlarm / (sequentialTests * assumedStages)
 	upper = math.Log((1 - g.MissedRegression) / falseAlarm)
 	lower = math.Log(g.MissedRegression / (1 - falseAlarm))
 	return upper, lower
--- a/fleet/statesync/queue.go
+++ b/fleet/statesync/queue.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxQueuedItems   = 2048 // of more, those sent most often go
+	maxQueuedItems   = 2048 // beyond it the one that was sent most often is dropped
 	retransmitFactor = 4    // an item is sent so many times for each decimal digit of the number of replicas
 	decimalBase      = 10
 )
@@ -19,10 +19,10 @@
 type item struct {
 	key       itemKey
 	validAt   time.Duration // when it was true
-	transmits int           // times
+	transmits int           // how often it was sent
 	urgent    bool
-	counters  *wireCounters     // or
-	evidence  *outlier.Evidence // of which one is set
+	counters  *wireCounters     // nil for evidence
+	evidence  *outlier.Evidence // nil for counters
 	size      int               // estimated, in bytes
 }
 
--- a/fleet/statesync/syncer.go
+++ b/fleet/statesync/syncer.go
@@ -22,11 +22,11 @@
 	// DefaultBytesPerSecond is what a replica sends at most on average, if its configuration doesn't say.
 	DefaultBytesPerSecond = 1500
 
-	fanout             = 3 // peers that are sent queued items at each tick
-	evidenceInterval   = 200 * time.Millisecond
-	minCounterInterval = time.Second
-	zoneSumInterval    = 2 * time.Second
-	counterFraction    = 0.5 // of the byte budget is for counters, which would take all of it in a large fleet
+	fanout                = 3 // peers that are sent queued items at each tick
+	evidenceInterval      = 200 * time.Millisecond
+	minCounterInterval    = time.Second
+	zoneSumInterval       = 2 * time.Second
+	counterBudgetFraction = 0.5 // of the byte budget is for counters, which would take all of it in a large fleet
 )
 
 // Config says what a replica shares, and as whom.
@@ -36,9 +36,9 @@
 	Epoch          uint64 // of this process
 	Seed           uint64 // of the random choice of peers
 	LostState      bool   // this replica restarted and doesn't know what quota it had lent
-	Quotas         bool   // share quotas,
-	Counters       bool   // counters
-	Evidence       bool   // and evidence on endpoints
+	Quotas         bool   // whether quotas are shared
+	Counters       bool   // whether counters are shared
+	Evidence       bool   // whether evidence on endpoints is shared
 	BytesPerSecond int    // 0 is DefaultBytesPerSecond
 }
 
@@ -202,7 +202,7 @@
 	}
 	if s.now >= s.nextCountersAt {
 		item := newCounterItem(s.now, s.Counters.LocalUpdate(s.now))
-		bytesPerSecond := counterFraction * float64(s.config.BytesPerSecond)
+		bytesPerSecond := counterBudgetFraction * float64(s.config.BytesPerSecond)
 		interval := time.Duration(float64(len(zonePeers)*item.size) / bytesPerSecond * float64(time.Second))
 		s.nextCountersAt = s.now + max(interval, minCounterInterval)
 		s.queue.put(item)
