--- a/fleet/codec/codec.go
+++ b/fleet/codec/codec.go
@@ -59,7 +59,7 @@
 	}, nil
 }
 
-// SetKeys replaces the keys. After an error the former ones stay.
+// SetKeys replaces the keys. After an error the previous ones stay.
 func (c *Codec) SetKeys(keys [][]byte) error {
 	ring, err := newKeyRing(keys)
 	if err != nil {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -177,7 +177,7 @@
 }
 
 // Announce changes the phase of this replica and the hash of its settings; an empty
-// hash leaves the former one.
+// hash leaves the previous one.
 func (f *Fleet) Announce(phase membership.Phase, settingsHash string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -219,7 +219,7 @@
 	}
 }
 
-// SetKeys replaces the keys while the fleet runs. After an error the former ones stay.
+// SetKeys replaces the keys while the fleet runs. After an error the previous ones stay.
 func (f *Fleet) SetKeys(keys [][]byte) error { return f.transport.setKeys(keys) }
 
 // ErrNotDead is returned by Forget for a member that can't be forgotten.
--- a/fleet/membership/list.go
+++ b/fleet/membership/list.go
@@ -5,7 +5,7 @@
 const (
 	lateTick   = 100 * time.Millisecond // a later tick gave suspects no time in which a refutation was read
 	minStall   = 500 * time.Millisecond // a tick that is later shows that this process was stopped or starved
-	stallTicks = 2                      // if it is late by so many probe intervals too
+	stallTicks = 2                      // and only if it is also late by this many probe intervals
 )
 
 // List is one replica's view of the fleet. It is not safe for concurrent use.
--- a/fleet/membership/member.go
+++ b/fleet/membership/member.go
@@ -5,7 +5,7 @@
 // A member that refuted a suspicion that began here is not suspected from here again for some time.
 const (
 	firstSuspicionBackoff = time.Second // after the first refutation; doubled with each further one
-	maxFalseSuspicions    = 6           // beyond so many refutations it is not doubled any more
+	maxFalseSuspicions    = 6           // after this many refutations it is no longer doubled
 )
 
 // noIndex is the index of a member that is on no list.
--- a/fleet/membership/sync.go
+++ b/fleet/membership/sync.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// start begins a synchronization, in a fleet of so many reachable members.
+// start begins a synchronization. reachable is the number of reachable members.
 func (s *syncer) start(now time.Duration, reachable int, rng *random) {
 	s.started++
 	s.current = s.started
--- a/fleet/membership/sync_test.go
+++ b/fleet/membership/sync_test.go
@@ -6,7 +6,7 @@
 )
 
 // A view is synchronized once it is quiet, or has changed for long, or at once where the
-// queue is long, but never before the gap after the former one.
+// queue is long, but never before the interval after the previous one.
 func TestSyncStartsOnceViewIsQuiet(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
--- a/fleet/outlier/evaluate.go
+++ b/fleet/outlier/evaluate.go
@@ -17,7 +17,7 @@
 	maxReporterWeight = 2.0             // attempts that one reporter counts for at most: none decides alone
 	minTotalWeight    = 4.0             // attempts that all reporters must count for
 	minReporters      = 2               // that must have evidence against the endpoint
-	minZones          = 2               // that these must be in, if there are several; the reader's own zone alone is enough
+	minZones          = 2               // that they must be in, unless all are in the reader's zone
 	maxFaultyFraction = 0.34            // of a pool: a reporter to which more looks faulty is faulty itself
 	probeSlot         = 2 * time.Second // in which one replica of all may probe an ejected endpoint
 	minWeight         = 1e-9            // to divide by
@@ -38,11 +38,11 @@
 	d.expireReceived()
 	faulty := d.faultyByReporter(endpoints)
 	maxFaulty := max(maxFaultyFraction*float64(len(endpoints)), 1)
-	believed := func(reporter string) bool { return float64(faulty[reporter]) <= maxFaulty }
+	credible := func(reporter string) bool { return float64(faulty[reporter]) <= maxFaulty }
 
 	var candidates []assessment
 	for _, endpoint := range endpoints {
-		candidate := d.assess(endpoint, believed)
+		candidate := d.assess(endpoint, credible)
 		if candidate.isFaulty(d.zone, zones) {
 			candidates = append(candidates, candidate)
 		}
@@ -102,18 +102,18 @@
 	relativeLatency float64
 }
 
-// assess sums up the evidence on an endpoint of those reporters that are believed.
-func (d *Detector) assess(endpoint Endpoint, believed func(reporter string) bool) assessment {
+// assess sums up the evidence on an endpoint of those reporters that are credible.
+func (d *Detector) assess(endpoint Endpoint, credible func(reporter string) bool) assessment {
 	sum := assessment{Verdict: Verdict{Endpoint: endpoint.ID}}
 	all := d.received[endpoint.ID]
 	for _, reporter := range slices.Sorted(maps.Keys(all)) {
 		report := all[reporter]
-		if report.StartedAt == endpoint.StartedAt && believed(reporter) {
+		if report.StartedAt == endpoint.StartedAt && credible(reporter) {
 			sum.add(&report.Evidence, report.remainingAttempts(d.now))
 		}
 	}
 	local := d.local[endpoint.ID]
-	if local != nil && local.startedAt == endpoint.StartedAt && believed(d.name) {
+	if local != nil && local.startedAt == endpoint.StartedAt && credible(d.name) {
 		evidence := local.evidence()
 		evidence.Reporter = d.name
 		evidence.Zone = d.zone
--- a/fleet/outlier/local.go
+++ b/fleet/outlier/local.go
@@ -10,7 +10,7 @@
 const (
 	latestFailureWeight = 0.7  // of the latest attempt in the failure rates
 	latestLatencyWeight = 0.2  // of the latest attempt in the relative latency
-	maxLatencyRatio     = 1e6  // that is believed
+	maxLatencyRatio     = 1e6  // greater ones are ignored
 	negligibleAttempts  = 0.05 // evidence that counts for less is dropped
 	restartAttempts     = 0.01 // with less left the failure rates start anew
 	minRecoveryAttempts = 2.0  // before it is published that an endpoint has recovered
--- a/fleet/quota/lender.go
+++ b/fleet/quota/lender.go
@@ -43,15 +43,15 @@
 
 // lendable is how much of the requested amount is granted. It replaces renewed, unless that is nil.
 func (m *Manager) lendable(account *account, requested float64, renewed *lentLoan) float64 {
-	amount := max(min(m.spare(account, renewed), requested), 0)
+	amount := max(min(m.surplus(account, renewed), requested), 0)
 	if amount < minLoanFraction*account.Total/float64(max(m.replicaCount, 1)) {
 		return 0
 	}
 	return amount
 }
 
-// spare is what this replica doesn't need itself, disregarding the loan that is to be renewed.
-func (m *Manager) spare(account *account, renewed *lentLoan) float64 {
+// surplus is what this replica doesn't need itself and may lend, disregarding the loan that is to be renewed.
+func (m *Manager) surplus(account *account, renewed *lentLoan) float64 {
 	if m.replicaCount <= 0 || m.answers.full() || len(account.lent) >= maxLoans {
 		return 0
 	}
