--- a/fleet/codec/replay.go
+++ b/fleet/codec/replay.go
@@ -5,12 +5,12 @@
 	// may count once more.
 	maxSenders = 16384
 
-	wordBits    = 64
+	bitsPerWord = 64
 	windowWords = 4
-	windowSpan  = windowWords * wordBits // numbers
+	windowSpan  = windowWords * bitsPerWord // numbers
 )
 
-// replayFilter tells frames that were received before from new ones, by sender.
+// replayFilter distinguishes frames that were received before from new ones, by sender.
 type replayFilter struct {
 	windows map[string]*replayWindow
 }
@@ -67,5 +67,5 @@
 
 // position returns the word and the bit of a number in a window.
 func position(number uint64) (word int, bit uint64) {
-	return int(number % windowSpan / wordBits), 1 << (number % wordBits)
+	return int(number % windowSpan / bitsPerWord), 1 << (number % bitsPerWord)
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -21,7 +21,7 @@
 	departureGossip = 700 * time.Millisecond // how long the departure is disseminated before the sockets close
 	persistInterval = 30 * time.Second       // between writes of the state file without a change
 
-	// farFuture separates the times of ticks from the time that stands for none.
+	// farFuture is later than any tick and earlier than what NextTick returns if none is due.
 	farFuture time.Duration = 1 << 62
 )
 
@@ -45,7 +45,7 @@
 	persisted persistedSet
 	stateSync *stateSyncHost // nil if no state is shared
 	rollouts  *rolloutHost   // nil if this replica takes no part in rollouts; set before Run
-	abandoned bool           // another process goes on under this name
+	abandoned bool           // another process continues under this name
 	departed  bool           // the end has begun: nothing new is announced
 	ended     bool           // nothing is handled any more
 }
@@ -106,7 +106,7 @@
 }
 
 // epochRandomBits of an epoch are random: two processes of a copied configuration may
-// start in one millisecond and must be told apart all the same.
+// start in one millisecond and must still be distinguished.
 const epochRandomBits = 16
 
 func drawEpoch(now time.Time) uint64 {
@@ -143,7 +143,7 @@
 	f.goroutines.Wait()
 }
 
-// start hands the first events over.
+// start passes the first events to the membership list.
 func (f *Fleet) start() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -152,7 +152,7 @@
 	f.handle(membership.Event{Kind: membership.Start})
 }
 
-// depart announces that this replica leaves, unless another process goes on under its
+// depart announces that this replica leaves, unless another process continues under its
 // name, and returns once that is disseminated.
 func (f *Fleet) depart() {
 	f.mu.Lock()
@@ -177,7 +177,7 @@
 }
 
 // Announce changes the phase of this replica and the hash of its settings; an empty
-// hash leaves the former one.
+// hash leaves the previous one.
 func (f *Fleet) Announce(phase membership.Phase, settingsHash string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -192,7 +192,7 @@
 	f.announceTags()
 }
 
-// Abandon has Run end without an announcement: another process goes on under this name.
+// Abandon has Run end without an announcement: another process continues under this name.
 func (f *Fleet) Abandon() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -219,7 +219,7 @@
 	}
 }
 
-// SetKeys replaces the keys while the fleet runs. After an error the former ones stay.
+// SetKeys replaces the keys while the fleet runs. After an error the previous ones stay.
 func (f *Fleet) SetKeys(keys [][]byte) error { return f.transport.setKeys(keys) }
 
 // ErrNotDead is returned by Forget for a member that can't be forgotten.
--- a/fleet/membership/gossip.go
+++ b/fleet/membership/gossip.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	gossipInterval     = 100 * time.Millisecond // while there are updates to send
-	gossipFanout       = 3                      // members that are gossiped to at a time
-	retransmitFactor   = 4.0                    // times that an update is sent, for each power of ten of members
-	maxUpdateBytes     = 1000                   // updates in a datagram, which is under 1,200 bytes
-	minBurstBytes      = 16 << 10               // bytes of updates that may be sent at once in a small fleet
-	burstBytesPer      = 64.0                   // and for each reachable member in a large one
-	maxQueuedUpdates   = 1024                   // beyond it the one that was sent most often is dropped
-	maxDisputes        = 512                    // members that are waiting to be asked to refute
-	disputesPerGossip  = 32                     // of them at a time
-	matchesToDropQueue = 4                      // equal digests in a row from which queued updates are known everywhere
+	gossipInterval      = 100 * time.Millisecond // while there are updates to send
+	gossipFanout        = 3                      // members that are gossiped to at a time
+	departureFanout     = 2 * gossipFanout       // members that are sent a departure at once: the process ends soon
+	retransmitFactor    = 4.0                    // times that an update is sent, for each power of ten of members
+	maxUpdateBytes      = 1000                   // updates in a datagram, which is under 1,200 bytes
+	minBurstBytes       = 16 << 10               // bytes of updates that may be sent at once in a small fleet
+	burstBytesPerMember = 64.0                   // or, in a large fleet, for each reachable member
+	maxQueuedUpdates    = 1024                   // beyond it the one that was sent most often is dropped
+	maxDisputes         = 512                    // members that are waiting to be asked to refute
+	disputesPerGossip   = 32                     // of them at a time
+	matchesToDropQueue  = 4                      // equal digests in a row that show that all know the queued updates
 )
 
 // gossiper holds what is to be disseminated.
@@ -27,7 +28,7 @@
 	nextAt   time.Duration
 }
 
-// dispute is a member that another one holds for dead while this one does not.
+// dispute is a member that another one considers dead while this one does not.
 type dispute struct {
 	member *member
 	record Record // as the other member holds it
@@ -81,39 +82,39 @@
 	return q.credit >= 0 || slices.ContainsFunc(q.entries, queuedUpdate.urgent)
 }
 
-// urgent reports whether the update may overdraw the credit: who is suspected,
-// refutes or is dead. Records with tags wait; a synchronization brings them too.
+// urgent reports whether the update may overdraw the credit: that a member is
+// suspected, has refuted or is dead. Records with tags wait; a synchronization brings them too.
 func (u queuedUpdate) urgent() bool { return u.Tags == nil }
 
 // fill adds updates to a message: one at least, and as many more as fit into the
 // datagram and the credit. reachable is the number of members that may receive them.
 func (q *updateQueue) fill(now time.Duration, message *Message, reachable int) {
-	burst := max(minBurstBytes, burstBytesPer*float64(reachable))
+	burst := max(minBurstBytes, burstBytesPerMember*float64(reachable))
 	q.credit = min(q.credit+q.bytesPerSecond*(now-q.creditAt).Seconds(), burst)
 	q.creditAt = now
 	if len(q.entries) == 0 {
 		return
 	}
-	room := maxUpdateBytes
+	remaining := maxUpdateBytes
 	for i := range message.Updates {
-		room -= message.Updates[i].Size()
+		remaining -= message.Updates[i].Size()
 	}
-	taken := 0
+	added := 0
 	for i := range q.entries {
 		update := &q.entries[i]
 		size := update.Size()
-		if size > room {
+		if size > remaining {
 			break
 		}
 		left := q.credit - float64(size)
-		if taken > 0 && (left < -burst || left < 0 && !update.urgent()) {
+		if added > 0 && (left < -burst || left < 0 && !update.urgent()) {
 			continue
 		}
-		room -= size
+		remaining -= size
 		q.credit -= float64(size)
 		message.Updates = append(message.Updates, update.Record)
 		update.transmits++
-		taken++
+		added++
 	}
 	q.dropSent(reachable)
 }
@@ -150,7 +151,7 @@
 	}
 }
 
-// sendDisputes asks members that others hold for dead to refute.
+// sendDisputes asks members that others consider dead to refute.
 func (l *List) sendDisputes() {
 	for range min(disputesPerGossip, len(l.gossiper.disputes)) {
 		disputed := l.gossiper.disputes[0]
@@ -162,7 +163,7 @@
 	}
 }
 
-// disputeDeath has m asked to refute, which another member holds for dead by record.
+// disputeDeath has m asked to refute, which another member considers dead by record.
 func (l *List) disputeDeath(m *member, record *Record) {
 	if m.deathDisputed || len(l.gossiper.disputes) >= maxDisputes {
 		return
--- a/fleet/membership/learn.go
+++ b/fleet/membership/learn.go
@@ -1,6 +1,6 @@
 package membership
 
-// learn takes in a record of a member. A reason that is not empty replaces the one
+// learn merges a record of a member. A reason that is not empty replaces the one
 // that follows from the record.
 func (l *List) learn(record *Record, reason string) {
 	if !record.valid() {
@@ -63,7 +63,7 @@
 	if record.Epoch != m.Epoch {
 		m.startEpoch()
 	} else if refutes(record, m) && m.suspectedLocally {
-		m.excuse(l.now)
+		m.recordFalseSuspicion(l.now)
 		l.prober.health.worsen()
 	}
 	m.Record = *record
@@ -119,7 +119,7 @@
 	return reasonDiscovered
 }
 
-// learnAboutSelf takes in what others hold of this member, and refutes what is wrong.
+// learnAboutSelf handles a record that others have of this member, and refutes what is wrong.
 func (l *List) learnAboutSelf(record *Record) {
 	switch {
 	case l.displaced || record.Epoch < l.self.Epoch || l.self.Status == Left:
@@ -134,7 +134,7 @@
 		l.prober.health.refuted(l.now)
 		l.raiseIncarnation(record.Incarnation+1, nil)
 	case record.Incarnation > l.self.Incarnation:
-		// Announced by this process before it lost the count.
+		// Only this member raises its incarnation, so its own record must be the newest one again.
 		l.raiseIncarnation(record.Incarnation+1, nil)
 	}
 }
@@ -176,7 +176,7 @@
 	l.self.Status = Left
 	l.self.Incarnation++
 	l.publish(l.self)
-	for _, m := range l.members.sample(2*gossipFanout, nil, &l.rng) {
+	for _, m := range l.members.sample(departureFanout, nil, &l.rng) {
 		l.sendToMember(m, newGossip(l.self))
 	}
 }
--- a/fleet/membership/list.go
+++ b/fleet/membership/list.go
@@ -5,7 +5,7 @@
 const (
 	lateTick   = 100 * time.Millisecond // a later tick gave suspects no time in which a refutation was read
 	minStall   = 500 * time.Millisecond // a tick that is later shows that this process was stopped or starved
-	stallTicks = 2                      // if it is late by so many probe intervals too
+	stallTicks = 2                      // and only if it is also late by this many probe intervals
 )
 
 // List is one replica's view of the fleet. It is not safe for concurrent use.
@@ -53,8 +53,8 @@
 	return l
 }
 
-// Handle takes one event and appends what is to be done to out. Times must not go
-// back; one that is much later than NextTick shows that this process stood still.
+// Handle processes one event and appends what is to be done to out. Times must not go
+// back; one much later than NextTick shows that this process was stopped or starved.
 func (l *List) Handle(now time.Duration, event Event, out []Action) []Action {
 	now = max(now, l.now)
 	l.actions = out
@@ -122,12 +122,12 @@
 	l.view.changedAt = l.now
 	l.prober.nextAt = l.now + l.rng.duration(l.cfg.ProbeInterval)
 	l.nextReconnect = l.now
-	l.syncer.nextAt = l.now + l.rng.duration(syncGap)
-	l.nextForget = l.now + rememberLeft
+	l.syncer.nextAt = l.now + l.rng.duration(minSyncInterval)
+	l.nextForget = l.now + leftRetention
 	l.publish(l.self)
 }
 
-// restore takes in the members that were known before a restart. They are held for
+// restore adds the members that were known before a restart. They are taken to be
 // alive, and probed like others, until they are found to be gone.
 func (l *List) restore(records []Record) {
 	for _, record := range records {
@@ -139,7 +139,7 @@
 	}
 }
 
-// checkStall finds whether this process stood still until now. What it waited for
+// checkStall detects whether this process was stopped until now. What it waited for
 // meanwhile proves nothing about others; they keep the time that they had left.
 func (l *List) checkStall(now time.Duration) {
 	late := now - l.NextTick()
@@ -173,7 +173,7 @@
 	l.runReconnect()
 	l.runSync()
 	if l.now >= l.nextForget {
-		l.nextForget = l.now + rememberLeft
+		l.nextForget = l.now + leftRetention
 		l.members.forgetLeft(l.now)
 	}
 }
--- a/fleet/membership/sync.go
+++ b/fleet/membership/sync.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	quietView      = 600 * time.Millisecond  // a view that has not changed for so long is synchronized if it differs
-	maxUnquietView = 1500 * time.Millisecond // and one that goes on changing is after so long
-	syncBacklog    = 64                      // queued updates from which gossip would take seconds
-	syncGap        = 500 * time.Millisecond  // between synchronizations that this member starts,
-	membersPerGap  = 1000.0                  // and as many times that as there are multiples of so many members
-	syncTimeout    = 5 * time.Second         // a synchronization that has not ended by then is given up
+	viewQuietPeriod        = 600 * time.Millisecond  // a view unchanged for so long is synchronized if it differs
+	maxSyncDelay           = 1500 * time.Millisecond // and one that keeps changing after so long
+	syncBacklog            = 64                      // queued updates from which gossip would take seconds
+	minSyncInterval        = 500 * time.Millisecond  // between synchronizations that this member starts
+	membersPerSyncInterval = 1000.0                  // above so many members the interval grows in proportion to them
+	syncTimeout            = 5 * time.Second         // a synchronization that has not ended by then is given up
 )
 
-// syncer keeps push/pull synchronizations of whole views: at most one that was
+// syncer schedules push/pull synchronizations of whole views. At most one that was
 // started here is under way.
 type syncer struct {
 	candidate     string // name of a member whose digest differs; empty if there is none
@@ -27,13 +27,13 @@
 }
 
 // startAt is when a synchronization with the candidate is due: once the view is
-// quiet, or has gone on changing for long, or at once where more has changed than
+// quiet, or has kept changing for long, or at once where more has changed than
 // gossip carries, as after a partition.
 func (s *syncer) startAt(viewChangedAt time.Duration, queuedUpdates int) time.Duration {
 	if queuedUpdates >= syncBacklog {
 		return s.nextAt
 	}
-	return max(s.nextAt, min(viewChangedAt+quietView, s.lastStartedAt+maxUnquietView))
+	return max(s.nextAt, min(viewChangedAt+viewQuietPeriod, s.lastStartedAt+maxSyncDelay))
 }
 
 // dueAt is when the next step is due.
@@ -47,27 +47,27 @@
 	return never
 }
 
-// differs takes in that m's digest differs from this member's.
+// differs records that m's digest differs from this member's.
 func (s *syncer) differs(m *member) {
 	if m.Status == Alive {
 		s.candidate = m.Name
 	}
 }
 
-// agrees takes in that the digest of a member is the same.
+// agrees records that the digest of a member is the same.
 func (s *syncer) agrees(name string) {
 	if s.candidate == name {
 		s.candidate = ""
 	}
 }
 
-// start begins a synchronization, in a fleet of so many reachable members.
+// start begins a synchronization. reachable is the number of reachable members.
 func (s *syncer) start(now time.Duration, reachable int, rng *random) {
 	s.started++
 	s.current = s.started
 	s.endsAt = now + syncTimeout
 	s.lastStartedAt = now
-	gap := time.Duration(max(1, float64(reachable)/membersPerGap) * float64(syncGap))
+	gap := time.Duration(max(1, float64(reachable)/membersPerSyncInterval) * float64(minSyncInterval))
 	s.nextAt = now + gap + rng.duration(gap)
 }
 
@@ -151,7 +151,7 @@
 	l.emit(Action{Kind: Reply, Message: response, Exchange: exchange})
 }
 
-// compareRecord takes in one record of a request, or adds to the response what its
+// compareRecord merges one record of a request, or adds to the response what its
 // sender lacks.
 func (l *List) compareRecord(record *Record, response *Message) {
 	if record.Name == l.self.Name {
@@ -203,7 +203,7 @@
 	l.emit(Action{Kind: Reply, Message: final, Exchange: exchange})
 }
 
-// syncFinished takes in the records that this member requested.
+// syncFinished merges the records that this member requested.
 func (l *List) syncFinished(final *Message) {
 	if l.displaced || final == nil {
 		return
@@ -211,7 +211,7 @@
 	l.learnView(final)
 }
 
-// synchronized takes note that views were exchanged with another member. A seed's
+// synchronized records that views were exchanged with another member. A seed's
 // address may turn out to be this member's own.
 func (l *List) synchronized(from *State) {
 	if from.Name != l.self.Name {
@@ -225,9 +225,9 @@
 	}
 }
 
-// learnFromView takes in a record of another member's whole view. One that the other
-// holds for dead and this member does not gets the chance to refute: after a
-// partition each side holds the other one for dead, and neither is believed.
+// learnFromView merges a record of another member's whole view. One that the other
+// considers dead and this member does not gets the chance to refute: after a
+// partition each side considers the other one dead, and neither is believed.
 func (l *List) learnFromView(record *Record) {
 	m := l.members.byName[record.Name]
 	if m != nil && record.valid() && disputable(m, record) {
--- a/fleet/outlier/evaluate.go
+++ b/fleet/outlier/evaluate.go
@@ -9,15 +9,15 @@
 	"ryerill/internal/seedrand"
 )
 
-// Parameters of verdicts.
+// Parameters of the evaluation.
 const (
 	// MaxEjectedFraction is the greatest fraction of a pool's endpoints that may be ejected by evidence of others.
 	MaxEjectedFraction = 0.3
 
 	maxReporterWeight = 2.0             // attempts that one reporter counts for at most: none decides alone
 	minTotalWeight    = 4.0             // attempts that all reporters must count for
-	minReporters      = 2               // whose evidence must be against the endpoint
-	minZones          = 2               // they must be in, or in the reader's own, if there are several
+	minReporters      = 2               // that must have evidence against the endpoint
+	minZones          = 2               // that they must be in, unless all are in the reader's zone
 	maxFaultyFraction = 0.34            // of a pool: a reporter to which more looks faulty is faulty itself
 	probeSlot         = 2 * time.Second // in which one replica of all may probe an ejected endpoint
 	minWeight         = 1e-9            // to divide by
@@ -38,11 +38,11 @@
 	d.expireReceived()
 	faulty := d.faultyByReporter(endpoints)
 	maxFaulty := max(maxFaultyFraction*float64(len(endpoints)), 1)
-	believed := func(reporter string) bool { return float64(faulty[reporter]) <= maxFaulty }
+	credible := func(reporter string) bool { return float64(faulty[reporter]) <= maxFaulty }
 
 	var candidates []assessment
 	for _, endpoint := range endpoints {
-		candidate := d.assess(endpoint, believed)
+		candidate := d.assess(endpoint, credible)
 		if candidate.isFaulty(d.zone, zones) {
 			candidates = append(candidates, candidate)
 		}
@@ -66,8 +66,8 @@
 	}
 }
 
-// faultyByReporter counts the endpoints of a pool that look faulty to each reporter, this replica among them. One to
-// which much of the pool looks faulty tells of itself, or of what all endpoints share.
+// faultyByReporter counts the endpoints of a pool that look faulty to each reporter, this replica among them. A
+// reporter to which much of the pool looks faulty shows a fault of its own, or one that all endpoints share.
 func (d *Detector) faultyByReporter(endpoints []Endpoint) map[string]int {
 	startedAt := make(map[uint64]int64, len(endpoints))
 	for _, endpoint := range endpoints {
@@ -102,18 +102,18 @@
 	relativeLatency float64
 }
 
-// assess sums up the evidence on an endpoint of those reporters that are believed.
-func (d *Detector) assess(endpoint Endpoint, believed func(reporter string) bool) assessment {
+// assess sums up the evidence on an endpoint of those reporters that are credible.
+func (d *Detector) assess(endpoint Endpoint, credible func(reporter string) bool) assessment {
 	sum := assessment{Verdict: Verdict{Endpoint: endpoint.ID}}
 	all := d.received[endpoint.ID]
 	for _, reporter := range slices.Sorted(maps.Keys(all)) {
 		report := all[reporter]
-		if report.StartedAt == endpoint.StartedAt && believed(reporter) {
+		if report.StartedAt == endpoint.StartedAt && credible(reporter) {
 			sum.add(&report.Evidence, report.remainingAttempts(d.now))
 		}
 	}
 	local := d.local[endpoint.ID]
-	if local != nil && local.startedAt == endpoint.StartedAt && believed(d.name) {
+	if local != nil && local.startedAt == endpoint.StartedAt && credible(d.name) {
 		evidence := local.evidence()
 		evidence.Reporter = d.name
 		evidence.Zone = d.zone
@@ -143,7 +143,7 @@
 	}
 }
 
-// isFaulty tells whether the evidence is enough for a reader in a zone, one of a number of zones.
+// isFaulty reports whether the evidence is enough for a reader in a zone, one of a number of zones.
 func (a *assessment) isFaulty(readerZone string, zones int) bool {
 	if a.weight < minTotalWeight || len(a.Reporters) < minReporters {
 		return false
@@ -156,7 +156,7 @@
 	return exceedsThresholds(a.failureRate/divisor, a.peerFailureRate/divisor, a.relativeLatency/divisor)
 }
 
-// ShouldProbe tells whether this replica, of an index among a number of replicas, may probe an ejected endpoint now.
+// ShouldProbe reports whether this replica, of an index among a number of replicas, may probe an ejected endpoint now.
 // One replica at a time does, so that the probes of all are as many as one replica's. clock is a time that all
 // replicas have about alike; a difference costs a probe.
 func ShouldProbe(endpoint uint64, clock time.Duration, index, replicaCount int) bool {
--- a/fleet/quota/manager.go
+++ b/fleet/quota/manager.go
@@ -8,8 +8,8 @@
 // The credit therefore ends before the debit does, however long the messages took and without synchronised clocks. A
 // lost, duplicated or late message can only make a replica spend less.
 //
-// An amount limit (how much a warming endpoint may be sent in all) moves for good: what is granted is spent for the
-// lender whether the grant arrives or not.
+// An amount limit (how much a warming endpoint may be sent in all) is transferred permanently: what is granted counts
+// as spent by the lender whether the grant arrives or not.
 package quota
 
 import (
@@ -41,7 +41,7 @@
 	rateTolerance      = 1e-9 // for rounding, in comparisons of rates
 )
 
-// Kind tells how a limit is spent.
+// Kind is how a limit is spent.
 type Kind uint8
 
 // The kinds of limit.
@@ -137,8 +137,8 @@
 	m.peers = peers
 }
 
-// FitsWithin tells whether what this replica has lent fits into its share of a division by replicaCount. Only then may
-// others count on its share being that small.
+// FitsWithin reports whether what this replica has lent fits into its share of a division by replicaCount. Only then
+// may others rely on its share being that small.
 func (m *Manager) FitsWithin(now time.Duration, replicaCount int) bool {
 	m.advance(now)
 	for _, name := range m.order {
@@ -172,7 +172,7 @@
 	account.demand.add(m.now, units)
 }
 
-// Spend takes units of an amount limit, all or none, and tells whether it did.
+// Spend takes units of an amount limit, all or none, and reports whether it did.
 func (m *Manager) Spend(now time.Duration, name string, units float64) bool {
 	m.advance(now)
 	account := m.accounts[name]
@@ -207,7 +207,7 @@
 	return m.takeActions()
 }
 
-// Handle takes a message from a peer in and returns the answer, if there is one, appended to out.
+// Handle processes a message from a peer and returns the answer, if there is one, appended to out.
 func (m *Manager) Handle(now time.Duration, from string, message Message, out []Action) []Action {
 	m.advance(now)
 	m.actions = out
--- a/fleet/rollout/evaluator.go
+++ b/fleet/rollout/evaluator.go
@@ -22,7 +22,7 @@
 	Regressed
 )
 
-// Point is what one interval came to, over all zones, for tables and charts.
+// Point is the result of one interval, over all zones, for tables and charts.
 type Point struct {
 	Interval         uint64  `json:"Span"`
 	BaselineGoodput  float64 `json:"Old"` // of unchanged replicas
@@ -64,7 +64,7 @@
 	pool    string
 }
 
-// NewEvaluator returns one for replicas that were changed. baseline tells how they differed before; nil if it isn't
+// NewEvaluator returns one for replicas that were changed. baseline is how they differed before; nil if it isn't
 // known.
 func NewEvaluator(guardrails Guardrails, changed []string, baseline *Baseline) *Evaluator {
 	guardrails.complete()
@@ -81,7 +81,7 @@
 	return evaluator
 }
 
-// AddReport takes a report of any replica in. Invalid, late and repeated ones are ignored.
+// AddReport adds a report of any replica. Invalid, late and repeated ones are ignored.
 func (e *Evaluator) AddReport(_ time.Duration, report Report) {
 	if !report.valid() || report.Interval+closingDelay < e.newestInterval || len(e.open) >= maxOpenCells {
 		return
@@ -107,7 +107,7 @@
 	}
 }
 
-// Assess tells what is known, and why.
+// Assess returns what is known about the stage, and why.
 func (e *Evaluator) Assess(time.Duration) (Assessment, string) {
 	upper, lower := e.guardrails.bounds()
 	goodput := e.evidence()
@@ -132,8 +132,8 @@
 		goodput, lower, upper, e.comparedIntervals)
 }
 
-// evidence is the log of how much more likely the loss of goodput is than none. However long it is observed, how
-// replicas differed before is known only so well.
+// evidence is the log of how much more likely the loss of goodput is than none. The
+// uncertainty about how replicas differed before bounds it, however long it is observed.
 func (e *Evaluator) evidence() float64 { return e.goodput / (1 + e.uncertainty) }
 
 // closeIntervals compares the intervals that are over: in each zone that has both changed and unchanged replicas, or,
@@ -152,8 +152,8 @@
 		if totals[allZones] == nil {
 			totals[allZones] = &comparison{}
 		}
-		totals[allZones].baseline.join(&zone.baseline)
-		totals[allZones].changed.join(&zone.changed)
+		totals[allZones].baseline.merge(&zone.baseline)
+		totals[allZones].changed.merge(&zone.changed)
 		if zone.isMeaningful() {
 			zonesCompared[allZones] = true
 			compared[key.interval] = true
@@ -202,7 +202,7 @@
 	}
 }
 
-// addPoint records what an interval came to, for the first pool by name that has both changed and unchanged replicas.
+// addPoint records the result of an interval, for the first pool by name that has both changed and unchanged replicas.
 func (e *Evaluator) addPoint(interval uint64, c *comparison) {
 	baseline := &c.baseline
 	changed := &c.changed
--- a/fleet/rollout/participant.go
+++ b/fleet/rollout/participant.go
@@ -37,7 +37,7 @@
 // State is the plan's progress as far as it is known here.
 func (p *Participant) State() State { return p.state }
 
-// IsLeader tells whether this replica holds the lease.
+// IsLeader reports whether this replica holds the lease.
 func (p *Participant) IsLeader() bool { return p.election.isLeader(p.env.now) }
 
 // CandidateReason describes this replica's part in the election, to find out why there is no leader.
@@ -66,7 +66,7 @@
 	return explanation, slices.Clone(p.stages.evaluator.points)
 }
 
-// Restore takes in the state that was persisted before a restart.
+// Restore adopts the state that was persisted before a restart.
 func (p *Participant) Restore(state State) {
 	if state.Newer(&p.state) {
 		p.state = state
@@ -113,7 +113,7 @@
 	abortByOperator = "aborted by a person"
 )
 
-// Command carries out a command of an operator: pause, resume, abort or back. It returns a PlanStateError if no plan is
+// Command executes a command of an operator: pause, resume, abort or back. It returns a PlanStateError if no plan is
 // active.
 func (p *Participant) Command(now time.Duration, command string) error {
 	p.env.advance(now)
@@ -155,19 +155,19 @@
 	p.env.advance(now)
 	p.env.actions = append(out, p.env.actions...)
 	p.env.replicas = replicas
-	p.application.completed = p.application.completed || p.holdsOrdered()
+	p.application.completed = p.application.completed || p.hasOrderedVersion()
 	if p.state.Phase.Ended() {
 		p.election.withdraw()
-		p.conform()
+		p.applyOutcome()
 	} else {
 		p.state.Age += p.env.now - previous
-		p.lead()
+		p.advancePlan()
 	}
-	p.remind()
+	p.sendPeriodicUpdate()
 	return p.env.takeActions()
 }
 
-// Handle takes a message in and returns the actions that follow, appended to out.
+// Handle processes a message and returns the actions that follow, appended to out.
 func (p *Participant) Handle(now time.Duration, message Message, out []Action) []Action {
 	p.env.advance(now)
 	p.env.actions = append(out, p.env.actions...)
@@ -194,8 +194,8 @@
 	return p.env.takeActions()
 }
 
-// lead becomes a candidate, keeps the lease and, as leader, takes the plan on.
-func (p *Participant) lead() {
+// advancePlan becomes a candidate, keeps the lease and, as leader, advances the plan.
+func (p *Participant) advancePlan() {
 	if p.election.token == 0 {
 		p.election.considerCampaign(&p.env)
 		return
--- a/fleet/rollout/statistics.go
+++ b/fleet/rollout/statistics.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	maxLogEvidence = 3.0 // that one interval adds at most: a single odd second decides nothing
-	sequentialTest = 3.0 // tests that share the probability of a false alarm,
-	assumedStages  = 6.0 // in so many stages
+	maxLogEvidence  = 3.0 // that one interval adds at most: a single outlier decides nothing
+	sequentialTests = 3.0 // of goodput, latency and attempts: they share the probability of a false alarm
+	assumedStages   = 6.0 // among which the probability of a false alarm is divided too
 
 	minReplicasForSpread  = 3   // from which the differences between replicas are estimated
 	assumedOverdispersion = 1.5 // with fewer
@@ -17,7 +17,7 @@
 	minRatio              = 1e-9
 )
 
-// sample sums up the reports of several replicas, changed or unchanged ones, in one interval.
+// sample is the sum of the reports of several replicas, changed or unchanged ones, in one interval.
 type sample struct {
 	replicas float64
 
@@ -63,8 +63,8 @@
 	}
 }
 
-// join adds the sums of another sample.
-func (s *sample) join(other *sample) {
+// merge adds the sums of another sample.
+func (s *sample) merge(other *sample) {
 	s.replicas += other.replicas
 	s.offered += other.offered
 	s.served += other.served
@@ -115,7 +115,7 @@
 	changed  sample
 }
 
-// isMeaningful tells whether both sides were offered enough.
+// isMeaningful reports whether both sides were offered enough.
 func (c *comparison) isMeaningful() bool {
 	return c.baseline.offered >= minOffered && c.changed.offered >= minOffered
 }
@@ -127,7 +127,7 @@
 	baseline := &c.baseline
 	changed := &c.changed
 	pooled := (baseline.served + changed.served + 1) / (baseline.offered + changed.offered + 2)
-	binomial := max(pooled*(1-pooled), minBinomial)
+	binomial := max(pooled*(1-pooled), minBinomialVariance)
 	offeredEach := baseline.offered / max(baseline.replicas, 1)
 	widening := max(overdispersion(baseline.goodputs, baseline.goodput(), binomial, offeredEach), 1)
 	variance := binomial * widening * (1/baseline.offered + 1/changed.offered)
@@ -176,7 +176,7 @@
 // bounds are the logs of likelihood between which nothing is decided (Wald, 1945). Tests that follow each other share
 // the probability of a false alarm.
 func (g *Guardrails) bounds() (upper, lower float64) {
-	falseAlarm := g.FalseAlarm / (sequentialTest * assumedStages)
+	falseAlarm := g.FalseAlarm / (sequentialTests * assumedStages)
 	upper = math.Log((1 - g.MissedRegression) / falseAlarm)
 	lower = math.Log(g.MissedRegression / (1 - falseAlarm))
 	return upper, lower
@@ -193,7 +193,7 @@
 	deathChance = 0.1
 )
 
-// deathExceedsChance tells whether the death of one changed replica is more than chance, with so many dead of a
+// deathExceedsChance reports whether the death of one changed replica is more than chance, with so many dead of a
 // number of unchanged ones.
 func deathExceedsChance(deadUnchanged, unchanged int) bool {
 	if unchanged <= 0 {
--- a/fleet/rollout_host.go
+++ b/fleet/rollout_host.go
@@ -55,14 +55,14 @@
 
 // rolloutHost is this replica's side of rollouts. The fleet's mutex guards it.
 type rolloutHost struct {
-	participant *rollout.Participant
-	change      ChangeFunc
-	activity    func() []PoolActivity
-	reported    map[string]PoolActivity // by pool, at the latest report
-	interval    uint64                  // number of the latest report
-	refusals    map[string]refusal      // by replica, the other ones
-	ownRefusal  refusal
-	desired     DesiredVersion
+	participant      *rollout.Participant
+	change           ChangeFunc
+	activity         func() []PoolActivity
+	reportedActivity map[string]PoolActivity // by pool, at the latest report
+	reportedInterval uint64                  // number of the latest report
+	refusals         map[string]refusal      // by replica, the other ones
+	ownRefusal       refusal
+	desired          DesiredVersion
 
 	fetching      bool
 	fetchFailedAt time.Time // zero after a success
@@ -75,11 +75,11 @@
 // EnableRollouts has this replica take part in rollouts. It must be called before Run.
 func (f *Fleet) EnableRollouts(change ChangeFunc, activity func() []PoolActivity) {
 	f.rollouts = &rolloutHost{
-		participant: rollout.New(f.cfg.Name, f.now()),
-		change:      change,
-		activity:    activity,
-		reported:    map[string]PoolActivity{},
-		refusals:    map[string]refusal{},
+		participant:      rollout.New(f.cfg.Name, f.now()),
+		change:           change,
+		activity:         activity,
+		reportedActivity: map[string]PoolActivity{},
+		refusals:         map[string]refusal{},
 	}
 	if f.restored.Rollout != nil {
 		f.rollouts.participant.Restore(*f.restored.Rollout)
@@ -162,14 +162,14 @@
 	defer f.mu.Unlock()
 	h := f.rollouts
 	f.executeRollout(h.participant.Tick(f.now(), f.replicas(), nil))
-	if interval := uint64(time.Now().UnixNano() / int64(reportInterval)); interval != h.interval {
-		h.interval = interval
+	if interval := uint64(time.Now().UnixNano() / int64(reportInterval)); interval != h.reportedInterval {
+		h.reportedInterval = interval
 		f.reportActivity()
 	}
 	f.persistRollout()
 }
 
-// persistRollout has the state persisted if it has changed. The mutex is held.
+// persistRollout starts a write of the state file if the rollout has changed. The mutex is held.
 func (f *Fleet) persistRollout() {
 	if !f.stateFile.enabled() || f.persisted.writing || f.departed {
 		return
@@ -179,7 +179,7 @@
 	}
 }
 
-// executeRollout carries out the actions of a rollout. The mutex is held.
+// executeRollout executes the actions of a rollout. The mutex is held.
 func (f *Fleet) executeRollout(actions []rollout.Action) {
 	for _, action := range actions {
 		switch action.Kind {
@@ -193,7 +193,7 @@
 	}
 }
 
-// applyVersion has this replica changed as a rollout orders. The mutex is held.
+// applyVersion changes this replica as a rollout orders. The mutex is held.
 func (f *Fleet) applyVersion(action rollout.Action) {
 	h := f.rollouts
 	f.log.Info("fleet rollout changes this replica", "plan", action.Plan, "target", action.Target,
@@ -212,7 +212,7 @@
 	})
 }
 
-// RolloutRefused takes note that the operator's own tools could not bring about the
+// RolloutRefused records that the operator's own tools could not bring about the
 // desired version of a plan.
 func (f *Fleet) RolloutRefused(plan, reason string) {
 	f.mu.Lock()
@@ -236,7 +236,7 @@
 	f.sendToReplica(to, membership.Rollout, payload)
 }
 
-// receiveRollout takes in a datagram. The mutex is held.
+// receiveRollout handles a datagram. The mutex is held.
 func (f *Fleet) receiveRollout(datagram *membership.Message) {
 	if f.rollouts == nil || !f.fromCurrentProcess(datagram) {
 		return
@@ -282,8 +282,8 @@
 	}
 	underWay := state.Phase == rollout.Observing || state.Phase == rollout.Changing
 	for _, activity := range h.activity() {
-		before := h.reported[activity.Pool]
-		h.reported[activity.Pool] = activity
+		before := h.reportedActivity[activity.Pool]
+		h.reportedActivity[activity.Pool] = activity
 		if !underWay || state.Leader == "" {
 			continue
 		}
@@ -291,7 +291,7 @@
 			Name:            f.cfg.Name,
 			Zone:            f.cfg.Zone,
 			Pool:            activity.Pool,
-			Interval:        h.interval,
+			Interval:        h.reportedInterval,
 			OfferedWeight:   activity.OfferedWeight - before.OfferedWeight,
 			ServedWeight:    activity.ServedWeight - before.ServedWeight,
 			Responses:       activity.Responses - before.Responses,
--- a/fleet/statesync/queue.go
+++ b/fleet/statesync/queue.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	maxQueuedItems   = 2048 // of more, those sent most often go
+	maxQueuedItems   = 2048 // beyond it the one that was sent most often is dropped
 	retransmitFactor = 4    // an item is sent so many times for each decimal digit of the number of replicas
 	decimalBase      = 10
 )
 
 // item is counters or evidence to be sent.
 type item struct {
-	key      itemKey
-	validAt  time.Duration // when it was true
-	sent     int           // times
-	urgent   bool
-	counters *wireCounters     // or
-	evidence *outlier.Evidence // of which one is set
-	size     int               // estimated, in bytes
+	key       itemKey
+	validAt   time.Duration // when it was true
+	transmits int           // how often it was sent
+	urgent    bool
+	counters  *wireCounters     // nil for evidence
+	evidence  *outlier.Evidence // nil for counters
+	size      int               // estimated, in bytes
 }
 
 // itemKey names what an item is about: a later item replaces an earlier one of the same key.
@@ -54,7 +54,7 @@
 	}
 }
 
-// concerns tells whether a peer needs an item of a sender in a zone: of another zone its sums are enough, and its own
+// concerns reports whether a peer needs an item of a sender in a zone: of another zone its sums are enough, and its own
 // zone the peer knows replica by replica.
 func (i *item) concerns(peer Peer, senderZone string) bool {
 	switch {
@@ -85,7 +85,7 @@
 		}
 		return 1
 	}
-	return cmp.Compare(a.sent, b.sent)
+	return cmp.Compare(a.transmits, b.transmits)
 }
 
 // queue holds items in the order of compareItems until each was sent often enough to reach all.
@@ -123,7 +123,7 @@
 			continue
 		}
 		remaining -= candidate.size
-		candidate.sent++
+		candidate.transmits++
 		candidate.addTo(packet, now)
 		if remaining < minItemBytes {
 			break
@@ -133,7 +133,7 @@
 		return nil
 	}
 	maxSent := retransmitFactor * decimalDigits(peers+1)
-	q.items = slices.DeleteFunc(q.items, func(i item) bool { return i.sent >= maxSent })
+	q.items = slices.DeleteFunc(q.items, func(i item) bool { return i.transmits >= maxSent })
 	slices.SortStableFunc(q.items, compareItems)
 	return packet
 }
--- a/fleet/statesync/syncer.go
+++ b/fleet/statesync/syncer.go
@@ -22,11 +22,11 @@
 	// DefaultBytesPerSecond is what a replica sends at most on average, if its configuration doesn't say.
 	DefaultBytesPerSecond = 1500
 
-	fanout             = 3 // peers that are sent queued items at each tick
-	evidenceInterval   = 200 * time.Millisecond
-	minCounterInterval = time.Second
-	zoneSumInterval    = 2 * time.Second
-	counterFraction    = 0.5 // of the byte budget is for counters, which would take all of it in a large fleet
+	fanout                = 3 // peers that are sent queued items at each tick
+	evidenceInterval      = 200 * time.Millisecond
+	minCounterInterval    = time.Second
+	zoneSumInterval       = 2 * time.Second
+	counterBudgetFraction = 0.5 // of the byte budget is for counters, which would take all of it in a large fleet
 )
 
 // Config says what a replica shares, and as whom.
@@ -36,9 +36,9 @@
 	Epoch          uint64 // of this process
 	Seed           uint64 // of the random choice of peers
 	LostState      bool   // this replica restarted and doesn't know what quota it had lent
-	Quotas         bool   // share quotas,
-	Counters       bool   // counters
-	Evidence       bool   // and evidence on endpoints
+	Quotas         bool   // whether quotas are shared
+	Counters       bool   // whether counters are shared
+	Evidence       bool   // whether evidence on endpoints is shared
 	BytesPerSecond int    // 0 is DefaultBytesPerSecond
 }
 
@@ -133,7 +133,7 @@
 	return out
 }
 
-// Receive takes a packet from a peer in and returns the answers.
+// Receive processes a packet from a peer and returns the answers.
 func (s *Syncer) Receive(now time.Duration, from string, payload []byte) []Outgoing {
 	s.advance(now)
 	s.Stats.PacketsIn++
@@ -202,7 +202,7 @@
 	}
 	if s.now >= s.nextCountersAt {
 		item := newCounterItem(s.now, s.Counters.LocalUpdate(s.now))
-		bytesPerSecond := counterFraction * float64(s.config.BytesPerSecond)
+		bytesPerSecond := counterBudgetFraction * float64(s.config.BytesPerSecond)
 		interval := time.Duration(float64(len(zonePeers)*item.size) / bytesPerSecond * float64(time.Second))
 		s.nextCountersAt = s.now + max(interval, minCounterInterval)
 		s.queue.put(item)
@@ -224,7 +224,7 @@
 	}
 }
 
-// receiveQuotas takes messages about quotas in and returns the answers to their sender.
+// receiveQuotas handles messages about quotas and returns the answers to their sender.
 func (s *Syncer) receiveQuotas(from string, messages []quota.Message) []Outgoing {
 	var answer Packet
 	for _, message := range messages {
@@ -240,17 +240,17 @@
 	return s.send(nil, from, &answer)
 }
 
-// receiveCounters takes counters in, and queues them for others if they are new.
+// receiveCounters merges counters, and queues them for others if they are new.
 func (s *Syncer) receiveCounters(received *aged[wireCounters]) {
 	update := received.Item.update(received.AgeMS)
 	if s.Counters.Merge(s.now, update) {
 		item := newCounterItem(s.now, update)
-		item.sent = 1 // by its sender
+		item.transmits = 1 // by its sender
 		s.queue.put(item)
 	}
 }
 
-// receiveEvidence takes evidence in, and queues it for others if it is new and few reporters are known.
+// receiveEvidence merges evidence, and queues it for others if it is new and few reporters are known.
 func (s *Syncer) receiveEvidence(received *aged[outlier.Evidence]) {
 	evidence := received.Item
 	age := received.age()
@@ -261,7 +261,7 @@
 		return
 	}
 	item := newEvidenceItem(s.now-age, evidence)
-	item.sent = 1 // by its sender
+	item.transmits = 1 // by its sender
 	s.queue.put(item)
 }
 
