--- a/admin/server.go
+++ b/admin/server.go
@@ -31,9 +31,6 @@
 	reservedDescriptors = 2 // set aside for when there are no others
 )
 
-// pastDeadline ends an operation that is under way on a connection.
-var pastDeadline = time.Unix(1, 0)
-
 // Server is the listener with its connections.
 type Server struct {
 	listener   *net.TCPListener
@@ -112,7 +109,7 @@
 	defer s.mu.Unlock()
 	for c := range s.conns {
 		if !c.received {
-			c.tcp.SetDeadline(pastDeadline)
+			c.tcp.SetDeadline(socket.PastDeadline)
 		}
 	}
 }
--- a/discovery/connection.go
+++ b/discovery/connection.go
@@ -20,9 +20,6 @@
 	maxListBytes = 8 << 20 // of an answer: some 40,000 endpoints
 )
 
-// pastDeadline ends an operation that is under way on a connection.
-var pastDeadline = time.Unix(1, 0)
-
 // errListTooLarge is the error for an answer beyond maxListBytes.
 var errListTooLarge = errors.New("answer is too large")
 
@@ -89,7 +86,7 @@
 		return EndpointList{}, err
 	}
 	opened := conn.conn
-	defer context.AfterFunc(ctx, func() { opened.SetDeadline(pastDeadline) })()
+	defer context.AfterFunc(ctx, func() { opened.SetDeadline(socket.PastDeadline) })()
 	list, reusable, err := conn.exchange(target, deadline)
 	if err != nil || !reusable {
 		conn.close()
--- a/downstream/conn.go
+++ b/downstream/conn.go
@@ -34,9 +34,6 @@
 	clientPollInterval = 100 * time.Millisecond
 )
 
-// pastDeadline ends a read that waits.
-var pastDeadline = time.Unix(1, 0)
-
 // connState is the state of a connection.
 type connState uint8
 
@@ -128,7 +125,7 @@
 	if c.state != stateBusy && c.state != stateClosed && !c.evicted {
 		c.evicted = true
 		c.server.evicted++
-		c.nc.SetReadDeadline(pastDeadline)
+		c.nc.SetReadDeadline(socket.PastDeadline)
 	}
 }
 
@@ -146,7 +143,7 @@
 	if errors.Is(err, os.ErrDeadlineExceeded) && socket.Peek(c.nc) == socket.Waiting && c.readsPastDeadline() {
 		c.nc.SetReadDeadline(time.Now().Add(freshPeriod))
 		n, err = c.nc.Read(p)
-		c.nc.SetReadDeadline(pastDeadline)
+		c.nc.SetReadDeadline(socket.PastDeadline)
 	}
 	c.readLimit -= int64(n)
 	if !c.pacing.began.IsZero() {
--- a/downstream/lifecycle_test.go
+++ b/downstream/lifecycle_test.go
@@ -18,6 +18,7 @@
 	"ryerill/balancer"
 	"ryerill/drain"
 	"ryerill/internal/buffer"
+	"ryerill/internal/socket"
 	"ryerill/message"
 )
 
@@ -175,7 +176,7 @@
 			for c := range s.conns {
 				c.enterStateLocked(stateIdle, time.Now().Add(time.Hour))
 				c.beginLingerLocked(time.Hour) // as serve does, and for as long as the test takes
-				c.nc.SetReadDeadline(pastDeadline)
+				c.nc.SetReadDeadline(socket.PastDeadline)
 			}
 		}},
 		{"asked to close", get(1, "Connection: close\r\n"), func(*Server, func()) {}},
@@ -185,7 +186,7 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			for c := range s.conns {
-				c.nc.SetReadDeadline(pastDeadline)
+				c.nc.SetReadDeadline(socket.PastDeadline)
 			}
 		}},
 	} {
--- a/downstream/upload.go
+++ b/downstream/upload.go
@@ -6,6 +6,8 @@
 	"net/http"
 	"sync"
 	"time"
+
+	"ryerill/internal/socket"
 )
 
 const (
@@ -125,5 +127,5 @@
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock() // so that no deadline of the pacing follows
 	c.uploadAbandoned = true
-	c.nc.SetReadDeadline(pastDeadline)
+	c.nc.SetReadDeadline(socket.PastDeadline)
 }
--- a/internal/socket/peek.go
+++ b/internal/socket/peek.go
@@ -1,4 +1,5 @@
-// Package socket inspects connections without reading from them, and keeps descriptors in reserve.
+// Package socket inspects connections without reading from them, ends what waits on them, and keeps descriptors in
+// reserve.
 package socket
 
 import (
--- a/lab/realtime/transport.go
+++ b/lab/realtime/transport.go
@@ -12,6 +12,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"ryerill/internal/socket"
 )
 
 const (
@@ -135,8 +137,7 @@
 ) (answer response, began bool, err error) {
 	c.SetDeadline(deadline)
 	if ctx.Done() != nil {
-		expired := time.Unix(1, 0)
-		stop := context.AfterFunc(ctx, func() { c.SetDeadline(expired) })
+		stop := context.AfterFunc(ctx, func() { c.SetDeadline(socket.PastDeadline) })
 		defer stop()
 	}
 	if _, err := io.WriteString(c, request); err != nil {
--- a/upstream/attempt.go
+++ b/upstream/attempt.go
@@ -6,12 +6,10 @@
 	"sync"
 	"time"
 
+	"ryerill/internal/socket"
 	"ryerill/message"
 )
 
-// pastDeadline ends an operation that is under way on a connection.
-var pastDeadline = time.Unix(1, 0)
-
 // Attempt is one attempt to have a request executed by one endpoint. It is used once.
 type Attempt struct {
 	Request  *message.OutgoingRequest
@@ -48,7 +46,7 @@
 		a.cancelDial()
 	}
 	if a.conn != nil {
-		a.conn.SetDeadline(pastDeadline) // ends what is under way; Do closes
+		a.conn.SetDeadline(socket.PastDeadline) // ends what is under way; Do closes
 	}
 }
 
