--- a/lab/statesyncsim/replica.go
+++ b/lab/statesyncsim/replica.go
@@ -62,7 +62,7 @@
 
 // recordAttempt records the outcome of an attempt as evidence about its endpoint.
 func (r *replica) recordAttempt(now time.Duration, id balancer.EndpointID, outcome balancer.Outcome) {
-	evidence, isEvidence := evidenceOf(outcome)
+	evidence, isEvidence := statesync.EvidenceOf(outcome)
 	if !isEvidence {
 		return
 	}
@@ -76,20 +76,6 @@
 	}
 }
 
-// evidenceOf returns an outcome as evidence about the endpoint; ok is false if it is none.
-func evidenceOf(outcome balancer.Outcome) (evidence outlier.Outcome, ok bool) {
-	switch outcome {
-	case balancer.OK:
-		return outlier.Succeeded, true
-	case balancer.Timeout, balancer.ConnectFailed, balancer.Reset:
-		return outlier.TimedOut, true
-	case balancer.Error, balancer.Rejected:
-		return outlier.Failed, true
-	default:
-		return outlier.Succeeded, false
-	}
-}
-
 // synchronize does what the fleet's host does at each interval.
 func (r *replica) synchronize() {
 	r.receive()
--- a/proxy/statesync.go
+++ b/proxy/statesync.go
@@ -5,6 +5,7 @@
 	"ryerill/fleet"
 	"ryerill/fleet/counter"
 	"ryerill/fleet/outlier"
+	"ryerill/fleet/statesync"
 )
 
 // Observe implements [fleet.Subject].
@@ -101,7 +102,7 @@
 		if e == nil {
 			continue
 		}
-		outcome, evidence := evidenceOf(result.outcome)
+		outcome, evidence := statesync.EvidenceOf(result.outcome)
 		if !evidence {
 			continue
 		}
@@ -137,17 +138,3 @@
 		}
 	}
 }
-
-// evidenceOf returns the evidence that an attempt's outcome gives of its endpoint, if any: one that was
-// cancelled or never sent gives none.
-func evidenceOf(outcome balancer.Outcome) (evidence outlier.Outcome, ok bool) {
-	switch outcome {
-	case balancer.OK:
-		return outlier.Succeeded, true
-	case balancer.Timeout, balancer.ConnectFailed, balancer.Reset:
-		return outlier.TimedOut, true
-	case balancer.Error, balancer.Rejected:
-		return outlier.Failed, true
-	}
-	return outlier.Succeeded, false
-}
