--- a/reuse/policy_test.go
+++ b/reuse/policy_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// trusting returns a policy that knows enough responses.
-func trusting() *Policy {
+// newTrustingPolicy returns a policy with enough recorded responses to permit reuse.
+func newTrustingPolicy() *Policy {
 	p := NewPolicy()
 	for i := range uint64(minResponses) {
 		p.Responses.Record(Digest(i+1), i)
@@ -14,79 +14,79 @@
 	return p
 }
 
-func TestConnectionsRestBeforeTheyAreUsedAgain(t *testing.T) {
-	p := trusting()
+func TestMayCarryRequiresMinRest(t *testing.T) {
+	p := newTrustingPolicy()
 	now := time.Unix(1000, 0)
 	if p.MayCarry(1, MinRest-1, now) || !p.MayCarry(1, MinRest, now) {
-		t.Error("a connection is used again before it has rested, or not after")
+		t.Error("got reuse before MinRest or none after it, want reuse from MinRest on")
 	}
 }
 
-// A second response that came while a connection rested may come later the next time.
-func TestConnectionsRestLongerAfterLateBytes(t *testing.T) {
-	p := trusting()
+// An endpoint that has sent late bytes during a rest may send them later the next time.
+func TestLateBytesLengthenRest(t *testing.T) {
+	p := newTrustingPolicy()
 	now := time.Unix(1000, 0)
-	p.CameLate(1, now)
+	p.RecordLateBytes(1, now)
 	if p.MayCarry(1, longRest-1, now) || !p.MayCarry(1, longRest, now) || !p.MayCarry(2, MinRest, now) {
-		t.Error("the endpoint's connections rest no longer, or those of another do")
+		t.Error("got an unexpected rest, want longRest for the late endpoint and MinRest for another")
 	}
 	if !p.MayCarry(1, MinRest, now.Add(longRestPeriod)) {
-		t.Error("they rest longer for ever")
+		t.Error("got the longer rest after longRestPeriod, want MinRest")
 	}
 }
 
-// Before some responses are known a copy can't be told from a response that all requests get.
-func TestNoConnectionIsUsedTwiceBeforeResponsesAreKnown(t *testing.T) {
+// With few responses recorded, a copy can't be distinguished from a common response.
+func TestMayCarryRequiresMinResponses(t *testing.T) {
 	p := NewPolicy()
 	now := time.Unix(1000, 0)
 	for i := range uint64(minResponses) {
 		if p.MayCarry(1, time.Hour, now) {
-			t.Fatalf("a connection is used again after %d responses", i)
+			t.Fatalf("got reuse after %d responses, want none yet", i)
 		}
 		p.Responses.Record(Digest(i+1), i)
 	}
 	if !p.MayCarry(1, time.Hour, now) {
-		t.Error("none is used again")
+		t.Error("got no reuse after minResponses responses, want reuse")
 	}
 }
 
-// Requests that may not simply be repeated need proof while endpoints decline.
-func TestDeclinesAreRememberedForAWhile(t *testing.T) {
+// Requests that need proof before a retry get new connections for declinePeriod after a decline.
+func TestDeclinedRecentlyExpires(t *testing.T) {
 	p := NewPolicy()
 	now := time.Unix(1000, 0)
-	before := p.Declining(now)
-	p.Declined(now)
-	if before || !p.Declining(now.Add(declinePeriod-1)) || p.Declining(now.Add(declinePeriod)) {
-		t.Error("endpoints decline before they have, or for ever, or not at all")
+	before := p.DeclinedRecently(now)
+	p.RecordDecline(now)
+	if before || !p.DeclinedRecently(now.Add(declinePeriod-1)) || p.DeclinedRecently(now.Add(declinePeriod)) {
+		t.Error("got a recent decline at the wrong time, want one for declinePeriod after the decline")
 	}
 }
 
-func TestEndpointsAreDistrustedForAWhile(t *testing.T) {
-	p := trusting()
+func TestDistrustExpires(t *testing.T) {
+	p := newTrustingPolicy()
 	now := time.Unix(1000, 0)
 	p.Distrust(1, now)
 	if p.MayKeep(1, now) || p.MayCarry(1, time.Hour, now.Add(distrustPeriod-1)) {
-		t.Error("the endpoint is trusted")
+		t.Error("got reuse for the distrusted endpoint, want none for distrustPeriod")
 	}
 	if !p.MayKeep(2, now) || !p.MayKeep(1, now.Add(distrustPeriod)) {
-		t.Error("another endpoint is distrusted, or this one for ever")
+		t.Error("got distrust of another endpoint or after distrustPeriod, want neither")
 	}
 }
 
-// What is remembered of endpoints has a bound, beyond which all of them are distrusted.
-func TestDistrustIsBounded(t *testing.T) {
+// The number of endpoints with recorded state is bounded; beyond the bound all endpoints are distrusted.
+func TestTrackedEndpointsAreBounded(t *testing.T) {
 	p := NewPolicy()
 	now := time.Unix(1000, 0)
-	for endpoint := range uint64(2 * maxNotedEndpoints) {
+	for endpoint := range uint64(2 * maxTrackedEndpoints) {
 		p.Distrust(endpoint, now)
 	}
-	if len(p.endpoints) > maxNotedEndpoints || p.MayKeep(3*maxNotedEndpoints, now) {
-		t.Errorf("%d endpoints are remembered, and another is trusted: %v", len(p.endpoints), p.MayKeep(3*maxNotedEndpoints, now))
+	if len(p.endpoints) > maxTrackedEndpoints || p.MayKeep(3*maxTrackedEndpoints, now) {
+		t.Errorf("got %d tracked endpoints and trust in another %v, want at most maxTrackedEndpoints and false", len(p.endpoints), p.MayKeep(3*maxTrackedEndpoints, now))
 	}
 	later := now.Add(distrustPeriod)
 	p.Distrust(0, later)
-	p.Distrust(5*maxNotedEndpoints, later)
+	p.Distrust(5*maxTrackedEndpoints, later)
 	if len(p.endpoints) > 2 || !p.MayKeep(1, later) {
-		t.Errorf("%d endpoints are remembered once their time is over", len(p.endpoints))
+		t.Errorf("got %d tracked endpoints after distrustPeriod, want at most 2 and the others trusted", len(p.endpoints))
 	}
 }
--- a/reuse/responses.go
+++ b/reuse/responses.go
@@ -1,69 +1,70 @@
 package reuse
 
 const (
-	rememberedResponses = 1024 // of all connections of a pool
-	maxCommon           = 16   // kinds of response; beyond that equality says nothing
-	minResponses        = 4    // before equality is judged
+	maxResponses = 1024 // per pool
+	maxCommon    = 16   // common responses; with more, a repetition proves nothing
+	minResponses = 4    // recorded before connections are reused
 )
 
-// Digest stands for the bytes of a response.
+// Digest is a hash of the bytes of a response.
 type Digest uint64
 
-// Responses remembers which connection has brought which response. A response that a connection brings for the second
-// time is a copy of the first, unless another connection has brought it as well: then it is common to many requests,
-// such as an empty one.
+// Responses records which responses were received on which connection. A response received twice on one connection is
+// a copy, unless it was also received on another connection: then it is common to many requests, like an empty
+// response.
 type Responses struct {
-	latest [rememberedResponses]remembered
+	latest [maxResponses]responseRecord
 	common map[Digest]struct{}
 	count  int
 }
 
-type remembered struct {
+type responseRecord struct {
 	digest     Digest
 	connection uint64
 }
 
-// NewResponses returns a memory without any response.
+// NewResponses returns an empty record.
 func NewResponses() *Responses { return &Responses{common: make(map[Digest]struct{})} }
 
-// Record records a response that a connection has brought.
+// Record records a response received on a connection.
 func (r *Responses) Record(digest Digest, connection uint64) {
 	r.count++
-	slot := &r.latest[digest%rememberedResponses]
+	slot := &r.latest[digest%maxResponses]
 	if slot.digest == digest && slot.connection != connection && len(r.common) < maxCommon {
 		r.common[digest] = struct{}{}
 	}
-	*slot = remembered{digest, connection}
+	*slot = responseRecord{digest, connection}
 }
 
-// Suffice reports whether so many responses are known that those that are common stand out. Before that no connection
-// is to be used twice.
-func (r *Responses) Suffice() bool { return r.count >= minResponses }
+// Suffices reports whether enough responses are recorded to recognize the common ones. Until then no connection may be
+// reused.
+func (r *Responses) Suffices() bool { return r.count >= minResponses }
 
-// ToldApart reports whether a response that a connection brings for the second time is a copy.
-func (r *Responses) ToldApart(digest Digest) bool {
+// IsDistinctive reports whether a second occurrence of a response on one connection must be a copy: the response is not
+// a common one, and common ones are few.
+func (r *Responses) IsDistinctive(digest Digest) bool {
 	_, common := r.common[digest]
 	return !common && len(r.common) < maxCommon
 }
 
-// History is the last responses that one connection has brought.
+// History holds the latest responses received on one connection.
 type History struct {
-	digests [maxRemembered]Digest
-	count   int // of all responses so far
+	digests [historySize]Digest
+	count   int // all responses added so far
 }
 
-// maxRemembered is how many responses of a connection are remembered.
-const maxRemembered = 8
+// historySize is the number of responses in a History.
+const historySize = 8
 
-// Add adds a response.
+// Add adds a response, and removes the oldest one if the history is full.
 func (h *History) Add(digest Digest) {
-	h.digests[h.count%maxRemembered] = digest
+	h.digests[h.count%historySize] = digest
 	h.count++
 }
 
-// Holds reports whether a response is among those remembered.
-func (h *History) Holds(digest Digest) bool {
-	for _, known := range h.digests[:min(h.count, maxRemembered)] {
+// Contains reports whether the history contains a response.
+func (h *History) Contains(digest Digest) bool {
+	for _, known := range h.digests[:min(h.count, historySize)] {
 		if known == digest {
 			return true
 		}
--- a/reuse/responses_test.go
+++ b/reuse/responses_test.go
@@ -2,41 +2,41 @@
 
 import "testing"
 
-// A copy of a response can be told: no other connection has brought the same.
-func TestCopiesAreToldFromCommonResponses(t *testing.T) {
+// A repeated response is a copy if no other connection has received it.
+func TestResponseOfTwoConnectionsIsNotDistinctive(t *testing.T) {
 	r := NewResponses()
 	r.Record(7, 1)
 	r.Record(7, 1)
-	if !r.ToldApart(7) {
-		t.Error("a response that one connection alone brings is common")
+	if !r.IsDistinctive(7) {
+		t.Error("response of one connection is not distinctive, want distinctive")
 	}
 	r.Record(7, 2)
-	if r.ToldApart(7) {
-		t.Error("a response that two connections bring is a copy")
+	if r.IsDistinctive(7) {
+		t.Error("response of two connections is distinctive, want common")
 	}
 }
 
-// Where many responses are common, equality says nothing of any.
-func TestEqualityIsJudgedWhileItIsRare(t *testing.T) {
+// When many responses are common, a repetition proves nothing about any response.
+func TestNoResponseIsDistinctiveWithManyCommonOnes(t *testing.T) {
 	r := NewResponses()
 	for digest := range Digest(maxCommon) {
 		r.Record(digest+1, 1)
 		r.Record(digest+1, 2)
 	}
-	if r.ToldApart(500) || len(r.common) > maxCommon {
-		t.Errorf("%d responses are common, and equality is judged", len(r.common))
+	if r.IsDistinctive(500) || len(r.common) > maxCommon {
+		t.Errorf("got %d common responses, want at most maxCommon and no distinctive response", len(r.common))
 	}
 }
 
-func TestHistoryHoldsTheLastResponses(t *testing.T) {
+func TestHistoryContainsLatestResponses(t *testing.T) {
 	var h History
-	if h.Holds(0) {
-		t.Error("an empty history holds a response")
+	if h.Contains(0) {
+		t.Error("empty history contains a response, want none")
 	}
-	for digest := range Digest(maxRemembered + 1) {
+	for digest := range Digest(historySize + 1) {
 		h.Add(digest)
 	}
-	if h.Holds(0) || !h.Holds(1) || !h.Holds(maxRemembered) {
-		t.Error("it holds others than the last")
+	if h.Contains(0) || !h.Contains(1) || !h.Contains(historySize) {
+		t.Error("history does not contain exactly the latest responses")
 	}
 }
--- a/upstream/attempt.go
+++ b/upstream/attempt.go
@@ -9,62 +9,63 @@
 	"ryerill/message"
 )
 
-// Attempt is one attempt to have a request executed by one endpoint. It is used once.
+// Attempt is one attempt to execute a request at one endpoint. It must not be used more than once.
 type Attempt struct {
 	Request  *message.OutgoingRequest
-	Endpoint uint64 // identity of the endpoint: its address may pass to another
-	// EndpointName names the endpoint for operators.
+	Endpoint uint64 // identity of the endpoint; its address may be reassigned to another endpoint
+	// EndpointName is the endpoint's name in logs.
 	EndpointName string
 	Address      string
-	Deadline     time.Time // the proxy stops waiting
-	// WriteDeadline is when the last byte of the request has to be written; zero is no bound. A request part of whose
-	// body is still to be received may take longer.
+	Deadline     time.Time // when the proxy stops waiting for the response
+	// WriteDeadline is when the last byte of the request must be written; zero means no limit. A request whose body
+	// the proxy is still receiving may take longer.
 	WriteDeadline time.Time
-	// StreamTimeout is how long the client waits from the last byte on of a request that streams. Its deadline includes
-	// the time of the upload, which the endpoint must not be told.
+	// StreamTimeout is how long the client waits after the last byte of a streamed request. Deadline also includes the
+	// upload time, which must not be announced to the endpoint.
 	StreamTimeout time.Duration
-	// NeedsProof is whether the request may go elsewhere only if it is proven that it was not executed.
+	// NeedsProof means that the request may be retried only if it is proven that it never ran.
 	NeedsProof bool
-	MaySend    func() bool // called right before the first byte is written; false prevents that
+	MaySend    func() bool // called right before the first byte is written; false prevents the write
 
-	// OnSent is called once the first bytes are written, with the time at which they were. It may be nil.
+	// OnSent is called after the first bytes are written, with the time of that write. It may be nil.
 	OnSent func(time.Time)
 
-	// OnWritten is called once the last byte is written, and returns the new deadline; zero keeps the present one. It
+	// OnWritten is called after the last byte is written and returns the new deadline; zero keeps the present one. It
 	// may be nil.
 	OnWritten func() time.Time
 
 	use ConnectionUse // set by Do
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu         sync.Mutex
-	conn       *conn // nil unless the attempt holds one
+	conn       *conn // nil unless a connection is attached
 	cancelled  bool
-	withdrawn  bool               // it must not begin to be written any more
-	writing    bool               // its first byte may be written
-	allowedAt  time.Time          // when its first byte was allowed last
-	cancelDial context.CancelFunc // nil unless a connection is being opened for it
+	withdrawn  bool               // writing must not start any more
+	writing    bool               // the first byte may have been written
+	allowedAt  time.Time          // when the first byte was last permitted
+	cancelDial context.CancelFunc // nil unless a dial is in progress
 }
 
-// Cancel ends the attempt by closing its connection, or ends the wait for one. It does not block.
+// Cancel ends the attempt: it interrupts the dial, or the read or write on the connection. It does not block.
 func (a *Attempt) Cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.cancelLocked()
 }
 
+// cancelLocked implements Cancel. Callers must hold a.mu.
 func (a *Attempt) cancelLocked() {
 	a.cancelled = true
 	if a.cancelDial != nil {
 		a.cancelDial()
 	}
 	if a.conn != nil {
-		a.conn.SetDeadline(socket.PastDeadline) // ends what is under way; Do closes
+		a.conn.SetDeadline(socket.PastDeadline) // interrupts reads and writes in progress; Do closes the connection
 	}
 }
 
-// Withdraw cancels the attempt if nothing of it has been written yet. It does not block, and other than Cancel it never
-// ends what may be executing.
+// Withdraw cancels the attempt if none of its bytes has been written yet. It does not block. Unlike Cancel, it never
+// ends an attempt that the endpoint may be executing.
 func (a *Attempt) Withdraw() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -74,11 +75,11 @@
 	}
 }
 
-// Connection returns the use of a connection that the attempt has made, once Do has returned. Its number is 0 if there
-// was none.
+// Connection returns which connection the attempt used. It is valid after Do has returned. Its Number is 0 if the
+// attempt used no connection.
 func (a *Attempt) Connection() ConnectionUse { return a.use }
 
-// lastWrite is the time by which the last byte of the request must be written.
+// lastWrite returns the time by which the last byte of the request must be written.
 func (a *Attempt) lastWrite() time.Time {
 	if !a.WriteDeadline.IsZero() && a.WriteDeadline.Before(a.Deadline) {
 		return a.WriteDeadline
@@ -86,12 +87,12 @@
 	return a.Deadline
 }
 
-// tooLate reports whether the request can't be written in time any more.
+// tooLate reports whether WriteDeadline has passed.
 func (a *Attempt) tooLate() bool {
 	return !a.WriteDeadline.IsZero() && !time.Now().Before(a.WriteDeadline)
 }
 
-// beginWrite reports whether the request may be written, and from then on it counts as being written.
+// beginWrite reports whether the request may be written. If so, Withdraw no longer cancels the attempt.
 func (a *Attempt) beginWrite() bool {
 	if !a.maySend() {
 		return false
@@ -103,8 +104,8 @@
 	return a.writing
 }
 
-// StillWants implements [socket.Caller]: it reports whether a request of which nothing could be written yet may still
-// be written.
+// StillWants implements [socket.Caller]: it reports whether a request whose first write failed without writing a byte
+// may be tried again.
 func (a *Attempt) StillWants() bool {
 	if !a.maySend() {
 		return false
@@ -115,9 +116,9 @@
 	return !a.cancelled && !a.withdrawn
 }
 
-// sent reports that the first bytes are written: now, unless they came with so many that writing those may have taken
-// long.
-func (a *Attempt) sent(bytes int) {
+// reportSent calls OnSent with the time at which the first bytes were written: now, or, if more bytes were written than
+// the system accepts at once, the time at which the write was permitted, as the write may have taken long.
+func (a *Attempt) reportSent(bytes int) {
 	if a.OnSent == nil {
 		return
 	}
@@ -130,12 +131,12 @@
 	a.OnSent(at)
 }
 
-// maySend reports whether the endpoint and the client are there, and time is left to write the request.
+// maySend reports whether MaySend permits the write, the client is connected and WriteDeadline is not over.
 func (a *Attempt) maySend() bool {
 	return a.MaySend() && !a.tooLate() && !a.Request.ClientLeft()
 }
 
-// setDeadline sets the deadline of the connection, unless the attempt is cancelled.
+// setDeadline sets the deadline of conn, unless the attempt is cancelled.
 func (a *Attempt) setDeadline(conn *conn, deadline time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -144,7 +145,7 @@
 	}
 }
 
-// dial opens a connection, unless the attempt is cancelled or its time is over.
+// dial opens a connection, unless the attempt is cancelled or its write deadline has passed.
 func (a *Attempt) dial(dial dialFunc, timeout time.Duration) (transport, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), a.lastWrite())
 	defer cancel()
@@ -161,25 +162,25 @@
 	return opened, err
 }
 
-// hold takes a connection, so that Cancel ends what is under way on it. It reports false if the attempt is cancelled or
-// the connection broken.
-func (a *Attempt) hold(conn *conn) bool {
+// attach binds conn to the attempt, so that Cancel interrupts reads and writes on it. It reports false if the attempt
+// is cancelled or the connection is broken.
+func (a *Attempt) attach(conn *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.conn = conn
 	return !a.cancelled && conn.SetDeadline(a.lastWrite()) == nil
 }
 
-// release detaches the attempt from its connection, which may soon be another attempt's: Cancel must not end that. It
-// reports whether the attempt was cancelled.
-func (a *Attempt) release() (cancelled bool) {
+// detach unbinds the attempt from its connection, so that Cancel does not interrupt the next attempt that uses the
+// connection. It reports whether the attempt was cancelled.
+func (a *Attempt) detach() (cancelled bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.conn = nil
 	return a.cancelled
 }
 
-// timeLeft is how long the endpoint is told that the proxy waits.
+// timeLeft returns the remaining time that is announced to the endpoint.
 func (a *Attempt) timeLeft() time.Duration {
 	left := time.Until(a.Deadline)
 	if a.Request.Stream != nil {
--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -15,38 +15,40 @@
 )
 
 const (
-	maxHeadBytes        = 32 << 10 // of a response
-	maxInterimResponses = 5        // of status 1xx before the final one
+	maxHeadBytes        = 32 << 10 // per response head
+	maxInterimResponses = 5        // with status 1xx, before the final response
 
-	// Bytes of an error's body that are read, with their framing, so that the connection can be used again.
+	// maxErrorBodyBytes limits the bytes of an error response's body, with its framing, that are read so that the
+	// connection can be reused.
 	maxErrorBodyBytes = 3 * message.MaxBufferedBody
 )
 
-// Do makes the attempt and returns how it ended, with the response if it succeeded. It sends the request at most once.
+// Do makes the attempt and returns its outcome, and the response if the outcome is OK. It sends the request at most
+// once.
 func (p *Pool) Do(a *Attempt) (balancer.Outcome, *message.Response) {
 	conn, err := p.get(a)
 	if err != nil {
-		cancelled := a.release()
-		if cancelled || isOwnFault(err) || a.tooLate() { // or the attempt had less time than a connection may take
+		cancelled := a.detach()
+		if cancelled || isLocalFault(err) || a.tooLate() { // tooLate: less time was left than the connect timeout
 			return balancer.NotSent, nil
 		}
 		return balancer.ConnectFailed, nil
 	}
-	// A dial takes time. The rule on drains counts from a request's first byte, so beginWrite checks MaySend only now,
-	// and whether the attempt was cancelled or is too late.
-	if !a.hold(conn) || !a.beginWrite() {
-		cancelled := a.release()
+	// A dial takes time, and an endpoint that drains must not receive the first byte of a request. So beginWrite checks
+	// MaySend, cancellation and the write deadline only now.
+	if !a.attach(conn) || !a.beginWrite() {
+		cancelled := a.detach()
 		if cancelled {
-			p.drop(conn) // its deadline is over
+			p.drop(conn) // cancelling has set its deadline to the past
 		} else {
 			p.put(conn)
 		}
-		return balancer.NotSent, nil // nothing of it was written
+		return balancer.NotSent, nil // no byte of the request was written
 	}
 	conn.beginUse(a.Request.Header.Get(http1.HeaderID))
 	a.use = conn.use
 	outcome, response, reusable := p.exchange(conn, a)
-	if a.release() {
+	if a.detach() {
 		reusable = false
 		if outcome != balancer.OK {
 			outcome = balancer.Cancelled
@@ -54,7 +56,7 @@
 	}
 	if response != nil {
 		if outcome == balancer.OK && response.Stream != nil {
-			return outcome, response // which holds the connection
+			return outcome, response // the stream owns the connection
 		}
 		if outcome != balancer.OK {
 			response.Free()
@@ -69,22 +71,22 @@
 	return outcome, response
 }
 
-// exchange writes the request and reads the response, whole unless it is long. It reports whether the connection may be
-// used again.
+// exchange writes the request and reads the response: completely, or the beginning of a long one. It reports whether
+// the connection may be reused.
 func (p *Pool) exchange(
 	conn *conn, a *Attempt,
 ) (outcome balancer.Outcome, response *message.Response, reusable bool) {
 	if a.Request.Stream != nil && a.Request.Stream.Consumed() {
-		return balancer.NotSent, nil, false // part of it is gone
+		return balancer.NotSent, nil, false // an earlier attempt has consumed part of the body
 	}
 	written := p.writeRequest(conn, a)
 	switch written {
 	case connectionBroke:
-		return balancer.ConnectFailed, nil, false // its last byte was never written: it cannot have been executed
-	case machineFailed, uploadBroke:
+		return balancer.ConnectFailed, nil, false // the last byte was not written, so the request never ran
+	case localFault, uploadBroke:
 		return balancer.NotSent, nil, false
 	case answeredEarly:
-		// The deadline was for an answer to the whole request, which is never written now.
+		// The deadline applied to the response to a complete request, and this request stays incomplete.
 		if limit := time.Now().Add(progressTimeout); limit.Before(a.Deadline) {
 			a.Deadline = limit
 		}
@@ -99,8 +101,8 @@
 	return p.readResponse(conn, a, written == writtenWhole)
 }
 
-// readResponse reads the final response, after any interim ones. requestWhole is whether the whole request was written:
-// otherwise the connection can't be used again.
+// readResponse reads the final response and skips interim ones. requestWhole states whether the whole request was
+// written; if not, the connection can't be reused.
 func (p *Pool) readResponse(
 	conn *conn, a *Attempt, requestWhole bool,
 ) (outcome balancer.Outcome, response *message.Response, reusable bool) {
@@ -130,29 +132,29 @@
 			p.recordDecline()
 		}
 		if conn.use.Uses > 1 {
-			return inDoubt(outcome), nil, false // its own response may be yet to come
+			return inDoubt(outcome), nil, false // the response to this request may still follow
 		}
 		return outcome, nil, p.skipErrorBody(conn, head, parsed.StatusCode, body, persistent)
 	}
 	return balancer.Reset, nil, false
 }
 
-// parseHead parses the head of a response to a request of a method.
+// parseHead parses the head of a response to a request with the given method.
 func (p *Pool) parseHead(head []byte, method string) (*http.Response, error) {
 	reader := p.buffers.Reader(bytes.NewReader(head))
 	defer p.buffers.PutReader(reader)
 	return http.ReadResponse(reader, &http.Request{Method: method})
 }
 
-// recordDecline records that an endpoint has declined a request.
+// recordDecline records in the reuse policy that an endpoint has declined a request.
 func (p *Pool) recordDecline() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.policy.Declined(time.Now())
+	p.policy.RecordDecline(time.Now())
 }
 
-// inDoubt is the outcome of an error on a connection that has brought another response before: it may be one that comes
-// late, and so proves nothing of this request.
+// inDoubt returns the outcome of an error response on a reused connection. The response may be a late one to an earlier
+// request, so a rejection does not prove that this request never ran.
 func inDoubt(outcome balancer.Outcome) balancer.Outcome {
 	if outcome == balancer.Rejected {
 		return balancer.RejectedInDoubt
@@ -160,7 +162,7 @@
 	return outcome
 }
 
-// errorOutcome is the outcome of a response that is no success.
+// errorOutcome returns the outcome of a response whose status is not 200.
 func errorOutcome(response *http.Response) balancer.Outcome {
 	unavailable := response.StatusCode == http.StatusServiceUnavailable ||
 		response.StatusCode == http.StatusGatewayTimeout
@@ -170,8 +172,8 @@
 	return balancer.Error
 }
 
-// skipErrorBody reads over the body of an error, which does not matter, so that the connection can be used again. It
-// reports whether it can be.
+// skipErrorBody reads and discards the body of an error response so that the connection can be reused. It reports
+// whether the connection can be reused.
 func (p *Pool) skipErrorBody(conn *conn, head []byte, status int, body framing.Body, persistent bool) bool {
 	hasNoBody := status == http.StatusNoContent || status == http.StatusNotModified
 	reusable := persistent && (body.HasLength || hasNoBody)
@@ -184,11 +186,12 @@
 		}
 		skipped.Free()
 	}
-	return reusable && p.endsHere(conn)
+	return reusable && p.noTrailingBytes(conn)
 }
 
-// endsHere reports whether nothing has been received behind a response.
-func (p *Pool) endsHere(conn *conn) bool {
+// noTrailingBytes reports whether the endpoint has sent no bytes after the end of the response. It reports trailing
+// bytes to the observer.
+func (p *Pool) noTrailingBytes(conn *conn) bool {
 	if conn.reader.Buffered() == 0 {
 		return true
 	}
@@ -198,11 +201,11 @@
 	return false
 }
 
-// isOwnFault reports whether a connection could not be opened, or written to, for a fault of this machine, which is no
-// evidence against the endpoint.
-func isOwnFault(err error) bool { return errors.Is(err, errNoDescriptor) || socket.MayPass(err) }
+// isLocalFault reports whether opening a connection or writing to it failed because this machine lacked a resource.
+// Such an error is no evidence against the endpoint.
+func isLocalFault(err error) bool { return errors.Is(err, errNoDescriptor) || socket.MayPass(err) }
 
-// outcomeOf is the outcome of an attempt whose response can't be read.
+// outcomeOf returns the outcome of an attempt for which reading the response failed with err.
 func outcomeOf(err error) balancer.Outcome {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return balancer.Timeout
--- a/upstream/faults_test.go
+++ b/upstream/faults_test.go
@@ -18,12 +18,12 @@
 	"ryerill/message"
 )
 
-// faultyTransport is a connection whose reads, or whose writes from a byte on, fail with an error of the system.
+// faultyTransport is a connection whose reads fail, or whose writes fail after some bytes, with a system error.
 type faultyTransport struct {
-	transport        // not embedded as a net.TCPConn, which would take several buffers past Write
-	writeFault error // nil is none
-	writable   int   // bytes that are written before it
-	readFault  error // nil is none
+	transport        // not a net.TCPConn, which would write several buffers without calling Write
+	writeFault error // nil for no fault
+	writable   int   // bytes written before writeFault
+	readFault  error // nil for no fault
 }
 
 func (f *faultyTransport) Write(b []byte) (int, error) {
@@ -46,10 +46,10 @@
 	return f.transport.Read(b)
 }
 
-// faultyPool returns a pool whose connections have the faults of a faultyTransport.
-func faultyPool(faults faultyTransport) (*Pool, *descriptors) {
-	descriptors := newDescriptors(1)
-	p := NewPool(descriptors, time.Hour, 5*time.Second, new(buffer.Pool))
+// faultyPool returns a pool whose connections have the given faults.
+func faultyPool(faults faultyTransport) (*Pool, *connectionBudget) {
+	budget := newConnectionBudget(1)
+	p := NewPool(budget, time.Hour, 5*time.Second, new(buffer.Pool))
 	p.dial = func(ctx context.Context, timeout time.Duration, address string) (transport, error) {
 		opened, err := dialTCP(ctx, timeout, address)
 		if err != nil {
@@ -59,11 +59,11 @@
 		faulty.transport = opened
 		return &faulty, nil
 	}
-	return p, descriptors
+	return p, budget
 }
 
-// A connection that can't be opened has surely not carried the request. What this machine lacks is no evidence against
-// the endpoint; what the network or the endpoint answers is. The budget of connections is given back each time.
+// A request whose connection can't be opened never ran. A local fault is no evidence against the endpoint (NotSent); an
+// error from the network or the endpoint is (ConnectFailed). The connection budget is returned each time.
 func TestOutcomesOfDialErrors(t *testing.T) {
 	for fault, want := range map[syscall.Errno]balancer.Outcome{
 		syscall.EADDRNOTAVAIL: balancer.NotSent,
@@ -78,42 +78,42 @@
 		syscall.ETIMEDOUT:     balancer.ConnectFailed,
 	} {
 		t.Run(fault.Error(), func(t *testing.T) {
-			address, _, requests := serve(t, okay, nil)
-			descriptors := newDescriptors(1)
-			p := NewPool(descriptors, time.Hour, 5*time.Second, new(buffer.Pool))
+			address, _, requests := serve(t, okResponse, nil)
+			budget := newConnectionBudget(1)
+			p := NewPool(budget, time.Hour, 5*time.Second, new(buffer.Pool))
 			defer p.Close()
 			p.dial = func(context.Context, time.Duration, string) (transport, error) {
 				return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", fault)}
 			}
 			for range 3 {
-				if outcome, _ := p.Do(newCall(address)); outcome != want || !outcome.NeverRan() {
-					t.Errorf("%v, want %v", outcome, want)
+				if outcome, _ := p.Do(newAttempt(address)); outcome != want || !outcome.NeverRan() {
+					t.Errorf("got outcome %v, want %v", outcome, want)
 				}
 			}
-			if descriptors.used() != 0 || len(requests) != 0 {
-				t.Errorf("%d connections held, %d requests", descriptors.used(), len(requests))
+			if budget.used() != 0 || len(requests) != 0 {
+				t.Errorf("got %d open connections and %d requests, want 0 and 0", budget.used(), len(requests))
 			}
 			p.dial = dialTCP
-			if outcome, _ := p.Do(newCall(address)); outcome != balancer.OK {
-				t.Errorf("once the fault is over: %v", outcome)
+			if outcome, _ := p.Do(newAttempt(address)); outcome != balancer.OK {
+				t.Errorf("after the fault: got outcome %v, want OK", outcome)
 			}
 		})
 	}
 }
 
-// posting is a call with a body of some bytes.
-func posting(t *testing.T, p *Pool, address string, size int) *Attempt {
+// newPost returns an attempt with a body of size bytes.
+func newPost(t *testing.T, p *Pool, address string, size int) *Attempt {
 	t.Helper()
 	body, err := p.buffers.ReadBody(io.LimitReader(zeros{}, int64(size)), size)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := newCall(address)
+	a := newAttempt(address)
 	a.Request = &message.OutgoingRequest{Method: "POST", Target: "/x", Host: "h", Body: body}
 	return a
 }
 
-// serveWhole answers requests that it has received whole, and counts them.
+// serveWhole answers the requests that it has received completely, and counts them.
 func serveWhole(t *testing.T) (address string, requests *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -136,7 +136,7 @@
 				}
 				if _, err := io.Copy(io.Discard, request.Body); err == nil {
 					requests.Add(1)
-					_, _ = io.WriteString(c, okay)
+					_, _ = io.WriteString(c, okResponse)
 				}
 			}()
 		}
@@ -144,8 +144,8 @@
 	return listener.Addr().String(), requests
 }
 
-// A request whose last byte was not written never ran, whatever broke the writing off and wherever. What this machine
-// lacks is no evidence against the endpoint.
+// A request whose last byte was not written never ran, whichever error stopped the write and at whichever byte. A local
+// fault is no evidence against the endpoint.
 func TestOutcomesOfWriteErrors(t *testing.T) {
 	for fault, want := range map[syscall.Errno]balancer.Outcome{
 		syscall.ENOBUFS:      balancer.NotSent,
@@ -160,21 +160,21 @@
 		for _, writable := range []int{0, 1, 1000} {
 			for _, streamed := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%v after %d bytes, streamed %v", fault, writable, streamed), func(t *testing.T) {
-					t.Parallel() // a fault that stays is endured for a while
+					t.Parallel() // a lasting fault is retried for a while
 					address, requests := serveWhole(t)
-					p, descriptors := faultyPool(faultyTransport{writeFault: fault, writable: writable})
+					p, budget := faultyPool(faultyTransport{writeFault: fault, writable: writable})
 					defer p.Close()
-					a := posting(t, p, address, 4<<10)
+					a := newPost(t, p, address, 4<<10)
 					if streamed {
 						a.Request.Stream = &zeroUpload{left: 4 << 10}
 						a.Request.Length = 8 << 10
 					}
 					outcome, _ := p.Do(a)
 					if outcome != want || !outcome.NeverRan() {
-						t.Errorf("%v, want %v", outcome, want)
+						t.Errorf("got outcome %v, want %v", outcome, want)
 					}
-					if descriptors.used() != 0 || requests.Load() != 0 {
-						t.Errorf("%d connections held, %d requests", descriptors.used(), requests.Load())
+					if budget.used() != 0 || requests.Load() != 0 {
+						t.Errorf("got %d open connections and %d requests, want 0 and 0", budget.used(), requests.Load())
 					}
 				})
 			}
@@ -182,30 +182,30 @@
 	}
 }
 
-// A request that was written whole may have run, whatever the reading of its response fails with.
+// A request that was written completely is possibly executed, whichever error reading its response returns.
 func TestOutcomesOfReadErrors(t *testing.T) {
 	for _, fault := range []syscall.Errno{
 		syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EINTR, syscall.EIO,
 	} {
 		t.Run(fault.Error(), func(t *testing.T) {
-			t.Parallel() // a fault that stays is endured for a while
-			address, _, requests := serve(t, okay, nil)
-			p, descriptors := faultyPool(faultyTransport{readFault: fault})
+			t.Parallel() // a lasting fault is retried for a while
+			address, _, requests := serve(t, okResponse, nil)
+			p, budget := faultyPool(faultyTransport{readFault: fault})
 			defer p.Close()
-			outcome, _ := p.Do(newCall(address))
+			outcome, _ := p.Do(newAttempt(address))
 			if outcome != balancer.Reset || outcome.NeverRan() {
-				t.Errorf("%v", outcome)
+				t.Errorf("got outcome %v, want Reset", outcome)
 			}
 			<-requests
-			if descriptors.used() != 0 {
-				t.Errorf("%d connections held", descriptors.used())
+			if budget.used() != 0 {
+				t.Errorf("got %d open connections, want 0", budget.used())
 			}
 		})
 	}
 }
 
-// zeroUpload is the remainder of a body that is received as fast as it is read.
+// zeroUpload is the remainder of a body; it returns left bytes without waiting.
 type zeroUpload struct {
 	left     int64
 	consumed atomic.Bool
@@ -223,22 +223,22 @@
 
 func (u *zeroUpload) Consumed() bool { return u.consumed.Load() }
 
-// An endpoint that takes a long body in small pieces, which cuts the system's writes short, gets all of it.
+// An endpoint that reads a long body in small pieces, which makes the system's writes short, receives all of it.
 func TestShortWritesAreContinued(t *testing.T) {
 	received := make(chan int64, 1)
-	p, a := largeCall(t, func(c net.Conn) {
+	p, a := largeAttempt(t, func(c net.Conn) {
 		defer c.Close()
-		time.Sleep(50 * time.Millisecond) // until the buffers are full
+		time.Sleep(50 * time.Millisecond) // long enough for the socket buffers to fill
 		request, err := http.ReadRequest(bufio.NewReaderSize(c, 1000))
 		if err != nil {
 			return
 		}
 		n, _ := io.Copy(io.Discard, request.Body)
 		received <- n
-		_, _ = io.WriteString(c, okay)
+		_, _ = io.WriteString(c, okResponse)
 	})
 	outcome, _ := p.Do(a)
 	if n := <-received; outcome != balancer.OK || n != 32<<20 {
-		t.Errorf("%v, %d bytes", outcome, n)
+		t.Errorf("got outcome %v and %d bytes received, want OK and 32 MiB", outcome, n)
 	}
 }
--- a/upstream/head.go
+++ b/upstream/head.go
@@ -9,11 +9,11 @@
 	"ryerill/message"
 )
 
-// headCapacity is the initial size of a head's buffer: enough for most requests.
+// headCapacity is the initial capacity of a head buffer in bytes, enough for most requests.
 const headCapacity = 512
 
-// encodeHead writes the head of a request that may take up to remaining. Method, target and headers are passed on
-// unchanged.
+// encodeHead encodes the head of a request and announces remaining as its time left. Method, target and headers are
+// copied unchanged.
 func encodeHead(r *message.OutgoingRequest, remaining time.Duration) []byte {
 	head := make([]byte, 0, headCapacity)
 	head = append(head, r.Method...)
@@ -30,7 +30,7 @@
 	return append(head, "\r\n\r\n"...)
 }
 
-// appendFraming appends the header that delimits the body. A GET without a body needs none.
+// appendFraming appends the header field that delimits the body. A GET request without a body needs none.
 func appendFraming(head []byte, r *message.OutgoingRequest) []byte {
 	length := int64(r.Body.Len())
 	if r.Stream != nil {
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -1,4 +1,6 @@
-// Package upstream holds the connections to endpoints, and makes attempts over them.
+// Package upstream keeps connections to endpoints and makes attempts over them.
+//
+// A [Pool] keeps the connections, reuses idle ones as package reuse permits, and makes each [Attempt] with [Pool.Do].
 package upstream
 
 import (
@@ -14,50 +16,51 @@
 )
 
 const (
-	// An idle connection is given up this long before its endpoint may close it: a request written to it later could be
-	// lost in a reset, and it might have been executed.
+	// idleMargin is how long before an endpoint may close an idle connection the pool stops using it. A request written
+	// later could be lost in a reset, and would count as possibly executed.
 	idleMargin = 500 * time.Millisecond
 
-	// maxDials is how often a connection is dialled for an attempt while this machine lacks something for it.
+	// maxDials is how often an attempt dials a connection while dials fail for lack of a local resource.
 	maxDials = 8
 
-	// minSweepInterval is the least time between two searches for connections that are idle too long.
+	// minSweepInterval is the least time between two sweeps for expired idle connections.
 	minSweepInterval = 100 * time.Millisecond
 )
 
-// errNoDescriptor means that as many connections are open as the budget allows and none of them is idle.
+// errNoDescriptor means that the connection budget is exhausted and no connection is idle.
 var errNoDescriptor = errors.New("no descriptor for another connection to an endpoint")
 
-// Budget is what a pool may use of a resource of the machine. Its methods are safe for concurrent use and don't block.
+// Budget limits a pool's use of a machine resource. Its methods are safe for concurrent use and don't block.
 type Budget interface {
-	// Take reports false if there is not as much now.
+	// Take reserves n units. It reports false, and reserves none, if fewer are free.
 	Take(n int) bool
+	// Give returns n units.
 	Give(n int)
 }
 
-// Pool holds the connections to endpoints. It is safe for concurrent use.
+// Pool keeps the connections to endpoints. It is safe for concurrent use.
 type Pool struct {
 	connections Budget
-	bodies      Budget // bytes of responses that are held; nil has no bound
+	bodies      Budget // bytes of buffered responses; nil means no limit
 	buffers     *buffer.Pool
 	dial        dialFunc
-	name        string             // of the pool
+	name        string             // of the pool, in fault records
 	faults      *faultlog.Recorder // nil records nothing
-	observer    Observer           // nil is told nothing
+	observer    Observer           // nil disables reports
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu             sync.Mutex
 	maxIdle        time.Duration
 	connectTimeout time.Duration
 	policy         *reuse.Policy
-	idle           map[destination][]*conn // the most recently used last
+	idle           map[destination][]*conn // most recently used last
 	closed         bool
-	opened         uint64      // connections so far
+	opened         uint64      // number of connections opened so far, failed dials included
 	sweeper        *time.Timer // nil while no connection is idle
 }
 
-// NewPool returns a pool of as many connections as its budget allows. None is used again close to idleClose after its
-// last use, when endpoints close idle connections.
+// NewPool returns a pool whose open connections are limited by a budget. Endpoints close connections after idleClose
+// without use, so the pool stops using an idle connection shortly before.
 func NewPool(connections Budget, idleClose, connectTimeout time.Duration, buffers *buffer.Pool) *Pool {
 	p := &Pool{
 		connections: connections,
@@ -70,11 +73,11 @@
 	return p
 }
 
-// SetBodyBudget makes the pool take the memory for responses, in bytes, from a budget. It must be called before the
-// first attempt.
+// SetBodyBudget limits the memory for buffered responses, in bytes, by a budget. It must be called before the first
+// attempt.
 func (p *Pool) SetBodyBudget(bodies Budget) { p.bodies = bodies }
 
-// RecordFaults has the pool record calls that fail, under its name. It must be called before the first attempt.
+// RecordFaults makes the pool record failed system calls under name. It must be called before the first attempt.
 func (p *Pool) RecordFaults(name string, faults *faultlog.Recorder) {
 	p.name = name
 	p.faults = faults
@@ -82,12 +85,13 @@
 
 // CallFailed implements [socket.Observer].
 func (p *Pool) CallFailed(call string, err error, verdict socket.Verdict) {
-	if p != nil { // else it is a connection of no pool
+	if p != nil { // nil for a connection without a pool
 		p.faults.Failed(p.name, call, err, faultlog.Consequence(verdict), "")
 	}
 }
 
-// SetTimeouts changes how long idle connections are kept and new ones waited for, from the next on.
+// SetTimeouts changes how long idle connections are kept and how long a dial may take. A dial in progress keeps its
+// timeout.
 func (p *Pool) SetTimeouts(idleClose, connectTimeout time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,7 +99,7 @@
 	p.connectTimeout = connectTimeout
 }
 
-// TrimIdle closes up to n idle connections, those idle for longest first: their budget was lent and is wanted back.
+// TrimIdle closes up to n idle connections, longest idle first, to return borrowed budget to its lender.
 func (p *Pool) TrimIdle(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,51 +107,52 @@
 	}
 }
 
-// CloseSpare closes the idle connections to each destination but the one used last.
+// CloseSpare closes all idle connections to each destination except the most recently used one.
 func (p *Pool) CloseSpare() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for to, list := range p.idle {
+	for dest, list := range p.idle {
 		spare := list[:max(len(list)-1, 0)]
-		p.idle[to] = list[len(spare):]
+		p.idle[dest] = list[len(spare):]
 		for _, c := range spare {
 			p.dropLocked(c)
 		}
 	}
 }
 
-// get returns a connection for an attempt: the one to its destination that was used last of those that have rested for
-// long enough, if any is usable, or a new one.
+// get returns a connection for an attempt: the most recently used idle connection to its destination that is usable and
+// has rested for long enough, or else a new connection. If opening one fails for lack of a local resource, get waits
+// for an idle connection to finish its rest.
 func (p *Pool) get(a *Attempt) (*conn, error) {
-	to := destination{a.Endpoint, a.Address}
+	dest := destination{a.Endpoint, a.Address}
 	p.mu.Lock()
-	if !a.NeedsProof || !p.policy.Declining(time.Now()) {
-		if c := p.takeIdleLocked(to); c != nil {
+	if !a.NeedsProof || !p.policy.DeclinedRecently(time.Now()) {
+		if c := p.takeIdleLocked(dest); c != nil {
 			p.mu.Unlock()
 			return c, nil
 		}
 	}
 	p.mu.Unlock()
-	c, err := p.openNew(a, to)
-	if err != nil && isOwnFault(err) {
-		if rested := p.awaitRested(to); rested != nil {
+	c, err := p.openNew(a, dest)
+	if err != nil && isLocalFault(err) {
+		if rested := p.awaitRested(dest); rested != nil {
 			return rested, nil
 		}
 	}
 	return c, err
 }
 
-// awaitRested waits until the idle connection to a destination that rests for longest has rested, and takes it. It
-// returns nil if there is none, or if that takes longer than an ordinary rest.
-func (p *Pool) awaitRested(to destination) *conn {
+// awaitRested waits until the longest idle connection to a destination has rested for long enough, then takes a usable
+// one. It returns nil if there is none or the wait would exceed reuse.MinRest.
+func (p *Pool) awaitRested(dest destination) *conn {
 	p.mu.Lock()
-	list := p.idle[to]
+	list := p.idle[dest]
 	if len(list) == 0 {
 		p.mu.Unlock()
 		return nil
 	}
 	now := time.Now()
-	wait := p.policy.NeededRest(to.endpoint, now) - now.Sub(list[0].idleSince)
+	wait := p.policy.NeededRest(dest.endpoint, now) - now.Sub(list[0].idleSince)
 	p.mu.Unlock()
 	if wait > reuse.MinRest {
 		return nil
@@ -155,11 +160,11 @@
 	time.Sleep(wait)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.takeIdleLocked(to)
+	return p.takeIdleLocked(dest)
 }
 
-// openNew opens a connection for an attempt, in place of the one idle for longest if there is no descriptor left.
-func (p *Pool) openNew(a *Attempt, to destination) (*conn, error) {
+// openNew opens a connection for an attempt. If the budget is exhausted, it evicts the longest idle connection.
+func (p *Pool) openNew(a *Attempt, dest destination) (*conn, error) {
 	p.mu.Lock()
 	for !p.connections.Take(1) {
 		if !p.evictLocked() {
@@ -179,7 +184,7 @@
 	}
 	c := &conn{
 		transport:    opened,
-		destination:  to,
+		destination:  dest,
 		endpointName: a.EndpointName,
 		pool:         p,
 		use:          ConnectionUse{Number: number},
@@ -189,8 +194,8 @@
 	return c, nil
 }
 
-// open opens a connection for an attempt. Where this machine lacks something for it, it tries again a few times:
-// nothing was sent yet, and the endpoint is not to blame.
+// open dials a connection for an attempt, up to maxDials times while this machine lacks a resource for it. Redialling
+// is safe as nothing has been sent, and the failure is no evidence against the endpoint.
 func (p *Pool) open(a *Attempt, timeout time.Duration) (transport, error) {
 	retry := socket.Retry{Call: "connect", Observer: p}
 	for tries := 1; ; tries++ {
@@ -201,27 +206,27 @@
 	}
 }
 
-// takeIdleLocked takes the usable connection to a destination that was used last of those that have rested for long
-// enough, or nil. Those that are not usable are closed on the way.
-func (p *Pool) takeIdleLocked(to destination) *conn {
-	for i := len(p.idle[to]) - 1; i >= 0; i-- {
-		c := p.idle[to][i]
+// takeIdleLocked removes and returns the most recently used idle connection to a destination that is usable and has
+// rested for long enough, or returns nil. It closes the unusable ones it finds. Callers must hold p.mu.
+func (p *Pool) takeIdleLocked(dest destination) *conn {
+	for i := len(p.idle[dest]) - 1; i >= 0; i-- {
+		c := p.idle[dest][i]
 		if !c.mayCarry(p.policy) {
 			continue
 		}
-		p.idle[to] = slices.Delete(p.idle[to], i, i+1)
+		p.idle[dest] = slices.Delete(p.idle[dest], i, i+1)
 		if c.isUsable(p.maxIdle) {
 			return c
 		}
 		p.retireLocked(c)
 	}
-	if len(p.idle[to]) == 0 {
-		delete(p.idle, to)
+	if len(p.idle[dest]) == 0 {
+		delete(p.idle, dest)
 	}
 	return nil
 }
 
-// put takes back a connection on which no request is out.
+// put returns a connection with no request in flight to the pool.
 func (p *Pool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -237,20 +242,21 @@
 	}
 }
 
-// drop closes a connection that is not to be used again.
+// drop closes a connection and returns its budget.
 func (p *Pool) drop(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dropLocked(c)
 }
 
+// dropLocked implements drop. Callers must hold p.mu.
 func (p *Pool) dropLocked(c *conn) {
 	c.Close()
 	p.buffers.PutReader(c.reader)
 	p.connections.Give(1)
 }
 
-// retireLocked closes a connection that was idle, and learns from what has come in on it.
+// retireLocked closes an idle connection and classifies any bytes received on it. Callers must hold p.mu.
 func (p *Pool) retireLocked(c *conn) {
 	if c.peek() == socket.Waiting {
 		p.unsolicitedLocked(c)
@@ -258,14 +264,14 @@
 	p.dropLocked(c)
 }
 
-// distrustLocked records that an endpoint has sent a copy in place of a response: none of its connections is used
-// again.
-func (p *Pool) distrustLocked(from destination) {
-	p.policy.Distrust(from.endpoint, time.Now())
-	p.dropAllLocked(from, p.idle[from])
+// distrustLocked records that an endpoint has sent a copy of an earlier response instead of a response, and closes its
+// idle connections. Callers must hold p.mu.
+func (p *Pool) distrustLocked(dest destination) {
+	p.policy.Distrust(dest.endpoint, time.Now())
+	p.dropAllLocked(dest, p.idle[dest])
 }
 
-// evictLocked closes the connection idle for longest. It reports false if none is idle.
+// evictLocked closes the longest idle connection. It reports false if none is idle. Callers must hold p.mu.
 func (p *Pool) evictLocked() bool {
 	var oldest *conn
 	for _, list := range p.idle {
@@ -281,22 +287,22 @@
 	return true
 }
 
-// sweep closes the connections that have been idle for too long, and schedules itself for the next.
+// sweep closes the connections that have been idle for maxIdle or longer, and schedules the next sweep.
 func (p *Pool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sweeper = nil
-	next := time.Duration(-1) // until the next connection is idle for too long; negative is none
-	for to, list := range p.idle {
+	next := time.Duration(-1) // time until the next connection expires; negative if none is idle
+	for dest, list := range p.idle {
 		for len(list) > 0 && time.Since(list[0].idleSince) >= p.maxIdle {
 			p.retireLocked(list[0])
 			list = list[1:]
 		}
 		if len(list) == 0 {
-			delete(p.idle, to)
+			delete(p.idle, dest)
 			continue
 		}
-		p.idle[to] = list
+		p.idle[dest] = list
 		if left := p.maxIdle - time.Since(list[0].idleSince); next < 0 || left < next {
 			next = left
 		}
@@ -306,7 +312,7 @@
 	}
 }
 
-// CloseIdle closes the idle connections to endpoints, in one pass over all.
+// CloseIdle closes the idle connections to the given endpoints, in one pass over all idle connections.
 func (p *Pool) CloseIdle(endpoints ...uint64) {
 	gone := make(map[uint64]bool, len(endpoints))
 	for _, id := range endpoints {
@@ -314,26 +320,27 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for to, list := range p.idle {
-		if gone[to.endpoint] {
-			p.dropAllLocked(to, list)
+	for dest, list := range p.idle {
+		if gone[dest.endpoint] {
+			p.dropAllLocked(dest, list)
 		}
 	}
 }
 
-func (p *Pool) dropAllLocked(to destination, list []*conn) {
+// dropAllLocked closes the idle connections to one destination. Callers must hold p.mu.
+func (p *Pool) dropAllLocked(dest destination, list []*conn) {
 	for _, c := range list {
 		p.dropLocked(c)
 	}
-	delete(p.idle, to)
+	delete(p.idle, dest)
 }
 
-// Close closes all idle connections, and the others once their attempts end.
+// Close closes all idle connections. Connections in use are closed when their attempts end.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for to, list := range p.idle {
-		p.dropAllLocked(to, list)
+	for dest, list := range p.idle {
+		p.dropAllLocked(dest, list)
 	}
 }
--- a/upstream/response.go
+++ b/upstream/response.go
@@ -14,17 +14,18 @@
 	"ryerill/message"
 )
 
-// maxHoldBack is how long the beginning of a body of unknown length may be held, in the hope of its end.
+// maxHoldBack is how long the beginning of a body of unknown length is held back while waiting for the rest.
 const maxHoldBack = 300 * time.Millisecond
 
-// responseHead is the head of a response.
+// responseHead is the head of a response, as received and parsed.
 type responseHead struct {
 	text   []byte
 	parsed http.Header
 }
 
-// readBody reads the body of a success: whole if it is short, else its beginning, and the connection goes with the
-// stream of what follows. persistent is whether the connection can be used again after the body.
+// readBody reads the body of a successful response. It reads a short body completely; of a long body it reads the
+// beginning, and the response's stream takes ownership of the connection. persistent states whether the connection can
+// be reused after the body.
 func (p *Pool) readBody(
 	conn *conn, a *Attempt, head *responseHead, framed framing.Body, persistent bool,
 ) (outcome balancer.Outcome, response *message.Response, reusable bool) {
@@ -37,7 +38,7 @@
 	rest := &download{pool: p, conn: conn, body: body, remaining: message.MaxBody}
 	response = &message.Response{Header: head.parsed, Stream: rest, Length: length}
 	if !p.reserveBody(response) {
-		return balancer.OK, response, false // it is streamed from its first byte on
+		return balancer.OK, response, false // the whole body is streamed
 	}
 	var enough func() bool
 	if length == message.UnknownLength {
@@ -53,19 +54,19 @@
 		return outcomeOf(err), nil, false
 	case whole:
 		response.Stream = nil
-		own := p.isOwn(conn, digestOfBody(head.text, part))
-		endsHere := p.endsHere(conn)
-		if !own || !endsHere && conn.use.Uses > 1 { // more than a response may be the rest of another one
+		own := p.isOwnResponse(conn, digestOfBody(head.text, part))
+		noTrailing := p.noTrailingBytes(conn)
+		if !own || !noTrailing && conn.use.Uses > 1 { // with trailing bytes, this may be part of another response
 			response.Free()
 			return balancer.Reset, nil, false
 		}
-		return balancer.OK, response, persistent && endsHere
+		return balancer.OK, response, persistent && noTrailing
 	}
 	return balancer.OK, response, false
 }
 
-// reserveBody takes memory for holding a response's body, which its Free gives back. It reports false if the body is
-// too long or there is no memory now.
+// reserveBody reserves memory for the body in the bodies budget; the response's Free returns it. It reports false if
+// the body is too long to be buffered or the budget is exhausted.
 func (p *Pool) reserveBody(response *message.Response) bool {
 	size := int(response.Length)
 	if response.Length == message.UnknownLength {
@@ -84,8 +85,8 @@
 	return true
 }
 
-// heldLongEnough returns a function that reports whether what has been received of a body of unknown length is to be
-// passed on: nothing has followed it for a while, or its beginning was long ago.
+// heldLongEnough returns a function that reports whether to pass on the received part of a body of unknown length: no
+// byte follows within maxHoldBack of the call to heldLongEnough, or more than maxHoldBack has passed since.
 func heldLongEnough(conn *conn, a *Attempt) func() bool {
 	began := time.Now()
 	return func() bool {
@@ -101,15 +102,15 @@
 	}
 }
 
-// download is the remainder of a response's body. It holds the connection until Close.
+// download streams the remainder of a response's body. It owns the connection until Close.
 type download struct {
 	pool      *Pool
 	conn      *conn
 	body      io.Reader
-	remaining int64 // bytes that it may still bring
+	remaining int64 // bytes that may still be read
 }
 
-// Read waits for progress, but no longer than the proxy waits for any.
+// Read reads the next bytes. It fails if none arrive within progressTimeout or the body exceeds message.MaxBody.
 func (d *download) Read(b []byte) (int, error) {
 	if d.remaining <= 0 {
 		return 0, buffer.ErrTooLarge
@@ -120,7 +121,8 @@
 	return n, err
 }
 
-// Close closes the connection: a copy of a response that was passed on unread could not be told. It never fails.
+// Close closes the connection. The connection is not reused, since a streamed response has no digest and a repeated
+// copy of it could not be detected. Close never fails.
 func (d *download) Close() error {
 	d.pool.drop(d.conn)
 	return nil
--- a/upstream/reuse_test.go
+++ b/upstream/reuse_test.go
@@ -13,105 +13,106 @@
 	"ryerill/reuse"
 )
 
-// knowResponses has a pool know that its endpoints answer many requests alike, as the stand-ins of the tests do.
-func knowResponses(p *Pool) {
+// recordCommonResponses records many common responses, so that the pool accepts repeated ones: the test endpoints send
+// the same response to every request.
+func recordCommonResponses(p *Pool) {
 	for digest := range reuse.Digest(100) {
 		p.policy.Responses.Record(digest, 0)
 		p.policy.Responses.Record(digest, 1)
 	}
 }
 
-// letRest waits until idle connections may be used again.
-func letRest() { time.Sleep(reuse.MinRest + 5*time.Millisecond) }
+// waitMinRest waits until idle connections may be reused.
+func waitMinRest() { time.Sleep(reuse.MinRest + 5*time.Millisecond) }
 
-// Guards against a connection that carries the next request before a late second response has come in.
-func TestConnectionsRestBeforeTheNextRequest(t *testing.T) {
-	address, conns, _ := serve(t, okay, nil)
-	p := NewPool(newDescriptors(8), time.Hour, 5*time.Second, new(buffer.Pool))
+// Guards against reusing a connection before a late second response has arrived on it.
+func TestConnectionRestsBeforeNextRequest(t *testing.T) {
+	address, conns, _ := serve(t, okResponse, nil)
+	p := NewPool(newConnectionBudget(8), time.Hour, 5*time.Second, new(buffer.Pool))
 	defer p.Close()
-	knowResponses(p)
+	recordCommonResponses(p)
 	for range 3 {
-		p.Do(newCall(address))
+		p.Do(newAttempt(address))
 	}
 	if len(conns) != 3 {
-		t.Errorf("%d connections for three requests at once", len(conns))
+		t.Errorf("got %d connections after three requests without a rest, want 3", len(conns))
 	}
-	letRest()
-	again := newCall(address)
+	waitMinRest()
+	again := newAttempt(address)
 	p.Do(again)
 	if use := again.Connection(); len(conns) != 3 || use.Number != 3 || use.Uses != 2 || use.Rest < reuse.MinRest {
-		t.Errorf("%d connections, then %+v: not the one used last", len(conns), use)
+		t.Errorf("after a rest: got %d connections and use %+v, want 3 and the second use of connection 3", len(conns), use)
 	}
 }
 
-// Guards against a decline or an error that comes late and is taken for that of the next request.
-func TestDeclinesProveNothingOnAUsedConnection(t *testing.T) {
+// Guards against attributing a late decline or error to the next request.
+func TestDeclineOnReusedConnectionIsInDoubt(t *testing.T) {
 	const decline = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
-	address, conns := serveInTurn(t, okay, decline, decline)
-	p := NewPool(newDescriptors(8), time.Hour, 5*time.Second, new(buffer.Pool))
+	address, conns := serveInTurn(t, okResponse, decline, decline)
+	p := NewPool(newConnectionBudget(8), time.Hour, 5*time.Second, new(buffer.Pool))
 	defer p.Close()
-	knowResponses(p)
-	p.Do(newCall(address))
-	letRest()
-	if outcome, _ := p.Do(newCall(address)); outcome != balancer.RejectedInDoubt || outcome.NeverRan() {
-		t.Errorf("on a used connection: %v", outcome)
+	recordCommonResponses(p)
+	p.Do(newAttempt(address))
+	waitMinRest()
+	if outcome, _ := p.Do(newAttempt(address)); outcome != balancer.RejectedInDoubt || outcome.NeverRan() {
+		t.Errorf("on a reused connection: got outcome %v, want RejectedInDoubt", outcome)
 	}
-	letRest()
-	needsProof := newCall(address)
+	waitMinRest()
+	needsProof := newAttempt(address)
 	needsProof.NeedsProof = true
 	if outcome, _ := p.Do(needsProof); outcome != balancer.Rejected || len(conns) != 2 {
-		t.Errorf("after a decline: %v, %d connections", outcome, len(conns))
+		t.Errorf("after a decline: got outcome %v and %d connections, want Rejected and 2", outcome, len(conns))
 	}
 }
 
-// Guards against a copy of the response before, sent once the next request has come, that is served for it.
-func TestCopiesAreNotServed(t *testing.T) {
-	address, _ := serveInTurn(t, okay, okay, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew")
-	p := NewPool(newDescriptors(8), time.Hour, 5*time.Second, new(buffer.Pool))
+// Guards against serving a copy of the previous response that the endpoint sends in reply to the next request.
+func TestRepeatedResponseIsNotServed(t *testing.T) {
+	address, _ := serveInTurn(t, okResponse, okResponse, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew")
+	p := NewPool(newConnectionBudget(8), time.Hour, 5*time.Second, new(buffer.Pool))
 	defer p.Close()
 	for i := range reuse.Digest(20) {
-		p.policy.Responses.Record(i, 100) // none of them is common
+		p.policy.Responses.Record(i, 100) // no response is common
 	}
-	p.Do(newCall(address))
-	letRest()
-	if outcome, response := p.Do(newCall(address)); outcome != balancer.Reset || response != nil {
-		t.Errorf("a copy: %v, %+v", outcome, response)
+	p.Do(newAttempt(address))
+	waitMinRest()
+	if outcome, response := p.Do(newAttempt(address)); outcome != balancer.Reset || response != nil {
+		t.Errorf("repeated response: got outcome %v and response %+v, want Reset and nil", outcome, response)
 	}
-	for range 2 { // its endpoint's connections are not used again for a while
-		letRest()
-		fresh := newCall(address)
+	for range 2 { // the distrusted endpoint's connections are not reused
+		waitMinRest()
+		fresh := newAttempt(address)
 		outcome, response := p.Do(fresh)
 		if use := fresh.Connection(); outcome != balancer.OK || use.Uses != 1 {
-			t.Errorf("then: %v on %+v", outcome, use)
+			t.Errorf("next attempt: got outcome %v with use %+v, want OK and the first use", outcome, use)
 		}
 		response.Free()
 	}
 }
 
-// Guards against half of a late response, with the beginning of the next one behind it, that is served as a whole one.
-func TestMoreThanAResponseIsNotServedOnAUsedConnection(t *testing.T) {
+// Guards against serving part of a late response, followed by the beginning of the next response, as a complete one.
+func TestTrailingBytesOnReusedConnectionFailAttempt(t *testing.T) {
 	for _, uses := range []int{1, 2} {
 		t.Run(fmt.Sprint(uses, " uses"), func(t *testing.T) {
-			responses := []string{okay, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnewand more"}
+			responses := []string{okResponse, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnewand more"}
 			address, _ := serveInTurn(t, responses[2-uses:]...)
-			p := NewPool(newDescriptors(8), time.Hour, 5*time.Second, new(buffer.Pool))
+			p := NewPool(newConnectionBudget(8), time.Hour, 5*time.Second, new(buffer.Pool))
 			defer p.Close()
-			knowResponses(p)
+			recordCommonResponses(p)
 			want := balancer.OK
 			if uses > 1 {
-				p.Do(newCall(address))
-				letRest()
+				p.Do(newAttempt(address))
+				waitMinRest()
 				want = balancer.Reset
 			}
-			if outcome, _ := p.Do(newCall(address)); outcome != want {
-				t.Errorf("%v, want %v", outcome, want)
+			if outcome, _ := p.Do(newAttempt(address)); outcome != want {
+				t.Errorf("got outcome %v, want %v", outcome, want)
 			}
 		})
 	}
 }
 
-// serveInTurn answers all requests, of whatever connection, with one text after another, the last one for all that
-// follow. It counts connections.
+// serveInTurn answers the n-th request over all connections with the n-th text, and further requests with the last
+// text. It counts connections.
 func serveInTurn(t *testing.T, texts ...string) (address string, conns chan struct{}) {
 	t.Helper()
 	var answered atomic.Int64
--- a/upstream/unsolicited.go
+++ b/upstream/unsolicited.go
@@ -12,66 +12,66 @@
 	"ryerill/reuse"
 )
 
-// ConnectionUse is one use of a connection to an endpoint by an attempt.
+// ConnectionUse describes the use of a connection by one attempt.
 type ConnectionUse struct {
-	Number uint64        // of the connection, among those of its pool
-	Uses   int           // requests written to it, this one included
-	Rest   time.Duration // since its last response; 0 at its first use
+	Number uint64        // number of the connection within its pool, from 1
+	Uses   int           // requests written to the connection, including this one
+	Rest   time.Duration // time since the previous response; 0 at the first use
 }
 
-// UnsolicitedKind is what an endpoint has sent without being asked.
+// UnsolicitedKind classifies bytes that an endpoint sent without a request in flight.
 type UnsolicitedKind string
 
-// The kinds.
+// The kinds of unsolicited bytes.
 const (
-	// RepeatedResponse is the whole of a response that the connection has already brought.
+	// RepeatedResponse is a complete copy of a response received earlier on the connection.
 	RepeatedResponse UnsolicitedKind = "a repeated response"
-	// OtherResponse is the whole of another response. The one before it may have been another request's.
+	// OtherResponse is any other complete response. The response before it may have belonged to another request.
 	OtherResponse UnsolicitedKind = "another response"
-	// PartialResponse is the beginning of a response.
+	// PartialResponse is an incomplete response.
 	PartialResponse UnsolicitedKind = "the beginning of a response"
-	// UnknownBytes can't be taken for the final response to a request.
+	// UnknownBytes are bytes that can't be mistaken for the final response to a request.
 	UnknownBytes UnsolicitedKind = "no response"
 )
 
-// Unsolicited is what has been found on a connection on which no request was out, or behind a response.
+// Unsolicited describes bytes received on a connection with no request in flight, or after the end of a response.
 type Unsolicited struct {
-	Endpoint    string // its name
+	Endpoint    string // name of the endpoint
 	Connection  ConnectionUse
-	LastRequest string // id of the request that the connection carried last
+	LastRequest string // id of the latest request on the connection
 	Kind        UnsolicitedKind
-	// Late is how long after the last response it came; negative is unknown.
+	// Late is the time between the last response and these bytes; negative if unknown.
 	Late time.Duration
 }
 
-// Observer is told what endpoints send unasked. Its method is called with locks held: it must neither block nor call
-// the pool.
+// Observer receives reports of unsolicited bytes. Its method is called with the pool's lock held, so it must neither
+// block nor call the pool.
 type Observer interface {
 	UnsolicitedBytes(Unsolicited)
 }
 
-// ObserveUnsolicited has the pool tell an observer what endpoints send unasked. It must be called before the first
-// attempt.
+// ObserveUnsolicited sets the observer of unsolicited bytes. It must be called before the first attempt.
 func (p *Pool) ObserveUnsolicited(observer Observer) { p.observer = observer }
 
-// unknownLateness is the lateness of bytes of which it is not known when they came.
+// unknownLateness is the lateness of bytes whose arrival time is unknown.
 const unknownLateness = time.Duration(-1)
 
-// maxInspected are the bytes of unsolicited input that are looked at.
+// maxInspected is the number of unsolicited bytes that are inspected.
 const maxInspected = 4 << 10
 
-// unsolicitedLocked judges what has been received on a connection that is not to be used any more. The
-// connections of who sends what could be taken for a response rest longer.
+// unsolicitedLocked classifies and reports the bytes received on a connection that will not be reused. If they arrived
+// late and could be mistaken for a response, the endpoint's connections rest longer. Callers must hold p.mu.
 func (p *Pool) unsolicitedLocked(c *conn) {
 	input, late := c.takeInput()
-	kind := c.judge(input)
-	p.tellObserver(c, kind, late)
+	kind := c.classify(input)
+	p.reportUnsolicited(c, kind, late)
 	if kind != UnknownBytes && late != 0 {
-		p.policy.CameLate(c.destination.endpoint, time.Now())
+		p.policy.RecordLateBytes(c.destination.endpoint, time.Now())
 	}
 }
 
-func (p *Pool) tellObserver(c *conn, kind UnsolicitedKind, late time.Duration) {
+// reportUnsolicited notifies the observer, if there is one. Callers must hold p.mu.
+func (p *Pool) reportUnsolicited(c *conn, kind UnsolicitedKind, late time.Duration) {
 	if p.observer == nil {
 		return
 	}
@@ -84,13 +84,13 @@
 	})
 }
 
-// isOwn reports whether a success is the response to the request that is out on a connection, not a copy of one that
-// the connection has brought before.
-func (p *Pool) isOwn(c *conn, digest reuse.Digest) bool {
+// isOwnResponse reports whether a successful response belongs to the request in flight on the connection, and is not a
+// copy of an earlier response. It records the response; after a copy it distrusts the endpoint.
+func (p *Pool) isOwnResponse(c *conn, digest reuse.Digest) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.history.Holds(digest) && p.policy.Responses.ToldApart(digest) {
-		p.tellObserver(c, RepeatedResponse, unknownLateness)
+	if c.history.Contains(digest) && p.policy.Responses.IsDistinctive(digest) {
+		p.reportUnsolicited(c, RepeatedResponse, unknownLateness)
 		p.distrustLocked(c.destination)
 		return false
 	}
@@ -98,24 +98,25 @@
 	return true
 }
 
-// recordResponse records a response that a connection has brought.
+// recordResponse records a response received on a connection.
 func (p *Pool) recordResponse(c *conn, digest reuse.Digest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.recordLocked(c, digest)
 }
 
+// recordLocked implements recordResponse. Callers must hold p.mu.
 func (p *Pool) recordLocked(c *conn, digest reuse.Digest) {
 	c.history.Add(digest)
 	p.policy.Responses.Record(digest, c.use.Number)
 }
 
-// takeInput takes the beginning of what has been received, and returns how long after the last response it came;
-// negative is unknown.
+// takeInput returns up to maxInspected received bytes and the time between the last response and their arrival, which
+// is negative if unknown.
 func (c *conn) takeInput() (input []byte, late time.Duration) {
 	late = unknownLateness
 	if c.reader.Buffered() > 0 {
-		input, _ = c.reader.Peek(min(c.reader.Buffered(), maxInspected)) // it is there: no error
+		input, _ = c.reader.Peek(min(c.reader.Buffered(), maxInspected)) // buffered, so Peek returns no error
 		return input, 0
 	}
 	if !c.idleSince.IsZero() {
@@ -127,11 +128,11 @@
 	return block[:socket.Receive(c, block)], late
 }
 
-// interimHead matches the head of a response of status 1xx.
+// interimHead matches the beginning of a response with status 1xx.
 var interimHead = regexp.MustCompile(`^HTTP/1\.[01] 1`)
 
-// judge says what was received although nobody has asked for it.
-func (c *conn) judge(input []byte) UnsolicitedKind {
+// classify returns the kind of the unsolicited bytes in input.
+func (c *conn) classify(input []byte) UnsolicitedKind {
 	if !bytes.HasPrefix(input, []byte("HTTP/")) || interimHead.Match(input) {
 		return UnknownBytes
 	}
@@ -145,7 +146,7 @@
 	if err != nil || !framed.HasLength || framed.Chunked || int64(len(body)) < framed.Length {
 		return PartialResponse
 	}
-	if c.history.Holds(digestOf(head, body[:framed.Length])) {
+	if c.history.Contains(digestOf(head, body[:framed.Length])) {
 		return RepeatedResponse
 	}
 	return OtherResponse
@@ -153,12 +154,12 @@
 
 var digestSeed = maphash.MakeSeed()
 
-// digestOf returns the digest of a response of a head and a body in one piece.
+// digestOf returns the digest of a response whose body is contiguous.
 func digestOf(head, body []byte) reuse.Digest {
 	return digest(head, func(hash *maphash.Hash) { hash.Write(body) })
 }
 
-// digestOfBody returns the digest of a response of a head and a body in blocks: that which digestOf has of its bytes.
+// digestOfBody returns the digest of a response whose body is in blocks. It equals that of digestOf for the same bytes.
 func digestOfBody(head []byte, body *buffer.Body) reuse.Digest { return digest(head, body.Hash) }
 
 func digest(head []byte, addBody func(*maphash.Hash)) reuse.Digest {
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -16,10 +16,10 @@
 	"ryerill/message"
 )
 
-const okay = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// serve answers each request with text and then does what after says. It
-// counts connections and requests.
+// serve answers each request with text and then calls after, unless it is nil.
+// It counts connections and requests.
 func serve(t *testing.T, text string, after func(net.Conn)) (address string, conns, requests chan struct{}) {
 	t.Helper()
 	requests = make(chan struct{}, 64)
@@ -33,7 +33,7 @@
 	return address, conns, requests
 }
 
-// serveRequests has each request answered that a connection brings. It counts connections.
+// serveRequests calls answer for each request on each connection. It counts connections.
 func serveRequests(t *testing.T, answer func(net.Conn)) (address string, conns chan struct{}) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,35 +63,35 @@
 	return l.Addr().String(), conns
 }
 
-// descriptors is a number of connections that may be open.
-type descriptors struct{ left, most atomic.Int64 }
+// connectionBudget limits the number of open connections.
+type connectionBudget struct{ free, size atomic.Int64 }
 
-func newDescriptors(n int64) *descriptors {
-	r := &descriptors{}
-	r.left.Store(n)
-	r.most.Store(n)
+func newConnectionBudget(n int64) *connectionBudget {
+	r := &connectionBudget{}
+	r.free.Store(n)
+	r.size.Store(n)
 	return r
 }
 
-func (r *descriptors) Take(n int) bool {
-	if r.left.Add(-int64(n)) < 0 {
-		r.left.Add(int64(n))
+func (r *connectionBudget) Take(n int) bool {
+	if r.free.Add(-int64(n)) < 0 {
+		r.free.Add(int64(n))
 		return false
 	}
 	return true
 }
 
-func (r *descriptors) Give(n int) { r.left.Add(int64(n)) }
-func (r *descriptors) used() int  { return int(r.most.Load() - r.left.Load()) }
+func (r *connectionBudget) Give(n int) { r.free.Add(int64(n)) }
+func (r *connectionBudget) used() int  { return int(r.size.Load() - r.free.Load()) }
 
-func newCall(address string) *Attempt {
+func newAttempt(address string) *Attempt {
 	return &Attempt{Request: &message.OutgoingRequest{Method: "GET", Target: "/x", Host: "h"}, Address: address,
 		Deadline: time.Now().Add(20 * time.Second), MaySend: func() bool { return true }}
 }
 
-// A connection is used again only while it is sound: a request written to one
-// that the endpoint has closed would be lost in a reset, and may have run.
-func TestConnectionsAreUsedAgainWhileSound(t *testing.T) {
+// A connection is reused only while it is usable: a request written to one that
+// the endpoint has closed would be lost in a reset and possibly executed.
+func TestOnlyUsableConnectionsAreReused(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		text      string
@@ -99,68 +99,68 @@
 		idleClose time.Duration
 		conns     int
 	}{
-		{"kept", okay, nil, time.Hour, 1},
-		{"closed by the endpoint", okay, func(c net.Conn) { c.Close() }, time.Hour, 2},
-		{"reset by the endpoint", okay, func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }, time.Hour, 2},
-		{"said to be closed", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok", nil, time.Hour, 2},
-		{"more bytes than the answer", okay + "HTTP", nil, time.Hour, 2},
-		{"more bytes later", okay, func(c net.Conn) { io.WriteString(c, "HTTP") }, time.Hour, 2},
-		{"idle for too long", okay, nil, time.Nanosecond, 2},
+		{"kept", okResponse, nil, time.Hour, 1},
+		{"closed by the endpoint", okResponse, func(c net.Conn) { c.Close() }, time.Hour, 2},
+		{"reset by the endpoint", okResponse, func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }, time.Hour, 2},
+		{"Connection: close", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok", nil, time.Hour, 2},
+		{"trailing bytes", okResponse + "HTTP", nil, time.Hour, 2},
+		{"late bytes", okResponse, func(c net.Conn) { io.WriteString(c, "HTTP") }, time.Hour, 2},
+		{"idle for too long", okResponse, nil, time.Nanosecond, 2},
 	} {
 		address, conns, requests := serve(t, tc.text, tc.after)
-		p := NewPool(newDescriptors(8), tc.idleClose, 5*time.Second, new(buffer.Pool))
-		knowResponses(p)
+		p := NewPool(newConnectionBudget(8), tc.idleClose, 5*time.Second, new(buffer.Pool))
+		recordCommonResponses(p)
 		for range 2 {
-			letRest()
-			outcome, response := p.Do(newCall(address))
+			waitMinRest()
+			outcome, response := p.Do(newAttempt(address))
 			if outcome != balancer.OK || response.Body.Len() != 2 {
-				t.Fatalf("%s: %v, %+v", tc.name, outcome, response)
+				t.Fatalf("%s: got outcome %v and response %+v, want OK and a body of 2 bytes", tc.name, outcome, response)
 			}
-			<-requests // what the endpoint does after its answer is done
+			<-requests // the endpoint has called after
 		}
 		if len(conns) != tc.conns {
-			t.Errorf("%s: %d connections", tc.name, len(conns))
+			t.Errorf("%s: unexpected number of connections %d", tc.name, len(conns))
 		}
 		p.Close()
 	}
 }
 
-// An endpoint may be told to drain while its connection is being opened: then
-// nothing may be written any more.
-func TestNothingIsWrittenAfterTheRecheck(t *testing.T) {
-	address, _, requests := serve(t, okay, nil)
-	p := NewPool(newDescriptors(8), time.Hour, 5*time.Second, new(buffer.Pool))
+// An endpoint may start to drain while a connection to it is being opened, after
+// which nothing may be written to it. The same holds for a cancelled attempt.
+func TestNothingIsWrittenWithoutPermission(t *testing.T) {
+	address, _, requests := serve(t, okResponse, nil)
+	p := NewPool(newConnectionBudget(8), time.Hour, 5*time.Second, new(buffer.Pool))
 	defer p.Close()
-	drained := newCall(address)
+	drained := newAttempt(address)
 	drained.MaySend = func() bool { return false }
 	if outcome, _ := p.Do(drained); outcome != balancer.NotSent {
-		t.Errorf("drained: %v", outcome)
+		t.Errorf("drained: got outcome %v, want NotSent", outcome)
 	}
-	cancelled := newCall(address)
+	cancelled := newAttempt(address)
 	cancelled.Cancel()
 	if outcome, _ := p.Do(cancelled); outcome != balancer.NotSent {
-		t.Errorf("cancelled: %v", outcome)
+		t.Errorf("cancelled: got outcome %v, want NotSent", outcome)
 	}
-	if outcome, _ := p.Do(newCall(address)); outcome != balancer.OK || len(requests) > 1 {
-		t.Errorf("then: %v, %d requests", outcome, len(requests))
+	if outcome, _ := p.Do(newAttempt(address)); outcome != balancer.OK || len(requests) > 1 {
+		t.Errorf("next attempt: got outcome %v and %d requests, want OK and at most 1", outcome, len(requests))
 	}
 }
 
-// An endpoint starts on a request when its last byte has arrived: one that
-// breaks off before has not run it, and the call may be made again anywhere.
-func TestBrokenBeforeTheLastByteNeverRan(t *testing.T) {
-	p, c := largeCall(t, func(c net.Conn) {
-		c.Read(make([]byte, 1)) // and leaves the rest unread: the proxy's end is reset
+// An endpoint executes a request only after receiving its last byte. If the
+// connection breaks before, the request never ran and may be retried anywhere.
+func TestAttemptBrokenBeforeLastByteNeverRan(t *testing.T) {
+	p, c := largeAttempt(t, func(c net.Conn) {
+		c.Read(make([]byte, 1)) // leaves the rest unread, so Close resets the connection
 		c.Close()
 	})
 	if outcome, _ := p.Do(c); outcome != balancer.ConnectFailed || !outcome.NeverRan() {
-		t.Errorf("recorded as: %v", outcome)
+		t.Errorf("got outcome %v, want ConnectFailed", outcome)
 	}
 }
 
-// largeCall is a call with more of a body than sockets hold, to an endpoint that does
-// something with the connection.
-func largeCall(t *testing.T, then func(net.Conn)) (*Pool, *Attempt) {
+// largeAttempt returns an attempt whose body exceeds the socket buffers, to an endpoint that
+// calls then with the accepted connection.
+func largeAttempt(t *testing.T, then func(net.Conn)) (*Pool, *Attempt) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -176,9 +176,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := NewPool(newDescriptors(8), time.Hour, 5*time.Second, buffers)
+	p := NewPool(newConnectionBudget(8), time.Hour, 5*time.Second, buffers)
 	t.Cleanup(func() { l.Close(); p.Close() })
-	c := newCall(l.Addr().String())
+	c := newAttempt(l.Addr().String())
 	c.Request = &message.OutgoingRequest{Method: "POST", Target: "/x", Host: "h", Body: body}
 	return p, c
 }
@@ -187,64 +187,64 @@
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
-// At the limit an idle connection makes room, wherever it leads; with none
-// idle the call fails without having been sent.
-func TestPoolStaysUnderItsLimit(t *testing.T) {
-	first, _, _ := serve(t, okay, nil)
-	second, _, _ := serve(t, okay, nil)
+// When the budget is exhausted, the pool evicts an idle connection to any
+// destination; with none idle, the attempt fails without being sent.
+func TestPoolStaysWithinBudget(t *testing.T) {
+	first, _, _ := serve(t, okResponse, nil)
+	second, _, _ := serve(t, okResponse, nil)
 	silent, _, requests := serve(t, "", nil)
-	p := NewPool(newDescriptors(1), time.Hour, 5*time.Second, new(buffer.Pool))
+	p := NewPool(newConnectionBudget(1), time.Hour, 5*time.Second, new(buffer.Pool))
 	defer p.Close()
 	for _, address := range []string{first, second, first} {
-		if outcome, _ := p.Do(newCall(address)); outcome != balancer.OK {
-			t.Errorf("idle makes room: %v", outcome)
+		if outcome, _ := p.Do(newAttempt(address)); outcome != balancer.OK {
+			t.Errorf("with an idle connection: got outcome %v, want OK", outcome)
 		}
 	}
-	held, over := newCall(silent), make(chan balancer.Outcome)
-	go func() { outcome, _ := p.Do(held); over <- outcome }()
+	pending, done := newAttempt(silent), make(chan balancer.Outcome)
+	go func() { outcome, _ := p.Do(pending); done <- outcome }()
 	<-requests
-	if outcome, _ := p.Do(newCall(first)); outcome != balancer.NotSent { // no fault of the endpoint's
-		t.Errorf("with none idle: %v", outcome)
+	if outcome, _ := p.Do(newAttempt(first)); outcome != balancer.NotSent { // no evidence against the endpoint
+		t.Errorf("without an idle connection: got outcome %v, want NotSent", outcome)
 	}
-	held.Cancel()
-	if outcome := <-over; outcome != balancer.Cancelled || p.connections.(*descriptors).used() != 0 {
-		t.Errorf("cancelled: %v, %d open", outcome, p.connections.(*descriptors).used())
+	pending.Cancel()
+	if outcome := <-done; outcome != balancer.Cancelled || p.connections.(*connectionBudget).used() != 0 {
+		t.Errorf("cancelled: got outcome %v and %d open connections, want Cancelled and 0", outcome, p.connections.(*connectionBudget).used())
 	}
 }
 
-// What is missing here says nothing of the endpoint that was to be called.
-func TestLocalFailuresAreNotBlamedOnTheEndpoint(t *testing.T) {
+// A lack of local resources is no evidence against the endpoint.
+func TestIsLocalFault(t *testing.T) {
 	dial := func(err error) error { return &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", err)} }
 	for _, tc := range []struct {
 		err  error
 		want bool
 	}{{errNoDescriptor, true}, {dial(syscall.EMFILE), true}, {dial(syscall.EADDRNOTAVAIL), true},
 		{dial(syscall.ECONNREFUSED), false}, {dial(syscall.EHOSTUNREACH), false}, {os.ErrDeadlineExceeded, false}, {nil, false}} {
-		if got := isOwnFault(tc.err); got != tc.want {
-			t.Errorf("%v: %v", tc.err, got)
+		if got := isLocalFault(tc.err); got != tc.want {
+			t.Errorf("isLocalFault(%v) = %v, want the opposite", tc.err, got)
 		}
 	}
 }
 
-// An address may pass to another endpoint: a connection to the first may still
-// be open, and a request on it would be lost.
-func TestConnectionsBelongToTheirEndpoint(t *testing.T) {
-	address, conns, _ := serve(t, okay, nil)
-	p := NewPool(newDescriptors(8), time.Hour, 5*time.Second, new(buffer.Pool))
+// An address may be reassigned to another endpoint while a connection to the
+// first is still open; a request on that connection would be lost.
+func TestConnectionIsNotReusedForAnotherEndpoint(t *testing.T) {
+	address, conns, _ := serve(t, okResponse, nil)
+	p := NewPool(newConnectionBudget(8), time.Hour, 5*time.Second, new(buffer.Pool))
 	defer p.Close()
-	knowResponses(p)
+	recordCommonResponses(p)
 	for i, tc := range []struct {
 		endpoint uint64
 		conns    int
 	}{{1, 1}, {1, 1}, {2, 2}, {1, 2}} {
-		c := newCall(address)
+		c := newAttempt(address)
 		c.Endpoint = tc.endpoint
-		letRest()
+		waitMinRest()
 		if outcome, _ := p.Do(c); outcome != balancer.OK || len(conns) != tc.conns {
-			t.Errorf("call %d: %v, %d connections", i, outcome, len(conns))
+			t.Errorf("attempt %d: got outcome %v, want OK, or unexpected number of connections %d", i, outcome, len(conns))
 		}
 	}
-	if p.CloseIdle(1); p.connections.(*descriptors).used() != 1 || len(p.idle) != 1 {
-		t.Errorf("without the first endpoint: %d open at %d places", p.connections.(*descriptors).used(), len(p.idle))
+	if p.CloseIdle(1); p.connections.(*connectionBudget).used() != 1 || len(p.idle) != 1 {
+		t.Errorf("after CloseIdle: got %d open connections to %d destinations, want 1 and 1", p.connections.(*connectionBudget).used(), len(p.idle))
 	}
 }
--- a/upstream/write.go
+++ b/upstream/write.go
@@ -12,31 +12,31 @@
 	"ryerill/message"
 )
 
-// progressTimeout ends a long body that makes no progress for so long.
+// progressTimeout is how long the transfer of a streamed body may make no progress before it is aborted.
 const progressTimeout = 10 * time.Second
 
-// maxBytesAtOnce are taken by the system at once, however slowly the endpoint reads.
+// maxBytesAtOnce is the number of bytes that the system accepts at once, however slowly the endpoint reads.
 const maxBytesAtOnce = 16 << 10
 
-// writeResult is how the writing of a request ended.
+// writeResult is the result of writing a request.
 type writeResult uint8
 
 const (
-	writtenWhole    writeResult = iota // its last byte is written
-	answeredEarly                      // the endpoint has answered before, which ends the writing
-	connectionBroke                    // the connection broke
-	machineFailed                      // this machine lacked a resource for it: no fault of the endpoint
-	uploadBroke                        // the remainder of the request was not received: no fault of the endpoint
+	writtenWhole    writeResult = iota // the last byte was written
+	answeredEarly                      // the endpoint sent bytes before the last byte was written, which ends the write
+	connectionBroke                    // the connection failed
+	localFault                         // this machine lacked a resource; no evidence against the endpoint
+	uploadBroke                        // the client did not send the rest of the body; no evidence against the endpoint
 )
 
-// writeRequest writes the whole request, with the part of its body that is still to be received.
+// writeRequest writes the whole request, including the part of its body that the proxy has not received yet.
 func (p *Pool) writeRequest(conn *conn, a *Attempt) writeResult {
 	request := a.Request
 	buffers := net.Buffers{encodeHead(request, a.timeLeft())}
 	if request.Stream == nil {
 		buffers = request.Body.AppendTo(buffers)
 		if err := conn.writeFirst(buffers, a); err != nil {
-			return brokenBy(err)
+			return writeResultOf(err)
 		}
 		return writtenWhole
 	}
@@ -48,20 +48,20 @@
 	return p.writeStream(conn, a, buffers)
 }
 
-// brokenBy is how the writing of a request ended that err broke off.
-func brokenBy(err error) writeResult {
-	if isOwnFault(err) {
-		return machineFailed
+// writeResultOf returns the result of a write that failed with err.
+func writeResultOf(err error) writeResult {
+	if isLocalFault(err) {
+		return localFault
 	}
 	return connectionBroke
 }
 
-// writeStream writes what is buffered and then the remainder of the body as it is received.
+// writeStream writes buffers and then the remainder of the body as it is received.
 func (p *Pool) writeStream(conn *conn, a *Attempt, buffers net.Buffers) writeResult {
 	block := p.buffers.Block()
 	defer p.buffers.PutBlock(block)
 	chunked := a.Request.Length == message.UnknownLength
-	write := func(buffers net.Buffers) error { return conn.writeFirst(buffers, a) } // until the first bytes are written
+	write := func(buffers net.Buffers) error { return conn.writeFirst(buffers, a) } // for the first bytes only
 	for last := false; ; {
 		a.setDeadline(conn, time.Now().Add(progressTimeout))
 		err := write(buffers)
@@ -70,7 +70,7 @@
 		case err != nil && conn.hasInput():
 			return answeredEarly
 		case err != nil:
-			return brokenBy(err)
+			return writeResultOf(err)
 		case last:
 			return writtenWhole
 		case conn.hasInput():
@@ -91,7 +91,7 @@
 	}
 }
 
-// writeFirst writes the first bytes of an attempt.
+// writeFirst writes the first bytes of an attempt and reports them as sent.
 func (c *conn) writeFirst(buffers net.Buffers, a *Attempt) error {
 	length := 0
 	for _, buffer := range buffers {
@@ -99,23 +99,23 @@
 	}
 	err := c.writeAll(buffers, a)
 	if err == nil {
-		a.sent(length)
+		a.reportSent(length)
 	}
 	return err
 }
 
-// writeAll writes buffers whole, from the byte on at which a fault of this machine has stopped it, until the deadline.
-// Before it tries again to write their first bytes it asks the caller, if there is one.
+// writeAll writes all buffers. After a local fault it continues at the first unwritten byte, until the deadline. If no
+// byte has been written yet, it retries only while caller, if not nil, still wants the write.
 func (c *conn) writeAll(buffers net.Buffers, caller socket.Caller) error {
 	retry := socket.Retry{Call: "write", Observer: c.pool, Caller: caller}
 	err := socket.Write(c.transport, &buffers, &retry)
 	if errors.Is(err, os.ErrDeadlineExceeded) && retry.Lasting() != nil {
-		return retry.Lasting() // no blame on the endpoint
+		return retry.Lasting() // a local fault, no evidence against the endpoint
 	}
 	return err
 }
 
-// hasInput reports whether the endpoint has sent something that has not been read.
+// hasInput reports whether the endpoint has sent bytes that have not been read.
 func (c *conn) hasInput() bool {
 	return c.reader.Buffered() > 0 || c.peek() == socket.Waiting
 }
