--- a/fairshare/fairshare.go
+++ b/fairshare/fairshare.go
@@ -1,12 +1,12 @@
-// Package fairshare divides what one machine has (sockets, bytes of bodies, open
-// requests, work a second) among pools. Each pool is guaranteed a part, which
-// is never lent; the remainder is lent to those that want more, by
+// Package fairshare divides the resources of one machine (sockets, bytes of
+// bodies, open requests, work per second) among pools. Each pool has a guarantee
+// that is never lent. The remainder is lent to pools that want more, by
 // weighted max-min fairness (Bertsekas and Gallager, Data Networks,
-// 6.5.2), and is returned when others want it.
+// 6.5.2), and is reclaimed when other pools want it.
 //
-// The package is pure. A [Ledger] is stepped by its host some times a second
-// with what each pool uses and wants; in between, a pool may take up to its
-// allowance on its own, so that no lock is shared on a request's way.
+// The package does no I/O. The caller steps a [Ledger] several times a second
+// with the usage and demand of each pool. Between steps a pool may take up to its
+// allowance without coordination, so the request path shares no lock.
 package fairshare
 
 import (
@@ -16,20 +16,20 @@
 	"slices"
 )
 
-// Claim is what a pool is entitled to.
+// Claim states the entitlement of a pool.
 type Claim struct {
-	Guarantee int     // its own at all times; 0 or more
-	Weight    float64 // its part of what is lent, against the others' weights; 0 borrows nothing
-	Max       int     // its allowance never exceeds this; 0 is no bound
+	Guarantee int     // units that are always available to it; 0 or more
+	Weight    float64 // weight of its loans relative to other pools; 0 borrows nothing
+	Max       int     // upper bound of its allowance; 0 means no bound
 }
 
-// Usage is what a pool uses and wants at a step.
+// Usage is the usage and unmet demand of a pool at a step.
 type Usage struct {
-	Used   int // in use now
-	Wanted int // what it was denied since the last step, on top
+	Used   int // units in use now
+	Wanted int // additional units denied since the last step
 }
 
-// Guaranteed is the sum of the guarantees of claims.
+// Guaranteed returns the sum of the guarantees of claims.
 func Guaranteed(claims map[string]Claim) (sum int) {
 	for _, claim := range claims {
 		sum += max(claim.Guarantee, 0)
@@ -37,9 +37,9 @@
 	return sum
 }
 
-// Divide divides an amount by weighted max-min fairness: nobody gets more than it
-// wants, and nobody could get more without taking from one that has less for its
-// weight. Parts are whole; what rounding leaves goes to those that come first.
+// Divide divides an amount by weighted max-min fairness: no claimant gets more than it
+// wants, and none could get more without taking from one with less per unit of
+// weight. Parts are integers; the remainder of rounding goes to the first claimants.
 func Divide(amount int, wants []int, weights []float64) []int {
 	parts := make([]int, len(wants))
 	if amount <= 0 {
@@ -52,9 +52,9 @@
 	}
 	left := float64(amount)
 	for n, i := range claimants {
-		level := left / weightLeft // for each unit of weight, if all that remain share evenly
+		level := left / weightLeft // per unit of weight, if the remaining claimants share evenly
 		if float64(wants[i]) > level*weights[i] {
-			// None of those that remain can be satisfied.
+			// None of the remaining claimants can be satisfied.
 			divideEvenly(parts, claimants[n:], int(math.Round(left)), level, wants, weights)
 			return parts
 		}
@@ -65,8 +65,8 @@
 	return parts
 }
 
-// bySatisfaction returns the indices of those that want something and have a weight, the
-// one first that is satisfied soonest for its weight.
+// bySatisfaction returns the indices of the claimants with a demand and a weight, in
+// ascending order of demand per weight, the order in which they are satisfied.
 func bySatisfaction(wants []int, weights []float64) []int {
 	var claimants []int
 	for i, want := range wants {
@@ -80,8 +80,8 @@
 	return claimants
 }
 
-// divideEvenly gives each claimant the level for each unit of its weight, rounded down,
-// and then one by one what rounding has left of the amount.
+// divideEvenly gives each claimant level times its weight, rounded down, and then
+// distributes the remainder of the amount one unit at a time.
 func divideEvenly(parts, claimants []int, amount int, level float64, wants []int, weights []float64) {
 	given := 0
 	for _, i := range claimants {
@@ -100,11 +100,11 @@
 	}
 }
 
-// Rates divides a resource that is renewed in each span, such as work a second: nothing is
-// held beyond a span, so the whole is divided anew each time. Used is what a pool took
-// in the span before. The allowance of each is its guarantee and, of the remainder, what
-// weighted max-min fairness gives it. What no pool wanted is spread by weight, so
-// that the first to want it need not wait for the next span.
+// Rates divides a resource that is renewed in each interval, such as work per second. Nothing
+// is held beyond an interval, so each call divides the total. Used is what a pool consumed
+// in the previous interval. The allowance of a pool is its guarantee plus its part of the
+// remainder by weighted max-min fairness. Units that no pool wanted are spread by weight, so
+// that a pool with new demand need not wait for the next interval.
 func Rates(total int, claims map[string]Claim, usage map[string]Usage) map[string]int {
 	names := slices.Sorted(maps.Keys(claims))
 	rest := total
--- a/fairshare/fairshare_test.go
+++ b/fairshare/fairshare_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestPartsAreMaxMinFair(t *testing.T) {
+func TestDivide(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		amount  int
@@ -18,7 +18,7 @@
 	}{
 		{"enough", 10, []int{2, 3, 4}, []float64{1, 1, 1}, []int{2, 3, 4}},
 		{"evenly", 9, []int{9, 9, 9}, []float64{1, 1, 1}, []int{3, 3, 3}},
-		{"who wants little frees some", 10, []int{1, 9, 9}, []float64{1, 1, 1}, []int{1, 5, 4}},
+		{"small demand leaves more to others", 10, []int{1, 9, 9}, []float64{1, 1, 1}, []int{1, 5, 4}},
 		{"by weight", 12, []int{99, 99}, []float64{2, 1}, []int{8, 4}},
 		{"no weight", 10, []int{5, 5}, []float64{0, 1}, []int{0, 5}},
 		{"nothing", 0, []int{5}, []float64{1}, []int{0}},
@@ -30,9 +30,9 @@
 	}
 }
 
-// Nobody gets more than it wants, all is given if it is wanted, and no part can
-// grow but at the cost of one that has less for its weight.
-func TestPartsMeetTheDefinitionOfMaxMin(t *testing.T) {
+// No claimant gets more than it wants, the amount is used up if it is wanted, and no part
+// can grow except at the cost of one with less per unit of weight.
+func TestDivideIsMaxMinFair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "n")
 		amount := rapid.IntRange(0, 100).Draw(t, "amount")
@@ -49,25 +49,25 @@
 		for i, p := range parts {
 			sum += p
 			if p > wants[i] {
-				t.Fatalf("%d got %d and wants %d", i, p, wants[i])
+				t.Fatalf("claimant %d got %d, want at most %d", i, p, wants[i])
 			}
 		}
 		if sum != min(amount, all) {
-			t.Fatalf("gave %d of %d, %d are wanted", sum, amount, all)
+			t.Fatalf("divided %d of amount %d with total demand %d, want the smaller of the two", sum, amount, all)
 		}
 		for i := range parts {
 			for j := range parts {
-				// One unit of rounding each is allowed.
+				// Each part may deviate by one unit of rounding.
 				if parts[i] < wants[i] && float64(parts[i]+1)/weights[i] < float64(parts[j]-1)/weights[j]-1e-9 {
-					t.Fatalf("%v of %v by %v: %d goes short while %d has more", parts, wants, weights, i, j)
+					t.Fatalf("parts %v of wants %v by weights %v: claimant %d is unsatisfied while %d has more per weight", parts, wants, weights, i, j)
 				}
 			}
 		}
 	})
 }
 
-// Pools take what they may in any order, and give back when they like.
-func TestGuaranteesHoldAndTheTotalIsNeverExceeded(t *testing.T) {
+// Pools take units within their allowances and return units in any order.
+func TestLedgerKeepsGuaranteesAndTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(10, 60).Draw(t, "total")
 		ledger := NewLedger(total)
@@ -83,7 +83,7 @@
 		}
 		claims := draw()
 		if !ledger.Set(claims) {
-			t.Fatal("claims within the total are rejected")
+			t.Fatal("Set rejects claims within the total, want them accepted")
 		}
 		used, allowed := map[string]int{}, ledger.Step(nil)
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -109,7 +109,7 @@
 				sum += n
 			}
 			if sum > total {
-				t.Fatalf("step %d: %d of %d are in use: %v", step, sum, total, used)
+				t.Fatalf("step %d: got %d units in use, want at most %d: used %v", step, sum, total, used)
 			}
 			allowed = ledger.Step(usage)
 			reach := 0
@@ -117,52 +117,52 @@
 				reach += max(used[name], allowed[name])
 			}
 			if reach > total {
-				t.Fatalf("step %d: pools may come to use %d of %d: used %v, allowed %v", step, reach, total, used, allowed)
+				t.Fatalf("step %d: pools may use up to %d units, want at most %d: used %v, allowed %v", step, reach, total, used, allowed)
 			}
 		}
-		// Once all is given back, each has its guarantee at the next step but one.
+		// After all units are returned, each pool has its guarantee at the second step.
 		ledger.Step(nil)
 		allowed = ledger.Step(nil)
 		for name, c := range claims {
 			if allowed[name] < c.Guarantee {
-				t.Fatalf("%s is allowed %d, guaranteed %d", name, allowed[name], c.Guarantee)
+				t.Fatalf("pool %s: got allowance %d, want at least the guarantee %d", name, allowed[name], c.Guarantee)
 			}
 		}
 	})
 }
 
-// What was lent falls back when another pool wants it, as fast as it is given back.
-func TestWhatIsLentFallsBack(t *testing.T) {
+// A loan is reclaimed when another pool wants the units, as fast as the borrower returns them.
+func TestLedgerReclaimsLoans(t *testing.T) {
 	ledger := NewLedger(100)
 	ledger.Set(map[string]Claim{"calm": {Guarantee: 20, Weight: 1}, "flood": {Guarantee: 20, Weight: 1}})
-	// The flood wants everything and gets the rest; the guarantee of the calm pool is not touched.
+	// The pool "flood" wants everything and borrows the remainder; the guarantee of "calm" is untouched.
 	var allowed map[string]int
 	for range 3 {
 		allowed = ledger.Step(map[string]Usage{"flood": {Used: min(allowed["flood"], 500), Wanted: 400}})
 	}
 	if allowed["flood"] != 80 || allowed["calm"] != 20 {
-		t.Fatalf("alone, the flood is allowed %v", allowed)
+		t.Fatalf("flood alone: got allowances %v, want 80 for flood and 20 for calm", allowed)
 	}
-	// The calm pool takes its guarantee and wants more: half of the rest is its own.
+	// "calm" uses its guarantee and wants more: it is entitled to half of the remainder.
 	allowed = ledger.Step(map[string]Usage{"flood": {80, 400}, "calm": {20, 30}})
 	if allowed["flood"] != 50 || allowed["calm"] != 20 {
-		t.Fatalf("once the other wants some: %v", allowed)
+		t.Fatalf("calm wants more: got allowances %v, want 50 for flood and 20 for calm", allowed)
 	}
-	// The flood is slow to give back: what it still uses is not given twice.
+	// "flood" returns units slowly: units that it still uses are not lent again.
 	allowed = ledger.Step(map[string]Usage{"flood": {70, 400}, "calm": {20, 30}})
 	if allowed["calm"] != 30 {
-		t.Fatalf("10 were given back, and the other is allowed %v", allowed)
+		t.Fatalf("flood has returned 10: got allowances %v, want 30 for calm", allowed)
 	}
 	allowed = ledger.Step(map[string]Usage{"flood": {50, 400}, "calm": {30, 30}})
 	if allowed["calm"] != 50 || allowed["flood"] != 50 {
-		t.Fatalf("in the end: %v", allowed)
+		t.Fatalf("flood has returned 30: got allowances %v, want 50 for each", allowed)
 	}
 }
 
-func TestGuaranteesBeyondTheTotalAreRejected(t *testing.T) {
+func TestSetRejectsGuaranteesAboveTotal(t *testing.T) {
 	ledger := NewLedger(10)
 	if ledger.Set(map[string]Claim{"a": {Guarantee: 6}, "b": {Guarantee: 5}}) {
-		t.Error("11 are guaranteed of 10")
+		t.Error("Set accepts guarantees of 11 with a total of 10, want them rejected")
 	}
 }
 
@@ -182,17 +182,17 @@
 	}
 }
 
-func TestRatesAreDividedAnewInEachSpan(t *testing.T) {
+func TestRates(t *testing.T) {
 	claims := map[string]Claim{"calm": {Guarantee: 10, Weight: 1}, "flood": {Guarantee: 10, Weight: 1}, "bounded": {Weight: 1, Max: 5}}
 	for _, tc := range []struct {
 		name  string
 		usage map[string]Usage
 		want  map[string]int
 	}{
-		{"nobody wants anything", nil, map[string]int{"calm": 48, "flood": 47, "bounded": 5}},
-		{"one floods", map[string]Usage{"flood": {100, 900}}, map[string]int{"calm": 10, "flood": 90, "bounded": 0}},
-		{"two do", map[string]Usage{"flood": {100, 900}, "calm": {60, 60}}, map[string]int{"calm": 50, "flood": 50, "bounded": 0}},
-		{"little is wanted by one", map[string]Usage{"flood": {100, 900}, "calm": {20, 0}, "bounded": {9, 9}}, map[string]int{"calm": 20, "flood": 75, "bounded": 5}},
+		{"no demand", nil, map[string]int{"calm": 48, "flood": 47, "bounded": 5}},
+		{"one pool with excess demand", map[string]Usage{"flood": {100, 900}}, map[string]int{"calm": 10, "flood": 90, "bounded": 0}},
+		{"two pools with excess demand", map[string]Usage{"flood": {100, 900}, "calm": {60, 60}}, map[string]int{"calm": 50, "flood": 50, "bounded": 0}},
+		{"one pool with small demand", map[string]Usage{"flood": {100, 900}, "calm": {20, 0}, "bounded": {9, 9}}, map[string]int{"calm": 20, "flood": 75, "bounded": 5}},
 	} {
 		if diff := cmp.Diff(tc.want, Rates(100, claims, tc.usage)); diff != "" {
 			t.Errorf("%s: %s", tc.name, diff)
--- a/fairshare/ledger.go
+++ b/fairshare/ledger.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Ledger keeps the allowances of pools. The sum of what pools use and of what
-// they may still take never exceeds the total, whatever they do between steps:
-// an allowance that falls takes effect at once, one that rises waits until what
-// it takes has really been given back.
+// Ledger keeps the allowances of pools. The units in use plus the units that pools
+// may still take never exceed the total, whatever pools do between steps: a
+// lower allowance takes effect at once, and a higher one only after other pools
+// have returned the units.
 type Ledger struct {
 	total int
 	pools map[string]*pool
@@ -17,17 +17,17 @@
 type pool struct {
 	claim   Claim
 	allowed int
-	leaving bool // no claim any more, but something may still be in use
+	leaving bool // its claim was removed, but units may still be in use
 }
 
-// NewLedger returns a ledger of a total amount.
+// NewLedger returns a ledger that divides a total amount.
 func NewLedger(total int) *Ledger {
 	return &Ledger{total: max(total, 0), pools: map[string]*pool{}}
 }
 
-// Set replaces the claims. It reports false, and changes nothing, where the
-// guarantees exceed the total. A new pool's guarantee is its own from the step
-// on in which what others borrowed has come back.
+// Set replaces the claims. It reports false, and changes nothing, if the
+// guarantees exceed the total. A new pool's guarantee takes effect at the step
+// after other pools have returned the units they borrowed.
 func (l *Ledger) Set(claims map[string]Claim) bool {
 	if Guaranteed(claims) > l.total {
 		return false
@@ -54,21 +54,21 @@
 	return true
 }
 
-// Step returns the allowance of each pool from now on. Usage may lack pools that
-// use nothing.
+// Step returns the allowance of each pool until the next step. Pools that use
+// nothing may be missing from usage.
 func (l *Ledger) Step(usage map[string]Usage) map[string]int {
 	names := slices.Sorted(maps.Keys(l.pools))
 	lent := l.lend(names, usage)
-	reach := 0 // what is used, or may yet be under the allowances that hold until now
+	reach := 0 // the most that may be in use under the previous allowances
 	for _, name := range names {
 		reach += max(usage[name].Used, l.pools[name].allowed)
 	}
 	free := max(l.total-reach, 0)
-	for i, name := range names { // what falls, falls at once
+	for i, name := range names { // reductions take effect at once
 		p := l.pools[name]
 		p.allowed = min(p.allowed, p.claim.Guarantee+lent[i])
 	}
-	for _, name := range names { // guarantees rise before what is lent
+	for _, name := range names { // guarantees are restored before loans
 		p := l.pools[name]
 		free -= p.raise(p.claim.Guarantee, usage[name].Used, free)
 	}
@@ -88,20 +88,20 @@
 	return allowed
 }
 
-// raise lets the allowance rise to a level, as far as what is free allows, and returns how
-// much of that it takes.
+// raise raises the allowance to a level, by at most the free units, and returns how many
+// free units it takes.
 func (p *pool) raise(level, used, free int) (taken int) {
 	more := min(level-p.allowed, free)
 	if more <= 0 {
 		return 0
 	}
-	counted := max(used-p.allowed, 0) // in use beyond its allowance: not free already
+	counted := max(used-p.allowed, 0) // in use beyond the allowance, so not counted as free
 	p.allowed += more
 	return max(more-counted, 0)
 }
 
-// lend divides what is not guaranteed: first by what pools want, and then what is left over as
-// well, so that the first pool to want some need not wait for the next step.
+// lend divides the units that are not guaranteed: first by demand, and then the unwanted rest, so
+// that a pool with new demand need not wait for the next step.
 func (l *Ledger) lend(names []string, usage map[string]Usage) (lent []int) {
 	rest := l.total
 	var wants []int
@@ -127,7 +127,7 @@
 	return lent
 }
 
-// headroom is how much more of an amount each pool could use, by its bound.
+// headroom returns how much more of an amount each pool may use within its Max. A leaving pool has none.
 func (l *Ledger) headroom(names []string, lent []int, amount int) []int {
 	headroom := make([]int, len(names))
 	for i, name := range names {
