--- a/message/message.go
+++ b/message/message.go
@@ -1,6 +1,6 @@
-// Package message holds what a request is to the proxy, whatever protocol brought it in and whatever protocol carries
-// it on: the downstream side makes a [Request] and receives a [Result], the upstream side sends its [OutgoingRequest]
-// and returns a [Response], and neither side knows the other.
+// Package message defines requests and responses independently of the protocols on either side of the proxy. The
+// downstream side creates a [Request] and receives a [Result]; the upstream side sends the [OutgoingRequest] and
+// returns a [Response]. Neither side depends on the other.
 package message
 
 import (
@@ -11,50 +11,53 @@
 	"ryerill/internal/buffer"
 )
 
-// Bounds of the bodies of requests and responses.
+// Limits of request and response bodies, in bytes.
 const (
-	MaxBufferedBody = 64 << 10 // bytes that are held in memory as a whole; a longer body is streamed
-	MaxBody         = 64 << 20 // bytes in all
+	MaxBufferedBody = 64 << 10 // longest body that is buffered completely; a longer body is streamed
+	MaxBody         = 64 << 20 // longest body
 )
 
-// UnknownLength is the length of a body that does not state it.
+// UnknownLength is the length of a body whose length is not stated.
 const UnknownLength = -1
 
-// Upload is the part of a request's body that has not been received when the request is accepted. It can be read once.
+// Upload is the part of a request's body that is still to be received when the request is accepted. It can be read only
+// once.
 type Upload interface {
-	// Read returns io.EOF at the body's end. Another error means that the client broke off, or that the request ended.
+	// Read returns io.EOF at the end of the body. Any other error means that the client aborted the upload or that the
+	// request has ended.
 	io.Reader
-	// Consumed reports whether any of it has been read: then the request can't be sent again.
+	// Consumed reports whether any byte has been read; if so, the request can't be sent again.
 	Consumed() bool
 }
 
-// Client is who waits for a request's result.
+// Client is the client that waits for the result of a request.
 type Client interface {
-	// Left reports whether the client has closed its connection, as far as that is not noticed at once anyway; then the
-	// request has ended, too. It is asked right before the first byte of each attempt, and must not block.
+	// Left reports whether the client has closed its connection, in cases where the close is not detected at once. If
+	// it has, the request has ended as well. It is called right before the first byte of each attempt and must not
+	// block.
 	Left() bool
 }
 
-// OutgoingRequest is what each attempt sends to an endpoint; only the time left differs between attempts. The names of
-// its header are in canonical form; Body may be nil.
+// OutgoingRequest is the request that each attempt sends to an endpoint; only the announced time left differs between
+// attempts. Header names are in canonical form. Body may be nil.
 type OutgoingRequest struct {
 	Method string
 	Target string // path and query
 	Host   string
 	Header http.Header
 	Body   *buffer.Body // the whole body, or its beginning if there is a Stream
-	Stream Upload       // what follows Body; nil is nothing
-	Length int64        // bytes of Body and Stream together, or UnknownLength; without Stream it means nothing
-	Client Client       // nil never leaves
+	Stream Upload       // the rest of the body after Body; nil if Body is complete
+	Length int64        // bytes of Body and Stream together, or UnknownLength; unused without Stream
+	Client Client       // nil for a client that never leaves
 
 	// OnFree is called once by Free; it may be nil.
 	OnFree func()
 }
 
-// ClientLeft reports whether nobody waits for the result any more, as Client.Left does.
+// ClientLeft reports whether the client has left, as described at Client.Left.
 func (r *OutgoingRequest) ClientLeft() bool { return r.Client != nil && r.Client.Left() }
 
-// Free releases the body once no attempt needs it any more.
+// Free releases the body. It must be called when no attempt needs the body any more.
 func (r *OutgoingRequest) Free() {
 	if r == nil {
 		return
@@ -66,25 +69,25 @@
 	}
 }
 
-// Response is a successful answer of an endpoint. A nil Response is empty.
+// Response is a successful response of an endpoint. Free accepts a nil Response.
 type Response struct {
 	Header http.Header
 	Body   *buffer.Body  // the whole body, or its beginning if there is a Stream
-	Stream io.ReadCloser // what follows Body while the endpoint sends it; nil is nothing
-	Length int64         // bytes of Body and Stream together, or UnknownLength; without Stream it means nothing
+	Stream io.ReadCloser // the rest of the body, while the endpoint sends it; nil if Body is complete
+	Length int64         // bytes of Body and Stream together, or UnknownLength; unused without Stream
 
 	// OnFree is called once by Free; it may be nil.
 	OnFree func()
 }
 
-// Free releases the body and ends what is still to be received.
+// Free releases the body and closes the stream of the rest.
 func (r *Response) Free() {
 	if r == nil {
 		return
 	}
 	r.Body.Free()
 	if r.Stream != nil {
-		_ = r.Stream.Close() // nobody reads it any more
+		_ = r.Stream.Close() // the stream has no reader any more
 		r.Stream = nil
 	}
 	if r.OnFree != nil {
@@ -93,46 +96,46 @@
 	}
 }
 
-// Request is one request of a client as it was received.
+// Request is a request as received from a client.
 type Request struct {
-	Class       int    // index among the classes of its pool
-	Tenant      int    // index among the tenants of its pool; -1 is none of them
-	Key         uint64 // hash of what the request concerns; 0 is unknown
+	Class       int    // index of its class in the pool
+	Tenant      int    // index of its tenant in the pool; -1 for none
+	Key         uint64 // hash of the key that the request concerns; 0 if unknown
 	ClientRetry bool   // the client marked it as a retry
 	Write       bool
-	ReceivedAt  time.Time     // when its last byte was received; with a Stream, when it was accepted
-	Remaining   time.Duration // from then until the client gives up
+	ReceivedAt  time.Time     // when its last byte was received, or when it was accepted if it is streamed
+	Remaining   time.Duration // time from ReceivedAt until the client gives up
 	Outgoing    *OutgoingRequest
 
-	// Reply carries the one final result to the client. It must not block.
+	// Reply sends the final result to the client. It is called once and must not block.
 	Reply func(Result)
 }
 
-// ResultKind is how a request ended.
+// ResultKind is the kind of a Result.
 type ResultKind uint8
 
-// The kinds of result.
+// The kinds of results.
 const (
 	Served   ResultKind = iota
-	Shed                // rejected to shed load: a retry is harmless
-	Failed              // nothing is known of its execution
-	TimedOut            // failed, since no response came in time
+	Shed                // rejected to shed load; a retry is safe
+	Failed              // it is unknown whether the request was executed
+	TimedOut            // failed because no response arrived in time
 )
 
 // Result is the final result of a request.
 type Result struct {
 	Kind       ResultKind
-	Response   *Response     // if served; the receiver frees it
-	RetryAfter time.Duration // advice for the client; 0 is none
+	Response   *Response     // set if Kind is Served; the receiver must free it
+	RetryAfter time.Duration // advice for the client; 0 for none
 }
 
-// Handler accepts requests of the downstream side and ensures that each receives its result. Its methods are safe for
+// Handler accepts requests from the downstream side and ensures that each gets a result. Its methods are safe for
 // concurrent use.
 type Handler interface {
-	// Accept takes ownership of a request. The ticket identifies it in later calls.
+	// Accept takes ownership of a request. The returned ticket identifies the request in later calls.
 	Accept(*Request) (ticket uint64)
-	// ClientLeft ends a request whose client has disconnected. It reports whether a result was still owed.
+	// ClientLeft ends a request whose client has disconnected. It reports whether the result was still outstanding.
 	ClientLeft(ticket uint64) (owed bool)
-	// Expire has the request answered now, unless it has been.
+	// Expire ends a request now with a result, unless it already has one.
 	Expire(ticket uint64)
 }
