--- a/route/find.go
+++ b/route/find.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// maxDotSegment is the length of the longest dot segment, with both dots escaped.
+// maxDotSegment is the length of the longest encoding of a dot segment.
 const maxDotSegment = len("%2e%2e")
 
-// Find returns the index of the rule that takes precedence, or ErrPath or ErrNone. Its time grows with the length of
-// the host and path and with how many patterns share their segments, not with the number of rules.
+// Find returns the index of the matching rule that takes precedence, or ErrPath or ErrNone. Its running time depends on
+// the length of the host and path and on how many patterns share their segments, not on the number of rules.
 func (t *Table) Find(request *Request) (int, error) {
 	path := request.Path
 	if path == "" || path[0] != '/' || !isPlain(path) {
@@ -22,7 +22,7 @@
 	return found.index, nil
 }
 
-// find searches the exact host's rules, then those of wildcards, longest first, then those of any host.
+// find searches the rules of the exact host, then those of wildcards, longest first, then those for any host.
 func (t *Table) find(host, path string, request *Request) *rule {
 	if found := t.exactHosts[host].find(path, 0, request); found != nil {
 		return found
@@ -37,7 +37,7 @@
 	return t.anyHost.find(path, 0, request)
 }
 
-// normalizeHost is a host in small letters, without its port and final dot.
+// normalizeHost returns a host in lower case, without its port and final dot.
 func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -45,8 +45,8 @@
 	return strings.ToLower(strings.TrimSuffix(host, "."))
 }
 
-// isPlain reports whether a path can be matched segment by segment: an endpoint would resolve dot segments, and so
-// execute another path.
+// isPlain reports whether a path can be matched segment by segment. A path with dot segments can't: an endpoint would
+// resolve them and serve another path.
 func isPlain(path string) bool {
 	for part := range strings.SplitSeq(path[1:], "/") {
 		mayBeDots := len(part) <= maxDotSegment && strings.Contains(part, ".")
@@ -61,8 +61,8 @@
 	return true
 }
 
-// find searches a node's children for the remainder of a path in order of precedence: literals, then any segment, then
-// the rules for all paths below the node.
+// find returns the first matching rule for the remainder of a path, or nil. It searches in order of precedence: literal
+// segments, then {name}, then the rules for all paths below the node.
 func (n *node) find(path string, depth int, request *Request) *rule {
 	if n == nil {
 		return nil
@@ -71,10 +71,10 @@
 		part, next, more := strings.Cut(path, "/")
 		text := part
 		if strings.Contains(part, "%") {
-			text, _ = url.PathUnescape(part) // isPlain has checked it
+			text, _ = url.PathUnescape(part) // isPlain has checked the escapes
 		}
 		for _, child := range [2]*node{n.literals[text], n.named} {
-			if found := child.findBehind(next, more, depth, request); found != nil {
+			if found := child.findNext(next, more, depth, request); found != nil {
 				return found
 			}
 		}
@@ -82,8 +82,8 @@
 	return n.rest.find(request)
 }
 
-// findBehind continues after a segment that matched; more is whether other segments follow it.
-func (n *node) findBehind(next string, more bool, depth int, request *Request) *rule {
+// findNext continues the search after a matching segment; more states whether segments follow it.
+func (n *node) findNext(next string, more bool, depth int, request *Request) *rule {
 	if n == nil {
 		return nil
 	}
@@ -96,15 +96,15 @@
 	return n.rest.find(request)
 }
 
-// Target returns the path and query that are sent on by a rule: unchanged, or with the part before the rule's *
-// replaced.
+// Target returns the path and query to send to the endpoint under a rule: unchanged, or, if the rule states a rewrite,
+// with the part before the rule's * replaced.
 func (t *Table) Target(index int, target string) string {
 	r := &t.rules[index]
 	if r.Rewrite == "" {
 		return target
 	}
 	path, query, hasQuery := strings.Cut(target, "?")
-	rewritten := r.Rewrite + pathBehind(path, len(r.segments))
+	rewritten := r.Rewrite + pathAfter(path, len(r.segments))
 	if rewritten == "" {
 		rewritten = "/"
 	}
@@ -114,8 +114,8 @@
 	return rewritten
 }
 
-// pathBehind is what follows so many segments of a path, with its leading slash.
-func pathBehind(path string, segments int) string {
+// pathAfter returns the part of a path after the given number of segments, with its leading slash.
+func pathAfter(path string, segments int) string {
 	for range segments {
 		i := strings.IndexByte(path[1:], '/')
 		if i < 0 {
--- a/route/leaf.go
+++ b/route/leaf.go
@@ -7,21 +7,21 @@
 	"strings"
 )
 
-// leaf holds the rules of one host and path.
+// leaf holds the rules with the same host and path.
 type leaf struct {
 	rules []*rule
-	index map[leafKey][]*rule // those with most headers first
+	index map[leafKey][]*rule // by method and class; rules with more headers first
 }
 
-// leafKey is a method and class that rules state; empty is any.
+// leafKey is a method and class stated by a rule; an empty string stands for any.
 type leafKey struct{ method, class string }
 
-// precedence lists where the rules for a method and class lie, those that take precedence first.
+// precedence returns the keys of the rules for a method and class, highest precedence first.
 func precedence(method, class string) [4]leafKey {
 	return [4]leafKey{{method, class}, {method, ""}, {"", class}, {"", ""}}
 }
 
-// statedOrAny returns a list, or for an empty one a list of "" alone.
+// statedOrAny returns list, or a list with only "" if list is empty.
 func statedOrAny(list []string) []string {
 	if len(list) == 0 {
 		return []string{""}
@@ -29,7 +29,7 @@
 	return list
 }
 
-// keys are all keys under which a rule is indexed.
+// keys returns all keys under which a rule is indexed.
 func (r *rule) keys() (keys []leafKey) {
 	for _, method := range statedOrAny(r.Methods) {
 		for _, class := range statedOrAny(r.Classes) {
@@ -39,9 +39,9 @@
 	return keys
 }
 
-// buildIndex indexes a leaf's rules and finds those that tie.
+// buildIndex indexes the rules of a leaf and returns the ties among them.
 func (l *leaf) buildIndex() (problems []Problem) {
-	reported := map[[2]int]bool{} // pairs of rules that tie
+	reported := map[[2]int]bool{} // pairs of tied rules already reported
 	for _, r := range l.rules {
 		for _, key := range r.keys() {
 			for _, other := range l.index[key] {
@@ -52,8 +52,8 @@
 				reported[pair] = true
 				problems = append(problems, tie(other, r, key))
 			}
-			if len(l.index[key]) >= MaxAlike {
-				text := fmt.Sprintf("route %q: more than %d routes differ in their headers alone", r.Name, MaxAlike)
+			if len(l.index[key]) >= MaxHeaderVariants {
+				text := fmt.Sprintf("route %q: more than %d routes differ only in headers", r.Name, MaxHeaderVariants)
 				tooMany := Problem{Kind: Malformed, Rules: []int{r.index}, Field: "headers", Text: text}
 				return append(problems, tooMany)
 			}
@@ -66,7 +66,7 @@
 	return problems
 }
 
-// tie is the problem of two rules of equal precedence.
+// tie returns the problem of two rules with equal precedence.
 func tie(earlier, later *rule, key leafKey) Problem {
 	return Problem{
 		Kind:  Tie,
@@ -78,7 +78,7 @@
 	}
 }
 
-// example describes a request that matches two rules of one leaf.
+// example returns a description of a request that matches both rules of one leaf.
 func example(key leafKey, a, b *rule) string {
 	var text strings.Builder
 	method := key.method
@@ -105,7 +105,7 @@
 	return text.String()
 }
 
-// examplePath is a host and path that a rule matches.
+// examplePath returns a host and path that match a rule.
 func examplePath(r *rule) string {
 	var text strings.Builder
 	if below, isWildcard := strings.CutPrefix(r.Host, wildcardPrefix); isWildcard {
@@ -126,7 +126,7 @@
 	return text.String()
 }
 
-// findShadowed finds the rules that never take precedence, whatever the method and class of a request.
+// findShadowed returns a problem for each rule that never takes precedence, for any method and class in the vocabulary.
 func (l *leaf) findShadowed(vocabulary Vocabulary) (problems []Problem) {
 	if len(l.rules) < 2 {
 		return nil
@@ -151,8 +151,9 @@
 	return problems
 }
 
-// shadowing returns the indexes of rules that take precedence over r for all of its requests together; it is empty if r
-// takes precedence for any. Where neither the rule nor the vocabulary states what may come, nothing can be shadowed.
+// shadowing returns the indices of the rules that together take precedence over r for all its requests. It returns none
+// if r takes precedence for any request. If neither the rule nor the vocabulary states the possible methods or classes,
+// the rule is not shadowed.
 func (l *leaf) shadowing(r *rule, vocabulary Vocabulary) map[int]bool {
 	methods := r.Methods
 	if len(methods) == 0 {
@@ -175,7 +176,7 @@
 	return shadowing
 }
 
-// takesPrecedence returns a rule that takes precedence over r for each of r's requests of a method and class, or nil.
+// takesPrecedence returns a rule that takes precedence over r for all of r's requests with a method and class, or nil.
 func (l *leaf) takesPrecedence(r *rule, method, class string) *rule {
 	for _, key := range precedence(method, class) {
 		for _, other := range l.index[key] {
@@ -190,7 +191,7 @@
 	return nil
 }
 
-// find returns the first of a leaf's rules that a request matches, or nil.
+// find returns the rule of the leaf that matches a request and takes precedence, or nil.
 func (l *leaf) find(request *Request) *rule {
 	if l == nil {
 		return nil
--- a/route/route.go
+++ b/route/route.go
@@ -1,54 +1,54 @@
-// Package route decides which pool a request goes to. It is pure: a Table is made
-// once of rules, never changes, and may be used from many goroutines.
+// Package route selects the pool for a request. It does no I/O. A [Table] is built
+// from rules, is immutable, and is safe for concurrent use.
 //
-// A rule states a host, a path, methods, classes and headers; what it leaves
-// out matches everything. Of the rules that match a request one takes precedence, by a
-// total order:
+// A rule states a host, a path, methods, classes and headers; a field that is not
+// stated matches everything. If several rules match a request, the order of
+// precedence is:
 //
-//  1. the host: an exact one before a wildcard, a longer wildcard before a
-//     shorter one, no host last;
+//  1. the host: an exact host before a wildcard, a longer wildcard before a
+//     shorter one, a rule without a host last;
 //  2. the path, segment by segment from the left: a literal before {name},
-//     {name} before *, and the path's end before *;
-//  3. stated methods before any;
-//  4. stated classes before any;
+//     {name} before *, and the end of the path before *;
+//  3. rules that state methods before rules that don't;
+//  4. rules that state classes before rules that don't;
 //  5. more headers before fewer.
 //
-// Two rules of equal precedence that one request may match are an error of the
-// table, which names both and shows such a request.
+// If one request can match two rules of equal precedence, [New] reports a problem
+// with both names and an example request.
 package route
 
 import (
 	"errors"
 )
 
-// Bounds of a table. What exceeds them is a problem of the rule that does.
+// Limits of a table. [New] reports a problem for a rule that exceeds one.
 const (
-	MaxRules    = 1 << 16
-	MaxSegments = 64  // of a path; a request with more matches only rules that end with *
-	MaxAlike    = 256 // rules of one host, path, method and class that differ in headers alone
+	MaxRules          = 1 << 16
+	MaxSegments       = 64  // segments of a path; a request with more matches only rules with * or without a path
+	MaxHeaderVariants = 256 // rules that differ only in their headers
 )
 
-// Rule is one route.
+// Rule is a route as configured.
 type Rule struct {
 	Name    string
-	Host    string   // "app.svc", "*.svc" for every name below it, "" for any
-	Path    string   // "/a/b", "/a/{id}/b", "/a/*" for /a and all below it, "" for any
-	Methods []string // none is any
-	Classes []string // none is any
+	Host    string   // "app.svc", "*.svc" for every name below svc, "" for any
+	Path    string   // "/a/b", "/a/{id}/b", "/a/*" for /a and all paths below it, "" for any
+	Methods []string // empty for any
+	Classes []string // empty for any
 	Headers []Header // all must match
 	Pool    string
 
-	// Rewrite replaces the part before the * of the path, if it is stated.
+	// Rewrite, if not empty, replaces the part of the path before the *.
 	Rewrite string
 }
 
-// Header matches a request that has a header, with that value if one is stated.
+// Header matches requests with a header of that name, and with that value if one is stated.
 type Header struct {
 	Name  string
-	Value string // empty is any
+	Value string // empty for any
 }
 
-// Request is what a table finds a rule for.
+// Request holds the properties of a request that rules can match.
 type Request struct {
 	Host   string // with or without a port
 	Path   string // percent-encoded
@@ -57,33 +57,33 @@
 	Header func(name string) (value string, found bool)
 }
 
-// Errors of a request.
+// Errors returned by Find.
 var (
 	ErrNone = errors.New("no route meets the request")
 	ErrPath = errors.New("the path has dot segments or a malformed escape")
 )
 
-// Kind is the kind of a problem.
+// Kind is the kind of a Problem.
 type Kind string
 
-// The kinds of problem. A shadowed rule is a warning; with any other problem there is no table.
+// The kinds of problems. A shadowed rule is a warning; any other problem prevents the table from being built.
 const (
-	Malformed   Kind = "malformed"   // a rule is not one
-	Tie         Kind = "tie"         // two rules take precedence for one request
+	Malformed   Kind = "malformed"   // a field of the rule is invalid
+	Tie         Kind = "tie"         // two rules of equal precedence match one request
 	Unreachable Kind = "unreachable" // no request can match the rule
-	Shadowed    Kind = "shadowed"    // others take precedence wherever the rule matches
+	Shadowed    Kind = "shadowed"    // other rules take precedence for all its requests
 )
 
-// Problem is one thing that is wrong with the rules.
+// Problem is a fault in the rules.
 type Problem struct {
 	Kind    Kind
-	Rules   []int  // indices; the one at fault first
-	Field   string // of the first rule
-	Text    string // for people
-	Example string // a request that shows it
+	Rules   []int  // indices of the rules; the rule at fault first
+	Field   string // name of the field of the first rule
+	Text    string // description for operators
+	Example string // a request that shows the problem; may be empty
 }
 
-// Fatal reports whether there is no table because of it.
+// Fatal reports whether the problem prevents the table from being built.
 func (p Problem) Fatal() bool { return p.Kind != Shadowed }
 
 // Error describes the problem, with an example if there is one.
@@ -94,8 +94,8 @@
 	return p.Text + ", as for " + p.Example
 }
 
-// Vocabulary is the methods and classes that requests can have; an empty list is any. It serves to find rules that are
-// shadowed.
+// Vocabulary lists the methods and classes that requests can have; an empty list stands for any. [New] uses it to find
+// shadowed rules.
 type Vocabulary struct {
 	Methods []string
 	Classes []string
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestTheMostSpecificGoesFirst(t *testing.T) {
+func TestFindPrefersMostSpecificRule(t *testing.T) {
 	rules := []Rule{
 		{Name: "all", Pool: "p"},
 		{Name: "svc", Host: "*.svc", Pool: "p"},
@@ -70,58 +70,58 @@
 	} {
 		i, err := table.Find(&tc.r)
 		if err != nil || table.rules[i].Name != tc.want {
-			t.Errorf("%+v: %v, %v; want %s", tc.r, table.rules[i].Name, err, tc.want)
+			t.Errorf("request %+v: got rule %v, error %v; want rule %s", tc.r, table.rules[i].Name, err, tc.want)
 		}
 	}
 	for target, want := range map[string]string{"/shops/7/x?a=/shops": "/v2/s/7/x?a=/shops", "/shops": "/v2/s", "/shops?q": "/v2/s?q"} {
 		i, _ := table.Find(&Request{Host: "app.svc", Path: strings.Split(target, "?")[0]})
 		if table.rules[i].Name == "shops" {
 			if got := table.Target(i, target); got != want {
-				t.Errorf("%s goes on as %s, want %s", target, got, want)
+				t.Errorf("target %s: got %s, want %s", target, got, want)
 			}
 		}
 	}
 }
 
-// A path that another reader would resolve to another one is never routed.
-func TestPathsThatCanBeReadInTwoWaysAreRefused(t *testing.T) {
+// A path that an endpoint may resolve to a different path is rejected.
+func TestFindRejectsAmbiguousPaths(t *testing.T) {
 	table, _ := New([]Rule{{Name: "all", Pool: "p"}}, Vocabulary{})
 	for _, path := range []string{"", "x", "/..", "/a/../b", "/a/./b", "/a/%2e%2E/b", "/%2e", "/a%zz", "/.%2e/x"} {
 		if _, err := table.Find(&Request{Path: path}); !errors.Is(err, ErrPath) {
-			t.Errorf("%q: %v", path, err)
+			t.Errorf("path %q: unexpected error %v", path, err)
 		}
 	}
 	for _, path := range []string{"/", "/a..b", "/...", "/a//b", "/%41"} {
 		if _, err := table.Find(&Request{Path: path}); err != nil {
-			t.Errorf("%q: %v", path, err)
+			t.Errorf("path %q: unexpected error %v", path, err)
 		}
 	}
 }
 
-func TestProblemsAreNamed(t *testing.T) {
+func TestNewReportsProblems(t *testing.T) {
 	known := Vocabulary{Methods: []string{"GET", "POST"}, Classes: []string{"view", "swap"}}
 	for _, tc := range []struct {
 		name  string
 		rules []Rule
 		kind  Kind
-		says  string
+		text  string
 	}{
 		{"same", []Rule{{Name: "a", Path: "/x/{id}"}, {Name: "b", Path: "/x/{other}"}}, Tie, `routes "a" and "b" meet the same requests and neither is more specific, as for GET /x/x`},
 		{"methods overlap", []Rule{{Name: "a", Methods: []string{"GET", "PUT"}}, {Name: "b", Methods: []string{"PUT"}}}, Tie, "as for PUT /x"},
 		{"classes overlap", []Rule{{Name: "a", Classes: []string{"view"}}, {Name: "b", Classes: []string{"swap", "view"}}}, Tie, "of class view"},
-		{"headers may both be there", []Rule{{Name: "a", Headers: []Header{{"X", "1"}}}, {Name: "b", Headers: []Header{{"Y", ""}}}}, Tie, "with X: 1 with Y: x"},
-		{"headers exclude each other", []Rule{{Name: "a", Headers: []Header{{"X", "1"}}}, {Name: "b", Headers: []Header{{"x", "2"}}}}, "", ""},
-		{"other hosts", []Rule{{Name: "a", Host: "x.svc"}, {Name: "b", Host: "*.svc"}}, "", ""},
+		{"compatible headers", []Rule{{Name: "a", Headers: []Header{{"X", "1"}}}, {Name: "b", Headers: []Header{{"Y", ""}}}}, Tie, "with X: 1 with Y: x"},
+		{"exclusive headers", []Rule{{Name: "a", Headers: []Header{{"X", "1"}}}, {Name: "b", Headers: []Header{{"x", "2"}}}}, "", ""},
+		{"different hosts", []Rule{{Name: "a", Host: "x.svc"}, {Name: "b", Host: "*.svc"}}, "", ""},
 		{"contradiction", []Rule{{Name: "a", Headers: []Header{{"X", "1"}, {"x", "2"}}}}, Unreachable, "can't be"},
-		{"dots", []Rule{{Name: "a", Path: "/a/%2e%2e"}}, Malformed, "can meet no request"},
+		{"dots", []Rule{{Name: "a", Path: "/a/%2e%2e"}}, Malformed, "can match no request"},
 		{"star inside", []Rule{{Name: "a", Path: "/a/*/b"}}, Malformed, `unexpected segment "*"`},
 		{"no slash", []Rule{{Name: "a", Path: "a"}}, Malformed, "begins with /"},
 		{"bad host", []Rule{{Name: "a", Host: "a.*.svc"}}, Malformed, "unexpected host"},
 		{"rewrite without a rest", []Rule{{Name: "a", Path: "/a", Rewrite: "/b"}}, Malformed, "ends with *"},
-		{"small letters", []Rule{{Name: "a", Methods: []string{"get"}}}, Malformed, "in capitals"},
+		{"lower case", []Rule{{Name: "a", Methods: []string{"get"}}}, Malformed, "in capitals"},
 		{"shadowed by all methods", []Rule{{Name: "rest"}, {Name: "g", Methods: []string{"GET"}}, {Name: "p", Methods: []string{"POST"}}}, Shadowed, `route "rest" never comes first: "g", "p" meet all that it meets`},
 		{"shadowed by classes", []Rule{{Name: "g", Methods: []string{"GET"}}, {Name: "v", Methods: []string{"GET"}, Classes: []string{"view", "swap"}}}, Shadowed, `route "g" never comes first`},
-		{"a header leaves room", []Rule{{Name: "rest"}, {Name: "g", Methods: []string{"GET"}}, {Name: "p", Methods: []string{"POST"}, Headers: []Header{{"X", ""}}}}, "", ""},
+		{"not shadowed by a rule with a header", []Rule{{Name: "rest"}, {Name: "g", Methods: []string{"GET"}}, {Name: "p", Methods: []string{"POST"}, Headers: []Header{{"X", ""}}}}, "", ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			for i := range tc.rules {
@@ -134,19 +134,19 @@
 				}
 				return
 			}
-			if len(problems) != 1 || problems[0].Kind != tc.kind || !strings.Contains(problems[0].Error(), tc.says) {
-				t.Fatalf("got %v, want %s %q", problems, tc.kind, tc.says)
+			if len(problems) != 1 || problems[0].Kind != tc.kind || !strings.Contains(problems[0].Error(), tc.text) {
+				t.Fatalf("got problems %v, want one of kind %s with text %q", problems, tc.kind, tc.text)
 			}
 			if problems[0].Fatal() != (table == nil) {
-				t.Error("a fatal problem leaves no table, another one does")
+				t.Error("got a table with a fatal problem or none without, want a table exactly if no problem is fatal")
 			}
 		})
 	}
 }
 
-// --- The naive matcher: every rule, by the words of the package's doc.
+// --- The naive matcher: checks every rule, as the package documentation describes.
 
-func (r *rule) meets(q *Request) bool {
+func (r *rule) matches(q *Request) bool {
 	host := normalizeHost(q.Host)
 	if rest, ok := strings.CutPrefix(r.Host, "*."); ok {
 		if !strings.HasSuffix(host, "."+rest) {
@@ -168,8 +168,8 @@
 	return in(r.Methods, q.Method) && in(r.Classes, q.Class) && r.headersMatch(q)
 }
 
-// before compares two rules that meet one request.
-func (r *rule) beats(o *rule) bool {
+// takesPrecedenceOver compares two rules that match one request.
+func (r *rule) takesPrecedenceOver(o *rule) bool {
 	rank := func(host string) int {
 		switch {
 		case host == "":
@@ -211,10 +211,10 @@
 	return len(r.Headers) > len(o.Headers)
 }
 
-func naive(t *Table, q *Request) (int, bool) {
+func naiveFind(t *Table, q *Request) (int, bool) {
 	var best *rule
 	for i := range t.rules {
-		if r := &t.rules[i]; r.meets(q) && (best == nil || r.beats(best)) {
+		if r := &t.rules[i]; r.matches(q) && (best == nil || r.takesPrecedenceOver(best)) {
 			best = r
 		}
 	}
@@ -228,14 +228,14 @@
 	Fatalf(string, ...any)
 }, table *Table, q *Request) {
 	got, err := table.Find(q)
-	want, ok := naive(table, q)
+	want, ok := naiveFind(table, q)
 	if ok != (err == nil) || ok && got != want {
-		t.Fatalf("%+v: found %d (%v), the naive matcher %d (%v)", q, got, err, want, ok)
+		t.Fatalf("request %+v: got rule %d (error %v), naive matcher got rule %d (found %v)", q, got, err, want, ok)
 	}
 }
 
-// drawn makes rules and requests of few words, so that many of them meet.
-func drawn(pick func(n int) int) ([]Rule, []Request) {
+// randomInput returns random rules and requests from a small vocabulary, so that many of them match.
+func randomInput(pick func(n int) int) ([]Rule, []Request) {
 	words := []string{"a", "b", "c"}
 	word := func() string { return words[pick(len(words))] }
 	some := func(list ...string) []string {
@@ -278,10 +278,10 @@
 	return rules, requests
 }
 
-func agree(t interface {
+func checkAgreement(t interface {
 	Fatalf(string, ...any)
 }, rules []Rule, requests []Request) {
-	for { // what ties is taken out, until a table stands
+	for { // remove the rules at fault until the table can be built
 		table, problems := New(rules, Vocabulary{})
 		if table != nil {
 			for i := range requests {
@@ -305,10 +305,10 @@
 	}
 }
 
-func TestTheTableAgreesWithANaiveMatcher(t *testing.T) {
+func TestFindAgreesWithNaiveMatcher(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rules, requests := drawn(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") })
-		agree(t, rules, requests)
+		rules, requests := randomInput(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") })
+		checkAgreement(t, rules, requests)
 	})
 }
 
@@ -316,17 +316,17 @@
 	f.Add(uint64(1), uint64(2))
 	f.Fuzz(func(t *testing.T, a, b uint64) {
 		rng := rand.New(rand.NewPCG(a, b))
-		rules, requests := drawn(rng.IntN)
-		agree(t, rules, requests)
+		rules, requests := randomInput(rng.IntN)
+		checkAgreement(t, rules, requests)
 	})
 }
 
-// A rule that is called shadowed never comes first, and no two rules of a table tie.
-func TestShadowedNeverComesFirst(t *testing.T) {
+// A rule reported as shadowed never takes precedence for any request.
+func TestShadowedRuleNeverTakesPrecedence(t *testing.T) {
 	known := Vocabulary{Methods: []string{"GET", "POST", "PUT"}, Classes: []string{"view", "swap", ""}}
 	rng, found := rand.New(rand.NewPCG(3, 4)), 0
 	for range 3000 {
-		rules, requests := drawn(rng.IntN)
+		rules, requests := randomInput(rng.IntN)
 		table, problems := New(rules, known)
 		if table == nil {
 			continue
@@ -335,13 +335,13 @@
 			got, err := table.Find(&requests[i])
 			for _, p := range problems {
 				if found++; err == nil && p.Rules[0] == got {
-					t.Fatalf("%v, and yet it comes first for %+v", p, requests[i])
+					t.Fatalf("problem %v: the rule takes precedence for request %+v, want never", p, requests[i])
 				}
 			}
 		}
 	}
 	if found == 0 {
-		t.Error("nothing was ever shadowed: the test shows nothing")
+		t.Error("got no shadowed rule in any table, want some for the test to be valid")
 	}
 }
 
--- a/route/rule.go
+++ b/route/rule.go
@@ -7,40 +7,40 @@
 	"strings"
 )
 
-// wildcardPrefix begins a host that stands for all names below it.
+// wildcardPrefix marks a host that matches all names below the rest of it.
 const wildcardPrefix = "*."
 
-// rule is a rule that has been parsed.
+// rule is a parsed Rule.
 type rule struct {
 	Rule
 	index    int
 	segments []segment
-	hasRest  bool // its path goes on with *, or is not stated
+	hasRest  bool // the path ends with * or is not stated
 }
 
-// segment is a part of a rule's path: a literal, or any one if it is named.
+// segment is a segment of a rule's path: a literal, or {name}, which matches any segment.
 type segment struct {
 	text  string
 	named bool
 }
 
-// fault is what is wrong with one field of a rule.
+// fault describes an invalid field of a rule.
 type fault struct{ field, text string }
 
-// check parses a rule. It returns the problem that keeps the rule out of the table, or nil.
+// check parses a rule. It returns the problem that makes the rule invalid or unreachable, or nil.
 func (r *rule) check() *Problem {
 	if f := r.parse(); f != nil {
 		text := fmt.Sprintf("route %q: %s", r.Name, f.text)
 		return &Problem{Kind: Malformed, Rules: []int{r.index}, Field: f.field, Text: text}
 	}
 	if contradiction := r.contradiction(); contradiction != "" {
-		text := fmt.Sprintf("route %q: no request can meet it: %s", r.Name, contradiction)
+		text := fmt.Sprintf("route %q: no request can match it: %s", r.Name, contradiction)
 		return &Problem{Kind: Unreachable, Rules: []int{r.index}, Field: "headers", Text: text}
 	}
 	return nil
 }
 
-// parse checks the fields in order and cuts the path into segments. It returns the first fault, or nil.
+// parse validates the fields in order and splits the path into segments. It returns the first fault, or nil.
 func (r *rule) parse() *fault {
 	for _, parseField := range []func() *fault{
 		r.parseHost, r.parsePath, r.checkMethods, r.checkClasses, r.checkHeaders, r.checkPool, r.parseRewrite,
@@ -62,7 +62,7 @@
 		strings.HasPrefix(name, ".") || strings.HasSuffix(name, ".")
 	if malformed {
 		return &fault{"host", fmt.Sprintf(
-			"unexpected host %q, want a name as in app.svc, or *.svc for all below it", r.Host)}
+			"unexpected host %q, want a name like app.svc, or *.svc for all names below svc", r.Host)}
 	}
 	return nil
 }
@@ -103,18 +103,18 @@
 	decoded, err := url.PathUnescape(text)
 	if err != nil || isDotSegment(decoded) {
 		return segment{}, &fault{"path", fmt.Sprintf(
-			"segment %q of path %q can meet no request: dot segments and malformed escapes are refused", text, path)}
+			"segment %q of path %q can match no request: dot segments and malformed escapes are rejected", text, path)}
 	}
 	return segment{decoded, named}, nil
 }
 
-// isDotSegment reports whether another reader of a path would resolve a segment.
+// isDotSegment reports whether a decoded segment is one that an endpoint may resolve.
 func isDotSegment(text string) bool { return text == "." || text == ".." }
 
 func (r *rule) checkMethods() *fault {
 	for i, method := range r.Methods {
 		if method == "" || strings.ToUpper(method) != method || slices.Contains(r.Methods[:i], method) {
-			return &fault{"methods", fmt.Sprintf("unexpected method %q, want each once and in capitals", method)}
+			return &fault{"methods", fmt.Sprintf("unexpected method %q, want each method once and in capitals", method)}
 		}
 	}
 	return nil
@@ -123,7 +123,7 @@
 func (r *rule) checkClasses() *fault {
 	for i, class := range r.Classes {
 		if class == "" || slices.Contains(r.Classes[:i], class) {
-			return &fault{"classes", fmt.Sprintf("unexpected class %q, want each once", class)}
+			return &fault{"classes", fmt.Sprintf("unexpected class %q, want each class once", class)}
 		}
 	}
 	return nil
@@ -132,7 +132,7 @@
 func (r *rule) checkHeaders() *fault {
 	for _, header := range r.Headers {
 		if header.Name == "" || strings.ContainsAny(header.Name, " :\r\n") {
-			return &fault{"headers", fmt.Sprintf("unexpected name %q of a header", header.Name)}
+			return &fault{"headers", fmt.Sprintf("unexpected header name %q", header.Name)}
 		}
 	}
 	return nil
@@ -140,7 +140,7 @@
 
 func (r *rule) checkPool() *fault {
 	if r.Pool == "" {
-		return &fault{"pool", "a pool is missing"}
+		return &fault{"pool", "the pool is missing"}
 	}
 	return nil
 }
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// contradiction names headers of the rule that can't match together; empty is none.
+// contradiction describes two headers of the rule that no request can match together; it is empty if there are none.
 func (r *rule) contradiction() string {
 	for i, a := range r.Headers {
 		for _, b := range r.Headers[:i] {
@@ -168,17 +168,17 @@
 	return ""
 }
 
-// excludes reports whether no request can match both headers.
+// excludes reports whether no request can match both h and other.
 func (h Header) excludes(other Header) bool {
 	return strings.EqualFold(h.Name, other.Name) && h.Value != other.Value && h.Value != "" && other.Value != ""
 }
 
-// implies reports whether a request that matches h matches other.
+// implies reports whether every request that matches h matches other.
 func (h Header) implies(other Header) bool {
 	return strings.EqualFold(h.Name, other.Name) && (other.Value == "" || other.Value == h.Value)
 }
 
-// compatible reports whether one request can match the headers of both rules.
+// compatible reports whether a request can match the headers of both rules.
 func (r *rule) compatible(other *rule) bool {
 	for _, a := range r.Headers {
 		for _, b := range other.Headers {
@@ -190,14 +190,14 @@
 	return true
 }
 
-// headersImply reports whether a request that matches the headers of r matches those of other.
+// headersImply reports whether every request that matches the headers of r matches those of other.
 func (r *rule) headersImply(other *rule) bool {
 	return !slices.ContainsFunc(other.Headers, func(wanted Header) bool {
 		return !slices.ContainsFunc(r.Headers, func(stated Header) bool { return stated.implies(wanted) })
 	})
 }
 
-// headersMatch reports whether a request has all headers of the rule.
+// headersMatch reports whether a request matches all headers of the rule.
 func (r *rule) headersMatch(request *Request) bool {
 	for _, header := range r.Headers {
 		if request.Header == nil {
--- a/route/table.go
+++ b/route/table.go
@@ -6,27 +6,27 @@
 	"strings"
 )
 
-// Table finds the rule of a request. It is a tree for each host: of path segments, with a leaf for each path that rules
-// state.
+// Table finds the rule for a request. It holds a tree of path segments for each host, with a leaf for each path stated
+// by rules. It is immutable and safe for concurrent use.
 type Table struct {
 	exactHosts    map[string]*node
-	wildcardHosts map[string]*node // by the name below which they match
+	wildcardHosts map[string]*node // by the host without the wildcard prefix
 	anyHost       *node
 	rules         []rule
 }
 
 // node is a node in a tree of path segments.
 type node struct {
-	literals map[string]*node // next segment, by its text
-	named    *node            // next segment, whatever its text
-	end      *leaf            // rules whose path ends here
-	rest     *leaf            // rules whose path goes on with *
+	literals map[string]*node // children for literal segments, by text
+	named    *node            // child for {name}, which matches any segment
+	end      *leaf            // rules whose path ends at this node
+	rest     *leaf            // rules whose path continues with *
 }
 
-// New makes a table of rules. It is nil if one of the problems is fatal.
+// New builds a table from rules and returns the problems of the rules. The table is nil if any problem is fatal.
 func New(rules []Rule, vocabulary Vocabulary) (*Table, []Problem) {
 	if len(rules) > MaxRules {
-		text := fmt.Sprintf("%d routes are more than %d", len(rules), MaxRules)
+		text := fmt.Sprintf("got %d routes, want at most %d", len(rules), MaxRules)
 		return nil, []Problem{{Kind: Malformed, Text: text}}
 	}
 	t := &Table{
@@ -63,7 +63,7 @@
 	return t, problems
 }
 
-// firstRule is the index of the rule at fault, or -1.
+// firstRule returns the index of the rule at fault, or -1 if the problem has none.
 func (p Problem) firstRule() int {
 	if len(p.Rules) == 0 {
 		return -1
@@ -71,7 +71,7 @@
 	return p.Rules[0]
 }
 
-// leafOf finds or makes the leaf of a rule.
+// leafOf returns the leaf of a rule and creates it if needed.
 func (t *Table) leafOf(r *rule) *leaf {
 	n := t.hostNode(r.Host)
 	for _, s := range r.segments {
@@ -87,7 +87,7 @@
 	return *place
 }
 
-// hostNode finds or makes the root of a host's tree.
+// hostNode returns the root of the tree of a host and creates it if needed.
 func (t *Table) hostNode(host string) *node {
 	if host == "" {
 		if t.anyHost == nil {
@@ -107,7 +107,7 @@
 	return hosts[name]
 }
 
-// child finds or makes the child node for a segment.
+// child returns the child node for a segment and creates it if needed.
 func (n *node) child(s segment) *node {
 	if s.named {
 		if n.named == nil {
