--- a/drain/drain.go
+++ b/drain/drain.go
@@ -1,34 +1,34 @@
-// Package drain states what a proxy that stops taking requests does in each phase,
-// by the time since its drain or shutdown began and nothing else. It does no I/O.
+// Package drain defines the phases of a proxy that drains or shuts down. The phase
+// depends only on the time since the drain or shutdown began. It does no I/O.
 package drain
 
 import "time"
 
-// Never is a phase that does not come.
+// Never is the start time of a phase that never begins.
 const Never = time.Duration(1<<63 - 1)
 
-// When each phase begins. Load balancers and clients still send for a while: up to 0.3 s
-// after a drain was ordered, up to 0.4 s after a shutdown began. Nothing may be left of a drain
-// after 4 s that arrived in the last 2 s of them.
+// Start times of the phases. Load balancers and clients keep sending requests for up to 0.3 s
+// after a manual drain and for up to 0.4 s after a shutdown began. 4 s after a drain began, no
+// request that arrived in the last 2 s may be open.
 const (
 	manualCloseAfter   = 500 * time.Millisecond
 	manualRejectAfter  = 1500 * time.Millisecond
 	shutdownStopAfter  = 550 * time.Millisecond
-	handoverStopAfter  = 50 * time.Millisecond // only a client that was about to connect still does
+	handoverStopAfter  = 50 * time.Millisecond // only a client that was already connecting still arrives
 	handoverCloseAfter = 1200 * time.Millisecond
 )
 
-// Plan is when each phase begins, counted from the start of the drain or shutdown.
+// Plan states when each phase begins, relative to the start of the drain or shutdown.
 type Plan struct {
-	KeepsProcess       bool          // one listener closes and the process stays: nobody kills it
-	Ready              bool          // the readiness check still succeeds: another process of this proxy serves
+	KeepsProcess       bool          // only a listener closes; the process is not killed
+	Ready              bool          // the readiness check still succeeds, as another process of this proxy serves
 	CloseAfterResponse time.Duration // each response closes its connection
 	CloseIdle          time.Duration // idle connections are closed
 	Reject             time.Duration // new requests are rejected at once
 	StopAccepting      time.Duration // no connection is accepted any more
 }
 
-// Manual is the plan of a drain that the operators have ordered. The proxy goes on listening,
+// Manual returns the plan of a drain started by the operators. The proxy keeps listening,
 // as the drain may be stopped.
 func Manual() Plan {
 	return Plan{
@@ -39,9 +39,9 @@
 	}
 }
 
-// Shutdown is the plan of a process that ends and is killed after a while at the
-// earliest. It serves the connections that it has for half of that time, as there may be
-// no other process that serves.
+// Shutdown returns the plan of a process that ends and is killed no earlier than
+// killedAfter. It serves its open connections for half of that time, as there may be
+// no other process to serve them.
 func Shutdown(killedAfter time.Duration) Plan {
 	return Plan{
 		CloseAfterResponse: killedAfter / 2,
@@ -51,8 +51,8 @@
 	}
 }
 
-// Handover is the plan of a process whose successor serves already: each response
-// closes its connection, so that the client's next one leads to the successor.
+// Handover returns the plan of a process whose successor already serves. Each response
+// closes its connection, so that the client's next connection goes to the successor.
 func Handover() Plan {
 	return Plan{
 		Ready:              true,
@@ -63,7 +63,7 @@
 	}
 }
 
-// Phase is what holds at one moment.
+// Phase is the behavior of the proxy at one moment.
 type Phase struct {
 	Ready               bool // the readiness check succeeds
 	ClosesAfterResponse bool // each response closes its connection
@@ -72,7 +72,7 @@
 	StopsAccepting      bool // no connection is accepted
 }
 
-// At returns what holds so long after the start.
+// At returns the phase at an elapsed time since the start.
 func (p Plan) At(elapsed time.Duration) Phase {
 	return Phase{
 		Ready:               p.Ready,
@@ -83,7 +83,7 @@
 	}
 }
 
-// Combine returns what holds where two phases do at once.
+// Combine returns the phase of a proxy that is in two phases at the same time.
 func Combine(a, b Phase) Phase {
 	return Phase{
 		Ready:               a.Ready && b.Ready,
