--- a/fairshare/fairshare.go
+++ b/fairshare/fairshare.go
@@ -83,17 +83,17 @@
 // divideEvenly gives each claimant level times its weight, rounded down, and then
 // distributes the remainder of the amount one unit at a time.
 func divideEvenly(parts, claimants []int, amount int, level float64, wants []int, weights []float64) {
-	given := 0
+	distributed := 0
 	for _, i := range claimants {
 		parts[i] = min(int(level*weights[i]), wants[i])
-		given += parts[i]
+		distributed += parts[i]
 	}
-	for progress := true; progress && given < amount; {
+	for progress := true; progress && distributed < amount; {
 		progress = false
 		for _, i := range claimants {
-			if given < amount && parts[i] < wants[i] {
+			if distributed < amount && parts[i] < wants[i] {
 				parts[i]++
-				given++
+				distributed++
 				progress = true
 			}
 		}
--- a/fairshare/fairshare_test.go
+++ b/fairshare/fairshare_test.go
@@ -112,12 +112,12 @@
 				t.Fatalf("step %d: got %d units in use, want at most %d: used %v", step, sum, total, used)
 			}
 			allowed = ledger.Step(usage)
-			reach := 0
+			maxUsed := 0
 			for name := range map[string]bool{"0": true, "1": true, "2": true, "3": true} {
-				reach += max(used[name], allowed[name])
+				maxUsed += max(used[name], allowed[name])
 			}
-			if reach > total {
-				t.Fatalf("step %d: pools may use up to %d units, want at most %d: used %v, allowed %v", step, reach, total, used, allowed)
+			if maxUsed > total {
+				t.Fatalf("step %d: pools may use up to %d units, want at most %d: used %v, allowed %v", step, maxUsed, total, used, allowed)
 			}
 		}
 		// After all units are returned, each pool has its guarantee at the second step.
--- a/fairshare/ledger.go
+++ b/fairshare/ledger.go
@@ -59,11 +59,11 @@
 func (l *Ledger) Step(usage map[string]Usage) map[string]int {
 	names := slices.Sorted(maps.Keys(l.pools))
 	lent := l.lend(names, usage)
-	reach := 0 // the most that may be in use under the previous allowances
+	maxUsed := 0 // the most that may be in use under the previous allowances
 	for _, name := range names {
-		reach += max(usage[name].Used, l.pools[name].allowed)
+		maxUsed += max(usage[name].Used, l.pools[name].allowed)
 	}
-	free := max(l.total-reach, 0)
+	free := max(l.total-maxUsed, 0)
 	for i, name := range names { // reductions take effect at once
 		p := l.pools[name]
 		p.allowed = min(p.allowed, p.claim.Guarantee+lent[i])
@@ -95,9 +95,9 @@
 	if more <= 0 {
 		return 0
 	}
-	counted := max(used-p.allowed, 0) // in use beyond the allowance, so not counted as free
+	overuse := max(used-p.allowed, 0) // in use beyond the allowance, so not counted as free
 	p.allowed += more
-	return max(more-counted, 0)
+	return max(more-overuse, 0)
 }
 
 // lend divides the units that are not guaranteed: first by demand, and then the unwanted rest, so
--- a/upstream/attempt.go
+++ b/upstream/attempt.go
@@ -37,13 +37,13 @@
 	use ConnectionUse // set by Do
 
 	// mu guards the fields below.
-	mu         sync.Mutex
-	conn       *conn // nil unless a connection is attached
-	cancelled  bool
-	withdrawn  bool               // writing must not start any more
-	writing    bool               // the first byte may have been written
-	allowedAt  time.Time          // when the first byte was last permitted
-	cancelDial context.CancelFunc // nil unless a dial is in progress
+	mu          sync.Mutex
+	conn        *conn // nil unless a connection is attached
+	cancelled   bool
+	withdrawn   bool               // writing must not start any more
+	writing     bool               // the first byte may have been written
+	permittedAt time.Time          // when the first byte was last permitted
+	cancelDial  context.CancelFunc // nil unless a dial is in progress
 }
 
 // Cancel ends the attempt: it interrupts the dial, or the read or write on the connection. It does not block.
@@ -100,7 +100,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.writing = !a.cancelled
-	a.allowedAt = time.Now()
+	a.permittedAt = time.Now()
 	return a.writing
 }
 
@@ -112,7 +112,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.allowedAt = time.Now()
+	a.permittedAt = time.Now()
 	return !a.cancelled && !a.withdrawn
 }
 
@@ -125,7 +125,7 @@
 	at := time.Now()
 	if bytes > maxBytesAtOnce {
 		a.mu.Lock()
-		at = a.allowedAt
+		at = a.permittedAt
 		a.mu.Unlock()
 	}
 	a.OnSent(at)
--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -81,11 +81,11 @@
 	}
 	written := p.writeRequest(conn, a)
 	switch written {
-	case connectionBroke:
+	case connectionFailed:
 		return balancer.ConnectFailed, nil, false // the last byte was not written, so the request never ran
-	case localFault, uploadBroke:
+	case localFault, uploadFailed:
 		return balancer.NotSent, nil, false
-	case answeredEarly:
+	case respondedEarly:
 		// The deadline applied to the response to a complete request, and this request stays incomplete.
 		if limit := time.Now().Add(progressTimeout); limit.Before(a.Deadline) {
 			a.Deadline = limit
@@ -197,7 +197,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.unsolicitedLocked(conn)
+	p.handleUnsolicitedLocked(conn)
 	return false
 }
 
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -259,7 +259,7 @@
 // retireLocked closes an idle connection and classifies any bytes received on it. Callers must hold p.mu.
 func (p *Pool) retireLocked(c *conn) {
 	if c.peek() == socket.Waiting {
-		p.unsolicitedLocked(c)
+		p.handleUnsolicitedLocked(c)
 	}
 	p.dropLocked(c)
 }
@@ -314,14 +314,14 @@
 
 // CloseIdle closes the idle connections to the given endpoints, in one pass over all idle connections.
 func (p *Pool) CloseIdle(endpoints ...uint64) {
-	gone := make(map[uint64]bool, len(endpoints))
+	closing := make(map[uint64]bool, len(endpoints))
 	for _, id := range endpoints {
-		gone[id] = true
+		closing[id] = true
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for dest, list := range p.idle {
-		if gone[dest.endpoint] {
+		if closing[dest.endpoint] {
 			p.dropAllLocked(dest, list)
 		}
 	}
--- a/upstream/response.go
+++ b/upstream/response.go
@@ -35,18 +35,18 @@
 	}
 	conn.limit.N = math.MaxInt64
 	body := framed.Reader(conn.reader)
-	rest := &download{pool: p, conn: conn, body: body, remaining: message.MaxBody}
-	response = &message.Response{Header: head.parsed, Stream: rest, Length: length}
+	stream := &download{pool: p, conn: conn, body: body, remaining: message.MaxBody}
+	response = &message.Response{Header: head.parsed, Stream: stream, Length: length}
 	if !p.reserveBody(response) {
 		return balancer.OK, response, false // the whole body is streamed
 	}
 	var enough func() bool
 	if length == message.UnknownLength {
-		enough = heldLongEnough(conn, a)
+		enough = shouldStopHolding(conn, a)
 	}
 	part, whole, err := p.buffers.ReadPart(body, message.MaxBufferedBody+1, enough)
 	response.Body = part
-	rest.remaining -= int64(part.Len())
+	stream.remaining -= int64(part.Len())
 	switch {
 	case err != nil:
 		response.Stream = nil // the caller drops the connection
@@ -54,9 +54,9 @@
 		return outcomeOf(err), nil, false
 	case whole:
 		response.Stream = nil
-		own := p.isOwnResponse(conn, digestOfBody(head.text, part))
+		isOwn := p.isOwnResponse(conn, digestOfBody(head.text, part))
 		noTrailing := p.noTrailingBytes(conn)
-		if !own || !noTrailing && conn.use.Uses > 1 { // with trailing bytes, this may be part of another response
+		if !isOwn || !noTrailing && conn.use.Uses > 1 { // with trailing bytes, this may be part of another response
 			response.Free()
 			return balancer.Reset, nil, false
 		}
@@ -85,9 +85,9 @@
 	return true
 }
 
-// heldLongEnough returns a function that reports whether to pass on the received part of a body of unknown length: no
-// byte follows within maxHoldBack of the call to heldLongEnough, or more than maxHoldBack has passed since.
-func heldLongEnough(conn *conn, a *Attempt) func() bool {
+// shouldStopHolding returns a function that reports whether to pass on the received part of a body of unknown length:
+// no byte follows within maxHoldBack of the call to shouldStopHolding, or more than maxHoldBack has passed since.
+func shouldStopHolding(conn *conn, a *Attempt) func() bool {
 	began := time.Now()
 	return func() bool {
 		if conn.reader.Buffered() == 0 {
--- a/upstream/unsolicited.go
+++ b/upstream/unsolicited.go
@@ -59,9 +59,9 @@
 // maxInspected is the number of unsolicited bytes that are inspected.
 const maxInspected = 4 << 10
 
-// unsolicitedLocked classifies and reports the bytes received on a connection that will not be reused. If they arrived
-// late and could be mistaken for a response, the endpoint's connections rest longer. Callers must hold p.mu.
-func (p *Pool) unsolicitedLocked(c *conn) {
+// handleUnsolicitedLocked classifies and reports the bytes received on a connection that will not be reused. If they
+// arrived late and could be mistaken for a response, the endpoint's connections rest longer. Callers must hold p.mu.
+func (p *Pool) handleUnsolicitedLocked(c *conn) {
 	input, late := c.takeInput()
 	kind := c.classify(input)
 	p.reportUnsolicited(c, kind, late)
--- a/upstream/write.go
+++ b/upstream/write.go
@@ -22,11 +22,11 @@
 type writeResult uint8
 
 const (
-	writtenWhole    writeResult = iota // the last byte was written
-	answeredEarly                      // the endpoint sent bytes before the last byte was written, which ends the write
-	connectionBroke                    // the connection failed
-	localFault                         // this machine lacked a resource; no evidence against the endpoint
-	uploadBroke                        // the client did not send the rest of the body; no evidence against the endpoint
+	writtenWhole     writeResult = iota // the last byte was written
+	respondedEarly                      // the endpoint sent bytes before the last was written, which ended the write
+	connectionFailed                    // the connection failed
+	localFault                          // this machine lacked a resource; no evidence against the endpoint
+	uploadFailed                        // the rest of the body was not received; no evidence against the endpoint
 )
 
 // writeRequest writes the whole request, including the part of its body that the proxy has not received yet.
@@ -53,7 +53,7 @@
 	if isLocalFault(err) {
 		return localFault
 	}
-	return connectionBroke
+	return connectionFailed
 }
 
 // writeStream writes buffers and then the remainder of the body as it is received.
@@ -68,18 +68,18 @@
 		write = func(buffers net.Buffers) error { return conn.writeAll(buffers, nil) }
 		switch {
 		case err != nil && conn.hasInput():
-			return answeredEarly
+			return respondedEarly
 		case err != nil:
 			return writeResultOf(err)
 		case last:
 			return writtenWhole
 		case conn.hasInput():
-			return answeredEarly
+			return respondedEarly
 		}
 		n, err := a.Request.Stream.Read(block[:])
 		last = errors.Is(err, io.EOF)
 		if err != nil && !last {
-			return uploadBroke
+			return uploadFailed
 		}
 		buffers = net.Buffers{block[:n]}
 		if chunked {
