--- a/discovery/crossings_test.go
+++ b/discovery/broken_answers_test.go
@@ -15,10 +15,9 @@
 	"ryerill/internal/buffer"
 )
 
-// However an answer breaks off or lies, it is a failed call and never half a list, and
-// the call after it is notified whole: on another connection, in time for the rule on drains,
-// for a discovery service that is asked and for an agent alike.
-func TestAnswersThatBreak(t *testing.T) {
+// A truncated or invalid answer is a failed call and never a partial list. The list in the answer to the next call is
+// notified in full: over another connection, in time for drains, for a discovery service and for an agent alike.
+func TestBrokenAnswers(t *testing.T) {
 	const list = `{"index":8,"snapshot":true,"endpoints":[{"name":"s","address":"127.0.0.1:1","status":"Terminating"}]}`
 	ends := func(c *net.TCPConn) { c.CloseWrite() }
 	stays := func(*net.TCPConn) {}
@@ -28,26 +27,26 @@
 		whole      bool
 		repeated   bool // a service is called again at once
 	}{
-		{"whole", says(list), stays, true, false},
-		{"whole, and closes", says(list), ends, true, false},
-		{"indented", says("{\n  \"index\": 8,\n\t\"snapshot\": true,\r\n  \"endpoints\": [\n  ]\n}\n"), stays, true, false},
-		{"nothing changed", says(`{"index":7,"snapshot":false,"endpoints":[]}`), stays, true, false},
-		{"of an earlier version, whole", says(`{"index":3,"snapshot":true,"endpoints":[]}`), stays, true, false},
-		{"of an earlier version, changes", says(`{"index":3,"snapshot":false,"endpoints":[]}`), stays, false, false},
+		{"whole", okResponse(list), stays, true, false},
+		{"whole, and closes", okResponse(list), ends, true, false},
+		{"indented", okResponse("{\n  \"index\": 8,\n\t\"snapshot\": true,\r\n  \"endpoints\": [\n  ]\n}\n"), stays, true, false},
+		{"nothing changed", okResponse(`{"index":7,"snapshot":false,"endpoints":[]}`), stays, true, false},
+		{"of an earlier version, whole", okResponse(`{"index":3,"snapshot":true,"endpoints":[]}`), stays, true, false},
+		{"of an earlier version, changes", okResponse(`{"index":3,"snapshot":false,"endpoints":[]}`), stays, false, false},
 		{"silent", "", stays, false, false},
 		{"silent in its head", "HTTP/1.1 200 OK\r\nCont", stays, false, false},
-		{"silent in its body", says(list)[:90], stays, false, false},
+		{"silent in its body", okResponse(list)[:90], stays, false, false},
 		{"ended", "", ends, false, false},
 		{"reset", "", reset, false, false},
 		{"ended in its head", "HTTP/1.1 200 OK\r\nCont", ends, false, true},
-		{"ended in its body", says(list)[:90], ends, false, true},
-		{"reset in its body", says(list)[:90], reset, false, true},
+		{"ended in its body", okResponse(list)[:90], ends, false, true},
+		{"reset in its body", okResponse(list)[:90], reset, false, true},
 		{"ended in a body of no length", "HTTP/1.1 200 OK\r\n\r\n" + list[:60], ends, false, true},
 		{"ended in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n99\r\n" + list[:60], ends, false, true},
-		{"empty", says(""), stays, false, false},
-		{"no list", says("null"), stays, false, false},
-		{"no endpoints", says(`{"index":8,"snapshot":true}`), stays, false, false},
-		{"two lists", says(list + list), stays, false, false},
+		{"empty", okResponse(""), stays, false, false},
+		{"no list", okResponse("null"), stays, false, false},
+		{"no endpoints", okResponse(`{"index":8,"snapshot":true}`), stays, false, false},
+		{"two lists", okResponse(list + list), stays, false, false},
 		{"down", "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", stays, false, false},
 		{"not HTTP", "hello\r\n\r\n", stays, false, false},
 	} {
@@ -79,38 +78,38 @@
 				}
 				text := <-notifications
 				if (text != "failed") != tc.whole {
-					t.Fatalf("notified of %q", text)
+					t.Fatalf("got unexpected notification %q", text)
 				}
 				if took := time.Since(began); took > watchWait+answerTimeout+time.Second {
-					t.Errorf("notified of after %v", took)
+					t.Errorf("notified after %v, want at most 1s more than the bounds", took)
 				}
 				if tc.whole {
 					return
 				}
 				if _, err := first.Read(make([]byte, 1)); tc.text == "" && err == nil {
-					t.Error("the broken connection is used again")
+					t.Error("the broken connection was used again")
 				}
 				c.mu.Lock()
 				running := c.current.watch != nil
 				c.mu.Unlock()
 				if running != agent {
-					t.Errorf("the watch goes on: %v", running)
+					t.Errorf("got running watch %v, want the opposite", running)
 				}
-				c.Subscribe(true) // as the Balancer has it after its pause
+				c.Subscribe(true) // as the balancer does after its pause
 				next := <-conns
 				defer next.Close()
-				answerCall(t, next, says(list))
+				answerCall(t, next, okResponse(list))
 				if text := <-notifications; text != "list 8" {
-					t.Errorf("then notified of %q", text)
+					t.Errorf("after the next call: got notification %q, want \"list 8\"", text)
 				}
 			})
 		}
 	}
 }
 
-// Two moves in a row while a call is out, in any order with its answer: only what the
-// last discovery service says is notified after the last move, and one watch is left.
-func TestMovesInARow(t *testing.T) {
+// Two changes of address while a call is in flight, in any order with its answer: after the second change only lists
+// of the last service are notified, and one watch remains.
+func TestConsecutiveMoves(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
 	called := func(conns <-chan *net.TCPConn) *net.TCPConn {
 		c := <-conns
@@ -118,9 +117,9 @@
 		return c
 	}
 	list := func(index int) string {
-		return says(fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[]}`, index))
+		return okResponse(fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[]}`, index))
 	}
-	for _, early := range []bool{true, false} { // the old discovery services' answers come before the last move, or after
+	for _, early := range []bool{true, false} { // the answers of the old services arrive before the last change of address, or after it
 		a, toA := acceptConnections(t)
 		b, toB := acceptConnections(t)
 		notifications := make(recorder, 8)
@@ -133,7 +132,7 @@
 		if early {
 			io.WriteString(second, list(2))
 			if text := <-notifications; text != "list 2" {
-				t.Errorf("notified of %q", text)
+				t.Errorf("got notification %q, want \"list 2\"", text)
 			}
 		}
 		c.SetAddress(a.Addr().String())
@@ -144,14 +143,14 @@
 		third := called(toA)
 		io.WriteString(third, list(3))
 		if text := <-notifications; text != "list 3" {
-			t.Errorf("early %v: notified of %q", early, text)
+			t.Errorf("early %v: got notification %q, want \"list 3\"", early, text)
 		}
 		if len(notifications) > 0 {
-			t.Errorf("early %v: notified of %q besides", early, <-notifications)
+			t.Errorf("early %v: got an additional notification %q, want none", early, <-notifications)
 		}
 		cancel()
 		for _, c := range []net.Conn{first, second, third} {
-			io.Copy(io.Discard, c) // until the client has let go
+			io.Copy(io.Discard, c) // until the client has closed it
 			c.Close()
 		}
 		a.Close()
@@ -162,14 +161,15 @@
 	}
 }
 
-// A watch whose connection breaks with an answer or soon after one goes on over another at once, so that the service
-// sees it go on. It does so once for each whole answer, and not where the service has let the call wait.
-func TestWatchOutlivesItsConnection(t *testing.T) {
+// A watch whose connection breaks during an answer or shortly after one continues at once over another connection, so
+// that the service considers it continued. It does so once per complete answer, and not if the service has let the
+// call wait.
+func TestWatchContinuesOnNewConnection(t *testing.T) {
 	const answer = `{"index":8,"snapshot":true,"endpoints":[]}`
 	for _, tc := range []struct {
 		name     string
 		breaks   func(*net.TCPConn)
-		answered string // of the call after the first
+		answered string // answer to the second call
 		after    time.Duration
 		goesOn   bool
 	}{
@@ -186,9 +186,9 @@
 			c := NewClient(t.Context(), l.Addr().String(), EndpointList{}, new(buffer.Pool), notifications)
 			c.Subscribe(true)
 			first := <-conns
-			answerCall(t, first, says(answer))
+			answerCall(t, first, okResponse(answer))
 			if text := <-notifications; text != "list 8" {
-				t.Fatalf("notified of %q", text)
+				t.Fatalf("got notification %q, want \"list 8\"", text)
 			}
 			time.Sleep(tc.after)
 			if tc.answered != "" {
@@ -197,7 +197,7 @@
 			tc.breaks(first)
 			if !tc.goesOn {
 				if text := <-notifications; text != "failed" {
-					t.Errorf("notified of %q", text)
+					t.Errorf("got notification %q, want \"failed\"", text)
 				}
 				return
 			}
@@ -205,20 +205,20 @@
 			case next := <-conns:
 				request := answerCall(t, next, "")
 				if since := request.URL.Query().Get("since"); since != "8" {
-					t.Errorf("goes on with %s", request.URL)
+					t.Errorf("got call %s, want since=8", request.URL)
 				}
 				tc.breaks(next)
 			case text := <-notifications:
-				t.Fatalf("notified of %q", text)
+				t.Fatalf("got notification %q, want a call", text)
 			}
 			if text := <-notifications; text != "failed" {
-				t.Errorf("notified of %q after a second break", text)
+				t.Errorf("after a second break: got notification %q, want \"failed\"", text)
 			}
 		})
 	}
 }
 
-// answerCall reads a call on a connection and answers it.
+// answerCall reads a call from a connection and writes an answer.
 func answerCall(t *testing.T, c net.Conn, answer string) *http.Request {
 	t.Helper()
 	request, err := http.ReadRequest(bufio.NewReader(c))
@@ -229,8 +229,8 @@
 	return request
 }
 
-// says returns a response with a text as its body.
-func says(text string) string {
+// okResponse returns a response of status 200 with a body.
+func okResponse(text string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 }
 
@@ -239,7 +239,7 @@
 	c.Close()
 }
 
-// acceptConnections returns a listener and the connections to it.
+// acceptConnections returns a listener and the connections that it accepts.
 func acceptConnections(t *testing.T) (net.Listener, <-chan *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/discovery/client.go
+++ b/discovery/client.go
@@ -1,4 +1,5 @@
-// Package discovery is the client of a discovery service: it asks for the list of endpoints and watches its changes.
+// Package discovery is the client of a discovery service: it requests the list of endpoints and watches it for
+// changes.
 package discovery
 
 import (
@@ -15,20 +16,21 @@
 	"ryerill/internal/socket"
 )
 
-// The pause before the next call when an answer without changes came early.
+// emptyPause precedes the next call after an early answer without changes.
 const emptyPause = 50 * time.Millisecond
 
-// faultPlace is where calls fail that are made for discovery.
+// faultPlace is the place under which failed system calls of this package are recorded.
 const faultPlace = "discovery"
 
 // Listener is notified of the answers of the discovery service. Its methods are called one at a time and must not
 // block.
 type Listener interface {
-	// EndpointsListed receives a whole list, or changes of the one before.
+	// EndpointsListed receives a full list, or changes to the previous one.
 	EndpointsListed(EndpointList)
-	// EndpointsWithdrawn receives what a list withdraws that is not known whole, and may never be.
+	// EndpointsWithdrawn receives the withdrawn endpoints of a list that has been read only in part and may never be
+	// complete.
 	EndpointsWithdrawn(Withdrawals)
-	// ListingFailed reports that a call failed, or that the watch ended; the last list stays in force.
+	// ListingFailed reports that a call failed or that the watch ended. The last list stays in force.
 	ListingFailed(error)
 }
 
@@ -36,28 +38,28 @@
 type Client struct {
 	buffers *buffer.Pool
 	reserve *socket.Reserve
-	agent   bool // an agent on this machine: a watch continues after failed calls
+	agent   bool // the service is an agent on this machine: the watch continues after failed calls
 	timing  callTiming
-	ctx     context.Context // all calls are made in the background until it ends
+	ctx     context.Context // bounds the lifetime of all calls
 	end     context.CancelFunc
 
-	notifying sync.Mutex // held while listeners are notified, so that nothing of an old service follows a newer one
+	notifying sync.Mutex // held while listeners are notified: an old service is never notified after a newer one
 	listeners []Listener // guarded by notifying
 
-	// mu guards all that follows. It may be taken while notifying is held, not the other way round.
+	// mu guards the fields below. It may be locked while notifying is held, not the other way round.
 	mu          sync.Mutex
 	current     *source
-	previous    *source // the one before, which is watched on until the current one's watch stands; nil is none
-	watchWanted bool    // also while a watch that failed is not yet started again
+	previous    *source // the replaced source, watched until the watch of current is established; nil if there is none
+	watchWanted bool    // true even while a failed watch has not been restarted yet
 
-	turn watchTurn // of the watches of both
+	turn watchTurn // shared by the watches of current and previous
 
 	calls  callCounter
 	faults atomic.Pointer[faultlog.Recorder] // nil records nothing
 }
 
-// NewClient returns a client of the service at address, whose calls end with ctx, or once its last listener has left.
-// known is the list held already, if it is a whole one.
+// NewClient returns a client of the service at address. Its calls end with ctx, or when its last listener leaves.
+// known is the list that the caller already has, if it is a full one.
 func NewClient(
 	ctx context.Context, address string, known EndpointList, buffers *buffer.Pool, listener Listener,
 ) *Client {
@@ -72,13 +74,14 @@
 		current:   &source{address: address, holdsList: known.Snapshot, index: known.Index},
 		turn:      newWatchTurn(),
 	}
-	c.current.hold(known)
+	c.current.apply(known)
 	context.AfterFunc(ctx, c.reserve.Close)
 	return c
 }
 
-// NewAgentClient returns a client of an agent on the proxy's own machine, to which lists are pushed. Its watch goes
-// on by itself, whatever fails: the listener is notified of only the first of several failures in a row.
+// NewAgentClient returns a client of an agent on the proxy's own machine, which lists are pushed to. It starts its
+// watch itself and continues it after any failure; the listener is notified of only the first of several failures in a
+// row.
 func NewAgentClient(
 	ctx context.Context, address string, known EndpointList, buffers *buffer.Pool, listener Listener,
 ) *Client {
@@ -89,7 +92,7 @@
 	return c
 }
 
-// RecordFaults has the client record calls of the system that fail.
+// RecordFaults makes the client record failed system calls.
 func (c *Client) RecordFaults(faults *faultlog.Recorder) { c.faults.Store(faults) }
 
 // CallFailed implements [socket.Observer].
@@ -97,20 +100,21 @@
 	c.faults.Load().Failed(faultPlace, call, err, faultlog.Consequence(verdict), "")
 }
 
-// Join adds a listener. begin is called first, while no listener is notified: the new one may take over there what
-// another knows, and misses nothing that follows. It reports false, and calls nothing, if the last listener has left.
-func (c *Client) Join(listener Listener, begin func()) bool {
+// Join adds a listener. It calls beforeJoin first, while no listener is being notified: the new listener can copy the
+// state of another one there and misses no later notification. Join returns false without calling beforeJoin if the
+// last listener has left.
+func (c *Client) Join(listener Listener, beforeJoin func()) bool {
 	c.notifying.Lock()
 	defer c.notifying.Unlock()
 	if len(c.listeners) == 0 {
 		return false
 	}
-	begin()
+	beforeJoin()
 	c.listeners = append(c.listeners, listener)
 	return true
 }
 
-// Leave removes a listener. The last one to leave ends the client.
+// Leave removes a listener. The client ends when the last listener leaves.
 func (c *Client) Leave(listener Listener) {
 	c.notifying.Lock()
 	defer c.notifying.Unlock()
@@ -120,7 +124,7 @@
 	}
 }
 
-// Subscribe starts the watch, or ends it. It returns at once.
+// Subscribe starts or stops the watch. It does not block.
 func (c *Client) Subscribe(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,16 +139,16 @@
 	}
 }
 
-// SetAddress replaces the service by the one at address. The watch moves there with its next call, once the one that
-// is out has been answered: a service that is reached at another address sees the same watch go on, and does not reject
-// it however crowded it is by all that move. It asks from version 0, since another service may count its versions
-// otherwise; unless the answer is the whole list, that is requested besides, later.
+// SetAddress replaces the service with the one at address. The watch moves there with its next call, after the call in
+// flight has been answered: a service reached at another address then sees the same watch continue, and does not
+// reject it however many clients move at once. The first call asks for changes since version 0, as another service may
+// number its versions differently; unless its answer is the full list, the client requests that separately, later.
 //
-// Until the new watch stands, the service before it is watched on whenever a call to the new one fails. Once the new
-// one has answered, the old one can only withdraw endpoints, and once the new watch stands, the listener is notified of
-// nothing more from an old one.
+// Until the new watch is established, each failed call to the new service is followed by a call to the old one. After
+// the first answer of the new service the old one can only withdraw endpoints, and after the new watch is established
+// the listeners get nothing more from an old service.
 //
-// An agent answers all calls at once, and is asked for its whole list first, while the one before is watched on.
+// An agent answers all calls at once, so its full list is requested first, while the old service is still watched.
 func (c *Client) SetAddress(address string) {
 	c.notifying.Lock()
 	defer c.notifying.Unlock()
@@ -154,37 +158,37 @@
 		return
 	}
 	replaced := c.current
-	c.current = &source{address: address, watchedFirst: !c.agent}
+	c.current = &source{address: address, watchBeforeList: !c.agent}
 	if c.previous == nil && replaced.hasAnswered() && replaced.watch != nil {
 		c.previous = replaced
 	} else {
 		replaced.stopWatchLocked()
 	}
-	if c.watchWanted { // a watch that has just failed would be started again only after a pause
+	if c.watchWanted { // a watch that has just failed would otherwise restart only after a pause
 		c.startWatchLocked()
 	}
 }
 
-// Fetch requests the whole list once. It returns at once.
+// Fetch requests the full list once. It does not block.
 func (c *Client) Fetch() {
 	s := c.currentSource()
 	conn := c.newConnection(s)
 	go func() {
 		defer conn.close()
-		if _, err := c.request(c.ctx, conn, wholeListCall, s.recordFetched); err != nil {
+		if _, err := c.request(c.ctx, conn, fullListCall, s.recordFetched); err != nil {
 			c.notifyFailure(c.ctx, s, err)
 		}
 	}()
 }
 
-// answersOfStandingWatch is how many lists a watch has brought once it stands: the answer to the call that began it,
-// and that to the next one.
-const answersOfStandingWatch = 2
+// establishedWatchAnswers is the number of answers after which a watch is established: one to the call that began it,
+// one to the next call.
+const establishedWatchAnswers = 2
 
-// errObsolete is the error for a list of a service that doesn't matter any more.
-var errObsolete = errors.New("list of a service that has been replaced")
+// errSourceReplaced is the error for a list of a service that is neither the current nor the previous one.
+var errSourceReplaced = errors.New("list of a replaced service")
 
-// request makes one call and accepts the list that answers it.
+// request makes one call and accepts the list in its answer.
 func (c *Client) request(
 	ctx context.Context, conn *connection, call listCall, record func(EndpointList) (receivedList, error),
 ) (EndpointList, error) {
@@ -195,32 +199,32 @@
 	return list, c.accept(ctx, conn.source, list, record)
 }
 
-// accept records a list of a source and notifies the listeners of it. Both are one step: of two lists of one source the
-// one that is recorded first is notified first.
+// accept records a list of a source and notifies the listeners of it. It does both under c.notifying, so lists of one
+// source are notified in the order in which they are recorded.
 func (c *Client) accept(
 	ctx context.Context, s *source, list EndpointList, record func(EndpointList) (receivedList, error),
 ) error {
 	c.notifying.Lock()
 	defer c.notifying.Unlock()
 	if ctx.Err() != nil {
-		return errObsolete
+		return errSourceReplaced
 	}
-	news, err := c.newsOf(s, list, record)
+	update, err := c.recordUpdate(s, list, record)
 	if err != nil {
 		c.calls.failed(StageContent)
 		return err
 	}
 	c.calls.answered()
-	if s != c.currentSource() && !news.Snapshot && len(news.Endpoints) == 0 {
-		return nil // nothing changed, and it says nothing of how the new service is
+	if s != c.currentSource() && !update.Snapshot && len(update.Endpoints) == 0 {
+		return nil // nothing changed, and the state of the new service is unknown
 	}
 	for _, listener := range c.listeners {
-		listener.EndpointsListed(news)
+		listener.EndpointsListed(update)
 	}
 	return nil
 }
 
-// withdraw notifies the listeners of endpoints that a source withdraws in a list that is not read whole.
+// withdraw notifies the listeners of endpoints that a source withdraws in a list that has been read only in part.
 func (c *Client) withdraw(ctx context.Context, s *source, withdrawals Withdrawals) {
 	c.notifying.Lock()
 	defer c.notifying.Unlock()
@@ -246,8 +250,7 @@
 	return s.withdraw(withdrawals)
 }
 
-// notifyFailure notifies the listeners of a call that failed. How calls to a service fail that is about to be replaced
-// does not matter.
+// notifyFailure notifies the listeners of a failed call. Failures of a service that is being replaced are ignored.
 func (c *Client) notifyFailure(ctx context.Context, s *source, err error) {
 	c.notifying.Lock()
 	defer c.notifying.Unlock()
@@ -266,15 +269,15 @@
 	return c.current
 }
 
-// newsOf records a list of a source and returns what it tells the listeners. A watch that stands ends that of the
-// service before.
-func (c *Client) newsOf(
+// recordUpdate records a list of a source and returns the update for the listeners. An established watch ends the
+// watch of the previous service.
+func (c *Client) recordUpdate(
 	s *source, list EndpointList, record func(EndpointList) (receivedList, error),
 ) (EndpointList, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s != c.current && s != c.previous {
-		return EndpointList{}, errObsolete
+		return EndpointList{}, errSourceReplaced
 	}
 	received, err := record(list)
 	if err != nil {
@@ -282,11 +285,11 @@
 	}
 	switch {
 	case s == c.current:
-		if s.watchAnswers >= answersOfStandingWatch {
+		if s.acceptedFromWatch >= establishedWatchAnswers {
 			c.dropPreviousLocked()
 		}
 		return received.EndpointList, nil
-	case c.current.hasAnswered(): // what the new service tells counts; this one may lack endpoints of it
+	case c.current.hasAnswered(): // the new service is authoritative; the old one may not know all its endpoints
 		return EndpointList{Index: c.current.index, Endpoints: received.withdrawn}, nil
 	}
 	return received.EndpointList, nil
--- a/discovery/connection.go
+++ b/discovery/connection.go
@@ -16,43 +16,44 @@
 )
 
 const (
-	path = "/v1/endpoints"
+	endpointsPath = "/v1/endpoints"
 
 	maxListed    = 40_000  // endpoints
 	maxEntrySize = 1 << 10 // bytes, indented, on average
 	maxListBytes = maxListed * maxEntrySize
 
-	readSize = 64 << 10 // bytes that are read of an answer's body at once
+	readSize = 64 << 10 // bytes of an answer's body per read
 )
 
-// errListTooLarge is the error for an answer beyond maxListBytes.
+// errListTooLarge is the error for an answer larger than maxListBytes.
 var errListTooLarge = errors.New("answer is too large")
 
-// connection leads to a discovery service and is kept from call to call. One goroutine uses it.
+// connection is a connection to a discovery service that is reused for several calls. It is not safe for concurrent
+// use.
 type connection struct {
 	source  *source
 	conn    net.Conn
 	timing  callTiming
-	answer  *pacedReader  // of the call that is under way
-	reader  *bufio.Reader // of answer
+	answer  *pacedReader  // to the call in flight
+	reader  *bufio.Reader // reads from answer
 	buffers *buffer.Pool
-	reserve *socket.Reserve // the client's
+	reserve *socket.Reserve // shared with the client
 	faults  socket.Observer
-	next    *calledAhead // the next call, if it is out already; nil is none
+	next    *earlyCall // the next call, if it has already been sent; else nil
 
-	// Also of a connection that is closed since:
-	answeredAt time.Time // when the last byte of an answer came
-	broken     bool      // the other side has ended or reset it
+	// These also hold after the connection has been closed:
+	answeredAt time.Time // time of the last byte of the last answer
+	broken     bool      // the peer has closed or reset it
 }
 
-// calledAhead is a call that was written as soon as the answer before it had been read, before that was decoded.
-type calledAhead struct {
+// earlyCall is a call of a watch that was sent once the previous answer had been read, before that was decoded.
+type earlyCall struct {
 	call    listCall
-	version uint64    // that the answer before it began with
-	began   time.Time // when it was written
+	version uint64    // version at the start of the previous answer
+	began   time.Time // time at which it was sent
 }
 
-// newConnection returns a connection to a service, not yet opened.
+// newConnection returns a connection to a service. It is opened by the first call.
 func (c *Client) newConnection(s *source) *connection {
 	return &connection{
 		source:  s,
@@ -63,8 +64,8 @@
 	}
 }
 
-// openBy dials the service unless the connection is open already, and gives up at a deadline. Faults of this machine
-// that pass before that do not end it.
+// openBy dials the service unless the connection is open. It gives up at the deadline; transient faults of this
+// machine before that are retried.
 func (c *connection) openBy(ctx context.Context, deadline time.Time) error {
 	if c.conn != nil {
 		return nil
@@ -79,13 +80,13 @@
 		c.reserve.Fill()
 		return err
 	}
-	c.conn = socket.Steady{Conn: conn, Observer: c.faults} // for writes: answer reads
+	c.conn = socket.Steady{Conn: conn, Observer: c.faults} // for writes; answer does the reads
 	c.answer = &pacedReader{conn: conn, timing: c.timing, observer: c.faults}
 	c.reader = c.buffers.Reader(c.answer)
 	return nil
 }
 
-// dial dials the service once. Where the process has no descriptor left, one that was kept in reserve is used.
+// dial dials the service once. If the process is out of descriptors, it uses a reserved one.
 func (c *connection) dial(ctx context.Context, dialer *net.Dialer) (net.Conn, error) {
 	conn, err := dialer.DialContext(ctx, "tcp", c.source.address)
 	if socket.OutOfDescriptors(err) && c.reserve.Lend() {
@@ -107,7 +108,7 @@
 	c.next = nil
 }
 
-// get makes one call, unless it is out already, and returns the list that answers it.
+// get makes one call, unless it has already been sent, and returns the list in its answer.
 func (c *Client) get(ctx context.Context, conn *connection, call listCall) (EndpointList, error) {
 	began := time.Now()
 	conn.broken = false
@@ -130,8 +131,8 @@
 		conn.answeredAt = answer.lastReadAt
 	}
 	conn.broken = answer.broken || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
-	if call.wholeList && ctx.Err() == nil {
-		c.recordWholeListCall(conn.source, err, answer.hasBegun())
+	if call.fullList && ctx.Err() == nil {
+		c.recordFullListCall(conn.source, err, answer.hasBegun())
 	}
 	if err != nil || !reusable {
 		conn.close()
@@ -139,15 +140,15 @@
 	return list, err
 }
 
-// recordFailure counts a call that failed, unless the client has ended it.
+// recordFailure counts a failed call, unless the client itself ended the call.
 func (c *Client) recordFailure(ctx context.Context, stage CallStage) {
 	if ctx.Err() == nil {
 		c.calls.failed(stage)
 	}
 }
 
-// brokeAfterAnswer reports whether a call has failed because the connection broke with an answer or so soon after one
-// that the service need not have seen the call: it sees the watch go on if that is made again now.
+// brokeAfterAnswer reports whether a call failed because the connection broke during an answer or shortly after one.
+// The service may not have seen that call, and considers the watch continued if the call is repeated now.
 func (c *connection) brokeAfterAnswer(err error, began time.Time) bool {
 	if err == nil || !c.broken || c.answeredAt.IsZero() {
 		return false
@@ -155,15 +156,15 @@
 	return time.Since(c.answeredAt) < maxContinuationDelay || time.Since(began) < maxContinuationDelay
 }
 
-// firstByteTimeout is how long the first byte of an answer may take now, beyond what its call may wait.
+// firstByteTimeout returns how long the first byte of the next answer may take, in addition to the wait of its call.
 func (c *Client) firstByteTimeout(s *source) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.timing.firstByte(s.overdueCalls)
 }
 
-// recordWholeListCall counts the calls for a whole list in a row whose answer did not begin in time.
-func (c *Client) recordWholeListCall(s *source, err error, answerBegun bool) {
+// recordFullListCall counts consecutive calls for a full list whose answer did not begin in time.
+func (c *Client) recordFullListCall(s *source, err error, answerBegun bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -174,8 +175,8 @@
 	}
 }
 
-// firstByteBy is when the answer to a call of now has to begin that may take a time to. Where the call is out already,
-// the answer may have come meanwhile.
+// firstByteBy returns the deadline of the first byte of the answer to a call made now. If the call has already been
+// sent, its answer may be waiting: the deadline then leaves time for one read.
 func (c *connection) firstByteBy(now time.Time, timeout time.Duration) time.Time {
 	if c.next == nil {
 		return now.Add(timeout)
@@ -187,10 +188,11 @@
 	return deadline
 }
 
-// exchange writes one request, unless it is out already, and reads its answer; stop ends the reading. passOn gets the
-// entries that withdraw endpoints as they are read. It reports whether the connection may be used again.
+// exchange sends one request, unless it has already been sent, and reads the answer; stop aborts the reading.
+// onWithdrawn receives entries that withdraw endpoints as they are read. reusable is whether the connection can carry
+// another call.
 func (c *connection) exchange(
-	call listCall, stop func(), passOn func(Withdrawals),
+	call listCall, stop func(), onWithdrawn func(Withdrawals),
 ) (list EndpointList, reusable bool, err error) {
 	if c.next == nil {
 		err = c.write(call)
@@ -208,38 +210,38 @@
 		return list, false, &rejectedError{status: response.Status}
 	}
 	reusable = !response.Close
-	body := newReadAhead(&boundedReader{reader: response.Body, left: maxListBytes}, func(start []byte) {
+	body := newReadAhead(&boundedReader{reader: response.Body, remaining: maxListBytes}, func(start []byte) {
 		if call.watches && reusable && c.reader.Buffered() == 0 {
-			reusable = c.callAhead(start)
+			reusable = c.sendEarlyCall(start)
 		}
 	})
-	list, err = decodeList(body, passOn)
+	list, err = decodeList(body, onWithdrawn)
 	if err != nil {
 		c.abandon(body, stop)
 		return list, false, err
 	}
 	if c.next != nil && c.next.version != list.Index {
-		return list, false, nil // the text names two versions: that which counts has not been asked for
+		return list, false, nil // the text states two versions, and the early call asked since the wrong one
 	}
 	return list, reusable && c.reader.Buffered() == 0, nil
 }
 
-// write writes the request of a call.
+// write sends the request of a call.
 func (c *connection) write(call listCall) error {
 	_, err := io.WriteString(c.conn, "GET "+call.target+" HTTP/1.1\r\nHost: "+c.source.address+"\r\n\r\n")
 	return err
 }
 
-// callAhead makes the next call of a watch when an answer that begins with start has been read and is not yet decoded:
-// a service forgets a watch that does not go on soon. It reports whether the connection may be used on.
-func (c *connection) callAhead(start []byte) bool {
+// sendEarlyCall sends the next call of a watch after an answer that begins with start has been read and before it is
+// decoded: a service forgets a watch that does not continue soon. It reports whether the connection can still be used.
+func (c *connection) sendEarlyCall(start []byte) bool {
 	version, ok := leadingVersion(start)
 	if !ok {
 		return true
 	}
-	next := &calledAhead{call: watchCall(version, c.timing.watchWait), version: version, began: time.Now()}
+	next := &earlyCall{call: watchCall(version, c.timing.watchWait), version: version, began: time.Now()}
 	c.conn.SetWriteDeadline(next.began.Add(c.timing.answer))
-	if c.answer.ctx.Err() != nil { // perhaps since: what ends the call has set a deadline too
+	if c.answer.ctx.Err() != nil { // checked after setting the deadline: the end of the call sets one too
 		return false
 	}
 	if c.write(next.call) != nil {
@@ -249,7 +251,8 @@
 	return true
 }
 
-// abandon ends the reading of a body that is wrong. Where more of it was still being read, that has not failed.
+// abandon stops reading an invalid body. A background read that it aborts does not count as a failure of the
+// connection.
 func (c *connection) abandon(body *readAhead, stop func()) {
 	if !body.running {
 		return
@@ -260,17 +263,17 @@
 	c.answer.broken = false
 }
 
-// boundedReader fails where more comes than it allows.
+// boundedReader fails when more bytes arrive than it allows.
 type boundedReader struct {
-	reader io.Reader
-	left   int // bytes
+	reader    io.Reader
+	remaining int // bytes
 }
 
 // Read implements [io.Reader].
 func (r *boundedReader) Read(p []byte) (int, error) {
 	n, err := r.reader.Read(p)
-	r.left -= n
-	if r.left < 0 {
+	r.remaining -= n
+	if r.remaining < 0 {
 		return 0, errListTooLarge
 	}
 	return n, err
--- a/discovery/counts.go
+++ b/discovery/counts.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// CallStage is how far a call to a discovery service came that failed.
+// CallStage is the stage at which a call to a discovery service failed.
 type CallStage string
 
-// The stages.
+// Stages of a call.
 const (
-	StageConnect   CallStage = "connect"    // no connection
-	StageFirstByte CallStage = "first byte" // not written, or not answered
-	StageRejected  CallStage = "rejected"   // answered with another status than 200
-	StageBody      CallStage = "body"       // the answer did not come whole
-	StageContent   CallStage = "content"    // the answer is no list, or follows none that is held
+	StageConnect   CallStage = "connect"    // the connection was not opened
+	StageFirstByte CallStage = "first byte" // the request was not sent, or no answer began
+	StageRejected  CallStage = "rejected"   // the status of the answer was not 200
+	StageBody      CallStage = "body"       // the answer was incomplete
+	StageContent   CallStage = "content"    // not a list, or changes to an unknown list
 )
 
-// rejectedError is the error for an answer of another status than 200.
+// rejectedError is the error for an answer with a status other than 200.
 type rejectedError struct{ status string }
 
 func (e *rejectedError) Error() string { return "answered " + e.status }
 
-// failedStage is the stage at which a call failed whose connection was open.
+// failedStage returns the stage at which a call failed after its connection was open.
 func (r *pacedReader) failedStage(err error) CallStage {
 	var rejected *rejectedError
 	switch {
@@ -38,16 +38,16 @@
 	return StageContent
 }
 
-// CallCounts are the calls of a client since it began.
+// CallCounts counts the calls of a client since it was created.
 type CallCounts struct {
 	Answered    int64               `json:"answered"`
-	Failed      map[CallStage]int64 `json:"failed"` // by stage; calls that the client ended itself are left out
-	Bytes       int64               `json:"bytes"`  // of all answers, also of those cut off
+	Failed      map[CallStage]int64 `json:"failed"` // by stage; without calls that the client itself ended
+	Bytes       int64               `json:"bytes"`  // of all answers, including truncated ones
 	Withdrawn   int64               `json:"withdrawn_before_the_end"`
-	Watches     int64               `json:"watches"`         // that have begun
-	WatchesLost int64               `json:"watches_lost"`    // that have ended because a call failed
-	LongestRead time.Duration       `json:"longest_read_ns"` // from an answer's first byte to its last
-	AnsweredAt  time.Time           `json:"-"`               // when a list was last accepted; zero is never
+	Watches     int64               `json:"watches"`         // started
+	WatchesLost int64               `json:"watches_lost"`    // ended by a failed call
+	LongestRead time.Duration       `json:"longest_read_ns"` // from the first to the last byte of an answer
+	AnsweredAt  time.Time           `json:"-"`               // last accepted list; zero if none
 }
 
 // callCounter counts the calls of a client. It is safe for concurrent use.
@@ -74,7 +74,7 @@
 	c.counts.Failed[stage]++
 }
 
-// read counts what was read of an answer.
+// read counts the bytes of an answer and the time it took to read.
 func (c *callCounter) read(answer *pacedReader) {
 	if !answer.hasBegun() {
 		return
@@ -85,28 +85,28 @@
 	c.counts.LongestRead = max(c.counts.LongestRead, answer.lastReadAt.Sub(answer.began))
 }
 
-// withdrawn counts endpoints that a list withdrew before it was read whole.
+// withdrawn counts endpoints withdrawn by a list before all of it had been read.
 func (c *callCounter) withdrawn(endpoints int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Withdrawn += int64(endpoints)
 }
 
-// watchBegan counts a watch.
+// watchBegan counts a started watch.
 func (c *callCounter) watchBegan() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Watches++
 }
 
-// watchLost counts a watch that has ended because a call failed.
+// watchLost counts a watch that was ended by a failed call.
 func (c *callCounter) watchLost() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.WatchesLost++
 }
 
-// Counts returns the calls so far.
+// Counts returns a copy of the counts so far.
 func (c *Client) Counts() CallCounts {
 	c.calls.mu.Lock()
 	defer c.calls.mu.Unlock()
--- a/discovery/decoder.go
+++ b/discovery/decoder.go
@@ -10,17 +10,17 @@
 	"strings"
 )
 
-// trailingBlock is how much text behind a list is read at once, in bytes.
-const trailingBlock = 4 << 10
+// trailingBlockSize is the number of bytes read at a time after the end of a list.
+const trailingBlockSize = 4 << 10
 
-// Withdrawals are entries of a list that is not read whole: endpoints that get nothing new from now on.
+// Withdrawals are entries of a list that has been read only in part. Their endpoints get no new requests from now on.
 type Withdrawals struct {
-	Version   uint64 // of the list; 0 if that has not been read yet
-	Snapshot  bool   // the list is a whole one; false also if that has not been read yet
+	Version   uint64 // of the list; 0 if not read yet
+	Snapshot  bool   // whether the list is a full one; false if not read yet
 	Endpoints []Endpoint
 }
 
-// listDecoder reads a list as its text comes in.
+// listDecoder decodes a list while its text arrives.
 type listDecoder struct {
 	reader io.Reader
 	text   *json.Decoder
@@ -29,47 +29,47 @@
 	hasIndex     bool
 	hasEndpoints bool
 
-	pending []Endpoint        // withdrawn, and not passed on
-	passOn  func(Withdrawals) // nil: nobody wants them before the whole list
+	pending     []Endpoint        // withdrawn entries that have not been reported
+	onWithdrawn func(Withdrawals) // nil: withdrawals are not reported before the end of the list
 }
 
-// decodeList reads a list and checks each of its entries, so that a damaged answer is a failed call and never half a
-// list. Entries that withdraw endpoints are safe to take by themselves: passOn gets them before the reader is read on
-// and, where the list breaks off, at its end. It may be nil.
-func decodeList(reader io.Reader, passOn func(Withdrawals)) (EndpointList, error) {
-	d := &listDecoder{passOn: passOn}
-	interrupted := &interruptedReader{reader: reader, beforeRead: d.passOnPending}
-	d.reader = bufio.NewReaderSize(interrupted, readSize) // else the decoder reads half a KiB at once
+// decodeList decodes a list and checks each entry. A damaged answer is an error and never a partial list. Entries that
+// withdraw endpoints are safe to apply by themselves: onWithdrawn receives those decoded so far before each read of
+// reader, and the remaining ones when decoding ends, also by an error. onWithdrawn may be nil.
+func decodeList(reader io.Reader, onWithdrawn func(Withdrawals)) (EndpointList, error) {
+	d := &listDecoder{onWithdrawn: onWithdrawn}
+	hooked := &hookedReader{reader: reader, beforeRead: d.reportPending}
+	d.reader = bufio.NewReaderSize(hooked, readSize) // the decoder alone would read half a KiB at a time
 	d.text = json.NewDecoder(d.reader)
 	err := d.decode()
-	d.passOnPending()
+	d.reportPending()
 	if err != nil {
 		return EndpointList{}, fmt.Errorf("list of endpoints: %w", err)
 	}
 	return d.list, nil
 }
 
-// interruptedReader calls a function before each read.
-type interruptedReader struct {
+// hookedReader calls a function before each read.
+type hookedReader struct {
 	reader     io.Reader
 	beforeRead func()
 }
 
 // Read implements [io.Reader].
-func (r *interruptedReader) Read(p []byte) (int, error) {
+func (r *hookedReader) Read(p []byte) (int, error) {
 	r.beforeRead()
 	return r.reader.Read(p)
 }
 
-func (d *listDecoder) passOnPending() {
-	if len(d.pending) == 0 || d.passOn == nil {
+func (d *listDecoder) reportPending() {
+	if len(d.pending) == 0 || d.onWithdrawn == nil {
 		return
 	}
-	d.passOn(Withdrawals{Version: d.list.Index, Snapshot: d.list.Snapshot, Endpoints: d.pending})
+	d.onWithdrawn(Withdrawals{Version: d.list.Index, Snapshot: d.list.Snapshot, Endpoints: d.pending})
 	d.pending = nil
 }
 
-// decode reads the one value of the text.
+// decode reads the text, which must be one JSON object.
 func (d *listDecoder) decode() error {
 	if err := d.delimiter('{'); err != nil {
 		return err
@@ -88,10 +88,10 @@
 	return d.end()
 }
 
-// end reads to the end of the text, where nothing may follow.
+// end reads to the end of the text and fails if anything but white space follows the list.
 func (d *listDecoder) end() error {
 	rest := io.MultiReader(d.text.Buffered(), d.reader)
-	block := make([]byte, trailingBlock) // the decoder would keep all that it passes over
+	block := make([]byte, trailingBlockSize) // the decoder would buffer all white space
 	for {
 		n, err := rest.Read(block)
 		if len(bytes.TrimSpace(block[:n])) > 0 {
@@ -106,7 +106,7 @@
 	}
 }
 
-// delimiter reads a delimiter.
+// delimiter reads the delimiter want.
 func (d *listDecoder) delimiter(want json.Delim) error {
 	token, err := d.text.Token()
 	if err != nil {
@@ -118,13 +118,13 @@
 	return nil
 }
 
-// field reads a field of the list. Unknown ones are passed over.
+// field reads a field of the list. Unknown fields are skipped.
 func (d *listDecoder) field() error {
 	token, err := d.text.Token()
 	if err != nil {
 		return err
 	}
-	name, _ := token.(string) // the decoder takes nothing else here
+	name, _ := token.(string) // the decoder accepts only strings here
 	switch {
 	case strings.EqualFold(name, "index"):
 		var index *uint64
@@ -138,8 +138,8 @@
 	case strings.EqualFold(name, "endpoints"):
 		return d.endpoints()
 	default:
-		var passedOver json.RawMessage
-		err = d.text.Decode(&passedOver)
+		var skipped json.RawMessage
+		err = d.text.Decode(&skipped)
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// endpoints reads the entries, one after another.
+// endpoints reads the array of entries.
 func (d *listDecoder) endpoints() error {
 	if err := d.delimiter('['); err != nil {
 		return fmt.Errorf("endpoints: %w", err)
@@ -171,7 +171,7 @@
 	return d.delimiter(']')
 }
 
-// unexpectedEnd is the error for a text that ends before its value does.
+// unexpectedEnd replaces the error of a text that ends before its value does.
 func unexpectedEnd(err error) error {
 	if errors.Is(err, io.EOF) {
 		return errUnexpectedEnd
--- a/discovery/list.go
+++ b/discovery/list.go
@@ -9,43 +9,43 @@
 	"net/netip"
 )
 
-// The states of an endpoint.
+// States of an endpoint.
 const (
 	Ready       = "Ready"
-	Terminating = "Terminating" // completes the requests that it has and wants no new ones
-	Gone        = "Gone"        // only among changes
+	Terminating = "Terminating" // completes its open requests and wants no new ones
+	Gone        = "Gone"        // only in lists of changes
 )
 
-// maxSinceMS bounds the start of an endpoint, so that it fits a time.Duration with room to spare.
+// maxSinceMS bounds the start time of an endpoint, so that it fits a time.Duration with room to spare.
 const maxSinceMS = math.MaxInt64 / 2_000_000
 
-// Endpoint is one endpoint as the discovery service lists it.
+// Endpoint is an entry of the list of a discovery service.
 type Endpoint struct {
-	Name    string  `json:"name"`    // the same at every proxy
-	Address string  `json:"address"` // IP address and port by which this proxy reaches it
+	Name    string  `json:"name"`    // identical at all proxies
+	Address string  `json:"address"` // IP address and port at which this proxy reaches it
 	Zone    string  `json:"zone"`
 	Type    string  `json:"type"`
 	Group   int     `json:"group"`
 	Status  string  `json:"status"` // Ready, Terminating or Gone
 	Weight  float64 `json:"weight"`
-	SinceMS int64   `json:"since_ms"` // its last start in Unix milliseconds; 0 is unknown or long ago
+	SinceMS int64   `json:"since_ms"` // last start in Unix milliseconds; 0 if unknown or long ago
 }
 
-// EndpointList is an answer of the discovery service: the whole list, or changes of the one before.
+// EndpointList is an answer of the discovery service: the full list, or changes to the previous one.
 type EndpointList struct {
 	Index     uint64     `json:"index"`    // version of the list
-	Snapshot  bool       `json:"snapshot"` // the whole list
+	Snapshot  bool       `json:"snapshot"` // whether this is the full list
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// Errors of lists.
+// Errors of invalid lists.
 var (
 	errListIncomplete = errors.New("index or endpoints are missing")
 	errTrailingText   = errors.New("text after the list")
 	errUnexpectedEnd  = fmt.Errorf("unexpected end of the list: %w", io.ErrUnexpectedEOF)
 )
 
-// Parse reads a list that is there whole, and checks each of its entries.
+// Parse decodes a complete list and checks each entry.
 func Parse(text []byte) (EndpointList, error) { return decodeList(bytes.NewReader(text), nil) }
 
 func (e *Endpoint) check() error {
@@ -54,7 +54,7 @@
 	}
 	switch e.Status {
 	case Gone:
-		return nil // its address does not matter any more
+		return nil // the address is not used
 	case Ready, Terminating:
 	default:
 		return fmt.Errorf("status: unexpected value %q", e.Status)
--- a/discovery/list_test.go
+++ b/discovery/list_test.go
@@ -26,7 +26,7 @@
 	} {
 		_, err := Parse([]byte(tc.text))
 		if got := errText(err); tc.want == "" && err != nil || !strings.Contains(got, tc.want) {
-			t.Errorf("%s: got %q, want %q", tc.name, got, tc.want)
+			t.Errorf("%s: got error %q, want %q", tc.name, got, tc.want)
 		}
 	}
 }
--- a/discovery/readahead.go
+++ b/discovery/readahead.go
@@ -10,40 +10,40 @@
 	"sync"
 )
 
-// readAhead reads the body of an answer. What follows its first bytes is read in the background, so that the end of a
-// long list is noticed before the list is decoded. One goroutine uses it.
+// readAhead reads the body of an answer. After the first bytes it reads in the background, so that the end of a long
+// list is noticed before the list is decoded. It is not safe for concurrent use.
 type readAhead struct {
 	body  io.Reader
-	ended func(start []byte)
+	onEnd func(start []byte)
 
-	start  []byte // of the body, at least readSize bytes if it is that long
-	length int    // bytes read
+	start  []byte // of the body; at least readSize bytes of a longer one
+	length int    // bytes read so far
 
-	block   []byte // what is left of the block that is being decoded
-	begun   bool   // the reading in the background has: start and length belong to it
-	running bool   // it has begun, and Read has not returned its end
+	block   []byte // rest of the block that is being decoded
+	started bool   // the background reads have started: start and length belong to them
+	running bool   // the background reads have started, and Read has not returned their error
 
 	mu      sync.Mutex
-	changed sync.Cond // of mu: a block has been read, or the end
+	changed sync.Cond // on mu: signals a new block or the end of the body
 	blocks  [][]byte  // read and not yet decoded; guarded by mu, bounded by the body's length
-	failure error     // that ended the reading in the background; guarded by mu
+	failure error     // that ended the background reads; guarded by mu
 }
 
-// newReadAhead reads body. Where that is longer than readSize, ended is called in the background with its start as soon
-// as all of it has been read.
-func newReadAhead(body io.Reader, ended func(start []byte)) *readAhead {
-	r := &readAhead{body: body, ended: ended}
+// newReadAhead returns a reader of body. If body is longer than readSize, the reader calls onEnd in the background,
+// with the start of body, as soon as all of it has been read.
+func newReadAhead(body io.Reader, onEnd func(start []byte)) *readAhead {
+	r := &readAhead{body: body, onEnd: onEnd}
 	r.changed.L = &r.mu
 	return r
 }
 
 // Read implements [io.Reader].
 func (r *readAhead) Read(p []byte) (int, error) {
-	if !r.begun {
+	if !r.started {
 		n, err := r.body.Read(p)
 		r.record(p[:n])
 		if n > 0 && err == nil {
-			r.begun = true
+			r.started = true
 			r.running = true
 			go r.readBlocks()
 		}
@@ -61,7 +61,7 @@
 	return n, nil
 }
 
-// nextBlock waits for the next block that has been read, or for the end.
+// nextBlock waits for the next block or the end of the body.
 func (r *readAhead) nextBlock() ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,7 +76,7 @@
 	return block, nil
 }
 
-// record notes bytes that were read.
+// record counts bytes that were read and keeps those at the start of the body.
 func (r *readAhead) record(text []byte) {
 	r.length += len(text)
 	if len(r.start) < readSize {
@@ -84,14 +84,14 @@
 	}
 }
 
-// readBlocks reads the rest of the body, until its end or that of its call.
+// readBlocks reads the rest of the body, until it or its call ends.
 func (r *readAhead) readBlocks() {
 	buffer := make([]byte, readSize)
 	for {
 		n, err := r.body.Read(buffer)
 		r.record(buffer[:n])
 		if errors.Is(err, io.EOF) && r.length > readSize {
-			r.ended(r.start)
+			r.onEnd(r.start)
 		}
 		r.queue(slices.Clone(buffer[:n]), err)
 		if err != nil {
@@ -100,7 +100,7 @@
 	}
 }
 
-// queue adds a block to those that are to be decoded, and the error that came with it, if any.
+// queue adds a block to those waiting to be decoded, with the error of its read, if any.
 func (r *readAhead) queue(block []byte, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,7 +111,7 @@
 	r.changed.Signal()
 }
 
-// wait waits for the end of the reading in the background.
+// wait waits until the background reads have ended.
 func (r *readAhead) wait() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,7 +120,7 @@
 	}
 }
 
-// leadingVersion returns the version of a list whose text begins with it.
+// leadingVersion returns the version of a list whose text begins with it, from the start of the text.
 func leadingVersion(text []byte) (version uint64, ok bool) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	if open, err := decoder.Token(); err != nil || open != json.Delim('{') {
--- a/discovery/source.go
+++ b/discovery/source.go
@@ -6,76 +6,76 @@
 	"fmt"
 )
 
-// source is a discovery service as the client knows it. The client's mutex guards it.
+// source is the client's state for one discovery service. Client.mu guards it.
 type source struct {
-	address      string
-	holdsList    bool             // a whole list of it is known
-	watchedFirst bool             // its watch begins before its whole list is known, which is requested besides
-	index        uint64           // version of what it has told; any number may be one, 0 too
-	watchAnswers int              // lists that its watches have brought
-	overdueCalls int              // for a whole list in a row, whose answer did not begin in time
-	ready        map[string]int64 // what the list held states to be ready: when each started, in Unix milliseconds
-	watch        *watch           // nil while there is none: it has failed and is not yet started again
+	address           string
+	holdsList         bool             // the full list of the service is known
+	watchBeforeList   bool             // the watch begins before the full list is known, which is requested separately
+	index             uint64           // version of the last accepted list; any number is valid, also 0
+	acceptedFromWatch int              // lists accepted from its watches
+	overdueCalls      int              // consecutive calls for a full list whose answer did not begin in time
+	ready             map[string]int64 // ready endpoints of the list: start in Unix milliseconds, by name
+	watch             *watch           // nil if there is none, also after a failure until the restart
 }
 
-// errListOutdated is the error for a whole list that is older than what a watch of its service has told meanwhile.
-var errListOutdated = errors.New("whole list is older than what the watch has told")
+// errListOutdated is the error for a full list that is older than the last list of the service's watch.
+var errListOutdated = errors.New("full list is older than the last list of the watch")
 
-// recordWatched accepts a list that a watch has brought.
+// recordWatched accepts a list received by the watch.
 func (s *source) recordWatched(list EndpointList) (receivedList, error) {
 	received, err := s.record(list)
 	if err == nil {
-		s.watchAnswers++
+		s.acceptedFromWatch++
 	}
 	return received, err
 }
 
-// recordFetched accepts a list that was requested besides the watch.
+// recordFetched accepts a list that was requested separately from the watch.
 func (s *source) recordFetched(list EndpointList) (receivedList, error) {
-	if list.Snapshot && s.watchedFirst && !s.holdsList && list.Index < s.index {
+	if list.Snapshot && s.watchBeforeList && !s.holdsList && list.Index < s.index {
 		return receivedList{}, errListOutdated
 	}
 	return s.record(list)
 }
 
-// record accepts a list that follows what is held; changes of another history are an error.
+// record accepts a full list, or changes to a known one. Changes of another history are an error.
 func (s *source) record(list EndpointList) (receivedList, error) {
-	followed := s.holdsList || s.watchedFirst
+	followed := s.holdsList || s.watchBeforeList
 	if !list.Snapshot && (!followed || list.Index < s.index) {
 		s.holdsList = false
-		s.watchedFirst = false // the next call asks for the whole list
-		return receivedList{}, fmt.Errorf("changes up to version %d do not follow what is held", list.Index)
+		s.watchBeforeList = false // the next call asks for the full list
+		return receivedList{}, fmt.Errorf("changes up to version %d do not follow the known list", list.Index)
 	}
 	s.holdsList = s.holdsList || list.Snapshot
 	s.index = list.Index
-	return receivedList{EndpointList: list, withdrawn: s.hold(list)}, nil
+	return receivedList{EndpointList: list, withdrawn: s.apply(list)}, nil
 }
 
-// hasAnswered reports whether it has told anything.
-func (s *source) hasAnswered() bool { return s.holdsList || s.watchAnswers > 0 }
+// hasAnswered reports whether the service has sent a list.
+func (s *source) hasAnswered() bool { return s.holdsList || s.acceptedFromWatch > 0 }
 
-// watch is a sequence of calls to one source, which ends when it is stopped or when a call fails.
+// watch is a sequence of calls to one source. It ends when it is stopped or when a call fails.
 type watch struct {
-	stop   context.CancelFunc
-	begins chan struct{} // closed once it has the turn to call, or has ended without
+	stop      context.CancelFunc
+	turnTaken chan struct{} // closed when the watch first has the turn to call, or has ended without it
 }
 
-// receivedList is a list with the entries that it withdraws: those that it states not to be ready, and names that were
-// ready in the list before it and are not in this whole one.
+// receivedList is a list with the endpoints that it withdraws: entries that are not ready, and endpoints that were
+// ready in the previous list and are missing from a full one.
 type receivedList struct {
 	EndpointList
 	withdrawn []Endpoint
 }
 
-// hold takes over the names of a list that follows the one held, and returns the entries that it withdraws.
-func (s *source) hold(list EndpointList) (withdrawn []Endpoint) {
-	var unnamed map[string]int64 // ready before, and not in the whole list so far
+// apply updates the ready endpoints with a list and returns the entries that the list withdraws.
+func (s *source) apply(list EndpointList) (withdrawn []Endpoint) {
+	var missing map[string]int64 // ready before, and not found in the full list so far
 	if list.Snapshot || s.ready == nil {
-		unnamed = s.ready
+		missing = s.ready
 		s.ready = make(map[string]int64, len(list.Endpoints))
 	}
 	for _, entry := range list.Endpoints {
-		delete(unnamed, entry.Name)
+		delete(missing, entry.Name)
 		if entry.Status == Ready {
 			s.ready[entry.Name] = entry.SinceMS
 			continue
@@ -83,14 +83,14 @@
 		withdrawn = append(withdrawn, entry)
 		delete(s.ready, entry.Name)
 	}
-	for name := range unnamed {
+	for name := range missing {
 		withdrawn = append(withdrawn, Endpoint{Name: name, Status: Gone})
 	}
 	return withdrawn
 }
 
-// withdraw takes endpoints out of the list held before the list that withdraws them is known whole, and returns those
-// entries that change it. Changes of another history say nothing of it, nor does an entry of an earlier start than the
+// withdraw removes endpoints from the ready ones before the list that withdraws them is complete, and returns the
+// entries that had an effect. Changes of another history are ignored, as is an entry with an earlier start than the
 // endpoint's.
 func (s *source) withdraw(withdrawals Withdrawals) (withdrawn []Endpoint) {
 	if !withdrawals.Snapshot && withdrawals.Version < s.index {
@@ -108,7 +108,7 @@
 	return withdrawn
 }
 
-// stopWatchLocked ends the watch of a source, if there is one. c.mu is held.
+// stopWatchLocked ends the watch of a source, if there is one. Callers must hold Client.mu.
 func (s *source) stopWatchLocked() {
 	if s == nil || s.watch == nil {
 		return
@@ -117,7 +117,7 @@
 	s.watch = nil
 }
 
-// dropPreviousLocked ends the watch of the service before the present one. c.mu is held.
+// dropPreviousLocked ends the watch of the previous service. Callers must hold c.mu.
 func (c *Client) dropPreviousLocked() {
 	c.previous.stopWatchLocked()
 	c.previous = nil
--- a/discovery/timing.go
+++ b/discovery/timing.go
@@ -11,53 +11,56 @@
 )
 
 const (
-	// A call of a watch waits this long for a newer list, so that a silent service is noticed soon after.
+	// Wait of a watch call for a newer list: short, so that a silent service is noticed soon.
 	watchWait = 2 * time.Second
-	// An answer has to begin within this, beyond what its call may wait, and must not pause for longer later.
+	// An answer has to begin within this time after the wait of its call, and must not pause for longer later.
 	answerTimeout = 1200 * time.Millisecond
-	// That time is doubled this often for whole lists that did not begin in time: a service may need long to make one,
-	// and to ask anew only makes it start again.
+	// Number of times that answerTimeout is doubled after calls for a full list whose answer did not begin in time: a
+	// service may need long to build the list, and a repeated call makes it start again.
 	answerDoublings = 1
-	// A service forgets a watch 200 ms after its last answer, if no further call has come. A connection that breaks is
-	// replaced only as long as the call still comes in time.
+	// A service forgets a watch if no call follows within 200 ms after its last answer. A broken connection is
+	// replaced only if the next call still arrives within that time.
 	maxContinuationDelay = 150 * time.Millisecond
-	// Bounds of the pause before the whole list is requested of a service that is watched without it. The watch tells
-	// what changes, so this is not urgent, and a service that all move to may be crowded by those who have no watch.
+	// Bounds of the pause before the full list is requested from a service that is watched without it. The watch
+	// reports changes, so this is not urgent, and a service that all clients move to may be crowded by those that have
+	// no watch yet.
 	listPause    = 10 * time.Second
 	maxListPause = time.Minute
 
-	// An agent on this machine answers at once and at no cost, and what it knows binds the proxy as if it had been
-	// read. So it is watched in short calls, and called again well within the time in which a drain must take effect.
+	// An agent on this machine answers at once and at no cost, and any change that it knows counts as received by the
+	// proxy. So its watch makes short calls, and after a failure the next call follows well within the time in which a
+	// drain must take effect.
 	agentWatchWait       = time.Second
 	agentAnswerTimeout   = 300 * time.Millisecond
 	agentAnswerDoublings = 2
 	agentStallTimeout    = time.Second
-	agentMinPause        = 25 * time.Millisecond // after a call that failed, doubled with each further one
+	agentMinPause        = 25 * time.Millisecond // after a failed call; doubled with each further one
 	agentMaxPause        = 200 * time.Millisecond
 
-	// An answer that has begun is read for as long as it comes at a pace: a list of thousands of endpoints may take
-	// seconds, and one that is given up begins anew. It may take this long, and longer by what it has brought.
+	// An answer that has begun may take answerGrace, and longer in proportion to the bytes received: a list of
+	// thousands of endpoints may take seconds, and a call that is given up starts again from the first byte.
 	answerGrace             = 4 * time.Second
 	minAnswerBytesPerSecond = 16 << 10
 
-	// A read is begun anew after this, however long the answer may take: one that the system has refused as not ready,
-	// though bytes waited, waits for an event that need not follow. A list takes many reads, its first byte one.
+	// Reads are restarted after these times, even if the answer may take longer: a read that the system rejected as
+	// not ready, although bytes were waiting, waits for an event that may never follow. A list takes many reads, its
+	// first byte one.
 	maxFirstReadWait = 50 * time.Millisecond
 	maxNextReadWait  = 10 * time.Millisecond
 
-	// A read that failed is made again after this at the latest: a list takes many, and pauses that grow would add up
-	// where most of them fail.
+	// A failed read is repeated after this time at the latest: a list takes many reads, and growing pauses would add
+	// up if most reads fail.
 	maxReadPause = 2 * time.Millisecond
 )
 
-// callTiming bounds the stages of a call to one kind of service.
+// callTiming bounds the stages of a call to a kind of service.
 type callTiming struct {
-	watchWait       time.Duration // how long a call of the watch waits for something newer
-	answer          time.Duration // until the first byte, beyond the wait
-	answerDoublings int           // of answer, after calls for a whole list that brought none
+	watchWait       time.Duration // how long a call of the watch waits for a newer list
+	answer          time.Duration // until the first byte, after the wait
+	answerDoublings int           // of answer, after calls for a full list that got no answer
 	stall           time.Duration // between two bytes
-	listPause       time.Duration // before the first call for the whole list of a service that is watched without it
-	maxListPause    time.Duration // to which that grows
+	listPause       time.Duration // before the first request for the full list of a service that is watched without it
+	maxListPause    time.Duration // upper bound of the growing pause
 }
 
 var (
@@ -77,31 +80,31 @@
 	}
 )
 
-// firstByte is how long the first byte of an answer may take after so many calls in a row whose answer did not begin in
-// time.
+// firstByte returns how long the first byte of an answer may take after overdue consecutive calls whose answer did not
+// begin in time.
 func (t callTiming) firstByte(overdue int) time.Duration {
 	return t.answer << min(overdue, t.answerDoublings)
 }
 
-// pacedReader reads answers from a connection, each for as long as it comes at a pace. What a fault of this machine
-// takes of that time is added to it.
+// pacedReader reads answers from a connection, each for as long as it arrives at the required pace. Time lost to
+// faults of this machine is added to its deadline.
 type pacedReader struct {
 	conn     net.Conn
 	timing   callTiming
 	observer socket.Observer
 
-	// Of the answer that is being read:
-	ctx        context.Context // ends the call
-	began      time.Time       // when its first byte came; zero before
-	lastReadAt time.Time       // when its last bytes so far came
+	// State of the current answer:
+	ctx        context.Context // of the call
+	began      time.Time       // time of its first byte; zero before
+	lastReadAt time.Time       // time of its last bytes so far
 	received   int             // bytes
-	deadline   time.Time       // of its next bytes
-	readUntil  time.Time       // deadline of the connection's reads, no later
-	broken     bool            // the other side has ended or reset the connection
-	failed     bool            // it is not read any more: its time is over, or a read has failed
+	deadline   time.Time       // for its next bytes
+	readUntil  time.Time       // read deadline of the connection, no later than deadline
+	broken     bool            // the peer has closed or reset the connection
+	failed     bool            // no more is read: the deadline has passed, or a read has failed
 }
 
-// begin expects the first byte of another answer by a deadline.
+// begin starts another answer, whose first byte must arrive by firstByteBy.
 func (r *pacedReader) begin(ctx context.Context, firstByteBy time.Time) {
 	r.ctx = ctx
 	r.began = time.Time{}
@@ -110,7 +113,7 @@
 	r.setDeadline(firstByteBy)
 }
 
-// Read implements io.Reader. A read that fails for a fault of this machine is made again: the answer goes on.
+// Read implements [io.Reader]. A read that fails for a transient fault of this machine is repeated.
 func (r *pacedReader) Read(b []byte) (int, error) {
 	retry := socket.Retry{Call: "read", Observer: r.observer, Backoff: socket.Backoff{Max: maxReadPause}}
 	for {
@@ -124,7 +127,7 @@
 		case err == nil:
 			return 0, nil
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			if r.isOver() {
+			if r.hasExpired() {
 				r.failed = true
 				return 0, err
 			}
@@ -138,11 +141,11 @@
 	}
 }
 
-// readOnce reads what has come, or waits for it for a part of the time that is left.
+// readOnce reads available bytes, or waits for some for a part of the remaining time.
 func (r *pacedReader) readOnce(b []byte) (int, error) {
 	now := time.Now()
 	wait := r.maxReadWait()
-	if left := r.readUntil.Sub(now); left < wait/2 || left > wait { // seldom, however few bytes each read brings
+	if left := r.readUntil.Sub(now); left < wait/2 || left > wait { // set rarely, however few bytes a read returns
 		r.readUntil = now.Add(wait)
 		if r.deadline.Before(r.readUntil) {
 			r.readUntil = r.deadline
@@ -157,7 +160,7 @@
 	return r.conn.Read(b)
 }
 
-// maxReadWait is how long one read may wait for bytes.
+// maxReadWait returns how long a single read may wait for bytes.
 func (r *pacedReader) maxReadWait() time.Duration {
 	if r.hasBegun() {
 		return maxNextReadWait
@@ -165,10 +168,10 @@
 	return maxFirstReadWait
 }
 
-// isOver reports whether the answer's time is over, or its call has ended.
-func (r *pacedReader) isOver() bool { return r.ctx.Err() != nil || !time.Now().Before(r.deadline) }
+// hasExpired reports whether the deadline has passed or the call has ended.
+func (r *pacedReader) hasExpired() bool { return r.ctx.Err() != nil || !time.Now().Before(r.deadline) }
 
-// advance gives the answer its time after n more bytes.
+// advance extends the deadline after n more bytes.
 func (r *pacedReader) advance(n int) {
 	now := time.Now()
 	if !r.hasBegun() {
@@ -183,7 +186,7 @@
 	}
 }
 
-// setDeadline sets a deadline of the connection, for writes too, unless the call has ended.
+// setDeadline sets the deadline of the connection, also for writes, unless the call has ended.
 func (r *pacedReader) setDeadline(deadline time.Time) {
 	r.deadline = deadline
 	r.readUntil = time.Time{}
@@ -193,5 +196,5 @@
 	}
 }
 
-// hasBegun reports whether a byte of the answer has come.
+// hasBegun reports whether a byte of the answer has been received.
 func (r *pacedReader) hasBegun() bool { return !r.began.IsZero() }
--- a/discovery/timing_test.go
+++ b/discovery/timing_test.go
@@ -13,8 +13,8 @@
 	"ryerill/internal/buffer"
 )
 
-// wholeListOf returns the text of a whole list of so many endpoints.
-func wholeListOf(t testing.TB, count int) []byte {
+// fullListOf returns the text of a full list of count endpoints.
+func fullListOf(t testing.TB, count int) []byte {
 	t.Helper()
 	list := EndpointList{Index: 8, Snapshot: true, Endpoints: []Endpoint{}}
 	for i := range count {
@@ -33,11 +33,11 @@
 	return text
 }
 
-// A whole list is read for as long as it comes at a pace, by a service that is asked and by an agent alike. One that
-// pauses, or crawls without an end, is given up, so that another call can have it.
-func TestWholeListIsReadAtItsPace(t *testing.T) {
+// A full list from a service or an agent is read for as long as it arrives at the required pace. An answer that
+// pauses or stays slower is given up, so that another call can get the list.
+func TestFullListMayTakeLongAtRequiredPace(t *testing.T) {
 	const size = 3200
-	text := wholeListOf(t, size)
+	text := fullListOf(t, size)
 	for _, tc := range []struct {
 		name   string
 		piece  int           // bytes
@@ -54,7 +54,7 @@
 	} {
 		for _, agent := range []bool{false, true} {
 			t.Run(fmt.Sprint(tc.name, ", agent ", agent), func(t *testing.T) {
-				if tc.pause > 0 || tc.stalls { // the others want the machine: lists are parsed there at once
+				if tc.pause > 0 || tc.stalls { // the other cases parse the list at once and need the CPU
 					t.Parallel()
 				}
 				notified := make(recorder, 8)
@@ -74,19 +74,19 @@
 					}
 				}()
 				if got := <-notified; got != tc.want {
-					t.Errorf("notified of %q, want %q", got, tc.want)
+					t.Errorf("got notification %q, want %q", got, tc.want)
 				}
 				if took := time.Since(began); took > tc.within {
-					t.Errorf("notified after %v, want %v at most", took, tc.within)
+					t.Errorf("notified after %v, want at most %v", took, tc.within)
 				}
 			})
 		}
 	}
 }
 
-// A service that needs longer for a whole list than an answer may take gets more time with the next call, instead of
-// being asked in vain for ever.
-func TestSlowServiceIsHeardInTheEnd(t *testing.T) {
+// A service that needs longer for a full list than an answer may take gets more time in the next call, instead of
+// being called in vain forever.
+func TestSlowServiceGetsMoreTime(t *testing.T) {
 	for _, agent := range []bool{false, true} {
 		t.Run(fmt.Sprint("agent ", agent), func(t *testing.T) {
 			t.Parallel()
@@ -97,7 +97,7 @@
 			notified := make(recorder, 64)
 			called := make(chan net.Conn, 8)
 			client := startClientOf(t, agent, notified, called)
-			text := wholeListOf(t, 1)
+			text := fullListOf(t, 1)
 			deadline := time.After(10 * time.Second)
 			for {
 				select {
@@ -109,16 +109,17 @@
 					if got == "list 8" {
 						return
 					}
-					client.Subscribe(true) // as the Balancer has it after a pause
+					client.Subscribe(true) // as the balancer does after its pause
 				case <-deadline:
-					t.Fatal("the list never arrived")
+					t.Fatal("no list within 10s")
 				}
 			}
 		})
 	}
 }
 
-// startClientOf starts a client that holds no list. Each connection by which it calls is passed on after its first call.
+// startClientOf starts a client without a list. It sends each connection of the client to called after the first call
+// on it.
 func startClientOf(t *testing.T, agent bool, notified recorder, called chan<- net.Conn) *Client {
 	t.Helper()
 	address, calls := listenForCalls(t)
@@ -136,7 +137,7 @@
 	return client
 }
 
-// listenForCalls listens as a service does and passes each connection on once a call has come by it.
+// listenForCalls listens like a service and sends each connection to calls after the first call on it.
 func listenForCalls(t *testing.T) (address string, calls chan net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/discovery/turn.go
+++ b/discovery/turn.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// A watch whose call is not answered this long after its wait does not hold up the watch of the next service.
+// maxTurnDelay is how long after its wait a call of the replaced service may delay the watch of the new one.
 const maxTurnDelay = 100 * time.Millisecond
 
-// watchTurn lets one of two services, the present one and the one before, have a call of its watch out at a time.
+// watchTurn is a lock of which the watches of the current and the previous service hold one each at a time: only its
+// holder may have a call in flight.
 type watchTurn struct {
 	free chan struct{} // holds a value while no watch has the turn
 }
@@ -19,7 +20,7 @@
 	return watchTurn{free: free}
 }
 
-// take waits for the turn, at most for a time. It reports whether the turn was taken.
+// take waits for the turn until atMost fires or ctx ends. It reports whether the turn was taken.
 func (t watchTurn) take(ctx context.Context, atMost <-chan time.Time) bool {
 	select {
 	case <-t.free:
@@ -30,25 +31,25 @@
 	return false
 }
 
-// pass gives the turn to whoever has waited for it longest.
+// pass releases the turn. The watch that has waited longest gets it.
 func (t watchTurn) pass() { t.free <- struct{}{} }
 
-// turnOf is the part of one watch in the turn of both.
-type turnOf struct {
+// turnHolder is one watch's handle of the turn.
+type turnHolder struct {
 	turn watchTurn
 	has  bool
 }
 
-// await waits for the turn, and reports whether the watch has it: not if ctx has ended or the time is over.
-func (t *turnOf) await(ctx context.Context, atMost <-chan time.Time) bool {
+// await waits for the turn unless the watch has it. It returns false if ctx ends or atMost fires first.
+func (t *turnHolder) await(ctx context.Context, atMost <-chan time.Time) bool {
 	if !t.has {
 		t.has = t.turn.take(ctx, atMost)
 	}
 	return t.has
 }
 
-// pass gives the turn on, if the watch has it.
-func (t *turnOf) pass() {
+// pass releases the turn if the watch has it.
+func (t *turnHolder) pass() {
 	if t.has {
 		t.has = false
 		t.turn.pass()
--- a/discovery/watch.go
+++ b/discovery/watch.go
@@ -11,34 +11,34 @@
 
 // listCall is a call to a discovery service.
 type listCall struct {
-	target    string
-	wait      time.Duration // how long the service may wait for something newer before it answers
-	wholeList bool          // the answer may have to tell of all endpoints
-	watches   bool          // a call for what is newer than the answer follows
+	target   string
+	wait     time.Duration // how long the service may wait for a newer list before it answers
+	fullList bool          // the answer may have to contain all endpoints
+	watches  bool          // a call for changes since the answer follows
 }
 
-// wholeListCall asks for the whole list at once.
-var wholeListCall = listCall{target: path, wholeList: true}
+// fullListCall asks for the full list, without a wait.
+var fullListCall = listCall{target: endpointsPath, fullList: true}
 
-// watchCall asks for what is newer than a version.
+// watchCall returns a call for a list newer than version index.
 func watchCall(index uint64, wait time.Duration) listCall {
 	return listCall{
-		target:  fmt.Sprintf("%s?since=%d&timeout_ms=%d", path, index, wait.Milliseconds()),
+		target:  fmt.Sprintf("%s?since=%d&timeout_ms=%d", endpointsPath, index, wait.Milliseconds()),
 		wait:    wait,
 		watches: true,
 	}
 }
 
-// startWatchLocked starts a watch of the current source, which ends with its context or when a call fails. c.mu is
-// held.
+// startWatchLocked starts a watch of the current source, which ends with its context or when a call fails. Callers
+// must hold c.mu.
 func (c *Client) startWatchLocked() {
 	ctx, stop := context.WithCancel(c.ctx)
-	started := &watch{stop: stop, begins: make(chan struct{})}
+	started := &watch{stop: stop, turnTaken: make(chan struct{})}
 	c.current.watch = started
 	conn := c.newConnection(c.current)
 	c.calls.watchBegan()
 	go func() {
-		defer stop() // also when the watch fails: its context must not outlive it
+		defer stop() // a failed watch must release its context too
 		defer conn.close()
 		if c.agent {
 			c.watchAgent(ctx, started, conn)
@@ -48,23 +48,23 @@
 	}()
 }
 
-// watch calls again as soon as an answer is received: the service forgets a watch 200 ms after its last answer, and a
-// change in between still binds the proxy. So a call that fails because the connection broke with an answer, or soon
-// after one, is made again at once, on another connection: a later call would begin a new watch, which a service may
-// reject while it is crowded.
+// watch makes each call as soon as the previous answer has been received: the service forgets a watch 200 ms after its
+// last answer, and a change in between still binds the proxy. If the connection breaks during an answer or shortly
+// after one, watch repeats the call at once on another connection: a later call would begin a new watch, which a
+// crowded service may reject.
 func (c *Client) watch(ctx context.Context, running *watch, conn *connection) {
 	s := conn.source
-	turn := turnOf{turn: c.turn}
+	turn := turnHolder{turn: c.turn}
 	defer turn.pass()
-	begins := sync.OnceFunc(func() { close(running.begins) })
-	defer begins()
+	takeTurn := sync.OnceFunc(func() { close(running.turnTaken) })
+	defer takeTurn()
 	fetching := false
-	mayRepeat := true // a whole answer has come since the last call that was made again
+	mayRepeat := true // a complete answer has been received since the last repeated call
 	for conn.next != nil || c.awaitTurn(ctx, s, &turn) {
-		begins()
+		takeTurn()
 		call, began := c.callOn(conn)
 		list, err := c.request(ctx, conn, call, s.recordWatched)
-		if errors.Is(err, errObsolete) {
+		if errors.Is(err, errSourceReplaced) {
 			return
 		}
 		if mayRepeat && conn.brokeAfterAnswer(err, began) {
@@ -88,15 +88,15 @@
 	}
 }
 
-// watchAgent watches an agent. Its watch goes on by itself, whatever fails; the listener is notified of only the first
-// of several failures in a row.
+// watchAgent watches an agent. It continues after any failure and notifies the listeners of only the first of several
+// failures in a row.
 func (c *Client) watchAgent(ctx context.Context, running *watch, conn *connection) {
 	s := conn.source
 	pause := agentMinPause
 	for {
 		call, began := c.callOn(conn)
 		list, err := c.request(ctx, conn, call, s.recordWatched)
-		if errors.Is(err, errObsolete) {
+		if errors.Is(err, errSourceReplaced) {
 			return
 		}
 		if err != nil && s != c.currentSource() {
@@ -120,9 +120,9 @@
 	}
 }
 
-// awaitTurn waits until the watch of a service may call, and reports false if it has ended before. The watch of a
-// service that has been replaced gives the turn on after each call; one whose call is overdue is ended.
-func (c *Client) awaitTurn(ctx context.Context, s *source, turn *turnOf) bool {
+// awaitTurn waits until the watch of a service may call. It returns false if ctx ends first. The watch of a replaced
+// service releases the turn after each call; if its call is overdue, the watch of the new service ends it.
+func (c *Client) awaitTurn(ctx context.Context, s *source, turn *turnHolder) bool {
 	if s != c.currentSource() {
 		turn.pass()
 		c.awaitNewWatch(ctx)
@@ -141,8 +141,8 @@
 	return turn.await(ctx, nil)
 }
 
-// awaitNewWatch waits until the watch of the current source, if there is one, has had the turn: it may not be in line
-// for it yet.
+// awaitNewWatch waits until the watch of the current source, if there is one, has had the turn: it may not be waiting
+// for the turn yet.
 func (c *Client) awaitNewWatch(ctx context.Context) {
 	c.mu.Lock()
 	newWatch := c.current.watch
@@ -151,12 +151,12 @@
 		return
 	}
 	select {
-	case <-newWatch.begins:
+	case <-newWatch.turnTaken:
 	case <-ctx.Done():
 	}
 }
 
-// pauseAfter waits after an answer without changes that came early. It reports false if ctx has ended before.
+// pauseAfter pauses after an early answer without changes. It returns false if ctx ends first.
 func pauseAfter(ctx context.Context, call listCall, list EndpointList, began time.Time) bool {
 	if len(list.Endpoints) > 0 || time.Since(began) >= call.wait/2 {
 		return true
@@ -164,7 +164,8 @@
 	return sleep(ctx, emptyPause)
 }
 
-// callOn returns the next call of a watch and when it began: it may be out already.
+// callOn returns the next call of the watch on a connection and its start time, which is in the past if the call has
+// already been sent.
 func (c *Client) callOn(conn *connection) (call listCall, began time.Time) {
 	if conn.next != nil {
 		return conn.next.call, conn.next.began
@@ -172,27 +173,27 @@
 	return c.nextCall(conn.source), time.Now()
 }
 
-// nextCall returns the next call of a watch.
+// nextCall returns the next call of the watch of a source.
 func (c *Client) nextCall(s *source) listCall {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !s.holdsList && !s.watchedFirst {
-		return listCall{target: path, wholeList: true, watches: true}
+	if !s.holdsList && !s.watchBeforeList {
+		return listCall{target: endpointsPath, fullList: true, watches: true}
 	}
 	call := watchCall(s.index, c.timing.watchWait)
-	call.wholeList = !s.hasAnswered()
+	call.fullList = !s.hasAnswered()
 	return call
 }
 
-// lacksList reports whether a service is watched without its whole list.
+// lacksList reports whether a service is watched without its full list being known.
 func (c *Client) lacksList(s *source) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return s.watchedFirst && !s.holdsList
+	return s.watchBeforeList && !s.holdsList
 }
 
-// fetchMissingList requests the whole list of a service that is watched without it until the list has come, or ctx,
-// that of its watch, has ended. A failure is no news for listeners: the watch tells what changes.
+// fetchMissingList requests the full list of a service that is watched without it, until the list has been received or
+// the watch, whose context is ctx, has ended. Listeners are not notified of failures: the watch reports changes.
 func (c *Client) fetchMissingList(ctx context.Context, s *source) {
 	conn := c.newConnection(s)
 	defer conn.close()
@@ -200,11 +201,11 @@
 		if !sleep(ctx, pause/2+rand.N(pause/2)) {
 			return
 		}
-		_, _ = c.request(ctx, conn, wholeListCall, s.recordFetched) // if it fails, once more after a pause
+		_, _ = c.request(ctx, conn, fullListCall, s.recordFetched) // repeated after a pause if it fails
 	}
 }
 
-// watchEnded records that a watch has failed, unless another has replaced it.
+// watchEnded records that a watch has failed, unless another watch has replaced it.
 func (c *Client) watchEnded(s *source, ended *watch) {
 	c.calls.watchLost()
 	c.mu.Lock()
@@ -217,7 +218,7 @@
 	}
 }
 
-// sleep waits, and reports false if ctx has ended before.
+// sleep waits for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
