--- a/override/compatibility_test.go
+++ b/override/compatibility_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// The file of the recorded program is read as it meant it, and written to the letter.
-func TestRecordedOverridesAreReadAndWrittenAlike(t *testing.T) {
+// The recorded file of an earlier version decodes to the same set, and that set encodes to the same bytes.
+func TestRecordedOverridesRoundTrip(t *testing.T) {
 	want := Set{Version: 9, Down: map[string]time.Duration{"s1": 1_700_000_000_000_001 * time.Microsecond, "a/b": time.Second},
 		Restored: map[string]time.Duration{"s2": 1_700_000_000_000_002 * time.Microsecond}, DrainSince: 1_700_000_000_000_003 * time.Microsecond}
 	file := filepath.Join("testdata", "compatibility", "orders.json")
@@ -27,9 +27,9 @@
 	}
 	got, err := Decode(text)
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%v\n%+v\n%+v", err, got, want)
+		t.Errorf("error %v\ngot  %+v\nwant %+v", err, got, want)
 	}
 	if now := Encode(want); !bytes.Equal(now, text) {
-		t.Errorf("written %s\nwas     %s", now, text)
+		t.Errorf("got encoding %s\nwant         %s", now, text)
 	}
 }
--- a/override/encoding.go
+++ b/override/encoding.go
@@ -9,10 +9,10 @@
 
 const format = "ryerill-word-1"
 
-// maxMicroseconds is the latest time that a [time.Duration] can hold.
+// maxMicroseconds is the latest time, in microseconds, that a [time.Duration] can hold.
 const maxMicroseconds = math.MaxInt64 / int64(time.Microsecond)
 
-// file is the encoded form of a set. Times are microseconds.
+// file is the encoded form of a set. Times are in microseconds.
 type file struct {
 	Format  string           `json:"format"`
 	Version uint64           `json:"version"`
@@ -31,12 +31,12 @@
 
 func fromMicroseconds(encoded map[string]int64) (map[string]time.Duration, error) {
 	if len(encoded) > maxEntries {
-		return nil, fmt.Errorf("%d endpoints, more than %d", len(encoded), maxEntries)
+		return nil, fmt.Errorf("got %d endpoints, limit %d", len(encoded), maxEntries)
 	}
 	times := make(map[string]time.Duration, len(encoded))
 	for name, at := range encoded {
 		if name == "" || len(name) > maxNameBytes || !validTime(at) {
-			return nil, fmt.Errorf("endpoint %q at %d", name, at)
+			return nil, fmt.Errorf("endpoint %q: unexpected name or time %d", name, at)
 		}
 		times[name] = time.Duration(at) * time.Microsecond
 	}
@@ -47,9 +47,9 @@
 	return microseconds >= 0 && microseconds <= maxMicroseconds
 }
 
-// Encode returns a set in the form in which it is stored: JSON, on one line.
+// Encode returns the stored form of a set: JSON, on one line.
 func Encode(s Set) []byte {
-	text, _ := json.Marshal(file{ // of strings and numbers alone: it can't fail
+	text, _ := json.Marshal(file{ // strings and numbers only: it can't fail
 		Format:  format,
 		Version: s.Version,
 		Out:     toMicroseconds(s.Down),
@@ -59,14 +59,14 @@
 	return append(text, '\n')
 }
 
-// Decode reads a set in the form of [Encode]. Anything but a whole one is an error.
+// Decode decodes the output of [Encode]. Incomplete or invalid input is an error.
 func Decode(text []byte) (Set, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
 		return Set{}, fmt.Errorf("overrides: %w", err)
 	}
 	if f.Format != format {
-		return Set{}, fmt.Errorf("overrides: format %q, not %q", f.Format, format)
+		return Set{}, fmt.Errorf("overrides: unexpected format %q, want %q", f.Format, format)
 	}
 	down, err := fromMicroseconds(f.Out)
 	if err != nil {
@@ -77,7 +77,7 @@
 		return Set{}, fmt.Errorf("overrides: back: %w", err)
 	}
 	if !validTime(f.Drain) {
-		return Set{}, fmt.Errorf("overrides: drain at %d", f.Drain)
+		return Set{}, fmt.Errorf("overrides: drain: unexpected time %d", f.Drain)
 	}
 	return Set{
 		Version:    f.Version,
--- a/override/overrides.go
+++ b/override/overrides.go
@@ -1,6 +1,6 @@
-// Package override holds what the operators have ordered in person: which endpoints are
-// administratively down, which of those were restored, and whether the proxy drains.
-// These overrides lie on top of the endpoint list. The package does no I/O.
+// Package override holds the overrides that operators set by hand: which endpoints are administratively down, which of
+// those were restored, and whether the proxy drains. Overrides apply on top of the endpoint list. The package does no
+// I/O.
 package override
 
 import (
@@ -12,24 +12,24 @@
 )
 
 const (
-	maxEntries    = 1024      // endpoints that are down, and that were restored
-	maxNameBytes  = 256       // of an endpoint's name
-	restoreExpiry = time.Hour // after which a restore is dropped: any endpoint has warmed up by then
+	maxEntries    = 1024      // limit for endpoints that are down, and for restored ones
+	maxNameBytes  = 256       // limit for an endpoint's name
+	restoreExpiry = time.Hour // age at which a restore is dropped: every endpoint has warmed up by then
 )
 
-// ErrTooMany means that as many endpoints are down as a [Set] can hold.
+// ErrTooMany is the error for taking down more endpoints than a [Set] can hold.
 var ErrTooMany = errors.New("too many providers are out already: call some back first")
 
-// Set is the overrides in force. It is an immutable value: its methods return a changed set, or,
-// where nothing changes, the set itself. Times are Unix time.
+// Set holds the overrides in force. It is an immutable value: its methods return a changed copy or, if nothing
+// changes, the set itself. Times are Unix time.
 type Set struct {
-	Version    uint64                   // grows with each change
-	Down       map[string]time.Duration // by endpoint name: since when it is down
-	Restored   map[string]time.Duration // by endpoint name: when it was restored
-	DrainSince time.Duration            // since when the proxy drains; 0: it doesn't
+	Version    uint64                   // increases with each change
+	Down       map[string]time.Duration // time at which an endpoint was taken down, by name
+	Restored   map[string]time.Duration // time at which an endpoint was restored, by name
+	DrainSince time.Duration            // start of the drain; 0 if the proxy does not drain
 }
 
-// next returns a copy with maps of its own and the next version.
+// next returns a copy with its own maps and the next version.
 func (s Set) next() Set {
 	s.Version++
 	s.Down = clone(s.Down)
@@ -37,7 +37,7 @@
 	return s
 }
 
-// clone returns a copy that can be written to, also of a nil map.
+// clone returns a writable copy, also of a nil map.
 func clone(times map[string]time.Duration) map[string]time.Duration {
 	if times == nil {
 		return map[string]time.Duration{}
@@ -45,8 +45,7 @@
 	return maps.Clone(times)
 }
 
-// TakeDown takes an endpoint down. For one that is down already the earlier time stays.
-// The error is [ErrTooMany].
+// TakeDown takes an endpoint down. An endpoint that is already down keeps its time. The error is [ErrTooMany].
 func (s Set) TakeDown(name string, now time.Duration) (Set, error) {
 	if s.IsDown(name) {
 		return s, nil
@@ -60,8 +59,7 @@
 	return s, nil
 }
 
-// Restore puts an endpoint that is down back in use. Beyond the bound the
-// restores that are longest ago are dropped.
+// Restore puts an endpoint that is down back in use. If there are too many restores, the oldest ones are dropped.
 func (s Set) Restore(name string, now time.Duration) Set {
 	if !s.IsDown(name) {
 		return s
@@ -76,8 +74,8 @@
 	return s
 }
 
-// oldestRestored returns the endpoint whose restore is longest ago, the first by name of several. It
-// starts from a name that is among them.
+// oldestRestored returns the endpoint with the oldest restore; of several, the first by name. The argument must be a
+// restored endpoint.
 func (s Set) oldestRestored(oldest string) string {
 	for name, at := range s.Restored {
 		if at < s.Restored[oldest] || at == s.Restored[oldest] && name < oldest {
@@ -87,11 +85,11 @@
 	return oldest
 }
 
-// StartDrain starts a drain. One that is under way goes on as it began.
+// StartDrain starts a drain. A drain in progress keeps its start time.
 func (s Set) StartDrain(now time.Duration) Set {
 	if s.DrainSince == 0 {
 		s = s.next()
-		s.DrainSince = max(now, 1) // 0 would mean none
+		s.DrainSince = max(now, 1) // 0 means no drain
 	}
 	return s
 }
@@ -111,8 +109,8 @@
 	return down
 }
 
-// Found returns the set as it counts in a process that finds it at its start, at a time of its own clock. A restore
-// that is stated to be later is of now, as the wall clock has stepped back since; any other counts as stated.
+// Found returns the set as a process applies it that reads it at its start; now is the process's time. A restore in
+// the future counts as made now, since the wall clock has stepped back; other times are unchanged.
 func (s Set) Found(now time.Duration) Set {
 	s.Restored = clone(s.Restored)
 	for name, at := range s.Restored {
@@ -121,9 +119,9 @@
 	return s
 }
 
-// Observed returns the set as it counts in a process that finds it in the place of another at a time of its own clock:
-// stated is that other set, and counted is how it counted. A restore that is new is of now, as the wall clock by which
-// it was ordered may have stepped since the process started. One that is known goes on counting as it did.
+// Observed returns the set as a running process applies it that reads it in place of another set; now is the process's
+// time. stated is that other set as stored, counted as the process applied it. A new restore counts as made now, as
+// the wall clock of its order may have stepped since the process started. A known restore keeps its applied time.
 func (s Set) Observed(stated, counted Set, now time.Duration) Set {
 	if len(s.Restored) == 0 {
 		return s
@@ -139,8 +137,8 @@
 	return s
 }
 
-// Apply returns an endpoint of the list as it counts under the overrides: one that is down
-// is draining, and one that was restored started then at the earliest, so that it warms up.
+// Apply returns an endpoint of the list with the overrides applied: a ready endpoint that is down becomes draining,
+// and a restored one counts as started at its restore or later, so that it warms up.
 func (s Set) Apply(name string, endpoint balancer.Endpoint) balancer.Endpoint {
 	if s.IsDown(name) && endpoint.State == balancer.Ready {
 		endpoint.State = balancer.Draining
--- a/override/overrides_test.go
+++ b/override/overrides_test.go
@@ -10,12 +10,12 @@
 	"ryerill/balancer"
 )
 
-// Down twice is down once, and a restored endpoint counts as started then.
-func TestOverridesAreASet(t *testing.T) {
+// Taking down an endpoint that is down changes nothing, and a restored endpoint counts as started at its restore.
+func TestOverridesAreIdempotent(t *testing.T) {
 	set, _ := Set{}.TakeDown("a", 5*time.Second)
 	same, _ := set.TakeDown("a", 7*time.Second)
 	if same.Version != set.Version || same.Down["a"] != 5*time.Second {
-		t.Errorf("twice: %+v", same)
+		t.Errorf("taken down twice: got %+v, want an unchanged set", same)
 	}
 	restored := set.Restore("a", 9*time.Second)
 	for _, tc := range []struct {
@@ -34,18 +34,18 @@
 			balancer.Endpoint{State: balancer.Draining, StartedAt: 9 * time.Second}},
 	} {
 		if got := tc.set.Apply("a", tc.in); got != tc.want {
-			t.Errorf("%s: %+v over %+v: %+v", tc.name, tc.set, tc.in, got)
+			t.Errorf("%s: set %+v applied to %+v: got %+v", tc.name, tc.set, tc.in, got)
 		}
 	}
 	if got := set.Restore("b", 1); got.Version != set.Version {
-		t.Error("restored without being down")
+		t.Error("restoring an endpoint that is not down changed the set")
 	}
 	if s := (Set{}).StopDrain(); s.Version != 0 || (Set{}).StartDrain(3).StartDrain(9).DrainSince != 3 {
-		t.Error("a drain starts once")
+		t.Error("StopDrain without a drain, or a second StartDrain, changed the set")
 	}
 }
 
-// Both bounds hold: one more down is an error, one more restored drops the oldest.
+// One endpoint too many to take down is an error; one restore too many drops the oldest.
 func TestOverridesAreBounded(t *testing.T) {
 	set := Set{}
 	var err error
@@ -55,18 +55,19 @@
 		}
 	}
 	if _, err := set.TakeDown("one more", 1); !errors.Is(err, ErrTooMany) {
-		t.Errorf("beyond the bound: %v", err)
+		t.Errorf("one endpoint too many: got error %v, want ErrTooMany", err)
 	}
 	for i := range maxEntries + 1 {
 		set, _ = set.TakeDown(fmt.Sprint("s", i), 1)
 		set = set.Restore(fmt.Sprint("s", i), time.Duration(i+1))
 	}
 	if _, kept := set.Restored["s0"]; kept || len(set.Restored) != maxEntries || len(set.Down) != 0 {
-		t.Errorf("%d restored, %d down", len(set.Restored), len(set.Down))
+		t.Errorf("got %d restored and %d down endpoints, want the newest maxEntries restored and none down", len(set.Restored), len(set.Down))
 	}
 }
 
-// What is encoded decodes as it was; anything else is an error, never half a set.
+// An encoded set decodes to the same set. Any other input is an error or a set that survives encoding; a truncated one
+// is an error.
 func FuzzDecode(f *testing.F) {
 	set, _ := Set{}.TakeDown("a", 5*time.Second)
 	set = set.Restore("a", time.Minute)
@@ -74,7 +75,7 @@
 	text := Encode(set.StartDrain(time.Second))
 	for i := range text[:len(text)-2] {
 		if _, err := Decode(text[:i]); err == nil {
-			f.Errorf("torn after %d bytes: no error", i)
+			f.Errorf("truncated after %d bytes: got no error", i)
 		}
 	}
 	f.Add(text)
@@ -86,7 +87,7 @@
 			return
 		}
 		if again, err := Decode(Encode(set)); err != nil || !reflect.DeepEqual(again, set) {
-			t.Errorf("%+v became %+v, %v", set, again, err)
+			t.Errorf("set %+v decoded from its encoding as %+v, error %v", set, again, err)
 		}
 	})
 }
