--- a/admin/controller.go
+++ b/admin/controller.go
@@ -5,7 +5,7 @@
 	"errors"
 )
 
-// Errors of a [Controller] that have a status of their own. Their texts are the responses'.
+// Errors of a [Controller] with a status of their own. Their texts are sent to clients.
 var (
 	ErrUnknownEndpoint = errors.New("no backend has this id: see the directory's list for those that there are")
 	ErrNoFleet         = errors.New("this proxy is in no fleet: its configuration has no fleet block")
@@ -15,52 +15,52 @@
 	ErrNoRollouts = errors.New("this proxy takes no part in rollouts: its configuration has no fleet block")
 )
 
-// Controller executes the requests. Its methods are called concurrently, and must return
-// soon, whatever the load: none may wait for an endpoint or for discovery.
+// Controller executes requests. Its methods are called concurrently and must return soon under any load: none may wait
+// for an endpoint or for discovery.
 type Controller interface {
-	// Readiness returns nil if the proxy is ready to serve, and else why it is not.
+	// Readiness returns nil if the proxy is ready to serve, else the reason why it is not.
 	Readiness() error
 	// Stats returns the counters of this process.
 	Stats() Stats
-	// Faults returns, in JSON, the counts of calls of the system that failed, and of why connections ended.
+	// Faults returns the counts of failed system calls and of the reasons why connections ended, in JSON.
 	Faults() (json.RawMessage, error)
-	// TakeDown takes an endpoint administratively down. [ErrUnknownEndpoint] is
-	// answered by 404, any other error by 503, here and in the next three.
+	// TakeDown takes an endpoint administratively down. The status of [ErrUnknownEndpoint] is 404, that of any other
+	// error 503; this also applies to the next three methods.
 	TakeDown(endpoint string) error
-	// Restore ends that an endpoint is administratively down.
+	// Restore puts an endpoint that is administratively down back in use.
 	Restore(endpoint string) error
-	// StartDrain empties the proxy until StopDrain.
+	// StartDrain drains the proxy until StopDrain.
 	StartDrain() error
 	// StopDrain ends a drain.
 	StopDrain() error
-	// Fleet returns the state of the fleet, as this proxy sees it, in JSON. The error is
-	// [ErrNoFleet] or [ErrFleetNotJoined].
+	// Fleet returns the state of the fleet as this proxy knows it, in JSON. The error is [ErrNoFleet] or
+	// [ErrFleetNotJoined].
 	Fleet() (json.RawMessage, error)
-	// SharedState returns, in JSON, what the replicas share. The error is [ErrNothingShared].
+	// SharedState returns the state that the replicas share, in JSON. The error is [ErrNothingShared].
 	SharedState() (json.RawMessage, error)
-	// Rollout returns the state of the present rollout in JSON. The error is [ErrNoRollouts].
+	// Rollout returns the state of the current rollout, in JSON. The error is [ErrNoRollouts].
 	Rollout() (json.RawMessage, error)
-	// StartRollout starts a rollout by a plan in YAML. Its errors are answered by 409.
+	// StartRollout starts a rollout from a plan in YAML. The status of its errors is 409.
 	StartRollout(plan []byte) error
-	// RolloutCommand executes pause, resume, abort, back or refused; only the last has an
-	// argument. Its errors are answered by 409.
+	// RolloutCommand executes pause, resume, abort, back or refused; only refused has an argument. The status of its
+	// errors is 409.
 	RolloutCommand(command, argument string) error
-	// ForgetReplica removes a dead replica from the fleet. Its errors are answered by 404.
+	// ForgetReplica removes a dead replica from the fleet. The status of its errors is 404.
 	ForgetReplica(name string) error
 }
 
 // Stats are the counters of one process since its start.
 type Stats struct {
 	Requests        map[string]RequestCounts `json:"calls"`           // by class
-	Attempts        int64                    `json:"backend_calls"`   // written whole to an endpoint
-	InFlight        int64                    `json:"inflight"`        // requests without a final result, now
-	EndpointsListed int                      `json:"hosts_listed"`    // now
-	EndpointsDown   int                      `json:"hosts_down"`      // now: listed, and avoided by one pool at least
-	ReloadsOK       int64                    `json:"reconfig_ok"`     // of the configuration
-	ReloadsFailed   int64                    `json:"reconfig_failed"` // which left the old one in force
+	Attempts        int64                    `json:"backend_calls"`   // written completely to an endpoint
+	InFlight        int64                    `json:"inflight"`        // requests without a final result, currently
+	EndpointsListed int                      `json:"hosts_listed"`    // currently
+	EndpointsDown   int                      `json:"hosts_down"`      // currently listed and avoided by a pool
+	ReloadsOK       int64                    `json:"reconfig_ok"`     // reloads of the configuration
+	ReloadsFailed   int64                    `json:"reconfig_failed"` // which left the old configuration in force
 }
 
-// RequestCounts counts requests by how they ended.
+// RequestCounts counts requests by outcome.
 type RequestCounts struct {
 	Served int64 `json:"success"`
 	Shed   int64 `json:"busy"`
--- a/admin/message.go
+++ b/admin/message.go
@@ -15,25 +15,25 @@
 
 const (
 	maxHead = 8 << 10   // bytes of a request's head
-	maxBody = 1 << 10   // bytes of its body, without the framing of its chunks
-	maxPlan = 256 << 10 // bytes of a body that is a rollout's plan
+	maxBody = 1 << 10   // bytes of its body, without chunk framing
+	maxPlan = 256 << 10 // bytes of a body that is a rollout plan
 )
 
-// request is one whole request.
+// request is a complete request.
 type request struct{ method, path, body string }
 
-// argument is the body without line ends behind it.
+// argument returns the body without trailing line ends.
 func (r request) argument() string { return strings.TrimRight(r.body, "\r\n") }
 
-// response is what a request is answered.
+// response is the response to a request.
 type response struct {
 	status int
 	text   string // plain text, or JSON
 	json   bool
-	allow  string // the methods that the path takes, after another one
+	allow  string // the methods of the path, if the request has another one
 }
 
-// statusError is an error that has a status of its own.
+// statusError is an error with a status of its own.
 type statusError struct {
 	status int
 	text   string
@@ -51,7 +51,7 @@
 	return &statusError{status: status, text: fmt.Sprintf(format, args...)}
 }
 
-// encode returns the response as it goes over the wire.
+// encode returns the response in its form on the wire.
 func (r response) encode() []byte {
 	contentType, text := "text/plain; charset=utf-8", r.text+"\n"
 	if r.json {
@@ -68,9 +68,9 @@
 	return b.Bytes()
 }
 
-// readRequest reads one request, and checks what doesn't depend on its path. It writes to w where a
-// client waits for leave to send its body. The error is a *statusError if
-// the request is to be answered by it.
+// readRequest reads one request and checks everything that does not depend on its path. It writes the interim response
+// to w if the client waits for one before it sends the body. The error is a *statusError if the client gets a response
+// to the request.
 func readRequest(r *bufio.Reader, w io.Writer) (request, error) {
 	head, err := framing.ReadHead(r, maxHead)
 	if errors.Is(err, framing.ErrHeadTooLarge) {
@@ -110,7 +110,7 @@
 	return req, nil
 }
 
-// supported reports whether a head is of HTTP/1.x and states what that demands.
+// supported reports whether a head is of HTTP/1.x and has the fields that its version requires.
 func supported(req *http.Request) bool {
 	if req.Host == "" && req.ProtoAtLeast(1, 1) {
 		return false
--- a/admin/routes.go
+++ b/admin/routes.go
@@ -10,15 +10,15 @@
 // maxNameBytes bounds the name of an endpoint or a replica.
 const maxNameBytes = 256
 
-// handler executes a request. Its error is answered by [errorResponse].
+// handler executes a request. [errorResponse] returns the response to its error.
 type handler func(controller Controller, req request) (response, error)
 
-// route is the handlers of a path and the bodies that it accepts.
+// route holds the handlers of a path and the bodies that it accepts.
 type route struct {
-	get, post handler // nil: the path doesn't take the method
-	// name describes what the body must name; empty where it names nothing.
+	get, post handler // nil: the path does not have the method
+	// name describes the name that the body must contain; empty if it must contain none.
 	name string
-	// anyBody is whether any body is passed on. Without name and anyBody there must be none.
+	// anyBody passes any body on. If name is empty and anyBody is false, the request must not have a body.
 	anyBody bool
 }
 
@@ -32,10 +32,10 @@
 	"/ops/readiness":       {get: readiness},
 	"/ops/stats":           {get: stats},
 	"/ops/faults":          {get: document(Controller.Faults)},
-	"/ops/backends/down":   {post: orderFor(Controller.TakeDown), name: endpointName},
-	"/ops/backends/up":     {post: orderFor(Controller.Restore), name: endpointName},
-	"/ops/drain/start":     {post: order(Controller.StartDrain)},
-	"/ops/drain/stop":      {post: order(Controller.StopDrain)},
+	"/ops/backends/down":   {post: namedCommand(Controller.TakeDown), name: endpointName},
+	"/ops/backends/up":     {post: namedCommand(Controller.Restore), name: endpointName},
+	"/ops/drain/start":     {post: command(Controller.StartDrain)},
+	"/ops/drain/stop":      {post: command(Controller.StopDrain)},
 	"/ops/fleet":           {get: document(Controller.Fleet)},
 	"/ops/fleet/shared":    {get: document(Controller.SharedState)},
 	"/ops/fleet/forget":    {post: forgetReplica, name: replicaName},
@@ -52,7 +52,7 @@
 	"POST /ops/fleet/forget, GET or POST /ops/rollout, " +
 	"or POST /ops/rollout/ with pause, resume, abort, back or refused"
 
-// bodyLimit is how many bytes the body of a request to a path may have.
+// bodyLimit returns the maximum length of the body of a request to a path, in bytes.
 func bodyLimit(path string) int64 {
 	if path == rolloutPath {
 		return maxPlan
@@ -60,7 +60,7 @@
 	return maxBody
 }
 
-// handle executes a request.
+// handle executes a request and returns its response, also for an error.
 func handle(controller Controller, req request) response {
 	resp, err := dispatch(controller, req)
 	if err != nil {
@@ -69,10 +69,10 @@
 	return resp
 }
 
-// dispatch checks a request against the route of its path, and executes it.
+// dispatch checks a request against the route of its path and executes it.
 func dispatch(controller Controller, req request) (response, error) {
-	r, there := routes[req.path]
-	if !there {
+	r, known := routes[req.path]
+	if !known {
 		return response{}, failf(http.StatusNotFound, unknownPath)
 	}
 	run := r.handler(req.method)
@@ -91,7 +91,7 @@
 	return run(controller, req)
 }
 
-// handler returns what the path does at a method; nil is nothing.
+// handler returns the handler of a method, or nil if the path does not have the method.
 func (r route) handler(method string) handler {
 	switch method {
 	case http.MethodGet:
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// allow returns the methods that the path takes.
+// allow returns the methods of the path, as in the Allow header.
 func (r route) allow() string {
 	switch {
 	case r.post == nil:
@@ -113,14 +113,14 @@
 	return "GET or POST"
 }
 
-// validName reports whether a text is a name: short, of visible characters.
+// validName reports whether a text can be a name: of limited length, and without spaces or control characters.
 func validName(text string) bool {
 	return text != "" && len(text) <= maxNameBytes && !strings.ContainsFunc(text, func(r rune) bool {
 		return r <= ' ' || r == 0x7f || r == 0xfffd
 	})
 }
 
-// errorResponse answers an error by its own status, or by the status of errors of its kind.
+// errorResponse returns the response to an error, with its own status or the status of its kind.
 func errorResponse(err error) response {
 	var own *statusError
 	switch {
@@ -150,7 +150,7 @@
 	return response{status: http.StatusOK, text: string(text), json: true}, nil
 }
 
-// document returns a handler that answers with a JSON document.
+// document returns a handler that responds with a JSON document.
 func document(get func(Controller) (json.RawMessage, error)) handler {
 	return func(controller Controller, _ request) (response, error) {
 		text, err := get(controller)
@@ -165,15 +165,15 @@
 	}
 }
 
-// order returns a handler that executes an order without an argument.
-func order(execute func(Controller) error) handler {
+// command returns a handler that executes a command without an argument.
+func command(execute func(Controller) error) handler {
 	return func(controller Controller, _ request) (response, error) {
 		return done, execute(controller)
 	}
 }
 
-// orderFor returns a handler that executes an order for what the body names.
-func orderFor(execute func(Controller, string) error) handler {
+// namedCommand returns a handler that executes a command with the name in the body.
+func namedCommand(execute func(Controller, string) error) handler {
 	return func(controller Controller, req request) (response, error) {
 		return done, execute(controller, req.argument())
 	}
--- a/admin/server.go
+++ b/admin/server.go
@@ -1,7 +1,6 @@
-// Package admin is the management endpoint: a listener of its own at which operators query
-// the state of a proxy and give it commands. It speaks HTTP/1.1, one request to a
-// connection. It knows no endpoint and no discovery: it passes each request on to a
-// [Controller].
+// Package admin is the management endpoint: a separate listener at which operators query the state of a proxy and give
+// it commands. It speaks HTTP/1.1, with one request per connection, and passes each request to a [Controller]. It has
+// no access to endpoints or discovery.
 package admin
 
 import (
@@ -18,42 +17,42 @@
 	"ryerill/internal/socket"
 )
 
-// Descriptors is how many file descriptors the server may hold; they are set aside for it.
+// Descriptors is the number of file descriptors reserved for the server; it may hold no more.
 const Descriptors = maxConnections + 8
 
 const (
 	maxConnections = 32
-	readTimeout    = 3 * time.Second        // from the accept on until the request has been received
-	openTimeout    = time.Second            // from the accept on until the system has registered the connection
-	writeTimeout   = 500 * time.Millisecond // for the response
-	linger         = 200 * time.Millisecond // what arrives after a response is read for so long, lest it be reset
-	maxLinger      = 64 << 10               // bytes that are read then
+	readTimeout    = 3 * time.Second        // from the accept until the request has been received
+	openTimeout    = time.Second            // from the accept until the system has registered the connection
+	writeTimeout   = 500 * time.Millisecond // for writing the response
+	lingerTimeout  = 200 * time.Millisecond // input after a response is read for this long to avoid a reset
+	maxLingerBytes = 64 << 10               // bytes of that input
 
-	reservedDescriptors = 2 // set aside for when there are no others
+	reservedDescriptors = 2 // for use when the process is out of descriptors
 )
 
-// Server is the listener with its connections.
+// Server is the listener of the management endpoint, with its connections.
 type Server struct {
 	listener   *socket.Listener
 	controller Controller
 	reserve    *socket.Reserve
-	serving    sync.WaitGroup // a goroutine for each connection
+	serving    sync.WaitGroup // counts one goroutine per connection
 
 	mu      sync.Mutex
-	conns   map[*conn]struct{} // guarded by mu, with the fields of each that change
-	changed *sync.Cond         // of conns: one has been registered or has ended
-	stopped bool               // guarded by mu: no request is received any more
+	conns   map[*conn]struct{} // guarded by mu, as are the mutable fields of each
+	changed *sync.Cond         // on mu: a connection has been registered or has ended
+	stopped bool               // no more requests are received; guarded by mu
 }
 
 type conn struct {
-	accepted   *os.File // the descriptor that tcp is made of
+	accepted   *os.File // the descriptor that tcp is created from
 	acceptedAt time.Time
-	tcp        *net.TCPConn // nil at first: the system may not register it at once
+	tcp        *net.TCPConn // nil until the system has registered the connection
 	received   bool         // the request has been received
 	answered   bool         // the response has been written: the connection only lingers
 }
 
-// Listen opens a server at an address; no request is answered before [Server.Serve].
+// Listen returns a server that listens at an address. It answers no request before [Server.Serve].
 func Listen(address string) (*Server, error) {
 	listener, err := socket.Listen(address, false)
 	if err != nil {
@@ -68,16 +67,16 @@
 	return s, nil
 }
 
-// Address returns the address that the server listens at.
+// Address returns the address at which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close closes a server that never served.
+// Close closes a server on which Serve was not called.
 func (s *Server) Close() {
 	s.listener.Close()
 	s.reserve.Close()
 }
 
-// Serve answers requests until ctx ends and those received by then have their response.
+// Serve answers requests until ctx ends and all requests received by then have been answered.
 func (s *Server) Serve(ctx context.Context, controller Controller) {
 	s.controller = controller
 	defer context.AfterFunc(ctx, s.stop)()
@@ -91,7 +90,7 @@
 		if socket.IsClosed(err) {
 			break
 		}
-		if err != nil { // the client has gone, or another socket has taken the descriptor
+		if err != nil { // the client has left, or another socket has taken the descriptor
 			s.reserve.Fill()
 			time.Sleep(backoff.Next())
 			continue
@@ -102,7 +101,7 @@
 	s.serving.Wait()
 }
 
-// stop ends accepting, and connections whose request has not been received.
+// stop closes the listener, and ends connections whose request has not been received.
 func (s *Server) stop() {
 	s.listener.Close()
 	s.mu.Lock()
@@ -115,7 +114,7 @@
 	}
 }
 
-// add serves a connection. At the bound it replaces another one, or is closed if none may go.
+// add serves a connection. At maxConnections it evicts another one, or closes c if none can be evicted.
 func (s *Server) add(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,8 +127,9 @@
 	go s.serve(c)
 }
 
-// makeRoomLocked closes a connection if there are as many as there may be. Those that the system has not registered yet
-// cannot be closed for another: it waits for the first of them. It reports false if all wait for their response.
+// makeRoomLocked evicts connections while there are maxConnections or more. Connections that the system has not
+// registered yet cannot be evicted: it waits until one of them can. It returns false if all connections wait for their
+// response. Callers must hold s.mu.
 func (s *Server) makeRoomLocked() bool {
 	for len(s.conns) >= maxConnections {
 		evicted := s.evictableLocked()
@@ -146,7 +146,8 @@
 	return true
 }
 
-// isRegisteringLocked reports whether a connection is not registered yet: it will be, or ends, within openTimeout.
+// isRegisteringLocked reports whether a connection has not been registered yet. It is registered, or ends, within
+// openTimeout. Callers must hold s.mu.
 func (s *Server) isRegisteringLocked() bool {
 	for c := range s.conns {
 		if c.tcp == nil {
@@ -156,9 +157,9 @@
 	return false
 }
 
-// evictableLocked returns the connection to close for a new one: the oldest that has its
-// response, else the oldest whose request has not been received. Those that wait for their
-// response, or to be registered, which takes moments, stay; nil is none.
+// evictableLocked returns the connection to evict for a new one: the oldest one that has its response, else the oldest
+// one whose request has not been received. It returns nil if all others wait for their response or to be registered,
+// which takes moments. Callers must hold s.mu.
 func (s *Server) evictableLocked() (evicted *conn) {
 	for c := range s.conns {
 		switch {
@@ -172,15 +173,15 @@
 	return evicted
 }
 
-// open makes the connection of its descriptor. Where the system does not register it now it is tried again for a while:
-// the client has connected. It reports false if there is none to serve.
+// open creates the connection from its descriptor. If the system cannot register it now, open retries for openTimeout,
+// as the client has already connected. It returns false if there is no connection to serve.
 func (s *Server) open(c *conn) bool {
 	defer c.accepted.Close()
 	var backoff socket.Backoff
 	for {
 		opened, err := net.FileConn(c.accepted)
 		if err == nil {
-			return s.opened(c, opened.(*net.TCPConn))
+			return s.setOpen(c, opened.(*net.TCPConn))
 		}
 		if time.Since(c.acceptedAt) > openTimeout {
 			return false
@@ -191,8 +192,8 @@
 	}
 }
 
-// opened records that a connection is made. It reports false if the server has been stopped meanwhile.
-func (s *Server) opened(c *conn, tcp *net.TCPConn) bool {
+// setOpen records the open connection. It returns false if the server has been stopped meanwhile.
+func (s *Server) setOpen(c *conn, tcp *net.TCPConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stopped {
@@ -204,7 +205,7 @@
 	return true
 }
 
-// serve answers one connection's request, and closes it.
+// serve answers the request of a connection and closes it.
 func (s *Server) serve(c *conn) {
 	defer s.serving.Done()
 	defer func() {
@@ -219,7 +220,7 @@
 	}
 	defer c.tcp.Close()
 	c.tcp.SetReadDeadline(c.acceptedAt.Add(readTimeout))
-	steady := socket.Steady{Conn: c.tcp} // a fault that passes does not end the call
+	steady := socket.Steady{Conn: c.tcp} // transient faults do not end the call
 	req, err := readRequest(bufio.NewReaderSize(steady, maxHead), steady)
 	var invalid *statusError
 	var resp response
@@ -235,17 +236,17 @@
 		late := failf(http.StatusRequestTimeout, "the call did not come whole in %v: send it at once", readTimeout)
 		resp = late.response()
 	default:
-		return // the client has gone
+		return // the client has left
 	}
 	c.tcp.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := steady.Write(resp.encode()); err != nil {
 		return
 	}
-	_ = socket.CloseWrite(c.tcp) // the close that follows says the same
+	_ = socket.CloseWrite(c.tcp) // an error does not matter: the connection is closed next
 	s.mu.Lock()
 	c.received = true
 	c.answered = true
 	s.mu.Unlock()
-	c.tcp.SetReadDeadline(time.Now().Add(linger))
-	_, _ = io.Copy(io.Discard, io.LimitReader(steady, maxLinger)) // whatever ends it, the connection is closed next
+	c.tcp.SetReadDeadline(time.Now().Add(lingerTimeout))
+	_, _ = io.Copy(io.Discard, io.LimitReader(steady, maxLingerBytes)) // the connection is closed next in any case
 }
--- a/admin/server_test.go
+++ b/admin/server_test.go
@@ -17,19 +17,19 @@
 
 const testTimeout = 20 * time.Second
 
-// controller counts the changes that it is asked for.
-type controller struct {
+// fakeController counts the changes that it executes.
+type fakeController struct {
 	changes atomic.Int64
 	last    atomic.Pointer[string]
 }
 
-func (s *controller) Readiness() error { return nil }
-func (s *controller) Stats() Stats {
+func (s *fakeController) Readiness() error { return nil }
+func (s *fakeController) Stats() Stats {
 	return Stats{InFlight: 14, Requests: map[string]RequestCounts{"C": {Served: 812}}}
 }
-func (s *controller) Faults() (json.RawMessage, error) { return json.RawMessage(`{}`), nil }
+func (s *fakeController) Faults() (json.RawMessage, error) { return json.RawMessage(`{}`), nil }
 
-func (s *controller) TakeDown(id string) error {
+func (s *fakeController) TakeDown(id string) error {
 	s.changes.Add(1)
 	s.last.Store(&id)
 	switch id {
@@ -40,38 +40,38 @@
 	}
 	return nil
 }
-func (s *controller) Restore(id string) error { s.changes.Add(1); return nil }
-func (s *controller) StartDrain() error       { s.changes.Add(1); return nil }
-func (s *controller) StopDrain() error        { s.changes.Add(1); return nil }
-func (s *controller) Fleet() (json.RawMessage, error) {
+func (s *fakeController) Restore(id string) error { s.changes.Add(1); return nil }
+func (s *fakeController) StartDrain() error       { s.changes.Add(1); return nil }
+func (s *fakeController) StopDrain() error        { s.changes.Add(1); return nil }
+func (s *fakeController) Fleet() (json.RawMessage, error) {
 	return json.RawMessage(`{"name":"n1"}`), nil
 }
 
-func (s *controller) SharedState() (json.RawMessage, error) { return nil, ErrNothingShared }
+func (s *fakeController) SharedState() (json.RawMessage, error) { return nil, ErrNothingShared }
 
-func (s *controller) Rollout() (json.RawMessage, error) { return nil, ErrNoRollouts }
+func (s *fakeController) Rollout() (json.RawMessage, error) { return nil, ErrNoRollouts }
 
-func (s *controller) StartRollout(plan []byte) error {
+func (s *fakeController) StartRollout(plan []byte) error {
 	s.changes.Add(1)
 	return nil
 }
 
-func (s *controller) RolloutCommand(command, argument string) error { s.changes.Add(1); return nil }
+func (s *fakeController) RolloutCommand(command, argument string) error { s.changes.Add(1); return nil }
 
-func (s *controller) ForgetReplica(name string) error {
+func (s *fakeController) ForgetReplica(name string) error {
 	if name != "n2" {
 		return ErrUnknownEndpoint
 	}
 	return nil
 }
 
-func open(t *testing.T) (*Server, *controller) {
+func startServer(t *testing.T) (*Server, *fakeController) {
 	t.Helper()
 	server, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &controller{}
+	s := &fakeController{}
 	ctx, stop := context.WithCancel(context.Background())
 	over := make(chan struct{})
 	go func() { server.Serve(ctx, s); close(over) }()
@@ -90,7 +90,7 @@
 	return c
 }
 
-func ask(t *testing.T, server *Server, text string) (int, string, *http.Response) {
+func send(t *testing.T, server *Server, text string) (int, string, *http.Response) {
 	t.Helper()
 	c := dial(t, server)
 	io.WriteString(c, text)
@@ -105,8 +105,8 @@
 	return resp.StatusCode, string(body), resp
 }
 
-func TestRequestsAndTheirResponses(t *testing.T) {
-	server, s := open(t)
+func TestResponses(t *testing.T) {
+	server, s := startServer(t)
 	const down = "POST /ops/backends/down HTTP/1.1\r\nHost: x\r\n"
 	for _, tc := range []struct {
 		text    string
@@ -153,9 +153,9 @@
 		{"GET /ops/stats HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("x", 9000) + "\r\n\r\n", 431, "over", 0},
 	} {
 		before := s.changes.Load()
-		status, text, resp := ask(t, server, tc.text)
+		status, text, resp := send(t, server, tc.text)
 		if status != tc.status || !strings.Contains(text, tc.says) || s.changes.Load()-before != tc.changes || !resp.Close {
-			t.Errorf("%.70q: %d %s, %d changes, close %v", tc.text, status, text, s.changes.Load()-before, resp.Close)
+			t.Errorf("%.70q: got status %d, text %s, %d changes, close %v", tc.text, status, text, s.changes.Load()-before, resp.Close)
 		}
 	}
 	if last := s.last.Load(); *last != "jammed" {
@@ -163,9 +163,9 @@
 	}
 }
 
-// A request in single bytes is a request like any other, and one that asks for leave to send its body gets it.
-func TestRequestInPieces(t *testing.T) {
-	server, s := open(t)
+// A request may arrive in single bytes, and a client that expects an interim response before its body gets one.
+func TestRequestInSingleBytes(t *testing.T) {
+	server, s := startServer(t)
 	c := dial(t, server)
 	for _, b := range []byte("POST /ops/backends/down HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n") {
 		c.Write([]byte{b})
@@ -182,18 +182,18 @@
 	}
 }
 
-// Clients that hold connections without a whole request keep no other out, and get a
-// response in the end. Guards also against a reset of the newest connection where all others
-// are accepted and none is registered yet, as on a busy machine: many play it at once.
-func TestHeldConnectionsAreReplaced(t *testing.T) {
+// Clients that hold connections without a complete request do not exclude other clients, and get a response in the
+// end. Guards against a reset of the newest connection when all others are accepted and none is registered yet, as on
+// a busy machine: many parallel runs cause that.
+func TestIncompleteConnectionsAreEvicted(t *testing.T) {
 	const sideBySide, repeats = 24, 40
 	for range sideBySide {
 		t.Run("busy", func(t *testing.T) {
 			t.Parallel()
 			for range repeats {
-				t.Run("again", func(t *testing.T) { // which closes its connections at its end
+				t.Run("again", func(t *testing.T) { // a subtest, to close its connections at its end
 					_, first := holdConnections(t)
-					checkClosedOrTooLate(t, first)
+					checkClosedOrTimedOut(t, first)
 				})
 			}
 		})
@@ -201,9 +201,9 @@
 	t.Run("alone", func(t *testing.T) {
 		server, first := holdConnections(t)
 		if _, err := first.Read(make([]byte, 1)); err == nil {
-			t.Error("the connection that waited longest was not closed")
+			t.Error("the oldest connection was not closed")
 		}
-		for range 3 * maxConnections { // nor do clients that keep their connection once they have their response
+		for range 3 * maxConnections { // clients that keep their connection after the response exclude no other ones either
 			c := dial(t, server)
 			io.WriteString(c, "GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n")
 			if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
@@ -217,46 +217,46 @@
 	})
 }
 
-// holdConnections has many clients hold connections without a whole request, and one ask.
+// holdConnections opens many connections with an incomplete request, then sends a complete one on another.
 func holdConnections(t *testing.T) (server *Server, first net.Conn) {
 	t.Helper()
-	server, _ = open(t)
+	server, _ = startServer(t)
 	first = dial(t, server)
 	io.WriteString(first, "GET /ops/sta")
 	for range 3 * maxConnections {
 		io.WriteString(dial(t, server), "GET /ops/stats HT")
 	}
-	if status, _, _ := ask(t, server, "GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
+	if status, _, _ := send(t, server, "GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
 		t.Error(status)
 	}
 	return server, first
 }
 
-// checkClosedOrTooLate checks that a connection is closed, or has its response once its request is overdue: one that the
-// system registers only after all others have come is none of those that may be closed for them.
-func checkClosedOrTooLate(t *testing.T, c net.Conn) {
+// checkClosedOrTimedOut checks that a connection is closed, or gets its response when its request is overdue: a
+// connection that the system registers after all others cannot be evicted for them.
+func checkClosedOrTimedOut(t *testing.T, c net.Conn) {
 	t.Helper()
 	reader := bufio.NewReader(c)
 	if _, err := reader.Peek(1); err != nil {
 		return
 	}
 	if resp, err := http.ReadResponse(reader, nil); err != nil || resp.StatusCode != http.StatusRequestTimeout {
-		t.Error("the connection that waited longest:", resp, err)
+		t.Error("oldest connection: got response, error:", resp, err)
 	}
 }
 
-// Whatever comes, reading ends without a panic, in a whole request or an error.
+// For any input, readRequest returns a complete request or an error and does not panic.
 func FuzzReadRequest(f *testing.F) {
 	f.Add([]byte("POST /ops/backends/down HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n1;x=y\r\ns\r\n0\r\n\r\n"))
 	f.Add([]byte("GET /ops/stats HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabcd"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		req, err := readRequest(bufio.NewReaderSize(bytes.NewReader(text), maxHead), io.Discard)
 		if err == nil && (len(req.body) > maxBody || !strings.HasPrefix(req.path, "/")) {
-			t.Errorf("%q is a request: %+v", text, req)
+			t.Errorf("%q: got invalid request %+v", text, req)
 		}
 		var invalid *statusError
 		if errors.As(err, &invalid) && (invalid.status < 400 || invalid.status > 499 || invalid.text == "") {
-			t.Errorf("%q: %+v", text, invalid)
+			t.Errorf("%q: got invalid status error %+v", text, invalid)
 		}
 	})
 }
