--- a/config/build.go
+++ b/config/build.go
@@ -12,7 +12,7 @@
 	"ryerill/internal/yamlfile"
 )
 
-// Bounds of a file.
+// Bounds of the values of a file.
 const (
 	maxPools         = 4096
 	maxListeners     = 64
@@ -28,10 +28,10 @@
 	maxMemoryMB      = 1 << 30
 	maxSockets       = 1 << 20
 	maxDuration      = time.Hour
-	maxLongDuration  = 24 * time.Hour // of idle connections and idempotency windows
+	maxLongDuration  = 24 * time.Hour // for idle connections and idempotency windows
 )
 
-// Enumerated values of the settings, and the balancer's constants for them.
+// Enumerated values of the settings and the balancer's constants for them.
 var (
 	effects = map[string]balancer.Effect{"safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
 	groups  = map[string]balancer.Group{
@@ -40,7 +40,7 @@
 )
 
 // ParseFile reads a configuration in YAML. The error joins all faults of the file, each with its line and column.
-// Warnings name likely mistakes of a file that is accepted.
+// Warnings report likely mistakes in a file that is accepted.
 func ParseFile(name string, text []byte, getenv func(string) string) (cfg Config, warnings []string, err error) {
 	file := new(File)
 	tree, err := yamlfile.Decode(name, text, file)
@@ -53,7 +53,7 @@
 	cfg.Text = text
 	cfg.SharedDir = getenv(EnvTempDir)
 	var faults []error
-	reported := map[string]bool{} // classes that pools inherit are checked with each of them
+	reported := map[string]bool{} // inherited classes are checked once per pool
 	for _, problem := range problems {
 		if reported[problem.Error()] {
 			continue
@@ -69,7 +69,7 @@
 	return cfg, warnings, errors.Join(faults...)
 }
 
-// build checks a completed file and turns it into the configuration that a proxy runs by.
+// build checks a file whose defaults are filled in and converts it to a configuration.
 func (f *File) build() (Config, []yamlfile.Problem) {
 	c := &checker{}
 	cfg := Config{Name: f.Name, Admin: f.Admin}
@@ -126,10 +126,10 @@
 	return listeners
 }
 
-// resourceKey is a kind of resource that pools are guaranteed, by its key in a file.
+// resourceKey describes a resource that pools are guaranteed, by its keys in a file.
 type resourceKey struct {
-	guarantee string // below pools[i].guarantee
-	machine   string // below machine: what has to be raised for more of it
+	guarantee string // key below pools[i].guarantee
+	machine   string // key below machine that has to be raised for more of it
 	amount    func(Shares) int
 }
 
@@ -140,8 +140,8 @@
 	{"work_per_s", "work_per_s", func(s Shares) int { return s.Work }},
 }
 
-// checkGuarantees requires that the guarantees of all pools can be given at once. It names the pool with which a
-// resource runs out.
+// checkGuarantees requires that the guarantees of all pools fit the machine together. It reports the first pool that
+// exceeds a resource.
 func checkGuarantees(cfg *Config, c *checker) {
 	machine := cfg.Shared()
 	sums := make([]int, len(resourceKeys))
@@ -165,7 +165,7 @@
 	}
 }
 
-// build checks a pool and turns it into what it runs by. key is the pool's own in the file.
+// build checks a pool and converts it. key is the key of the pool in the file.
 func (p *PoolFile) build(key string, c *checker) Pool {
 	pool := Pool{
 		Name:      p.Name,
@@ -205,7 +205,7 @@
 	return pool
 }
 
-// buildEndpoints checks where the pool's endpoints come from and returns those that the file lists.
+// buildEndpoints checks the source of the pool's endpoints and returns the endpoints that the file lists.
 func (p *PoolFile) buildEndpoints(key string, c *checker) discovery.EndpointList {
 	if p.Discovery != "" {
 		c.address(key+".directory", p.Discovery)
@@ -235,7 +235,7 @@
 	return list
 }
 
-// checkZone requires that a zone, where one is stated, is one of the pool's.
+// checkZone requires that a zone, if it is stated, is one of the pool's.
 func (p *PoolFile) checkZone(key, zone string, c *checker) {
 	if zone != "" && !slices.Contains(p.Zones, zone) {
 		c.Bad(key, zone, "one of the pool's zones: "+strings.Join(p.Zones, ", ")+yamlfile.Suggest(zone, p.Zones))
--- a/config/checker.go
+++ b/config/checker.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// uniqueName requires a printable name that no earlier item of its list has. indexes holds the index of each name so
-// far.
+// uniqueName requires a name of printable characters that no earlier item of the list has. indexes maps the earlier
+// names to their indexes.
 func (c *checker) uniqueName(key, name string, indexes map[string]int, index int) {
 	unprintable := func(r rune) bool { return r <= ' ' || r > '~' }
 	if name == "" || strings.ContainsFunc(name, unprintable) {
--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,5 @@
-// Package config alone reads a proxy's configuration, checks it and completes
-// it with defaults. Its errors name the faulty key and its value.
+// Package config reads the configuration of a proxy, checks it and fills in defaults. No other package reads it.
+// Errors state the key and the value at fault.
 package config
 
 import (
@@ -12,83 +12,83 @@
 	"ryerill/route"
 )
 
-// Config is all that a proxy is configured with, whatever form it was written in.
+// Config is the complete configuration of a proxy, whichever form it was read from.
 type Config struct {
 	Name      string
 	Seed      uint64
 	Limits    Limits
-	Admin     string // address of the management endpoint; empty is none
-	SharedDir string // directory that the processes of this proxy share; empty is none
+	Admin     string // address of the management endpoint; empty if there is none
+	SharedDir string // directory that the processes of this proxy share; empty if there is none
 	Listeners []Listener
 	Routes    []Route
 	Pools     []Pool
-	Fleet     *Fleet // nil is none: the proxy exchanges messages with no other
-	Text      []byte // text of the file, where it is of [File]'s form
+	Fleet     *Fleet // nil if the proxy is in no fleet
+	Text      []byte // text of the file, if it has [File]'s form
 }
 
-// Listener is an address at which clients are served.
+// Listener is an address at which the proxy serves clients.
 type Listener struct {
 	Name    string
 	Address string
 }
 
-// Route leads requests to a pool.
+// Route selects the pool of the requests that match it.
 type Route struct {
 	route.Rule
-	Class string // class of its requests, where they state none
+	Class string // class of the requests that state none
 }
 
-// Pool is a set of endpoints with all that belongs to it.
+// Pool is a set of endpoints with its settings.
 type Pool struct {
 	Name           string
-	Discovery      string                 // address of the discovery service; empty: KnownEndpoints is the whole list
-	KnownEndpoints discovery.EndpointList // endpoints of the start, perhaps long out of date where there is discovery
+	Discovery      string                 // address of the discovery service; if empty, KnownEndpoints is the full list
+	KnownEndpoints discovery.EndpointList // endpoints at startup; with discovery, possibly long outdated
 	Settings       Settings
-	Guarantee      Shares        // what no other pool can take
-	Weight         float64       // its part of what is lent, against other pools' weights
-	Drain          time.Duration // how long it may finish its requests once a reload has removed it
+	Guarantee      Shares        // resources that no other pool can take
+	Weight         float64       // share of lent resources, relative to the weights of other pools
+	Drain          time.Duration // how long requests may continue after a reload has removed the pool
 
-	// CountsDiscoverySocket is whether the connection to the discovery service is one of the pool's guaranteed sockets.
-	// In the platform's form it is one of the reserved descriptors.
+	// CountsDiscoverySocket is whether the connection to the discovery service is one of the pool's guaranteed
+	// sockets. In the platform's form it is one of the reserved descriptors.
 	CountsDiscoverySocket bool
 }
 
-// AddressError is the error for an address of the configuration that can't be listened at.
+// AddressError is the error for an address of the configuration that the proxy cannot listen at.
 type AddressError struct {
 	Key, Value string
 	Err        error
 }
 
-// Error names the key, the address and the remedy.
+// Error states the key, the address and the remedy.
 func (e *AddressError) Error() string {
 	return fmt.Sprintf("%s: %q can't be listened at: %v; name an address of this machine that is free",
 		e.Key, e.Value, e.Err)
 }
 
-// Unwrap returns the error of the system.
+// Unwrap returns the error of the system call.
 func (e *AddressError) Unwrap() error { return e.Err }
 
-// Limits is what the machine allows the process.
+// Limits are the resources of the machine that the process may use.
 type Limits struct {
 	Cores   float64
 	Memory  int64 // bytes
-	Sockets int   // descriptors
-	Work    int   // units of work a second that are divided among pools, see [Cost]; 0 divides none
+	Sockets int   // file descriptors
+	Work    int   // units of work a second, see [Cost], that are divided among pools; 0 divides none
 }
 
-// Load reads the configuration that the environment names: the platform's JSON, or a file of [File]'s form. It returns
-// warnings too, which are no reason to reject it.
+// Load reads the configuration file that the environment names: the platform's JSON, or a file of [File]'s form. It
+// also returns warnings, which do not prevent its use.
 func Load(getenv func(string) string) (Config, []string, error) {
 	return load(getenv, environmentFirst)
 }
 
-// Reload reads the configuration anew while a proxy runs. The environment is still that of the start and cannot follow
-// the file: in the platform's form the discovery address of the file takes precedence now.
+// Reload reads the configuration again while a proxy runs. The environment variables still have their values of the
+// start, so in the platform's form the discovery address of the file takes precedence over them.
 func Reload(getenv func(string) string) (Config, []string, error) {
 	return load(getenv, fileFirst)
 }
 
-func load(getenv func(string) string, discovery precedence) (Config, []string, error) {
+func load(getenv func(string) string, discoveryPrecedence precedence) (Config, []string, error) {
 	file := getenv(EnvFile)
 	if file == "" {
 		return Config{}, nil, fmt.Errorf("%s: not set", EnvFile)
@@ -100,11 +100,11 @@
 	if !IsPlatformForm(text) {
 		return ParseFile(file, text, getenv)
 	}
-	cfg, err := parsePlatform(text, getenv, discovery)
+	cfg, err := parsePlatform(text, getenv, discoveryPrecedence)
 	return cfg, nil, err
 }
 
-// parseSeed reads a seed of random numbers, in hexadecimal; an empty one is 0.
+// parseSeed parses the hexadecimal seed of the random numbers; an empty text is 0.
 func parseSeed(text string) (uint64, error) {
 	if text == "" {
 		return 0, nil
@@ -112,7 +112,7 @@
 	return strconv.ParseUint(text, 16, 64)
 }
 
-// firstNonEmpty returns value, or other where value is empty.
+// firstNonEmpty returns value, or other if value is empty.
 func firstNonEmpty(value, other string) string {
 	if value == "" {
 		return other
--- a/config/convert.go
+++ b/config/convert.go
@@ -9,7 +9,7 @@
 	"ryerill/discovery"
 )
 
-// Enumerated values of the settings, by the balancer's constants for them.
+// Names of the enumerated values of the settings, by the balancer's constants for them.
 var (
 	effectNames = map[balancer.Effect]string{
 		balancer.Safe: "safe", balancer.Keyed: "keyed", balancer.Unsafe: "unsafe",
@@ -19,7 +19,7 @@
 	}
 )
 
-// Convert writes a configuration in the platform's form as a file of [File]'s form.
+// Convert converts a configuration from the platform's form to a file of [File]'s form.
 func Convert(text []byte, getenv func(string) string) ([]byte, error) {
 	cfg, err := ParsePlatform(text, getenv)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return out, nil
 }
 
-// fileOf is a configuration in the form of a file: what the platform's form amounts to.
+// fileOf converts a configuration of the platform's form to a file with the same meaning.
 func fileOf(cfg *Config) *File {
 	file := &File{
 		Name:  cfg.Name,
--- a/config/defaults.go
+++ b/config/defaults.go
@@ -8,7 +8,7 @@
 	"ryerill/message"
 )
 
-// Defaults of what a configuration may leave out.
+// Defaults of optional settings.
 const (
 	defaultCores            = 1.0
 	defaultMemoryMB         = 192
@@ -26,19 +26,19 @@
 	defaultOverloadMultiple = 2
 	defaultOverloadPeriod   = time.Second
 
-	// A pool that a reload removes may finish its requests for its longest deadline and this.
+	// A pool that a reload removes may finish its requests for its longest deadline plus this margin.
 	drainMargin = time.Second
 )
 
-// setDefault gives a value that is zero its default.
-func setDefault[T comparable](value *T, other T) {
+// setDefault sets a zero value to its default.
+func setDefault[T comparable](value *T, fallback T) {
 	var zero T
 	if *value == zero {
-		*value = other
+		*value = fallback
 	}
 }
 
-// setTrue switches on what the file does not state.
+// setTrue sets an option that the file does not state to true.
 func setTrue(value **bool) {
 	if *value == nil {
 		on := true
@@ -46,7 +46,7 @@
 	}
 }
 
-// Complete fills in the defaults of what a file leaves out.
+// Complete fills in the defaults of the settings that the file leaves out.
 func (f *File) Complete() {
 	setDefault(&f.Machine.Cores, defaultCores)
 	setDefault(&f.Machine.MemoryMB, defaultMemoryMB)
@@ -72,7 +72,7 @@
 	}
 }
 
-// inherit takes over the classes and tenants of the file where the pool states none.
+// inherit copies the classes and tenants of the file to a pool that states none.
 func (p *PoolFile) inherit(f *File) {
 	if len(p.Classes) == 0 {
 		p.Classes = slices.Clone(f.Classes)
@@ -94,7 +94,7 @@
 	}
 }
 
-// completeZones derives the zones from the pool's own and those of its endpoints.
+// completeZones derives missing zones from the pool's own zone and those of its endpoints.
 func (p *PoolFile) completeZones() {
 	if len(p.Zones) > 0 {
 		return
@@ -138,14 +138,15 @@
 	setDefault(&r.OverloadPeriod, defaultOverloadPeriod)
 }
 
-// completeGuarantee guarantees each pool an equal part of half of the machine: the other half goes where it is wanted.
+// completeGuarantee guarantees each pool an equal part of half of the machine by default. The other half is lent where
+// there is demand.
 func (f *File) completeGuarantee(pool *PoolFile) {
 	connections := f.Machine.Sockets - reservedSockets(f.Admin, f.Fleet != nil)
 	machine := ResourcesOf(connections, int64(f.Machine.MemoryMB*(1<<20)))
 	parts := 2 * len(f.Pools)
 	minSockets := 1
 	if pool.Discovery != "" {
-		minSockets = 2 // its connection to the discovery service is one of them
+		minSockets = 2 // one is for the connection to the discovery service
 	}
 	guarantee := &pool.Guarantee
 	setDefault(&guarantee.Sockets, max(machine.Sockets/parts, minSockets))
--- a/config/environment.go
+++ b/config/environment.go
@@ -10,7 +10,7 @@
 	EnvTempDir   = "TMPDIR"
 )
 
-// Keys of a file that variables of the environment replace.
+// Keys of a file that environment variables override.
 const (
 	keyName      = "name"
 	keyAdmin     = "mgmt"
@@ -18,7 +18,7 @@
 	keyDiscovery = "pools[0].directory"
 )
 
-// environmentKeys maps each key that the environment may replace to its variable.
+// environmentKeys maps each key that the environment can override to its variable.
 var environmentKeys = map[string]string{
 	keyName:      EnvName,
 	keyAdmin:     EnvAdmin,
@@ -26,8 +26,8 @@
 	keyDiscovery: EnvDiscovery,
 }
 
-// applyEnvironment replaces the name, the management address, and the addresses of the only listener and of the only
-// pool's discovery by those of the environment. It returns the keys that were replaced.
+// applyEnvironment overrides the name, the management address, and the addresses of the only listener and of the only
+// pool's discovery with those of the environment. It returns the overridden keys.
 func (f *File) applyEnvironment(getenv func(string) string) (replaced []string) {
 	replace := func(key string, value *string) {
 		if fromEnvironment := getenv(environmentKeys[key]); fromEnvironment != "" {
--- a/config/file.go
+++ b/config/file.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// File is a configuration as people write it, in YAML; JSON is a subset. [File.Complete] gives defaults to what it
-// leaves out. The keys of the settings are those of the yaml tags, their descriptions are part of the JSON Schema.
+// File is a configuration in the form written by operators: YAML, of which JSON is a subset. [File.Complete] fills in
+// the defaults. The yaml tags are the keys of the settings; their descriptions are part of the JSON Schema.
 type File struct {
 	Name      string         `yaml:"name,omitempty" json:"name,omitempty" jsonschema_description:"the proxy's name, in its log"`
 	Seed      string         `yaml:"seed,omitempty" json:"seed,omitempty" jsonschema_description:"for random numbers, at most 16 hexadecimal digits"`
@@ -17,7 +17,7 @@
 	Fleet     *FleetFile     `yaml:"fleet,omitempty" json:"fleet,omitempty" jsonschema_description:"the proxies that send to the same providers and speak to each other; without it this one speaks to none"`
 }
 
-// MachineFile states what the machine allows the process.
+// MachineFile states the resources of the machine that the process may use.
 type MachineFile struct {
 	Cores    float64 `yaml:"cores,omitempty" json:"cores,omitempty" jsonschema_description:"default 1"`
 	MemoryMB float64 `yaml:"memory_mb,omitempty" json:"memory_mb,omitempty" jsonschema_description:"16 or more; default 192"`
@@ -25,7 +25,7 @@
 	WorkPerS int     `yaml:"work_per_s,omitempty" json:"work_per_s,omitempty" jsonschema_description:"requests a second that its CPU can carry, to be divided among pools; a body counts one more for each 16 KiB; 0 divides nothing"`
 }
 
-// ListenerFile is an address at which clients are served.
+// ListenerFile is an address at which the proxy serves clients.
 type ListenerFile struct {
 	Name    string `yaml:"name" json:"name"`
 	Address string `yaml:"address" json:"address" jsonschema_description:"IP and port, as in 127.0.0.1:7070"`
@@ -43,14 +43,14 @@
 	IdempotencyWindow time.Duration `yaml:"memory,omitempty" json:"memory,omitempty" jsonschema_description:"for keyed: how long they drop them"`
 }
 
-// TenantFile is a customer with a quota of requests.
+// TenantFile is a tenant with its quota of requests.
 type TenantFile struct {
 	Name  string  `yaml:"name" json:"name"`
 	Quota float64 `yaml:"quota,omitempty" json:"quota,omitempty" jsonschema_description:"requests a second over all copies that earn full worth; 0 is no quota"`
 	Share float64 `yaml:"share,omitempty" json:"share,omitempty"`
 }
 
-// RouteFile leads the requests that match it to a pool.
+// RouteFile selects the pool of the requests that match it.
 type RouteFile struct {
 	Name    string            `yaml:"name" json:"name"`
 	Host    string            `yaml:"host,omitempty" json:"host,omitempty" jsonschema_description:"app.svc, or *.svc for all below it; default any"`
@@ -63,7 +63,7 @@
 	Class   string            `yaml:"class,omitempty" json:"class,omitempty" jsonschema_description:"the class of its requests, where they state none"`
 }
 
-// PoolFile is a set of endpoints with the limits, classes and tenants that hold for it.
+// PoolFile is a set of endpoints with its limits, classes and tenants.
 type PoolFile struct {
 	Name         string         `yaml:"name" json:"name"`
 	Zone         string         `yaml:"zone,omitempty" json:"zone,omitempty" jsonschema_description:"of this proxy"`
@@ -83,12 +83,12 @@
 	Weight       float64        `yaml:"weight,omitempty" json:"weight,omitempty" jsonschema_description:"its part of what is lent, against others'; default 1"`
 	Drain        time.Duration  `yaml:"drain,omitempty" json:"drain,omitempty" jsonschema_description:"how long a pool that a reload takes away may finish its calls; default its longest deadline and 1s"`
 
-	// Keys under which Classes and Tenants stand if the pool inherits those of the file; empty if they are its own.
+	// Keys of Classes and Tenants in the file if the pool inherits those of the file; empty if they are its own.
 	classesKey string
 	tenantsKey string
 }
 
-// LimitsFile is what a pool allows its requests and connections.
+// LimitsFile holds the limits of a pool's requests and connections.
 type LimitsFile struct {
 	MaxAttempts     int           `yaml:"attempts,omitempty" json:"attempts,omitempty" jsonschema_description:"for each request, 1 to 20; default 3"`
 	MaxOpenRequests int           `yaml:"open,omitempty" json:"open,omitempty" jsonschema_description:"requests open at once; default 20000"`
@@ -101,7 +101,7 @@
 	IdleClose       time.Duration `yaml:"idle_close,omitempty" json:"idle_close,omitempty" jsonschema_description:"providers close idle connections after this; default 5s"`
 }
 
-// RulesFile holds the figures of the rules that the balancer keeps towards clients and endpoints.
+// RulesFile holds the parameters of the contract between the balancer and clients and endpoints.
 type RulesFile struct {
 	AnswerSlack      time.Duration `yaml:"answer_slack,omitempty" json:"answer_slack,omitempty" jsonschema_description:"default 20ms"`
 	DrainGrace       time.Duration `yaml:"drain_grace,omitempty" json:"drain_grace,omitempty" jsonschema_description:"nothing new to a draining provider after this; default 1s"`
@@ -112,7 +112,7 @@
 	OverloadPeriod   time.Duration `yaml:"overload_for,omitempty" json:"overload_for,omitempty" jsonschema_description:"default 1s"`
 }
 
-// EndpointFile is an endpoint that the file itself lists.
+// EndpointFile is an endpoint listed in the file itself.
 type EndpointFile struct {
 	Name    string `yaml:"name" json:"name"`
 	Address string `yaml:"address" json:"address"`
@@ -120,7 +120,7 @@
 	Group   int    `yaml:"group,omitempty" json:"group,omitempty" jsonschema_description:"providers of one group drop each other's repeats of a key"`
 }
 
-// GuaranteeFile is the part of the machine that no other pool can take from a pool.
+// GuaranteeFile is the part of the machine that is reserved for a pool.
 type GuaranteeFile struct {
 	Sockets  int `yaml:"sockets,omitempty" json:"sockets,omitempty" jsonschema_description:"connections to providers"`
 	BodiesKB int `yaml:"bodies_kb,omitempty" json:"bodies_kb,omitempty" jsonschema_description:"memory for the bodies that are held"`
--- a/config/file_test.go
+++ b/config/file_test.go
@@ -9,7 +9,7 @@
 	"ryerill/internal/yamlfile"
 )
 
-const written = `name: n1
+const fileText = `name: n1
 listeners:
   - {name: main, address: 127.0.0.1:7070}
 classes:
@@ -23,10 +23,10 @@
   - {name: two, zone: a, providers: [{name: p1, address: 127.0.0.1:9001, zone: a}]}
 `
 
-// All that is wrong is named with file, line, column, key, value and remedy.
-func TestFaultsAreNamedWhereTheyStand(t *testing.T) {
-	if _, warnings, err := ParseFile("r.yaml", []byte(written), none); err != nil || len(warnings) > 0 {
-		t.Fatal(err, warnings)
+// Each fault is reported with file, line, column, key, value and remedy.
+func TestFaultsAreReportedWithPosition(t *testing.T) {
+	if _, warnings, err := ParseFile("r.yaml", []byte(fileText), emptyEnvironment); err != nil || len(warnings) > 0 {
+		t.Fatal("valid file: got error, warnings:", err, warnings)
 	}
 	for _, tc := range []struct{ name, from, to, want string }{
 		{"unknown key", "  - {name: main, address:", "  - {name: main, adress:", `r.yaml:3:18: unknown field "adress", want a key of this place (did you mean "address"?)`}, //nolint:misspell // the mistake is the test
@@ -51,53 +51,53 @@
 		{"one address twice", "  - {name: main, address: 127.0.0.1:7070}", "  - {name: main, address: 127.0.0.1:7070}\n  - {name: more, address: 127.0.0.1:7070}", "listeners[1].address"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			text := strings.Replace(written, tc.from, tc.to, 1)
-			if text == written {
-				t.Fatal("the case changes nothing")
+			text := strings.Replace(fileText, tc.from, tc.to, 1)
+			if text == fileText {
+				t.Fatal("the replacement does not change the file")
 			}
-			_, _, err := ParseFile("r.yaml", []byte(text), none)
+			_, _, err := ParseFile("r.yaml", []byte(text), emptyEnvironment)
 			if err == nil || !strings.Contains(err.Error(), tc.want) {
-				t.Errorf("got\n%v\nwant %q", err, tc.want)
+				t.Errorf("got error\n%v\nwant %q", err, tc.want)
 			}
 		})
 	}
 }
 
-func TestAllFaultsAreToldAtOnce(t *testing.T) {
-	_, _, err := ParseFile("r.yaml", []byte(strings.NewReplacer("effect: safe", "effect: x", "pool: two}", "pool: nil}", "127.0.0.1:9001", "y").Replace(written)), none)
+func TestAllFaultsAreReportedTogether(t *testing.T) {
+	_, _, err := ParseFile("r.yaml", []byte(strings.NewReplacer("effect: safe", "effect: x", "pool: two}", "pool: nil}", "127.0.0.1:9001", "y").Replace(fileText)), emptyEnvironment)
 	if err == nil || strings.Count(err.Error(), "r.yaml:") < 3 {
 		t.Errorf("got %v", err)
 	}
 }
 
-func TestWarningsAreNoReasonToRefuse(t *testing.T) {
-	_, warnings, err := ParseFile("r.yaml", []byte(strings.Replace(written, "pool: one}", "pool: two}", 1)), none)
+func TestFileWithWarningsIsAccepted(t *testing.T) {
+	_, warnings, err := ParseFile("r.yaml", []byte(strings.Replace(fileText, "pool: one}", "pool: two}", 1)), emptyEnvironment)
 	if err != nil || len(warnings) != 1 || !strings.Contains(warnings[0], "a route that leads to it") {
-		t.Errorf("%v, %v", warnings, err)
+		t.Errorf("got warnings %v, error %v, want one warning about a pool without a route", warnings, err)
 	}
 }
 
-func TestJSONIsTheSameFormat(t *testing.T) {
+func TestJSONFileIsAccepted(t *testing.T) {
 	var f File
-	if _, err := yamlfile.Decode("r.yaml", []byte(written), &f); err != nil {
+	if _, err := yamlfile.Decode("r.yaml", []byte(fileText), &f); err != nil {
 		t.Fatal(err)
 	}
 	if len(f.Pools) != 2 || f.Classes[0].Deadline != 4*time.Second {
-		t.Fatalf("%+v", f)
+		t.Fatalf("got %+v, want 2 pools and a deadline of 4s", f)
 	}
 	text := `{"listeners":[{"name":"m","address":"127.0.0.1:1"}],"routes":[{"name":"r","pool":"p"}],
  "classes":[{"name":"view","deadline":"4s","effect":"safe"}],"pools":[{"name":"p","providers":[{"name":"a","address":"127.0.0.1:2"}]}]}`
-	if IsPlatformForm([]byte(text)) || !IsPlatformForm([]byte(whole)) || IsPlatformForm([]byte(written)) {
-		t.Error("the forms are not told apart")
+	if IsPlatformForm([]byte(text)) || !IsPlatformForm([]byte(platformText)) || IsPlatformForm([]byte(fileText)) {
+		t.Error("IsPlatformForm does not distinguish the forms")
 	}
-	cfg, _, err := ParseFile("r.json", []byte(text), none)
+	cfg, _, err := ParseFile("r.json", []byte(text), emptyEnvironment)
 	if err != nil || cfg.Pools[0].Settings.Balancer.Classes[0].Deadline != 4*time.Second {
-		t.Errorf("%+v, %v", cfg, err)
+		t.Errorf("got %+v, error %v, want a deadline of 4s", cfg, err)
 	}
 }
 
-func TestWhatIsShownSaysWhereItComesFrom(t *testing.T) {
-	one := strings.Replace(written, "  - {name: two, zone: a, providers: [{name: p1, address: 127.0.0.1:9001, zone: a}]}\n", "", 1)
+func TestShowStatesSourceOfSettings(t *testing.T) {
+	one := strings.Replace(fileText, "  - {name: two, zone: a, providers: [{name: p1, address: 127.0.0.1:9001, zone: a}]}\n", "", 1)
 	one = strings.Replace(one, "pool: two", "pool: one", 1)
 	lines, err := Show("r.yaml", []byte(one), func(name string) string {
 		return map[string]string{EnvDiscovery: "127.0.0.1:99"}[name]
@@ -118,26 +118,26 @@
 		"machine.sockets":          {"1024", FromDefault},
 	} {
 		if l := got[key]; l.Value != want[0] || l.From != want[1] {
-			t.Errorf("%s is %q from %q, want %v", key, l.Value, l.From, want)
+			t.Errorf("%s: got value %q from %q, want %v", key, l.Value, l.From, want)
 		}
 	}
-	if lines, err := Show("c.json", []byte(whole), none); err != nil || len(lines) < 20 {
-		t.Errorf("the platform's form: %d lines, %v", len(lines), err)
+	if lines, err := Show("c.json", []byte(platformText), emptyEnvironment); err != nil || len(lines) < 20 {
+		t.Errorf("platform's form: got %d lines, error %v, want at least 20 lines", len(lines), err)
 	}
 }
 
-func TestDiffNamesWhatDiffers(t *testing.T) {
-	a, _ := Show("a", []byte(written), none)
-	b, _ := Show("b", []byte(strings.Replace(written, "deadline: 4s", "deadline: 5s", 1)+"    weight: 2\n"), none)
+func TestDiffReportsDifferences(t *testing.T) {
+	a, _ := Show("a", []byte(fileText), emptyEnvironment)
+	b, _ := Show("b", []byte(strings.Replace(fileText, "deadline: 4s", "deadline: 5s", 1)+"    weight: 2\n"), emptyEnvironment)
 	if b == nil {
-		b, _ = Show("b", []byte(strings.Replace(written, "deadline: 4s", "deadline: 5s", 1)), none)
+		b, _ = Show("b", []byte(strings.Replace(fileText, "deadline: 4s", "deadline: 5s", 1)), emptyEnvironment)
 	}
 	diff := Diff(a, b)
 	if len(diff) == 0 || !strings.Contains(strings.Join(diff, "\n"), "classes[0].deadline: 4s -> 5s") {
-		t.Errorf("%v", diff)
+		t.Errorf("got differences %v, want the deadline among them", diff)
 	}
 	if len(Diff(a, a)) != 0 {
-		t.Error("a file differs from itself")
+		t.Error("Diff of a file with itself is not empty")
 	}
 }
 
@@ -145,15 +145,15 @@
 	text, err := Schema()
 	var tree map[string]any
 	if err != nil || json.Unmarshal(text, &tree) != nil || tree["properties"] == nil {
-		t.Errorf("%v\n%.200s", err, text)
+		t.Errorf("got error %v, schema\n%.200s\nwant JSON with properties", err, text)
 	}
 }
 
 func FuzzParseFile(f *testing.F) {
-	f.Add([]byte(written))
+	f.Add([]byte(fileText))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if cfg, _, err := ParseFile("f", text, none); err == nil && (len(cfg.Pools) == 0 || len(cfg.Routes) == 0 || len(cfg.Listeners) == 0) {
-			t.Error("an empty configuration was taken")
+		if cfg, _, err := ParseFile("f", text, emptyEnvironment); err == nil && (len(cfg.Pools) == 0 || len(cfg.Routes) == 0 || len(cfg.Listeners) == 0) {
+			t.Error("a configuration without pools, routes or listeners was accepted")
 		}
 	})
 }
--- a/config/fleet.go
+++ b/config/fleet.go
@@ -13,8 +13,7 @@
 	"ryerill/internal/atomicfile"
 )
 
-// FleetFile switches the fleet on: the proxies that exchange membership, and whatever else is configured, with this
-// one.
+// FleetFile enables the fleet: the proxies that exchange membership, and other state as configured, with this one.
 type FleetFile struct {
 	Name             string            `yaml:"name" json:"name" jsonschema_description:"of the fleet; proxies of another one are not heard"`
 	Listen           string            `yaml:"listen" json:"listen" jsonschema_description:"IP and port, for UDP and TCP"`
@@ -29,7 +28,7 @@
 	BytesPerSecond   int               `yaml:"bytes_per_s,omitempty" json:"bytes_per_s,omitempty" jsonschema_description:"of news beside probes; default 1200"`
 }
 
-// SharingFile is what replicas share beyond membership.
+// SharingFile selects the state that replicas share in addition to membership.
 type SharingFile struct {
 	Quotas         bool `yaml:"quotas,omitempty" json:"quotas,omitempty" jsonschema_description:"what one copy does not need of a tenant's quota another may use"`
 	Counters       bool `yaml:"counts,omitempty" json:"counts,omitempty" jsonschema_description:"arrivals, calls in flight and how requests ended are counted over all copies"`
@@ -37,7 +36,7 @@
 	BytesPerSecond int  `yaml:"bytes_per_s,omitempty" json:"bytes_per_s,omitempty" jsonschema_description:"that a copy sends of it; default 1500"`
 }
 
-// Fleet is the configuration of the fleet's host, and where its keys are read from.
+// Fleet is the configuration of the fleet's host, with the file of its keys.
 type Fleet struct {
 	fleet.Config
 	KeyFile string
@@ -57,7 +56,7 @@
 	maxBytesPerSecond        = 1e7
 )
 
-// ReadKeys reads a key file: a key a line, the one that signs first. Empty lines and those that begin with # are
+// ReadKeys reads a key file: one key per line, the signing key first. Empty lines and lines that begin with # are
 // skipped.
 func ReadKeys(file string) (keys [][]byte, err error) {
 	text, err := atomicfile.Read(file)
@@ -73,13 +72,13 @@
 			keys = append(keys, line)
 		}
 	}
-	if _, err := codec.New("", keys); err != nil { // the checks of the codec that will use them
+	if _, err := codec.New("", keys); err != nil { // applies the checks of the codec that uses the keys
 		return nil, err
 	}
 	return keys, nil
 }
 
-// buildFleet checks the fleet's block and adds the configuration of the fleet's host.
+// buildFleet checks the fleet block and adds the configuration of the fleet's host.
 func (f *File) buildFleet(cfg *Config, c *checker) {
 	if f.Fleet == nil {
 		return
@@ -166,7 +165,7 @@
 	}
 }
 
-// build checks what replicas share; nil is nothing.
+// build checks the state that replicas share. A nil s shares nothing.
 func (s *SharingFile) build(c *checker) *fleet.SharingConfig {
 	if s == nil {
 		return nil
--- a/config/overlay.go
+++ b/config/overlay.go
@@ -10,20 +10,20 @@
 	"github.com/goccy/go-yaml"
 )
 
-// replicaKeys are the keys of a file that are one replica's own: a plan for a fleet leaves them alone, and so does the
-// hash by which replicas compare their settings.
+// replicaKeys are the keys of a file whose values belong to one replica. The plan of a rollout cannot set them, and
+// the hash by which replicas compare their settings ignores them.
 var replicaKeys = []string{"name", "seed", "mgmt", "machine", "listeners", "fleet"}
 
-// Keys of a pool in a tree of settings.
+// Keys of a pool in a settings tree.
 const (
 	poolNameKey    = "name"
-	poolReplicaKey = "copy" // number of the replica, its own too
+	poolReplicaKey = "copy" // index of the replica; it belongs to one replica too
 )
 
-// hashBytes is how much of a hash identifies settings.
+// hashBytes is the number of bytes of a hash that identify settings.
 const hashBytes = 8
 
-// settingsTree is a file as nested maps, for settings whose meaning does not matter.
+// settingsTree is a file as nested maps, for code that does not interpret the settings.
 type settingsTree map[string]any
 
 func parseTree(text []byte) (settingsTree, error) {
@@ -34,7 +34,7 @@
 	return tree, nil
 }
 
-// pools are the pools of a tree.
+// pools returns the pools of a tree.
 func (t settingsTree) pools() (pools []map[string]any) {
 	list, _ := t["pools"].([]any)
 	for _, item := range list {
@@ -45,7 +45,7 @@
 	return pools
 }
 
-// CommonHash identifies the settings that replicas have in common, in hexadecimal.
+// CommonHash returns a hexadecimal hash of the settings that replicas have in common.
 func CommonHash(text []byte) string {
 	tree, err := parseTree(text)
 	if err != nil {
@@ -64,14 +64,14 @@
 	return SettingsHash(canonical)
 }
 
-// SettingsHash identifies a text by its bytes, in hexadecimal.
+// SettingsHash returns a hexadecimal hash of a text.
 func SettingsHash(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:hashBytes])
 }
 
-// Overlay applies the settings of a plan to a replica's own file: whole keys of the file are replaced, what is the
-// replica's own stays.
+// Overlay applies the settings of a plan to a replica's own file. It replaces whole top-level keys and keeps the
+// values that belong to the replica.
 func Overlay(own, plan []byte) ([]byte, error) {
 	tree, err := parseTree(own)
 	if err != nil {
@@ -81,7 +81,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	replicaIndexes := map[any]any{} // by name of the pool
+	replicaIndexes := map[any]any{} // by pool name
 	for _, pool := range tree.pools() {
 		if index, found := pool[poolReplicaKey]; found {
 			replicaIndexes[pool[poolNameKey]] = index
--- a/config/plan.go
+++ b/config/plan.go
@@ -12,13 +12,13 @@
 	"ryerill/internal/yamlfile"
 )
 
-// PlanFile is a plan of a rollout as people write it, in YAML.
+// PlanFile is the plan of a rollout in the form written by operators, in YAML.
 type PlanFile struct {
 	ID               string         `yaml:"id"`
 	Kind             string         `yaml:"kind"`
 	Settings         map[string]any `yaml:"settings,omitempty"`
-	Program          string         `yaml:"program,omitempty"` // its version
-	Levels           []uint8        `yaml:"speaks,omitempty"`  // protocol levels, the lowest and the highest
+	Program          string         `yaml:"program,omitempty"` // version of the program
+	Levels           []uint8        `yaml:"speaks,omitempty"`  // lowest and highest protocol level
 	Stages           []StageFile    `yaml:"stages,omitempty"`
 	MaxUnavailable   int            `yaml:"away,omitempty"`
 	Baseline         time.Duration  `yaml:"watch,omitempty"`
@@ -37,7 +37,7 @@
 	Observation time.Duration `yaml:"soak,omitempty"`
 }
 
-// GuardrailsFile is by how much a stage may be worse before it is stopped.
+// GuardrailsFile states how much worse a stage may be before the rollout stops.
 type GuardrailsFile struct {
 	Goodput          float64 `yaml:"goodput,omitempty"`
 	Latency          float64 `yaml:"latency,omitempty"`
@@ -48,18 +48,18 @@
 	Memory   float64 `yaml:"memory,omitempty"`
 }
 
-// planKinds are the enumerated values of a plan's kind.
+// planKinds maps the enumerated values of a plan's kind to the rollout's constants.
 var planKinds = map[string]rollout.Kind{"settings": rollout.Settings, "program": rollout.Program}
 
-// planReader turns a plan file into a plan. Its errors name file, line, column and key.
+// planReader converts a plan file to a plan. Its errors state file, line, column and key.
 type planReader struct {
 	name string
 	tree yamlfile.Tree
 	file *PlanFile
 }
 
-// ParsePlan reads a plan of a rollout, checks it and gives defaults to what it leaves out. The target of a plan of
-// settings is the hash of own, a replica's own file, with the settings applied.
+// ParsePlan reads the plan of a rollout, checks it and fills in defaults. The target of a settings plan is the hash of
+// own, a replica's own file, with the plan's settings applied.
 func ParsePlan(name string, text, own []byte, getenv func(string) string) (rollout.Plan, error) {
 	file := new(PlanFile)
 	tree, err := yamlfile.Decode(name, text, file)
@@ -84,7 +84,7 @@
 	return plan, nil
 }
 
-// at adds the file and position of a key to an error found there.
+// at adds the file and the position of a key to an error.
 func (r *planReader) at(key string, err error) error {
 	return fmt.Errorf("%s%s: %w", r.name, r.tree.Position(key), err)
 }
@@ -128,7 +128,7 @@
 	return plan, nil
 }
 
-// applySettings checks the plan's settings against the replica's own file and derives the target from them.
+// applySettings checks the plan's settings against the replica's own file and derives the plan's target from them.
 func (r *planReader) applySettings(plan *rollout.Plan, own []byte, getenv func(string) string) error {
 	settings, err := yaml.Marshal(r.file.Settings)
 	if err != nil {
--- a/config/platform.go
+++ b/config/platform.go
@@ -14,10 +14,10 @@
 	"ryerill/route"
 )
 
-// platformName names the one listener, route and pool of the platform's form.
+// platformName is the name of the only listener, route and pool of the platform's form.
 const platformName = "main"
 
-// precedence is which discovery address applies where both the environment and the file state one.
+// precedence selects the discovery address if both the environment and the file state one.
 type precedence uint8
 
 const (
@@ -25,7 +25,7 @@
 	fileFirst
 )
 
-// platformFile is the platform's JSON.
+// platformFile is a configuration in the platform's JSON.
 type platformFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -44,7 +44,8 @@
 	Sockets  *int     `json:"sockets"`
 }
 
-// IsPlatformForm reports whether a text is the platform's JSON: an object that begins as JSON does and has no pools.
+// IsPlatformForm reports whether a text is in the platform's JSON: an object without the key pools. Invalid JSON
+// counts if it begins with a brace or is empty.
 func IsPlatformForm(text []byte) bool {
 	trimmed := bytes.TrimSpace(text)
 	if len(trimmed) > 0 && trimmed[0] != '{' {
@@ -52,14 +53,14 @@
 	}
 	var keys map[string]json.RawMessage
 	if json.Unmarshal(text, &keys) != nil {
-		return true // so that it is reported as the JSON that it seems to be
+		return true // the text is then reported as invalid JSON
 	}
 	_, hasPools := keys["pools"]
 	return !hasPools
 }
 
-// ParsePlatform reads a configuration in the platform's JSON and the environment. It becomes one listener, one route
-// that matches everything, and one pool.
+// ParsePlatform reads a configuration from the platform's JSON and the environment. The result has one listener, one
+// route that matches everything, and one pool.
 func ParsePlatform(text []byte, getenv func(string) string) (Config, error) {
 	return parsePlatform(text, getenv, environmentFirst)
 }
@@ -150,7 +151,7 @@
 	return Limits{Cores: cores, Memory: int64(memoryMB * (1 << 20)), Sockets: sockets}
 }
 
-// buildSettings reads the settings of the one pool; on a fault they are as far as they could be read.
+// buildSettings reads the settings of the only pool. After a fault it returns the settings read so far.
 func (f *platformFile) buildSettings(c *platformChecker) Settings {
 	if len(f.Settings) == 0 {
 		c.fault(errors.New("settings: missing"))
@@ -163,12 +164,12 @@
 	}
 	settings.check(c)
 	settings.complete()
-	// The proxy has to subscribe to a list that no agent pushes, also where the settings don't state it.
+	// The proxy must subscribe to a list unless an agent pushes it, even if the settings do not state that.
 	settings.Balancer.Subscribe = !settings.PushedDiscovery
 	return settings
 }
 
-// check records impossible settings.
+// check records invalid settings.
 func (s *Settings) check(c *platformChecker) {
 	b := &s.Balancer
 	if len(b.Classes) == 0 {
@@ -206,14 +207,14 @@
 	}
 }
 
-// complete fills in what a host on sockets needs and the settings leave out.
+// complete fills in the defaults of settings that a host on sockets needs.
 func (s *Settings) complete() {
 	setDefault(&s.IdleClose, defaultIdleClose)
 	setDefault(&s.Balancer.Limits.ConnectTimeout, defaultConnectTimeout)
 	setDefault(&s.Balancer.Contract.AnswerSlack, defaultAnswerSlack)
 }
 
-// valueOr returns what a pointer points to, or other where it is nil.
+// valueOr returns the value of a pointer, or other if it is nil.
 func valueOr[T any](value *T, other T) T {
 	if value == nil {
 		return other
--- a/config/resources.go
+++ b/config/resources.go
@@ -5,34 +5,33 @@
 	"ryerill/fairshare"
 )
 
-// Shares is what pools share of one machine, or the part of it that one of them is guaranteed.
+// Shares are the resources that pools share on one machine, or the part that one pool is guaranteed.
 type Shares struct {
 	Sockets int // connections to endpoints
-	Bodies  int // bytes of the bodies that are held in memory
+	Bodies  int // bytes of bodies held in memory
 	Open    int // open requests
-	Work    int // units of CPU a second, see [Cost]; 0 divides nothing
+	Work    int // units of work a second, see [Cost]; 0 divides none
 }
 
 const (
-	// A body costs as much CPU as a request for each so many bytes.
+	// A body costs as much CPU as one request for each of these many bytes.
 	bytesPerWorkUnit = 16 << 10
 
-	// Descriptors kept back for listeners, discovery, standard streams and the runtime's own use.
+	// Descriptors reserved for listeners, discovery, standard streams and the runtime.
 	reservedAlways = 16
 
-	// Memory that an open request takes beyond its body, at most: stacks of goroutines, timers, heads.
+	// Maximum memory of an open request without its body: stacks of goroutines, timers, heads.
 	bytesPerOpenRequest = 48 << 10
 
 	minSockets  = 64
 	minMemoryMB = 16
 )
 
-// Cost is how many units of work a body, of a request or of the answer to one, takes. The request itself takes one
-// more.
+// Cost returns the units of work of a body, in a request or in its response. The request itself costs one more unit.
 func Cost(bodyBytes int) int { return (bodyBytes + bytesPerWorkUnit/2) / bytesPerWorkUnit }
 
-// reservedSockets are the descriptors kept back from clients and endpoints, for the management endpoint and the fleet
-// too where there is one.
+// reservedSockets returns the number of descriptors not available to clients and endpoints, including those of the
+// management endpoint and the fleet if they are configured.
 func reservedSockets(adminAddress string, fleet bool) int {
 	n := reservedAlways
 	if adminAddress != "" {
@@ -44,13 +43,13 @@
 	return n
 }
 
-// requiredSockets is the least number of descriptors with which a proxy can serve.
+// requiredSockets returns the minimum number of descriptors with which a proxy can serve.
 func requiredSockets(adminAddress string, fleet bool) int {
 	return minSockets - reservedAlways + reservedSockets(adminAddress, fleet)
 }
 
-// LimitSockets lowers the number of descriptors to what the process may hold. It returns how many the proxy requires
-// if these are too few, else 0.
+// LimitSockets lowers the number of descriptors to those that the process may hold. If these are too few it returns
+// the number that the proxy requires, else 0.
 func (c *Config) LimitSockets(descriptors int) (required int) {
 	c.Limits.Sockets = min(c.Limits.Sockets, descriptors)
 	required = requiredSockets(c.Admin, c.Fleet != nil)
@@ -60,13 +59,13 @@
 	return 0
 }
 
-// Connections is how many descriptors connections to clients and endpoints may hold together.
+// Connections returns how many descriptors the connections to clients and endpoints may hold together.
 func (c *Config) Connections() int {
 	return max(c.Limits.Sockets-reservedSockets(c.Admin, c.Fleet != nil), 2)
 }
 
-// ResourcesOf is what a machine has for all pools: half of its connections for endpoints, a quarter of its memory
-// (bytes) for bodies, and half of it for open requests.
+// ResourcesOf returns the resources of a machine for all pools: half of its connections for endpoints, a quarter of
+// its memory (bytes) for bodies, and half of its memory for open requests.
 func ResourcesOf(connections int, memory int64) Shares {
 	return Shares{
 		Sockets: max(connections/2, 0),
@@ -75,14 +74,14 @@
 	}
 }
 
-// Shared is what the pools of a configuration share.
+// Shared returns the resources that the pools of a configuration share.
 func (c *Config) Shared() Shares {
 	shares := ResourcesOf(c.Connections(), c.Limits.Memory)
 	shares.Work = c.Limits.Work
 	return shares
 }
 
-// Claims are the pools' claims, by name, on the kind of resource that pick selects.
+// Claims returns the claims of the pools on a resource, by pool name. pick selects the resource.
 func Claims(pools []Pool, pick func(Shares) int) map[string]fairshare.Claim {
 	claims := make(map[string]fairshare.Claim, len(pools))
 	for _, pool := range pools {
--- a/config/routes.go
+++ b/config/routes.go
@@ -10,11 +10,11 @@
 	"ryerill/route"
 )
 
-// Methods are the HTTP methods that a listener takes.
+// Methods are the HTTP methods that a listener accepts.
 var Methods = []string{"GET", "POST", "PUT", "PATCH", "DELETE"}
 
-// buildRoutes checks the routes, with the pools by name, and adds them to the configuration. The routing table is built
-// once to find rules that are at fault or never match.
+// buildRoutes checks the routes and adds them to the configuration. poolIndexes holds the pools by name. It builds the
+// routing table once to find rules that are invalid or never match.
 func (f *File) buildRoutes(cfg *Config, poolIndexes map[string]int, c *checker) {
 	if len(f.Routes) == 0 {
 		c.Bad("routes", 0, "one route or more")
@@ -42,7 +42,7 @@
 	}
 }
 
-// namesOf lists the names of pools, and those of all their classes, each once.
+// namesOf returns the names of the pools and of all their classes, each once.
 func namesOf(pools []Pool) (poolNames, classNames []string) {
 	for _, pool := range pools {
 		poolNames = append(poolNames, pool.Name)
@@ -55,7 +55,7 @@
 	return poolNames, classNames
 }
 
-// rule is a route in the form of the routing table.
+// rule converts a route to a rule of the routing table.
 func (r *RouteFile) rule() route.Rule {
 	rule := route.Rule{
 		Name:    r.Name,
@@ -72,7 +72,7 @@
 	return rule
 }
 
-// checkClasses requires that the classes that a route names are those of its pool.
+// checkClasses requires that the classes that a route names belong to its pool.
 func (r *RouteFile) checkClasses(key string, pool *Pool, classNames []string, c *checker) {
 	hasClass := func(name string) bool {
 		return slices.ContainsFunc(pool.Settings.Balancer.Classes, func(class balancer.Class) bool {
@@ -92,7 +92,7 @@
 	}
 }
 
-// checkTable reports what the routing table finds at fault in the rules.
+// checkTable reports the problems that the routing table finds in the rules.
 func checkTable(routes []Route, classNames []string, c *checker) {
 	rules := make([]route.Rule, len(routes))
 	for i := range rules {
@@ -101,7 +101,7 @@
 	_, problems := route.New(rules, route.Vocabulary{Methods: Methods, Classes: append(classNames, "")})
 	for _, problem := range problems {
 		if problem.Field == "pool" {
-			continue // a pool that is not there is reported with its route
+			continue // an unknown pool is reported with its route
 		}
 		key := "routes"
 		if len(problem.Rules) > 0 {
--- a/config/schema.go
+++ b/config/schema.go
@@ -9,7 +9,7 @@
 	"github.com/invopop/jsonschema"
 )
 
-// durationPattern is what a time may look like in a file, for editors.
+// durationPattern is the pattern of durations in a file, for editors.
 const durationPattern = `^([0-9]+(\.[0-9]+)?(ns|us|µs|ms|s|m|h))+$`
 
 // Schema returns the JSON Schema of a file.
@@ -22,7 +22,7 @@
 	return text, nil
 }
 
-// durationSchema describes times as strings; nil leaves other types to the reflector.
+// durationSchema describes durations as strings. It returns nil for other types, which the reflector then describes.
 func durationSchema(t reflect.Type) *jsonschema.Schema {
 	if t != reflect.TypeFor[time.Duration]() {
 		return nil
--- a/config/settings.go
+++ b/config/settings.go
@@ -12,22 +12,22 @@
 	"ryerill/balancer"
 )
 
-// maxItems bounds the length that a list of objects may state.
+// maxItems bounds the stated length of a list of objects.
 const maxItems = 1 << 16
 
-// Settings is what a deployment states about itself: the configuration of the balancer, and what only a host on
+// Settings are the settings of a deployment: the configuration of the balancer, and settings that only a host on
 // sockets needs.
 type Settings struct {
 	Balancer        balancer.Config
 	Zones           []string
 	Kinds           []string
-	IdleClose       time.Duration // an endpoint closes idle connections after this
-	AnyPath         bool          // a class need not be the first part of the path
-	PushedDiscovery bool          // an agent on this machine holds the list: watching it is free
+	IdleClose       time.Duration // endpoints close connections that are idle for this long
+	AnyPath         bool          // the path need not begin with a class
+	PushedDiscovery bool          // an agent on this machine pushes the list, so that watching it costs nothing
 }
 
-// SettingsFromPairs reads settings in the form of the simulator's wire, a path=value pair a line. Unknown keys are
-// skipped and absent ones leave the zero value; a value of the wrong form is an error.
+// SettingsFromPairs reads settings in the form of the simulator's protocol, one path=value pair per line. Unknown keys
+// are skipped and missing ones leave the zero value; a value of the wrong type is an error.
 func SettingsFromPairs(text string) (Settings, error) {
 	v := newValues()
 	for line := range strings.Lines(text) {
@@ -41,7 +41,7 @@
 	return v.settings()
 }
 
-// SettingsFromJSON reads the same settings as nested JSON.
+// SettingsFromJSON reads the same settings from nested JSON.
 func SettingsFromJSON(text []byte) (Settings, error) {
 	v := newValues()
 	v.strict = true
@@ -55,14 +55,14 @@
 	return v.settings()
 }
 
-// values holds settings by path and keeps the first error.
+// values holds settings by path, and the first error.
 type values struct {
 	scalars map[string]string
 	lists   map[string][]string // of scalars
 	err     error
 
-	// strict rejects impossible values: figures below 0, fractions above 1, unknown enumerated values. A simulation
-	// continues with them, read as what makes the balancer most careful.
+	// strict rejects invalid values: numbers below 0, fractions above 1, unknown enumerated values. A simulation
+	// accepts them and reads them as the value that makes the balancer most careful.
 	strict bool
 }
 
@@ -94,7 +94,8 @@
 	}
 }
 
-// settings is the one mapping of names of settings to fields. Of several faults the first in this order is reported.
+// settings maps the names of settings to fields; there is no other mapping. It returns the first fault in the order of
+// the fields.
 func (v *values) settings() (Settings, error) {
 	s := Settings{
 		Zones:           v.lists["Areas"],
@@ -184,7 +185,7 @@
 	return tenants
 }
 
-// bad records the first value that is at fault.
+// bad records the first invalid value.
 func (v *values) bad(path string) {
 	if v.err == nil {
 		v.err = fmt.Errorf("setting %s: unexpected value %q", path, v.scalars[path])
@@ -205,7 +206,7 @@
 	return n
 }
 
-// fraction reads a number that can't be above 1.
+// fraction reads a number of at most 1.
 func (v *values) fraction(path string) float64 {
 	n := v.float(path)
 	if v.strict && n > 1 {
@@ -214,7 +215,7 @@
 	return n
 }
 
-// int reads a number that fits 32 bits, without its fraction.
+// int reads a number within the range of an int32, without its fraction.
 func (v *values) int(path string) int {
 	n := v.float(path)
 	if math.Abs(n) > math.MaxInt32 {
@@ -234,7 +235,7 @@
 	return n
 }
 
-// micros reads a time in microseconds.
+// micros reads a duration in microseconds.
 func (v *values) micros(path string) time.Duration {
 	n := v.float(path)
 	if math.Abs(n) > math.MaxInt64/float64(time.Microsecond)/2 {
@@ -244,7 +245,7 @@
 	return time.Duration(n * float64(time.Microsecond))
 }
 
-// bool reads true or false; a missing one is false.
+// bool reads true or false; a missing value is false.
 func (v *values) bool(path string) bool {
 	switch v.scalars[path] {
 	case "true":
@@ -256,7 +257,7 @@
 	return false
 }
 
-// lenientOneOf reads an enumerated value; an unknown one is rejected only where reading is strict.
+// lenientOneOf reads an enumerated value. It rejects an unknown value only if v is strict.
 func (v *values) lenientOneOf(path string, words ...string) string {
 	if !v.strict {
 		return v.scalars[path]
@@ -264,7 +265,7 @@
 	return v.oneOf(path, words...)
 }
 
-// oneOf reads an enumerated value, or an empty string where it is missing.
+// oneOf reads an enumerated value; a missing one is empty.
 func (v *values) oneOf(path string, words ...string) string {
 	if text := v.scalars[path]; text == "" || slices.Contains(words, text) {
 		return text
@@ -273,8 +274,8 @@
 	return ""
 }
 
-// effect reads a missing value as the strictest kind, and an unknown one where it is not rejected: it can only make the
-// balancer more careful.
+// effect reads an effect. A missing value, and an unknown one that is not rejected, count as unsafe, which can only
+// make the balancer more careful.
 func (v *values) effect(path string) balancer.Effect {
 	switch v.lenientOneOf(path, "pure", "token", "side_effect") {
 	case "pure":
@@ -285,7 +286,7 @@
 	return balancer.Unsafe
 }
 
-// group reads a missing or unknown value as the narrowest group, like effect.
+// group reads a group. A missing or unknown value counts as the narrowest group, as in effect.
 func (v *values) group(path string) balancer.Group {
 	switch v.lenientOneOf(path, "all", "zone", "cell") {
 	case "all":
--- a/config/show.go
+++ b/config/show.go
@@ -10,7 +10,7 @@
 	"ryerill/internal/yamlfile"
 )
 
-// Where a setting comes from.
+// Sources of a setting.
 const (
 	FromDefault     = "default"
 	FromFile        = "file"
@@ -19,13 +19,13 @@
 
 // Line is one effective setting.
 type Line struct {
-	Key   string // path of the setting, as in pools[0].limits.open
+	Key   string // key of the setting, as in pools[0].limits.open
 	Value string
 	From  string // FromDefault, FromFile or FromEnvironment
 }
 
-// Show returns the effective settings of a configuration in either form, in the order of the format, and where each
-// comes from.
+// Show returns the effective settings of a configuration in either form and the source of each, in the order of the
+// format.
 func Show(name string, text []byte, getenv func(string) string) ([]Line, error) {
 	if IsPlatformForm(text) {
 		return showPlatform(text, getenv)
@@ -71,7 +71,7 @@
 	return lines, nil
 }
 
-// eachSetting calls visit with every value below v that is stated, in order, by its key. at is the key of v itself.
+// eachSetting calls visit with the key and value of every stated setting below v, in order. at is the key of v itself.
 func eachSetting(at string, v reflect.Value, visit func(key, value string)) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -94,7 +94,7 @@
 	}
 }
 
-// eachField visits the fields of a struct that are exported and not zero.
+// eachField visits the exported nonzero fields of a struct.
 func eachField(at string, v reflect.Value, visit func(key, value string)) {
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
@@ -109,7 +109,7 @@
 	}
 }
 
-// Diff names the settings that differ between two configurations, in the order of the format.
+// Diff returns the settings that differ between two configurations, in the order of the format.
 func Diff(a, b []Line) (differences []string) {
 	valuesOfA := valuesByKey(a)
 	valuesOfB := valuesByKey(b)
