--- a/admin/server_test.go
+++ b/admin/server_test.go
@@ -96,7 +96,7 @@
 	io.WriteString(c, text)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		t.Fatalf("%.60q: %v", text, err)
+		t.Fatalf("%.60q: got error %v, want a response", text, err)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
@@ -159,7 +159,7 @@
 		}
 	}
 	if last := s.last.Load(); *last != "jammed" {
-		t.Error(*last)
+		t.Error("last endpoint taken down:", *last)
 	}
 }
 
@@ -172,13 +172,13 @@
 	}
 	r := bufio.NewReader(c)
 	if line, _ := r.ReadString('\n'); !strings.Contains(line, "100") {
-		t.Error(line)
+		t.Error("interim response:", line)
 	}
 	r.ReadString('\n')
 	io.WriteString(c, "s")
 	io.WriteString(c, "1")
 	if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 200 || *s.last.Load() != "s1" {
-		t.Error(resp, err)
+		t.Error("got response, error:", resp, err)
 	}
 }
 
@@ -207,12 +207,12 @@
 			c := dial(t, server)
 			io.WriteString(c, "GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n")
 			if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
-				t.Fatal(resp, err)
+				t.Fatal("got response, error:", resp, err)
 			}
 		}
 		late := dial(t, server)
 		if resp, err := http.ReadResponse(bufio.NewReader(late), nil); err != nil || resp.StatusCode != 408 {
-			t.Error(resp, err)
+			t.Error("got response, error:", resp, err)
 		}
 	})
 }
@@ -227,7 +227,7 @@
 		io.WriteString(dial(t, server), "GET /ops/stats HT")
 	}
 	if status, _, _ := send(t, server, "GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
-		t.Error(status)
+		t.Error("complete request while others are held: got status", status)
 	}
 	return server, first
 }
--- a/discovery/client.go
+++ b/discovery/client.go
@@ -141,7 +141,7 @@
 
 // SetAddress replaces the service with the one at address. The watch moves there with its next call, after the call in
 // flight has been answered: a service reached at another address then sees the same watch continue, and does not
-// reject it however many clients move at once. The first call asks for changes since version 0, as another service may
+// reject it however many clients move at once. The first call requests changes since version 0, as another service may
 // number its versions differently; unless its answer is the full list, the client requests that separately, later.
 //
 // Until the new watch is established, each failed call to the new service is followed by a call to the old one. After
@@ -216,7 +216,7 @@
 	}
 	c.calls.answered()
 	if s != c.currentSource() && !update.Snapshot && len(update.Endpoints) == 0 {
-		return nil // nothing changed, and the state of the new service is unknown
+		return nil // an empty update of an old service says nothing about the new one
 	}
 	for _, listener := range c.listeners {
 		listener.EndpointsListed(update)
--- a/discovery/client_test.go
+++ b/discovery/client_test.go
@@ -103,11 +103,11 @@
 	}
 }
 
-// After SetAddress the watch moves to the new service once the call in flight has been answered, and asks since
-// version 0 whatever version it held. If the new service rejects the call, as it may while all clients move, the old
-// service is watched until the new watch is established, so that no drain is missed. After the first answer of the new
-// service the old one can only withdraw endpoints, and once the new watch is established the old one is not notified
-// at all: an outdated list would otherwise replace the new one after a reload.
+// After SetAddress the watch moves to the new service once the call in flight has been answered, and requests changes
+// since version 0 whatever version it held. If the new service rejects the call, as it may while all clients move, the
+// old service is watched until the new watch is established, so that no drain is missed. After the first answer of the
+// new service the old one can only withdraw endpoints, and once the new watch is established the old one is not
+// notified at all: an outdated list would otherwise replace the new one after a reload.
 func TestWatchMovesToNewAddress(t *testing.T) {
 	type call struct {
 		query string
--- a/discovery/connection.go
+++ b/discovery/connection.go
@@ -221,7 +221,7 @@
 		return list, false, err
 	}
 	if c.next != nil && c.next.version != list.Index {
-		return list, false, nil // the text states two versions, and the early call asked since the wrong one
+		return list, false, nil // the text states two versions, and the early call used the wrong one
 	}
 	return list, reusable && c.reader.Buffered() == 0, nil
 }
--- a/discovery/continuation_test.go
+++ b/discovery/continuation_test.go
@@ -45,7 +45,7 @@
 }
 
 // Guards against a watch that a service forgets while its last answer is decoded: a change between that answer and the
-// next call counts as received at once, and a late call does not learn of it.
+// next call binds the proxy at once, and the next call is too late to report it.
 func TestWatchContinuesBeforeLongListIsDecoded(t *testing.T) {
 	const continueWithin = 200 * time.Millisecond // from the last byte of an answer to the next call
 	listener := blockingListener{make(recorder, 8), make(chan struct{}, 8), make(chan struct{})}
--- a/discovery/source.go
+++ b/discovery/source.go
@@ -43,7 +43,7 @@
 	followed := s.holdsList || s.watchBeforeList
 	if !list.Snapshot && (!followed || list.Index < s.index) {
 		s.holdsList = false
-		s.watchBeforeList = false // the next call asks for the full list
+		s.watchBeforeList = false // the next call requests the full list
 		return receivedList{}, fmt.Errorf("changes up to version %d do not follow the known list", list.Index)
 	}
 	s.holdsList = s.holdsList || list.Snapshot
--- a/discovery/timing.go
+++ b/discovery/timing.go
@@ -154,7 +154,7 @@
 			return 0, err
 		}
 	}
-	if r.ctx.Err() != nil { // perhaps since: what ends the call has set a deadline too
+	if r.ctx.Err() != nil { // checked after the deadline is set: the end of the call sets one too
 		return 0, os.ErrDeadlineExceeded
 	}
 	return r.conn.Read(b)
@@ -191,7 +191,7 @@
 	r.deadline = deadline
 	r.readUntil = time.Time{}
 	r.conn.SetDeadline(deadline)
-	if r.ctx.Err() != nil { // perhaps since: what ends the call has set a deadline too
+	if r.ctx.Err() != nil { // checked after the deadline is set: the end of the call sets one too
 		r.conn.SetDeadline(socket.PastDeadline)
 	}
 }
--- a/discovery/turn.go
+++ b/discovery/turn.go
@@ -8,8 +8,8 @@
 // maxTurnDelay is how long after its wait a call of the replaced service may delay the watch of the new one.
 const maxTurnDelay = 100 * time.Millisecond
 
-// watchTurn is a lock of which the watches of the current and the previous service hold one each at a time: only its
-// holder may have a call in flight.
+// watchTurn is a lock shared by the watches of the current and the previous service: only its holder may have a call
+// in flight.
 type watchTurn struct {
 	free chan struct{} // holds a value while no watch has the turn
 }
--- a/discovery/watch.go
+++ b/discovery/watch.go
@@ -17,7 +17,7 @@
 	watches  bool          // a call for changes since the answer follows
 }
 
-// fullListCall asks for the full list, without a wait.
+// fullListCall requests the full list without a wait.
 var fullListCall = listCall{target: endpointsPath, fullList: true}
 
 // watchCall returns a call for a list newer than version index.
--- a/override/overrides.go
+++ b/override/overrides.go
@@ -109,8 +109,8 @@
 	return down
 }
 
-// Found returns the set as a process applies it that reads it at its start; now is the process's time. A restore in
-// the future counts as made now, since the wall clock has stepped back; other times are unchanged.
+// Found returns the set for a process that reads it at its start; now is the process's time. It sets restores that are
+// in the future to now, as the wall clock has stepped back since they were made. Other times are unchanged.
 func (s Set) Found(now time.Duration) Set {
 	s.Restored = clone(s.Restored)
 	for name, at := range s.Restored {
@@ -119,18 +119,18 @@
 	return s
 }
 
-// Observed returns the set as a running process applies it that reads it in place of another set; now is the process's
-// time. stated is that other set as stored, counted as the process applied it. A new restore counts as made now, as
-// the wall clock of its order may have stepped since the process started. A known restore keeps its applied time.
-func (s Set) Observed(stated, counted Set, now time.Duration) Set {
+// Observed returns the set for a running process that reads it after another set; now is the process's time. stored is
+// the other set as it was read, applied as Found or Observed returned it. It sets new restores to now, as the wall
+// clock that they were ordered by may have stepped since the process started. Known restores keep their applied time.
+func (s Set) Observed(stored, applied Set, now time.Duration) Set {
 	if len(s.Restored) == 0 {
 		return s
 	}
 	restored := make(map[string]time.Duration, len(s.Restored))
 	for name, at := range s.Restored {
 		restored[name] = now
-		if known, ok := stated.Restored[name]; ok && known == at {
-			restored[name] = counted.Restored[name]
+		if known, ok := stored.Restored[name]; ok && known == at {
+			restored[name] = applied.Restored[name]
 		}
 	}
 	s.Restored = restored
