--- a/config/config.go
+++ b/config/config.go
@@ -22,7 +22,7 @@
 	Listeners []Listener
 	Routes    []Route
 	Pools     []Pool
-	Fleet     *Fleet // nil if the proxy is in no fleet
+	Fleet     *Fleet // nil if the proxy is in no fleet and exchanges messages with no other
 	Text      []byte // text of the file, if it has [File]'s form
 }
 
