--- a/discovery/broken_answers_test.go
+++ b/discovery/broken_answers_test.go
@@ -81,7 +81,7 @@
 					t.Fatalf("got unexpected notification %q", text)
 				}
 				if took := time.Since(began); took > watchWait+answerTimeout+time.Second {
-					t.Errorf("notified after %v, want at most 1s more than the bounds", took)
+					t.Errorf("notified after %v, want at most watchWait+answerTimeout+1s", took)
 				}
 				if tc.whole {
 					return
@@ -93,7 +93,7 @@
 				running := c.current.watch != nil
 				c.mu.Unlock()
 				if running != agent {
-					t.Errorf("got running watch %v, want the opposite", running)
+					t.Errorf("watch running after the failure: got %v, want true for an agent only", running)
 				}
 				c.Subscribe(true) // as the balancer does after its pause
 				next := <-conns
--- a/discovery/client_test.go
+++ b/discovery/client_test.go
@@ -240,7 +240,7 @@
 		t.Fatal("no call to the next service within 20s")
 	}
 	if took := time.Since(began); took > watchWait+maxTurnDelay+time.Second {
-		t.Errorf("first call to the next service after %v, want at most 1s more than the bounds", took)
+		t.Errorf("first call to the next service after %v, want at most watchWait+maxTurnDelay+1s", took)
 	}
 	old.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if _, err := old.Read(make([]byte, 1)); !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
@@ -521,7 +521,7 @@
 		select {
 		case at := <-asked:
 			if took := at.Sub(began).Milliseconds(); took > 2*within {
-				t.Errorf("step %d: next call after %d ms, want at most twice the bound", i, took)
+				t.Errorf("step %d: next call after %d ms, want at most 2*(agentWatchWait+agentAnswerTimeout+agentMaxPause)", i, took)
 			}
 		case <-time.After(20 * time.Second):
 			t.Fatalf("step %d: no call within 20s", i)
