--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-func TestShedsAtTheLimitAtOnce(t *testing.T) {
+func TestRequestAtLimitIsShed(t *testing.T) {
 	h := newHost(t, testConfig(), readyList(2)...)
 	h.b.limiter.maxIFR = 5
 	for i := range 5 {
-		if _, actions := h.arrive(0); only(t, actions, Send).Timeout <= 0 {
+		if _, actions := h.arrive(0); onlyAction(t, actions, Send).Timeout <= 0 {
 			t.Fatalf("request %d was not sent with a timeout", i)
 		}
 	}
 	_, actions := h.arrive(0)
-	if a := only(t, actions, Shed); a.RetryAfter <= 0 || a.RetryAfter > 400*ms {
-		t.Errorf("retry-after %v", a.RetryAfter)
+	if a := onlyAction(t, actions, Shed); a.RetryAfter <= 0 || a.RetryAfter > 400*ms {
+		t.Errorf("got retry-after %v, want more than 0 and at most 400ms", a.RetryAfter)
 	}
 	h.end(1, 0, OK, 10*ms)
 	_, actions = h.arrive(0)
-	only(t, actions, Send)
+	onlyAction(t, actions, Send)
 }
 
 func TestDeeperTiersShedWithoutRetryAfter(t *testing.T) {
@@ -27,11 +27,11 @@
 	cfg.Tiers, cfg.Tier = 3, 1
 	h := newHost(t, cfg)
 	_, actions := h.arrive(4)
-	if a := only(t, actions, Shed); a.RetryAfter != 0 {
-		t.Errorf("retry-after %v at a deeper tier", a.RetryAfter)
+	if a := onlyAction(t, actions, Shed); a.RetryAfter != 0 {
+		t.Errorf("got retry-after %v at a deeper tier, want 0", a.RetryAfter)
 	}
 	if h.b.limiter.lmax >= lmaxShare || h.b.limiter.lmax <= lmaxShare/3 {
-		t.Errorf("Lmax %v of a middle tier", h.b.limiter.lmax)
+		t.Errorf("got Lmax %v at a middle tier, want between a third and all of the front's", h.b.limiter.lmax)
 	}
 }
 
@@ -46,31 +46,31 @@
 		return h.handle(Event{Kind: RequestArrived, Request: h.next, Class: class, Tenant: tenant,
 			Remaining: time.Second})
 	}
-	only(t, arrive(0, 0), Send) // in quota: 15 of 20
-	only(t, arrive(0, 1), Send) // its quota allows two
-	only(t, arrive(0, 1), Send)
+	onlyAction(t, arrive(0, 0), Send) // within its quota; 15 of 20 slots are taken
+	onlyAction(t, arrive(0, 1), Send) // the quota of tenant 1 allows two requests
+	onlyAction(t, arrive(0, 1), Send)
 	h.b.attempts.inFlight = 15
-	only(t, arrive(0, 1), Shed)
-	only(t, arrive(0, 7), Send) // a tenant that no setting names
+	onlyAction(t, arrive(0, 1), Shed)
+	onlyAction(t, arrive(0, 7), Send) // a tenant without settings
 }
 
-// At the limit the class of the highest priority once was shed as often as the others.
+// Guards against shedding the class of the highest priority as often as the others at the limit.
 func TestLowestPriorityIsShedFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[0].PriorityWeight, cfg.Classes[1].PriorityWeight = 1, 12
 	h := newHost(t, cfg, readyList(4)...)
 	h.b.limiter.maxIFR, h.b.attempts.inFlight = 14, 12
 	_, actions := h.arrive(0)
-	only(t, actions, Shed)
+	onlyAction(t, actions, Shed)
 	_, actions = h.arrive(1)
-	only(t, actions, Send)
+	onlyAction(t, actions, Send)
 }
 
-// A class that hangs at every endpoint once filled the limit with attempts that came to nothing (id1a221).
+// Guards against a class that hangs at every endpoint and fills the limit with failing attempts (id1a221).
 func TestClassThatFailsEverywhereIsShedFirst(t *testing.T) {
 	h := newHost(t, testConfig(), readyList(8)...)
 	for range 60 {
-		// the retries stay out: the limit is set below, and must not bind before
+		// keeps the limit from binding here; it is set below
 		h.b.limiter.maxIFR = h.b.limiter.ceiling
 		if id, _ := h.arrive(0); h.b.requests[id] != nil {
 			h.end(id, 0, Timeout, time.Second)
@@ -80,15 +80,15 @@
 	}
 	h.b.limiter.maxIFR, h.b.attempts.inFlight, h.b.limiter.burstCredit = 20, 15, 0
 	_, actions := h.arrive(0)
-	only(t, actions, Shed)
+	onlyAction(t, actions, Shed)
 	_, actions = h.arrive(4)
-	only(t, actions, Send)
+	onlyAction(t, actions, Send)
 	sent := false
-	for range 400 { // it is tried again before long
+	for range 400 { // the class must be tried again before long
 		_, actions := h.arrive(0)
 		sent = sent || actions[0].Kind == Send
 	}
 	if !sent {
-		t.Error("the class is shut out")
+		t.Error("all 400 requests of the failing class were shed, want some sent")
 	}
 }
--- a/balancer/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -36,7 +36,7 @@
 		list := &table.byClass[0]
 		if !slices.Equal(list.all(), want) || list.first != want[0] || list.last != want[1] ||
 			list.last.prev != want[0] {
-			t.Errorf("without request %d the list is %v, want %v", removed, list.all(), want)
+			t.Errorf("after removing request %d got list %v, want %v", removed, list.all(), want)
 		}
 	}
 }
@@ -45,35 +45,36 @@
 	table, e, requests := newAttempts(2)
 	table.siblings = 3
 	if table.inFlight != 2 || e.inFlight != 2 || table.busyEndpoints != 1 || table.occupied() != 5 {
-		t.Errorf("two attempts: %+v, %+v", table, e)
+		t.Errorf("with two attempts got table %+v, endpoint %+v, want 2 in flight at 1 endpoint", table, e)
 	}
 	for _, r := range requests {
 		table.end(r, e)
 	}
 	if table.inFlight != 0 || e.inFlight != 0 || table.busyEndpoints != 0 || table.byClass[0].first != nil {
-		t.Errorf("no attempt: %+v, %+v", table, e)
+		t.Errorf("without attempts got table %+v, endpoint %+v, want none in flight", table, e)
 	}
 }
 
 func TestAttemptsAreMarkedLateOnce(t *testing.T) {
 	table, e, requests := newAttempts(4) // at 0 to 3 s
 	for range 2 {
-		table.markLate(4*time.Second, 2.5) // those of 0 and 1 s
+		table.markLate(4*time.Second, 2.5) // marks the attempts of 0 and 1 s
 		if e.lateInFlight != 2 || table.lateEndpoints != 1 || !requests[1].late || requests[2].late {
-			t.Fatalf("%d late attempts at %d endpoints, want 2 at 1", e.lateInFlight, table.lateEndpoints)
+			t.Fatalf("got %d late attempts at %d endpoints, want 2 at 1", e.lateInFlight, table.lateEndpoints)
 		}
 	}
 	if newest := table.byClass[0].newestLate(); newest != requests[1] {
-		t.Errorf("newest late %+v, want the second", newest)
+		t.Errorf("got newest late request %+v, want the second", newest)
 	}
 	table.end(requests[0], e)
 	table.end(requests[1], e)
 	if e.lateInFlight != 0 || table.lateEndpoints != 0 {
-		t.Errorf("%d late attempts at %d endpoints are left", e.lateInFlight, table.lateEndpoints)
+		t.Errorf("got %d late attempts at %d endpoints after their end, want 0 at 0",
+			e.lateInFlight, table.lateEndpoints)
 	}
 	table.markLate(time.Minute, 2.5)
 	if newest := table.byClass[0].newestLate(); newest != requests[3] {
-		t.Errorf("all are late, newest is %+v", newest)
+		t.Errorf("with all attempts late got newest late request %+v, want the last", newest)
 	}
 }
 
@@ -88,7 +89,7 @@
 		want  []float64
 	}{{9, []float64{2.5, 3, 4, 5}}, {4, []float64{2.5, 3, 4, 5}}, {2, []float64{2.5, 3}}, {0, nil}} {
 		if got := table.youngestLate(5*time.Second, c.limit); !slices.Equal(got, c.want) {
-			t.Errorf("limit %d: %v, want %v", c.limit, got, c.want)
+			t.Errorf("limit %d: got ages %v, want %v", c.limit, got, c.want)
 		}
 	}
 }
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// sizes are the numbers of endpoints at which costs are compared, replicas and attempts in flight grown alike: three
-// replicas before fourteen endpoints.
+// sizes are the numbers of endpoints at which costs are compared. The number of replicas, three per fourteen
+// endpoints, and of attempts in flight grows in proportion.
 var sizes = []int{14, 140, 700, 7000}
 
-// BenchmarkDecision is one request from its arrival to its end, with the windows that end on the way: admission, the
-// choice of an endpoint and the limit.
+// BenchmarkDecision measures one request from arrival to end: admission, the choice of an endpoint and the limit,
+// including windows that end meanwhile.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -27,7 +27,7 @@
 	}
 }
 
-// BenchmarkRefuse is a request that finds no free slot.
+// BenchmarkRefuse measures a request that is shed for lack of a free slot.
 func BenchmarkRefuse(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// BenchmarkWindow is the end of a window in which most attempts are overdue.
+// BenchmarkWindow measures the end of a window in which most attempts are overdue.
 func BenchmarkWindow(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -61,7 +61,7 @@
 	}
 }
 
-// BenchmarkListChange is one changed entry of the list.
+// BenchmarkListChange measures a list update with one changed entry.
 func BenchmarkListChange(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -80,7 +80,7 @@
 	}
 }
 
-// BenchmarkMemory shows the bytes that a Balancer takes for each endpoint.
+// BenchmarkMemory measures the memory of a Balancer by its number of endpoints.
 func BenchmarkMemory(b *testing.B) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/balancer/classstats_test.go
+++ b/balancer/classstats_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestClassStatsBeginAtAFractionOfTheObjective(t *testing.T) {
+func TestClassStatsStartAtFractionOfObjective(t *testing.T) {
 	stats := newClassStats([]Class{{LatencyObjective: time.Second}, {LatencyObjective: 4 * time.Second}}, 0.5)
 	if !slices.Equal(stats.typicalLatency, []float64{0.5, 2}) || !slices.Equal(stats.errorRate, []float64{0, 0}) {
 		t.Errorf("%+v", stats)
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestClassStatsRestoreWhatIsPossible(t *testing.T) {
+func TestClassStatsRestoreIgnoresInvalidValues(t *testing.T) {
 	stats := classStats{typicalLatency: []float64{1, 1, 1, 1}, errorRate: []float64{0.5, 0.5, 0.5, 0.5}}
 	stats.restore([]float64{2, -1, math.NaN()}, []float64{0, 1, math.NaN()})
 	if !slices.Equal(stats.typicalLatency, []float64{2, 1, 1, 1}) ||
--- a/balancer/endpointset_test.go
+++ b/balancer/endpointset_test.go
@@ -27,15 +27,15 @@
 		ring = append(ring, e.ID)
 	}
 	if !slices.Equal(listed, want) || len(set.byID) != len(want) {
-		t.Errorf("listed %v, want %v; %d by identifier", listed, want, len(set.byID))
+		t.Errorf("got listed endpoints %v, want %v; %d in byID", listed, want, len(set.byID))
 	}
 	if !slices.IsSortedFunc(ring, compareMixed) {
-		t.Errorf("ring %v", ring)
+		t.Errorf("got ring %v, want it sorted by mixed identifier", ring)
 	}
 	slices.Sort(ring)
 	slices.Sort(want)
 	if !slices.Equal(ring, want) {
-		t.Errorf("the ring holds %v, want %v", ring, want)
+		t.Errorf("got endpoints %v in the ring, want %v", ring, want)
 	}
 }
 
@@ -54,11 +54,12 @@
 	}{{0, 8, 3}, {2 * time.Second, 4, 2}, {4 * time.Second, 2, 1.5}} {
 		penalty, relativeLatency := h.at(time.Hour+c.after, 2)
 		if penalty != c.penalty || relativeLatency != c.relativeLatency {
-			t.Errorf("after %v: penalty %v, relative latency %v", c.after, penalty, relativeLatency)
+			t.Errorf("after %v: got penalty %v, relative latency %v, want a half-life of 2 s",
+				c.after, penalty, relativeLatency)
 		}
 	}
 	h.reset()
 	if penalty, relativeLatency := h.at(time.Hour, 2); penalty != 0 || relativeLatency != 1 {
-		t.Errorf("after a reset: penalty %v, relative latency %v", penalty, relativeLatency)
+		t.Errorf("after reset got penalty %v, relative latency %v, want 0 and 1", penalty, relativeLatency)
 	}
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,7 +7,7 @@
 	"ryerill/balancer"
 )
 
-// A host hands its Balancer one event at a time and carries out the actions it gets back.
+// A host passes events to its Balancer one at a time and carries out the returned actions.
 func Example() {
 	b := balancer.New(balancer.Config{
 		Classes: []balancer.Class{{
--- a/balancer/explore_test.go
+++ b/balancer/explore_test.go
@@ -11,68 +11,69 @@
 	"ryerill/lab/modelcheck/mutant"
 )
 
-// environment is the real Balancer with all that may happen around it: requests that arrive and clients that leave,
-// attempts that end in any way, endpoints that drain, vanish, restart and return, and time. Beside the Balancer stands
-// a twin that is handed the same events. What must hold is named at each check as in docs/design/properties.md.
+// environment explores a real Balancer with all events of its surroundings: requests arrive, clients leave, attempts
+// end with any outcome, endpoints drain, vanish, restart and return, and time passes. A second Balancer, the twin, gets
+// the same events. Each check names its property as in docs/design/properties.md.
 type environment struct {
 	b, twin   *Balancer
 	cfg       Config
 	now       time.Duration
 	requests  []*clientRequest
-	endpoints []Endpoint          // as last listed
-	drained   map[EndpointID]bool // since their start
-	changes   int                 // of the list
+	endpoints []Endpoint          // latest list entries
+	drained   map[EndpointID]bool // endpoints listed as draining since their start
+	changes   int                 // changes of the list so far
 	timeSteps int
 	maxSteps  int
 	timers    []uint32
 	moves     []move
-	violation error // the first
+	violation error // first violated property
 }
 
-// clientRequest is a request as its client and the endpoints see it.
+// clientRequest is the state of a request at its client and the endpoints.
 type clientRequest struct {
 	id            RequestID
 	class         int
 	arrived       bool
-	left          bool // its client did
-	finals        int
-	inFlight      int // the attempt in flight; -1 is none
+	left          bool // the client has left
+	finals        int  // final answers
+	inFlight      int  // index of the attempt in flight; -1 means none
 	sent          []EndpointID
 	maybeExecuted []EndpointID  // endpoints of attempts that may have been executed
-	repeated      bool          // the end of an older attempt was reported once more
-	executedAt    time.Duration // when the first of them was sent
+	repeated      bool          // the end of an older attempt was reported a second time
+	executedAt    time.Duration // when the first attempt in maybeExecuted was sent
 	sentAt        time.Duration
-	cancelled     bool // the attempt in flight was
+	cancelled     bool // the attempt in flight was cancelled
 }
 
-// move is something that may happen next.
+// move is a possible next event.
 type move struct {
 	name string
 	do   func()
 }
 
-// Bounds of what the environment does.
+// Bounds of the environment.
 const (
-	maxChanges    = 2 // of the list
+	maxChanges    = 2 // changes of the list
 	maxTimeSteps  = 2
 	clientTimeout = 3 * time.Second
 )
 
-// scenario is one configuration that is explored.
+// scenario is a configuration to explore.
 type scenario struct {
-	name      string
-	effects   []Effect // of the requests' classes, one each
-	group     Group
-	endpoints int
-	attempts  int
-	alone     bool // only draining binds
-	changes   bool // of the list
-	depth     int
+	name              string
+	effects           []Effect // one request per effect, each with its own class
+	group             Group
+	endpoints         int
+	attempts          int
+	onlyDrainingBinds bool
+	changes           bool // the list may change
+	depth             int
 }
 
 func (p scenario) start() modelcheck.System {
 	cfg := Config{ReplicaCount: 1, Limits: Limits{MaxAttempts: p.attempts, AllowCancel: true, SendRetryAfter: true,
-		MaxRetryAfter: time.Second, ConnectTimeout: 100 * ms}, Contract: Contract{OnlyDrainingBinds: p.alone}}
+		MaxRetryAfter: time.Second, ConnectTimeout: 100 * ms},
+		Contract: Contract{OnlyDrainingBinds: p.onlyDrainingBinds}}
 	for _, e := range p.effects {
 		cfg.Classes = append(cfg.Classes, Class{LatencyObjective: time.Second, Deadline: 2 * time.Second,
 			PriorityWeight: 1, LateWeight: 0.5, Effect: e, Group: p.group, IdempotencyWindow: 1200 * ms})
@@ -101,15 +102,15 @@
 
 func (env *environment) find(id RequestID) *clientRequest { return env.requests[id-1] }
 
-// handle hands an event over and checks the actions.
+// handle passes an event to both Balancers and checks the actions.
 func (env *environment) handle(ev Event) {
 	out, same := env.b.Handle(env.now, ev, nil), env.twin.Handle(env.now, ev, nil)
 	if len(out) != len(same) {
-		env.fail("same-events-same-actions", "%d and %d actions", len(out), len(same))
+		env.fail("same-events-same-actions", "got %d actions, the twin %d", len(out), len(same))
 	}
 	for i, a := range out {
 		if i < len(same) && fmt.Sprint(a) != fmt.Sprint(same[i]) {
-			env.fail("same-events-same-actions", "%v and %v", a, same[i])
+			env.fail("same-events-same-actions", "got action %v, the twin %v", a, same[i])
 		}
 		switch a.Kind {
 		case Send:
@@ -117,13 +118,13 @@
 		case Shed, Fail:
 			r := env.find(a.Request)
 			if r.left {
-				env.fail("none-after-leaving", "request %d left and is answered", r.id)
+				env.fail("none-after-leaving", "request %d is answered after its client left", r.id)
 			}
 			if r.finals++; r.finals > 1 {
 				env.fail("one-final-answer", "request %d is answered %d times", r.id, r.finals)
 			}
 			if a.Kind == Shed && len(r.maybeExecuted) > 0 && env.cfg.Classes[r.class].Effect == Unsafe {
-				env.fail("refused-is-harmless", "request %d is shed and may have been executed", r.id)
+				env.fail("refused-is-harmless", "request %d is shed but may have been executed", r.id)
 			}
 		case Cancel:
 			if r := env.find(a.Request); r.inFlight != a.Attempt {
@@ -147,9 +148,9 @@
 	case r.finals > 0:
 		env.fail("one-final-answer", "request %d is sent after its answer", r.id)
 	case r.left:
-		env.fail("none-after-leaving", "request %d left and is sent", r.id)
+		env.fail("none-after-leaving", "request %d is sent after its client left", r.id)
 	case r.inFlight >= 0:
-		env.fail("one-attempt-at-a-time", "request %d", r.id)
+		env.fail("one-attempt-at-a-time", "request %d is sent while an attempt is in flight", r.id)
 	case len(r.sent) >= env.cfg.Limits.MaxAttempts:
 		env.fail("attempts-bounded", "request %d is sent %d times", r.id, len(r.sent)+1)
 	case slices.Contains(r.sent, a.Endpoint):
@@ -185,7 +186,7 @@
 	r.inFlight, r.cancelled, r.sentAt = len(r.sent)-1, false, env.now
 }
 
-// checkInvariants checks what holds between events.
+// checkInvariants checks the properties that hold between events.
 func (env *environment) checkInvariants() {
 	b, out := env.b, map[EndpointID]int{}
 	all := 0
@@ -198,7 +199,7 @@
 			env.fail("no-unbounded-waiting", "request %d has no attempt in flight and no answer", r.id)
 		}
 		if _, kept := b.requests[r.id]; kept != (r.arrived && (r.inFlight >= 0 || !r.left && r.finals == 0)) {
-			env.fail("nothing-leaks", "request %d is kept %v, with attempt %d in flight, left %v, %d answers", r.id,
+			env.fail("nothing-leaks", "request %d: kept %v, attempt in flight %d, client left %v, %d answers", r.id,
 				kept, r.inFlight, r.left, r.finals)
 		}
 	}
@@ -212,7 +213,8 @@
 			busy++
 		}
 		if s.lateInFlight > s.inFlight {
-			env.fail("counters-return", "endpoint %d has %d late attempts of %d", s.ID, s.lateInFlight, s.inFlight)
+			env.fail("counters-return", "endpoint %d has %d late of %d attempts in flight",
+				s.ID, s.lateInFlight, s.inFlight)
 		}
 	}
 	if b.attempts.inFlight != all || b.attempts.busyEndpoints != busy ||
@@ -221,7 +223,7 @@
 			busy, b.attempts.inFlight, b.attempts.busyEndpoints, b.attempts.lateEndpoints)
 	}
 	if b.limiter.ceiling > 0 && (b.limiter.maxIFR < b.limiter.floor || b.limiter.maxIFR > b.limiter.ceiling) {
-		env.fail("limit-within-bounds", "%v, floor %v, ceiling %v", b.limiter.maxIFR, b.limiter.floor,
+		env.fail("limit-within-bounds", "got limit %v, floor %v, ceiling %v", b.limiter.maxIFR, b.limiter.floor,
 			b.limiter.ceiling)
 	}
 	inFlight := 0
@@ -231,11 +233,11 @@
 		}
 	}
 	if inFlight != all {
-		env.fail("counters-return", "%d attempts in flight by class, %d in all", inFlight, all)
+		env.fail("counters-return", "got %d attempts in flight by class, want %d", inFlight, all)
 	}
 }
 
-// endAttempt has the attempt of r that is in flight end.
+// endAttempt ends the attempt of r that is in flight.
 func (env *environment) endAttempt(r *clientRequest, o Outcome) {
 	k := r.inFlight
 	r.inFlight = -1
@@ -253,7 +255,7 @@
 		RequestClosed: closed || r.left, Elapsed: 50 * ms})
 }
 
-// findMoves finds what may happen next.
+// findMoves computes the possible next events.
 func (env *environment) findMoves() {
 	env.moves = env.moves[:0]
 	add := func(name string, do func()) { env.moves = append(env.moves, move{name, do}) }
@@ -265,7 +267,7 @@
 				env.handle(Event{Kind: RequestArrived, Request: r.id, Class: r.class, Tenant: -1,
 					Remaining: clientTimeout})
 			})
-			if r.id == 1 { // requests are alike but for their class: the second arrives after the first
+			if r.id == 1 { // requests differ only in class, so the second arrives after the first
 				goto listChanges
 			}
 		case r.inFlight >= 0:
@@ -274,7 +276,7 @@
 					func() { env.endAttempt(r, o) })
 			}
 			if r.inFlight > 0 && !r.repeated {
-				add(fmt.Sprintf("the end of attempt %d of request %d is reported once more", r.inFlight-1, r.id),
+				add(fmt.Sprintf("the end of attempt %d of request %d is reported again", r.inFlight-1, r.id),
 					func() {
 						r.repeated = true
 						env.handle(Event{Kind: AttemptEnded, Request: r.id, Attempt: r.inFlight - 1,
@@ -308,13 +310,13 @@
 				}
 			}
 		}
-		add("the whole list comes without the last endpoint", func() {
+		add("a full list omits the last endpoint", func() {
 			env.changes++
 			env.endpoints[len(env.endpoints)-1].State = Gone
 			env.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull,
 				Endpoints: env.endpoints[:len(env.endpoints)-1]})
 		})
-		add("endpoint 1 is listed as started anew", func() {
+		add("endpoint 1 is listed as restarted", func() {
 			env.changes++
 			env.endpoints[0].State, env.endpoints[0].StartedAt = Ready, env.now
 			delete(env.drained, env.endpoints[0].ID)
@@ -325,7 +327,7 @@
 		add("0.7 s pass", func() { env.timeSteps++; env.now += 700 * ms })
 	}
 	if len(env.timers) > 0 {
-		add("a timer is due", func() {
+		add("a timer fires", func() {
 			token := env.timers[0]
 			env.timers = env.timers[1:]
 			env.handle(Event{Kind: TimerFired, Token: token})
@@ -346,8 +348,8 @@
 	return env.violation
 }
 
-// Key is exact: all that the Balancer holds, with times as they lie before now. What grows
-// and decays with time is part of it, so states are taken for one only where they are.
+// Key encodes the whole state of the Balancer with times relative to now, including values that grow or decay with
+// time. Equal keys therefore mean equal states.
 func (env *environment) Key() string {
 	var t strings.Builder
 	b := env.b
@@ -374,27 +376,27 @@
 	return t.String()
 }
 
-// scenarios are the configurations. The deeper ones are for RYERILL_SLOW.
+// scenarios are the explored configurations.
 var scenarios = []scenario{
-	{name: "a safe one", effects: []Effect{Safe}, endpoints: 3, attempts: 2, changes: true, depth: 6},
-	{name: "an unsafe one", effects: []Effect{Unsafe}, endpoints: 3, attempts: 2, changes: true, depth: 6},
-	{name: "a keyed one within a cell", effects: []Effect{Keyed}, group: GroupCell, endpoints: 3, attempts: 3,
+	{name: "one safe", effects: []Effect{Safe}, endpoints: 3, attempts: 2, changes: true, depth: 6},
+	{name: "one unsafe", effects: []Effect{Unsafe}, endpoints: 3, attempts: 2, changes: true, depth: 6},
+	{name: "keyed within a cell", effects: []Effect{Keyed}, group: GroupCell, endpoints: 3, attempts: 3,
 		changes: true, depth: 6},
-	{name: "a keyed one, only draining binds", effects: []Effect{Keyed}, group: GroupCell, endpoints: 3, attempts: 3,
-		alone: true, changes: true, depth: 6},
-	{name: "two safe ones and changes", effects: []Effect{Safe, Safe}, endpoints: 2, attempts: 2, changes: true,
+	{name: "keyed, only draining binds", effects: []Effect{Keyed}, group: GroupCell, endpoints: 3, attempts: 3,
+		onlyDrainingBinds: true, changes: true, depth: 6},
+	{name: "two safe and list changes", effects: []Effect{Safe, Safe}, endpoints: 2, attempts: 2, changes: true,
 		depth: 6},
-	{name: "unsafe beside safe", effects: []Effect{Unsafe, Safe}, endpoints: 2, attempts: 2, depth: 7},
-	{name: "keyed beside unsafe", effects: []Effect{Keyed, Unsafe}, group: GroupCell, endpoints: 3, attempts: 2,
+	{name: "unsafe and safe", effects: []Effect{Unsafe, Safe}, endpoints: 2, attempts: 2, depth: 7},
+	{name: "keyed and unsafe", effects: []Effect{Keyed, Unsafe}, group: GroupCell, endpoints: 3, attempts: 2,
 		depth: 6},
 }
 
-// The real Balancer, explored whole in small environments.
+// Explores the real Balancer exhaustively in small environments.
 func TestExploreRequests(t *testing.T) {
 	for _, p := range scenarios {
 		t.Run(p.name, func(t *testing.T) {
 			t.Parallel()
-			if testing.Short() { // for planted faults
+			if testing.Short() { // mutant tests need less depth
 				p.depth--
 			}
 			res := modelcheck.Explore(p.start, modelcheck.Bounds{Depth: p.depth, States: 400_000})
@@ -405,9 +407,9 @@
 	}
 }
 
-// And beyond what can be visited whole: walks at random with more of all.
+// Walks at random through environments that are too large to explore exhaustively.
 func TestWalkRequests(t *testing.T) {
-	for i, p := range []scenario{{endpoints: 5}, {endpoints: 5, alone: true}, {endpoints: 2}} {
+	for i, p := range []scenario{{endpoints: 5}, {endpoints: 5, onlyDrainingBinds: true}, {endpoints: 2}} {
 		p.group, p.attempts, p.changes = GroupCell, 3, i < 2
 		for range 5 {
 			p.effects = append(p.effects, Unsafe, Safe, Keyed, Keyed)
@@ -418,7 +420,7 @@
 	}
 }
 
-// Faults of the kind that people write are found, each by these tests alone.
+// The exploration and the walks must find each of these typical faults without other tests.
 func TestMutantsOfRequests(t *testing.T) {
 	mutant.Find(t, "ExploreRequests|WalkRequests", []mutant.Mutant{
 		{Name: "one attempt too many", File: "request.go", From: "len(r.attempts) < b.cfg.Limits.MaxAttempts",
@@ -443,13 +445,14 @@
 		{Name: "a client that left is answered", File: "request.go",
 			From: "\tif !r.answered && (!retry || !b.send(r)) {",
 			To:   "\tif !retry || !b.send(r) {"},
-		{Name: "a served request is answered once more", File: "request.go",
+		{Name: "a served request is answered again", File: "request.go",
 			From: "\tr.answered = r.answered || event.RequestClosed\n",
 			To:   "\tr.answered = r.answered || event.RequestClosed && event.Outcome != OK\n"},
-		{Name: "an ended attempt holds its slot", File: "attempts.go", From: "\te.inFlight--\n\tt.inFlight--\n",
+		{Name: "an ended attempt keeps its slot", File: "attempts.go", From: "\te.inFlight--\n\tt.inFlight--\n",
 			To: "\te.inFlight--\n"},
-		{Name: "an ended attempt holds its endpoint", File: "attempts.go", From: "\te.inFlight--\n\tt.inFlight--\n",
-			To: "\tt.inFlight--\n"},
+		{Name: "an ended attempt keeps its endpoint busy", File: "attempts.go",
+			From: "\te.inFlight--\n\tt.inFlight--\n",
+			To:   "\tt.inFlight--\n"},
 		{Name: "a double release", File: "attempts.go", From: "\te.inFlight--\n\tt.inFlight--\n",
 			To: "\te.inFlight--\n\tt.inFlight -= 2\n"},
 		{Name: "busy endpoints are not counted down", File: "attempts.go",
@@ -472,13 +475,13 @@
 		{Name: "a drain is forgotten once the endpoint is gone", File: "endpointlist.go",
 			From: "e.drained = entry.State == Draining || e.drained && !restarted",
 			To:   "e.drained = entry.State == Draining"},
-		{Name: "a whole list leaves no endpoint out", File: "endpointlist.go",
+		{Name: "endpoints omitted by a full list stay", File: "endpointlist.go",
 			From: "\t\tif event.ListKind.isComplete() {\n\t\t\te.State = Gone\n\t\t}\n",
 			To:   ""},
 		{Name: "a request that may have been executed is shed", File: "request.go",
 			From: "if r.possiblyExecutedOn == nil || class.Effect == Safe ||",
 			To:   "if true || r.possiblyExecutedOn == nil || class.Effect == Safe ||"},
-		{Name: "no answer where there is no endpoint", File: "request.go",
+		{Name: "no answer without an endpoint", File: "request.go",
 			From: "\tif !b.admits(r) || !b.send(r) {\n\t\tb.answer(r)\n",
 			To:   "\tif !b.admits(r) || !b.send(r) {\n"},
 		{Name: "the limit grows beyond its ceiling", File: "limiter.go",
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -7,7 +7,7 @@
 
 const ms = time.Millisecond
 
-// host drives one Balancer with a hand-set clock and keeps the actions of the latest event.
+// host drives one Balancer with a manual clock and keeps the actions of the latest event.
 type host struct {
 	t       testing.TB
 	b       *Balancer
@@ -16,31 +16,31 @@
 	actions []Action
 }
 
-// newHost returns a host with a Balancer to which a cached list has named endpoints.
+// newHost returns a host whose Balancer got endpoints in a cached list.
 func newHost(t testing.TB, cfg Config, endpoints ...Endpoint) *host {
 	h := &host{t: t, b: New(cfg, 1), now: time.Hour}
 	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListCached, Endpoints: endpoints})
 	return h
 }
 
-// handle hands an event over and returns the actions.
+// handle passes an event to the Balancer and returns the actions.
 func (h *host) handle(ev Event) []Action {
 	h.actions = h.b.Handle(h.now, ev, nil)
 	return h.actions
 }
 
-// arrive brings a request of a class and returns its identifier and the actions.
+// arrive passes a new request of a class and returns its identifier and the actions.
 func (h *host) arrive(class int) (RequestID, []Action) {
 	return h.arriveWithKey(class, 0, 2*time.Second)
 }
 
-// arriveWithKey brings a request of a class with a key, for a client that waits for a time.
+// arriveWithKey passes a new request with a class, a key and the time until the client's deadline.
 func (h *host) arriveWithKey(class int, key uint64, remaining time.Duration) (RequestID, []Action) {
 	h.next++
 	return h.next, h.handle(Event{Kind: RequestArrived, Request: h.next, Class: class, Key: key, Remaining: remaining})
 }
 
-// end has an attempt end some time after it was sent.
+// end ends an attempt with an outcome, some time after it was sent.
 func (h *host) end(id RequestID, attempt int, o Outcome, after time.Duration) []Action {
 	r := h.b.requests[id]
 	s := r.attempts[attempt].ID
@@ -49,8 +49,9 @@
 		Endpoint: s, Elapsed: after})
 }
 
-// only returns the one action, but for log lines, which must be of a kind.
-func only(t testing.TB, actions []Action, kind ActionKind) Action {
+// onlyAction returns the only action other than Log and fails the test unless there is exactly one, of the given
+// kind.
+func onlyAction(t testing.TB, actions []Action, kind ActionKind) Action {
 	t.Helper()
 	var found []Action
 	for _, a := range actions {
@@ -64,7 +65,8 @@
 	return found[0]
 }
 
-// testConfig has classes 0 safe, 1 keyed in all, 2 keyed in a zone, 3 keyed in a cell, 4 unsafe.
+// testConfig returns a Config with class 0 safe, class 1 keyed with GroupAll, class 2 keyed with GroupZone, class 3
+// keyed with GroupCell and class 4 unsafe.
 func testConfig() Config {
 	class := func(e Effect, g Group) Class {
 		return Class{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, LateWeight: 0.5,
@@ -82,10 +84,10 @@
 	}
 }
 
-// ready is a list entry.
+// ready returns a list entry of a ready endpoint.
 func ready(id EndpointID) Endpoint { return Endpoint{ID: id, State: Ready} }
 
-// readyList has entries 1 to n.
+// readyList returns ready entries with identifiers 1 to n.
 func readyList(n int) (list []Endpoint) {
 	for i := range n {
 		list = append(list, ready(EndpointID(i+1)))
--- a/balancer/index_test.go
+++ b/balancer/index_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// scanAll picks as pick does where it may scan all endpoints: from a random index on.
+// scanAll picks like pick with an exact scan: it scans all endpoints from a random index on.
 func scanAll(b *Balancer, r *request) *endpoint {
 	listed := b.endpoints.listed
 	best := newCandidate(r, int(b.random.float64()*float64(len(listed))), len(listed))
@@ -18,7 +18,7 @@
 	return best.endpoint
 }
 
-// comparePick compares pick with scanAll for a request, and leaves the generator as it was.
+// comparePick compares pick with scanAll for a request and restores the random generator.
 func (sim *simulation) comparePick(r *request) {
 	state := sim.b.random.state
 	want := scanAll(sim.b, r)
@@ -26,17 +26,17 @@
 	got := sim.b.endpoints.pick(sim.b.now, r, sim.b.random.float64())
 	sim.b.random.state = state
 	if got != want && (got == nil || want == nil || len(sim.b.endpoints.listed) <= maxExactScan) {
-		sim.fail("request %d: the index picks %+v, the scan %+v", r.id, got, want)
+		sim.fail("request %d: got %+v from the index, want %+v as from the scan", r.id, got, want)
 	}
 	if got != nil && want != nil {
 		sim.picks++
 		if got != want {
-			sim.others++
+			sim.differing++
 		}
 	}
 }
 
-// checkCounters compares what is counted as events come with a count made now.
+// checkCounters compares the incremental counters with a full count.
 func (sim *simulation) checkCounters() {
 	sim.checkIndex()
 	busy, late := 0, 0
@@ -65,22 +65,22 @@
 	}
 	if busy != table.busyEndpoints || late != table.lateEndpoints || inFlight != table.inFlight ||
 		open != table.inFlight {
-		sim.fail("busy %d, late %d, in flight %d, open %d; counted %d, %d, %d", busy, late, inFlight, open,
-			table.busyEndpoints, table.lateEndpoints, table.inFlight)
+		sim.fail("full count: busy %d, late %d, in flight %d, open %d; counters: busy %d, late %d, in flight %d",
+			busy, late, inFlight, open, table.busyEndpoints, table.lateEndpoints, table.inFlight)
 	}
 }
 
-// checkIndex checks that each endpoint is where it says that it is, in the list and in the index.
+// checkIndex checks that the positions stored in the endpoints match the list and the index.
 func (sim *simulation) checkIndex() {
 	ranked := 0
 	for i, e := range sim.b.endpoints.listed {
 		if e.index != i {
-			sim.fail("endpoint %d is at %d of the list, and says %d", e.ID, i, e.index)
+			sim.fail("endpoint %d is at index %d of the list, its own index is %d", e.ID, i, e.index)
 		}
 		if e.rank >= 0 {
 			ranked++
 			if sim.b.endpoints.byRank[e.rank][e.rankPosition] != e {
-				sim.fail("endpoint %d is not where it is ranked", e.ID)
+				sim.fail("endpoint %d is not at its rank and position in the index", e.ID)
 			}
 		}
 	}
@@ -88,13 +88,13 @@
 		ranked -= len(endpoints)
 	}
 	if ranked != 0 {
-		sim.fail("%+d endpoints are ranked beyond those in the index", ranked)
+		sim.fail("got %+d more ranked endpoints than entries in the index, want 0", ranked)
 	}
 }
 
-// Up to the stated size the index picks what a scan of all endpoints picks, and beyond it never nothing where there
-// is something. What is counted as events come is right.
-func TestIndexAgreesWithAScanOfAll(t *testing.T) {
+// Up to maxExactScan endpoints the index must pick the same endpoint as a full scan; beyond that it must find one
+// whenever there is one. The incremental counters must match a full count.
+func TestIndexMatchesFullScan(t *testing.T) {
 	for seed := range int64(40) {
 		sim := newSimulation(t, seed)
 		sim.maxEndpoints = []int{12, 40, maxExactScan}[seed%3]
@@ -109,12 +109,12 @@
 			}
 		}
 		if sim.picks < 200 {
-			t.Errorf("seed %d: %d picks compared", seed, sim.picks)
+			t.Errorf("seed %d: compared %d picks, want at least 200", seed, sim.picks)
 		}
 	}
 }
 
-// randomizeEndpoints gives endpoints random health and attempts in flight, as overloaded ones have them.
+// randomizeEndpoints gives endpoints random health and attempts in flight, as under overload.
 func randomizeEndpoints(b *Balancer, rng *rand.Rand) {
 	for _, e := range b.endpoints.listed {
 		e.inFlight = rng.Intn(3) * rng.Intn(2)
@@ -125,9 +125,9 @@
 	}
 }
 
-// Of more endpoints a sample is scanned. What that costs is measured: how often an endpoint is picked that ranks
-// worse, and how much slower it is.
-func TestLossOfTheSample(t *testing.T) {
+// Above maxExactScan endpoints a sample is scanned. Measures how often the picked endpoint ranks worse than the best
+// of a full scan and how much slower it is.
+func TestSampledPickQuality(t *testing.T) {
 	for _, tc := range []struct{ size, replicas int }{{140, 30}, {700, 150}, {7000, 1500}, {140, 1}, {7000, 1}} {
 		size, cfg := tc.size, testConfig()
 		cfg.ReplicaCount, cfg.Tiers = tc.replicas, 3 // the front of a chain: most are in the subset
@@ -156,39 +156,40 @@
 			slower += (got.health.relativeLatency - want.health.relativeLatency) / picks
 		}
 		t.Logf("%d endpoints, %d replicas, %d in the subset: "+
-			"%.1f%% of picks rank worse, on average %.3f slower; %d of %d are others",
+			"%.1f%% of picks rank worse, mean relative latency %.3f higher; %d of %d differ",
 			size, tc.replicas, h.b.endpoints.subset.size, 100*float64(worse)/picks, slower, others, picks)
 		if worse > picks/50 || slower > 0.2 {
-			t.Errorf("%d endpoints: %d of %d picks rank worse, %.3f slower", size, worse, picks, slower)
+			t.Errorf("%d endpoints: %d of %d picks rank worse, mean relative latency %.3f higher",
+				size, worse, picks, slower)
 		}
 		if others == 0 {
-			t.Errorf("%d endpoints: no pick is by the sample", size)
+			t.Errorf("%d endpoints: all picks equal those of a full scan, want a sampled scan", size)
 		}
 	}
 }
 
-// At ten times as many endpoints, replicas and attempts grown alike, no decision may scan more or allocate. Work is
-// counted, so that the result is the same on any machine.
-func TestDecisionsDoNotGrowWithTheEndpoints(t *testing.T) {
+// With more endpoints, and replicas and attempts in proportion, no decision may scan more endpoints or allocate. The
+// test counts work rather than time, so that the result is the same on any machine.
+func TestDecisionCostIsIndependentOfEndpointCount(t *testing.T) {
 	for _, size := range []int{14, 140, 700, 7000} {
 		f := newFlow(t, size)
-		for range 4 * size { // all that is allocated once is there
+		for range 4 * size { // until all one-time allocations are made
 			f.replaceOldest()
 		}
 		if allocs := testing.AllocsPerRun(200, f.replaceOldest); allocs > 0 {
-			t.Errorf("%d endpoints: %v allocations for a request and the windows in it", size, allocs)
+			t.Errorf("%d endpoints: got %v allocations per request, want 0", size, allocs)
 		}
 		f.h.b.endpoints.scanned = 0
 		for range 200 {
 			f.replaceOldest()
 		}
 		if per := f.h.b.endpoints.scanned / 200; per > 2*maxScanned+1 && size > maxExactScan {
-			t.Errorf("%d endpoints: %d are scanned for a pick", size, per)
+			t.Errorf("%d endpoints: got %d scanned per pick, want at most 2*maxScanned+1", size, per)
 		}
 	}
 }
 
-// flow is a calm stream of requests with some attempts always in flight.
+// flow is a steady stream of requests with a constant number of attempts in flight.
 type flow struct {
 	h    *host
 	out  []Action
@@ -212,7 +213,7 @@
 	f.out = f.h.b.Handle(f.h.now, Event{Kind: RequestArrived, Request: f.next, Remaining: 2 * time.Second}, f.out[:0])
 }
 
-// replaceOldest ends the oldest attempt and brings another request.
+// replaceOldest ends the oldest attempt and passes another request.
 func (f *flow) replaceOldest() {
 	f.h.now += 10 * ms
 	id := f.open[0]
@@ -223,8 +224,8 @@
 	f.arrive()
 }
 
-// An endpoint that has left leaves nothing behind.
-func TestNothingIsKeptOfEndpointsThatLeft(t *testing.T) {
+// Removed endpoints must not stay referenced by the index or pooled requests.
+func TestRemovedEndpointsAreReleased(t *testing.T) {
 	h := newHost(t, testConfig(), readyList(50)...)
 	for gen := range 20 {
 		id, _ := h.arrive(0)
@@ -255,7 +256,7 @@
 		}
 	}
 	if len(h.b.endpoints.listed) != 50 || len(h.b.endpoints.byID) != 50 || kept > 0 {
-		t.Errorf("%d endpoints, %d by id, %d kept of those that left", len(h.b.endpoints.listed),
-			len(h.b.endpoints.byID), kept)
+		t.Errorf("got %d endpoints listed, %d in byID, %d references to removed ones, want 50, 50, 0",
+			len(h.b.endpoints.listed), len(h.b.endpoints.byID), kept)
 	}
 }
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -7,17 +7,17 @@
 	used := map[EndpointID]int{}
 	for range 9 {
 		_, actions := h.arrive(0)
-		used[only(t, actions, Send).Endpoint]++
+		used[onlyAction(t, actions, Send).Endpoint]++
 	}
 	for id, attempts := range used {
 		if attempts != 3 {
-			t.Errorf("endpoint %d has %d of 9 attempts", id, attempts)
+			t.Errorf("endpoint %d: got %d of 9 attempts, want 3", id, attempts)
 		}
 	}
 	h.end(4, 0, OK, ms)
 	freed := h.b.endpoints.byID[1].inFlight + h.b.endpoints.byID[2].inFlight + h.b.endpoints.byID[3].inFlight
 	if freed != 8 {
-		t.Errorf("%d attempts in flight, want 8", freed)
+		t.Errorf("got %d attempts in flight, want 8", freed)
 	}
 }
 
@@ -27,15 +27,14 @@
 	h := newHost(t, cfg, Endpoint{ID: 1, State: Ready}, Endpoint{ID: 2, State: Ready, Zone: 1})
 	_, first := h.arrive(0)
 	_, second := h.arrive(0)
-	if only(t, first, Send).Endpoint != 2 || only(t, second, Send).Endpoint != 1 {
-		t.Errorf("sent to %v then %v: want the own zone, then the idle endpoint", first, second)
+	if onlyAction(t, first, Send).Endpoint != 2 || onlyAction(t, second, Send).Endpoint != 1 {
+		t.Errorf("got actions %v then %v, want the own zone first, then the idle endpoint", first, second)
 	}
 }
 
-// Each crossing of zones is priced. A replica whose zone has its part of the endpoints stays there while they are
-// idle, however few they are, and is not sent to another zone by its place on the ring; a zone with too few left is
-// helped by the others.
-func TestAttemptsStayInTheirZone(t *testing.T) {
+// Traffic between zones has a price. A replica whose zone has its share of the endpoints must stay there while they
+// are idle, however few they are and whatever its position on the ring. A zone with too few endpoints uses other zones.
+func TestAttemptsStayInOwnZone(t *testing.T) {
 	for _, tc := range []struct{ endpoints, own, least, most int }{{21, 7, 100, 100}, {12, 4, 100, 100},
 		{21, 2, 0, 60}} {
 		for self := range 12 {
@@ -50,13 +49,13 @@
 			h, stayed := newHost(t, cfg, endpoints...), 0
 			for range 100 {
 				id, actions := h.arrive(0)
-				if int(only(t, actions, Send).Endpoint) <= tc.own {
+				if int(onlyAction(t, actions, Send).Endpoint) <= tc.own {
 					stayed++
 				}
 				h.end(id, 0, OK, 100*ms)
 			}
 			if stayed < tc.least || stayed > tc.most {
-				t.Errorf("replica %d, %d of %d endpoints in its zone: %d%% of its attempts stay", self, tc.own,
+				t.Errorf("replica %d, %d of %d endpoints in its zone: got %d%% of attempts in the zone", self, tc.own,
 					tc.endpoints, stayed)
 			}
 		}
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -10,7 +10,7 @@
 	check := func(when string, want float64) {
 		t.Helper()
 		if got := b.quotaRate(0); got != want {
-			t.Errorf("%s: %v requests a second, want %v", when, got, want)
+			t.Errorf("%s: got %v requests per second, want %v", when, got, want)
 		}
 	}
 	check("an equal part", 30)
@@ -21,5 +21,5 @@
 	check("lent", 60)
 	b.now = time.Minute
 	check("once it has expired", 30)
-	b.SetQuota(7, 1, 1, time.Hour) // of no tenant
+	b.SetQuota(7, 1, 1, time.Hour) // unknown tenant: must not panic
 }
--- a/balancer/requestpool_test.go
+++ b/balancer/requestpool_test.go
@@ -2,20 +2,20 @@
 
 import "testing"
 
-func TestRequestPoolKeepsNoEndpoints(t *testing.T) {
+func TestRequestPoolReleasesEndpoints(t *testing.T) {
 	var pool requestPool
 	r := &request{attempts: []*endpoint{{}, {}}, possiblyExecutedOn: &Endpoint{}, answered: true}
 	pool.put(r)
 	again := pool.take()
 	if again != r || cap(again.attempts) != 2 || again.attempts[0] != nil || again.attempts[1] != nil ||
 		again.possiblyExecutedOn != nil {
-		t.Errorf("taken %+v", again)
+		t.Errorf("got %+v, want the pooled request without endpoints", again)
 	}
 	if !again.answered {
-		t.Error("its other fields are lost before the next use")
+		t.Error("put reset other fields, want them unchanged")
 	}
 	if other := pool.take(); other == r {
-		t.Error("one request is taken twice")
+		t.Error("the same request was taken twice")
 	}
 }
 
@@ -25,6 +25,6 @@
 		pool.put(&request{})
 	}
 	if len(pool) != maxPooled {
-		t.Errorf("%d requests are kept, at most %d wanted", len(pool), maxPooled)
+		t.Errorf("got %d pooled requests, want %d", len(pool), maxPooled)
 	}
 }
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// requestRecord is what the checker knows of one request.
+// requestRecord is the checker's state of one request.
 type requestRecord struct {
 	class         int
 	deadline      time.Duration
 	answered      bool
-	maybeExecuted bool // by an attempt so far
+	maybeExecuted bool // an attempt so far may have been executed
 	executor      Endpoint
 	executedAt    time.Duration
 	inFlight      int
@@ -23,7 +23,7 @@
 	key           uint64
 }
 
-// simulation plays random but legal events to one Balancer and checks what comes back.
+// simulation passes random valid events to one Balancer and checks its actions.
 type simulation struct {
 	t         testing.TB
 	rng       *rand.Rand
@@ -35,19 +35,19 @@
 	arrived   []RequestID
 	trace     []Action
 
-	sends         []time.Duration                // when attempts were sent
-	toWarmingUp   map[EndpointID][]time.Duration // to an endpoint since its start
-	readyCounts   []readyCount
-	sentAt        map[RequestID]time.Duration  // when the latest attempt was sent
-	due           []Event                      // outcomes and timers to come, with Elapsed as their time
-	queues        map[uint64][]RequestID       // by key, requests of classes that are ordered, as they came
-	quarantine    map[uint64]time.Duration     // its end, by key
-	drained       map[EndpointID]time.Duration // start of an endpoint when it was listed as draining
-	drainedAt     map[EndpointID]time.Duration
-	listed        map[EndpointID]Endpoint // as last listed, by lists that may be wrong
-	earlierList   []Endpoint
-	maxEndpoints  int
-	picks, others int // compared with a scan of all, and those that differ
+	sends            []time.Duration                // when attempts were sent
+	toWarmingUp      map[EndpointID][]time.Duration // when attempts were sent to an endpoint that warms up
+	readyCounts      []readyCount
+	sentAt           map[RequestID]time.Duration  // when the latest attempt was sent
+	due              []Event                      // scheduled outcomes and timers, with Elapsed as their time
+	queues           map[uint64][]RequestID       // by key: requests of ordered classes in order of arrival
+	quarantine       map[uint64]time.Duration     // end of the quarantine by key
+	drained          map[EndpointID]time.Duration // start time of an endpoint when it was listed as draining
+	drainedAt        map[EndpointID]time.Duration
+	listed           map[EndpointID]Endpoint // latest list entries, which may be wrong
+	earlierList      []Endpoint
+	maxEndpoints     int
+	picks, differing int // picks compared with a full scan, and those that differ
 }
 
 func (sim *simulation) fail(format string, args ...any) {
@@ -55,35 +55,35 @@
 	sim.t.Fatalf("at %v: %s", sim.now, fmt.Sprintf(format, args...))
 }
 
-// handle hands an event over and checks the actions.
+// handle passes an event to the Balancer and checks the actions.
 func (sim *simulation) handle(ev Event) {
 	for _, a := range sim.b.Handle(sim.now, ev, nil) {
 		sim.trace = append(sim.trace, a)
 		switch a.Kind {
 		case Send:
-			sim.sent(a)
+			sim.checkSend(a)
 		case Shed, Fail:
-			sim.answered(a)
+			sim.checkAnswer(a)
 		case Cancel:
 			if r := sim.requests[a.Request]; r == nil || a.Attempt >= len(r.attempts) {
-				sim.fail("cancel of an attempt never made: %+v", a)
+				sim.fail("cancelled an attempt that was not sent: %+v", a)
 			}
 		case SetTimer:
 			sim.due = append(sim.due, Event{Kind: TimerFired, Token: a.Token, Elapsed: sim.now + a.Delay})
 		case Probe, SendToPeer:
-			sim.fail("%+v is not allowed here", a)
+			sim.fail("got action %+v, which the limits do not allow", a)
 		}
 	}
 }
 
-// isDrained reports whether an endpoint is remembered as draining since its latest start.
+// isDrained reports whether an endpoint was listed as draining since its latest start, within the retention period.
 func (sim *simulation) isDrained(s Endpoint) bool {
 	start, ok := sim.drained[s.ID]
 	return ok && s.StartedAt <= start &&
 		float64(sim.now-sim.drainedAt[s.ID]) < retentionPeriods*float64(sim.cfg.Contract.WarmUpPeriod)
 }
 
-// finish takes a request that is answered and has no attempt in flight from the queue of its key.
+// finish removes a request from the queue of its key if it is answered and has no attempt in flight.
 func (sim *simulation) finish(id RequestID) {
 	r := sim.requests[id]
 	if r.key == 0 || !r.answered || r.inFlight > 0 {
@@ -92,15 +92,15 @@
 	sim.queues[r.key] = slices.DeleteFunc(sim.queues[r.key], func(other RequestID) bool { return other == id })
 }
 
-// sent checks an attempt and lets it end some time later.
-func (sim *simulation) sent(a Action) {
+// checkSend checks an attempt and schedules its end.
+func (sim *simulation) checkSend(a Action) {
 	r, s := sim.requests[a.Request], sim.listed[a.Endpoint]
 	c := &sim.cfg.Classes[r.class]
 	switch {
 	case r.answered:
 		sim.fail("sent after the final answer: %+v", a)
 	case r.inFlight > 0:
-		sim.fail("two attempts in flight: %+v", a)
+		sim.fail("sent while another attempt is in flight: %+v", a)
 	case sim.cfg.Contract.OnlyDrainingBinds && sim.isDrained(s):
 		sim.fail("sent to a drained endpoint: %+v", a)
 	case sim.cfg.Contract.OnlyDrainingBinds && s.ID == 0:
@@ -108,11 +108,11 @@
 	case s.State != Ready && !sim.cfg.Contract.OnlyDrainingBinds:
 		sim.fail("sent to an endpoint in state %d: %+v", s.State, a)
 	case len(r.attempts) >= sim.cfg.Limits.MaxAttempts:
-		sim.fail("attempt %d", len(r.attempts))
+		sim.fail("sent attempt %d, beyond MaxAttempts", len(r.attempts))
 	case a.WriteTimeout <= 0 || a.WriteTimeout > a.Timeout:
-		sim.fail("write timeout %v, timeout %v", a.WriteTimeout, a.Timeout)
+		sim.fail("got write timeout %v, timeout %v", a.WriteTimeout, a.Timeout)
 	case a.Timeout <= 0 || sim.now+a.Timeout > r.deadline:
-		sim.fail("timeout %v, request ends at %v", a.Timeout, r.deadline)
+		sim.fail("got timeout %v, request deadline is %v", a.Timeout, r.deadline)
 	}
 	if queue := sim.queues[r.key]; r.key != 0 {
 		if queue[0] != a.Request {
@@ -126,10 +126,10 @@
 		inGroup := c.Group == GroupAll || c.Group == GroupZone && s.Zone == r.executor.Zone ||
 			c.Group == GroupCell && s.Cell == r.executor.Cell
 		if c.Effect == Unsafe || !inGroup || sim.now-r.executedAt >= c.IdempotencyWindow {
-			sim.fail("resent what may have been executed: %+v", a)
+			sim.fail("retried a possibly executed request against its class: %+v", a)
 		}
 		if sim.now+a.WriteTimeout >= r.executedAt+c.IdempotencyWindow {
-			sim.fail("what may have been executed may be resent up to the end of its idempotency window: %+v", a)
+			sim.fail("a retry of a possibly executed request may be written after its idempotency window: %+v", a)
 		}
 	}
 	r.attempts = append(r.attempts, s)
@@ -148,8 +148,9 @@
 	}
 }
 
-// checkWarmUpBudget compares this replica's attempts to an endpoint that warms up, within the contract's period, with
-// its part of the budget: the multiple of the capacity that the endpoint has at least, of what one bears on average.
+// checkWarmUpBudget checks that this replica's attempts at an endpoint that warms up, within OverloadPeriod, stay
+// within its part of the budget: OverloadMultiple times the minimum capacity of the endpoint, as a share of an average
+// endpoint's load.
 func (sim *simulation) checkWarmUpBudget(s Endpoint) {
 	c := &sim.cfg.Contract
 	within := func(times []time.Duration, span time.Duration) (n float64) {
@@ -162,37 +163,37 @@
 	}
 	ready := len(sim.endpoints)
 	for i, log := range sim.readyCounts {
-		// in force within the last periods
+		// counts that applied within the last two periods
 		if i+1 == len(sim.readyCounts) || sim.now-sim.readyCounts[i+1].at < 2*c.OverloadPeriod {
 			ready = min(ready, log.n)
 		}
 	}
 	share := c.InitialCapacity + (1-c.InitialCapacity)*float64(sim.now-s.StartedAt)/float64(c.WarmUpPeriod)
 	span := min(c.WarmUpPeriod, sim.now-time.Hour)
-	// of the subset
+	// mean rate of an endpoint of the subset
 	mean := within(sim.sends, span+1) / span.Seconds() / min(float64(ready), float64(sim.b.endpoints.subset.size))
-	// One whole attempt more: a part can be less than an attempt, and attempts come whole.
+	// One attempt more, since the part may be a fraction of an attempt.
 	if n, budget := within(sim.toWarmingUp[s.ID], c.OverloadPeriod),
 		c.OverloadMultiple*share*mean*c.OverloadPeriod.Seconds()+1; n > budget {
-		sim.fail("%v attempts to an endpoint started %v ago, budget %.2f", n, sim.now-s.StartedAt, budget)
+		sim.fail("got %v attempts at an endpoint started %v ago, budget %.2f", n, sim.now-s.StartedAt, budget)
 	}
 }
 
-// answered checks a final answer.
-func (sim *simulation) answered(a Action) {
+// checkAnswer checks a final answer.
+func (sim *simulation) checkAnswer(a Action) {
 	r := sim.requests[a.Request]
 	c := &sim.cfg.Classes[r.class]
 	if r.answered || r.inFlight > 0 {
 		sim.fail("answered twice or with an attempt in flight: %+v", a)
 	}
 	if a.Kind == Shed && r.maybeExecuted && c.Effect != Safe && (c.Effect != Keyed || c.Group != GroupAll) {
-		sim.fail("shed what may have been executed: %+v", a)
+		sim.fail("shed a possibly executed request: %+v", a)
 	}
 	if sim.now > r.deadline {
 		sim.fail("answered %v after the deadline", sim.now-r.deadline)
 	}
 	if a.RetryAfter > sim.cfg.Limits.MaxRetryAfter {
-		sim.fail("retry-after %v", a.RetryAfter)
+		sim.fail("got retry-after %v, beyond MaxRetryAfter", a.RetryAfter)
 	}
 	r.answered = true
 	sim.finish(a.Request)
@@ -233,12 +234,12 @@
 		}
 	}
 	sim.sendList(ev)
-	// as this replica counts, by lists that may be wrong
+	// at most the subset size, which follows from lists that may be wrong
 	sim.readyCounts = append(sim.readyCounts, readyCount{sim.now, min(ready, sim.b.endpoints.subset.size)})
 }
 
-// sendList hands a list over, now and then a wrong one where only draining binds: shrunken, empty, old or with
-// endpoints that are not there.
+// sendList passes a list to the Balancer. With OnlyDrainingBinds some lists are wrong: empty, truncated, outdated or
+// with endpoints that don't exist.
 func (sim *simulation) sendList(ev Event) {
 	if sim.cfg.Contract.OnlyDrainingBinds && ev.ListKind == ListFull {
 		switch sim.rng.Intn(6) {
@@ -272,14 +273,15 @@
 	sim.handle(ev)
 }
 
-// readyCount is how many endpoints were ready from a time on.
+// readyCount is the number of ready endpoints from a time on.
 type readyCount struct {
 	at time.Duration
 	n  int
 }
 
-// playNext plays the earliest outcome or timer that is due by then, at its time, if there is one.
-func (sim *simulation) playNext(by time.Duration) bool {
+// handleNextDue handles the earliest scheduled outcome or timer that is due by a time, and reports whether there was
+// one.
+func (sim *simulation) handleNextDue(by time.Duration) bool {
 	first := -1
 	for i, ev := range sim.due {
 		if ev.Elapsed <= by && (first < 0 || ev.Elapsed < sim.due[first].Elapsed) {
@@ -300,10 +302,10 @@
 	return true
 }
 
-// step lets some time pass and plays one event.
+// step advances the time and passes one random event.
 func (sim *simulation) step(next RequestID) {
 	sim.now += time.Duration(sim.rng.Int63n(int64(14 * ms)))
-	for sim.playNext(sim.now) {
+	for sim.handleNextDue(sim.now) {
 	}
 	switch roll := sim.rng.Intn(100); {
 	case roll < 2:
@@ -331,7 +333,7 @@
 	}
 }
 
-// end plays the end of an attempt with a random outcome.
+// end ends an attempt with a random outcome.
 func (sim *simulation) end(ev Event) {
 	r := sim.requests[ev.Request]
 	ev.Outcome = Outcome(sim.rng.Intn(8))
@@ -352,7 +354,7 @@
 	sim.handle(ev)
 }
 
-// newSimulation returns a simulation whose configuration and events follow from a seed.
+// newSimulation returns a simulation whose configuration and events derive from a seed.
 func newSimulation(t testing.TB, seed int64) *simulation {
 	cfg := testConfig()
 	cfg.Tenants = []Tenant{{Quota: 5}, {Quota: 50}, {}}
@@ -388,13 +390,13 @@
 	}
 }
 
-// play plays a whole sequence and returns the actions.
+// play runs a whole simulation and returns the actions.
 func play(t testing.TB, seed int64) []Action {
 	sim := newSimulation(t, seed)
 	for i := range 4000 {
 		sim.step(RequestID(i + 1))
 	}
-	for sim.playNext(sim.now + time.Hour) { // the last outcomes and timers
+	for sim.handleNextDue(sim.now + time.Hour) { // the remaining outcomes and timers
 	}
 	for id, r := range sim.requests {
 		if !r.answered {
@@ -402,12 +404,13 @@
 		}
 	}
 	if len(sim.b.requests) != 0 || sim.b.attempts.inFlight != 0 {
-		sim.fail("%d requests and %d attempts are left", len(sim.b.requests), sim.b.attempts.inFlight)
+		sim.fail("got %d open requests and %d attempts in flight at the end, want none",
+			len(sim.b.requests), sim.b.attempts.inFlight)
 	}
 	return sim.trace
 }
 
-func TestRandomSequencesKeepTheRules(t *testing.T) {
+func TestRandomEventsKeepInvariants(t *testing.T) {
 	for seed := range int64(30) {
 		trace := play(t, seed)
 		var kinds [Log + 1]int
@@ -418,18 +421,18 @@
 			continue
 		}
 		if kinds[Send] < 300 || kinds[Shed] < 10 || kinds[Fail] < 10 || kinds[Cancel] < 2 {
-			t.Errorf("seed %d: a tame sequence: %v actions by kind", seed, kinds)
+			t.Errorf("seed %d: got too few actions of some kind: %v", seed, kinds)
 		}
 	}
 }
 
 func TestSameEventsSameActions(t *testing.T) {
 	if a, b := play(t, 7), play(t, 7); !reflect.DeepEqual(a, b) {
-		t.Error("two runs of one sequence differ")
+		t.Error("two runs with the same seed gave different actions")
 	}
 }
 
-func TestOddConfigsAndEvents(t *testing.T) {
+func TestInvalidConfigsAndEvents(t *testing.T) {
 	bad := []Config{{}, {ReplicaCount: -1, Tier: -5, Tiers: -2,
 		Classes: []Class{{LatencyObjective: -1, Deadline: -1, PriorityWeight: -3}},
 		Tenants: []Tenant{{Quota: -1}},
@@ -457,7 +460,7 @@
 			n.handle(ev)
 		}
 		if len(n.b.requests) != 0 {
-			t.Errorf("config %d: %d requests are left", i, len(n.b.requests))
+			t.Errorf("config %d: got %d open requests, want 0", i, len(n.b.requests))
 		}
 	}
 }
--- a/balancer/size_test.go
+++ b/balancer/size_test.go
@@ -10,12 +10,12 @@
 	"testing"
 )
 
-// policyFiles hold every decision, and nothing else does.
+// policyFiles are the files that hold the policy of the package.
 var policyFiles = []string{"admission.go", "balancer.go", "endpoint.go", "endpointlist.go", "health.go", "keyorder.go",
 	"limiter.go", "listpoll.go", "picker.go", "request.go", "subset.go", "warmup.go"}
 
 const (
-	maxFileLines  = 160 // that are not blank, of each policy file: one concern has a file of its own
+	maxFileLines  = 160 // nonblank lines of a policy file, so that each concern has its own file
 	maxLineLength = 110
 )
 
@@ -31,16 +31,16 @@
 				lines++
 			}
 			if len(line) > maxLineLength {
-				t.Errorf("%s: line %d has %d characters", name, i+1, len(line))
+				t.Errorf("%s: line %d has %d bytes, want at most 110", name, i+1, len(line))
 			}
 		}
 		if lines > maxFileLines {
-			t.Errorf("%s: %d lines, at most %d wanted", name, lines, maxFileLines)
+			t.Errorf("%s: got %d nonblank lines, want at most %d", name, lines, maxFileLines)
 		}
 	}
 }
 
-// The deployment counts the files that its policy names: they are those counted above.
+// The policy files that deploy/balancer.toml names must be those checked above.
 func TestDeploymentNamesThePolicyFiles(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("..", "deploy", "balancer.toml"))
 	if err != nil {
@@ -56,6 +56,6 @@
 	}
 	slices.Sort(named)
 	if !slices.Equal(named, policyFiles) {
-		t.Errorf("the deployment names %v, want %v", named, policyFiles)
+		t.Errorf("got policy files %v in deploy/balancer.toml, want %v", named, policyFiles)
 	}
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -10,23 +10,24 @@
 	"time"
 )
 
-// coldID is the endpoint that starts, and starts again, in a slowStart.
+// coldID is the endpoint that starts and restarts in a slowStart.
 const coldID EndpointID = 99
 
-// slowStart plays a steady load on replicas whose endpoints are warm but for one, and records what that one is sent.
+// slowStart simulates a steady load on replicas whose endpoints are all warm except one, and records the attempts at
+// that one.
 type slowStart struct {
-	t        *testing.T
-	rng      *rand.Rand
-	cfg      Config
-	replicas []*replica // that serve clients
-	all      []*replica // those too that have ended but have attempts in flight
-	now      time.Duration
-	begun    time.Duration
-	born     time.Duration // of the cold endpoint: its latest start
-	rate     float64       // requests a second, of all replicas together
-	warm     int           // endpoints
+	t             *testing.T
+	rng           *rand.Rand
+	cfg           Config
+	replicas      []*replica // replicas that serve clients
+	all           []*replica // replicas including stopped ones, which may have attempts in flight
+	now           time.Duration
+	startedAt     time.Duration
+	coldStartedAt time.Duration // latest start of the cold endpoint
+	rate          float64       // requests per second of all replicas together
+	warm          int           // number of warm endpoints
 
-	outcome func(EndpointID) Outcome // of an attempt at an endpoint
+	outcome func(EndpointID) Outcome // outcome of an attempt at an endpoint
 	due     []dueEvent
 	next    RequestID
 	toCold  []coldSend
@@ -35,7 +36,7 @@
 // replica is a Balancer of a slowStart.
 type replica struct{ *Balancer }
 
-// dueEvent is an event to come at a Balancer.
+// dueEvent is a scheduled event of a replica.
 type dueEvent struct {
 	at      time.Duration
 	replica *replica
@@ -43,20 +44,20 @@
 }
 
 // coldSend is an attempt at the cold endpoint.
-type coldSend struct{ at, born time.Duration }
+type coldSend struct{ at, startedAt time.Duration }
 
 func newSlowStart(t *testing.T, rate float64, warm int) *slowStart {
-	s := &slowStart{t: t, rng: rand.New(rand.NewSource(1)), cfg: testConfig(), now: time.Hour, begun: time.Hour,
+	s := &slowStart{t: t, rng: rand.New(rand.NewSource(1)), cfg: testConfig(), now: time.Hour, startedAt: time.Hour,
 		rate: rate, warm: warm}
 	s.outcome = func(EndpointID) Outcome { return OK }
 	return s
 }
 
-// list is the list of endpoints as it is now.
+// list returns the current list of endpoints.
 func (s *slowStart) list() []Endpoint {
 	list := readyList(s.warm)
-	if s.born > 0 {
-		list = append(list, Endpoint{ID: coldID, State: Ready, StartedAt: s.born})
+	if s.coldStartedAt > 0 {
+		list = append(list, Endpoint{ID: coldID, State: Ready, StartedAt: s.coldStartedAt})
 	}
 	return list
 }
@@ -72,20 +73,20 @@
 	return r
 }
 
-// stop ends a replica: its clients go to the others.
+// stop stops a replica. Its clients go to the others.
 func (s *slowStart) stop(r *replica) {
 	s.replicas = slices.DeleteFunc(s.replicas, func(other *replica) bool { return other == r })
 }
 
-// restartCold starts the cold endpoint, once more if it has started before, as a list tells all replicas.
+// restartCold starts or restarts the cold endpoint and sends the list to all replicas.
 func (s *slowStart) restartCold() {
-	s.born = s.now
+	s.coldStartedAt = s.now
 	for _, r := range s.replicas {
 		s.handle(r, Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: s.list()})
 	}
 }
 
-// handle hands an event to a replica's Balancer, and plays the attempts that it sends.
+// handle passes an event to a replica's Balancer and schedules the results of its actions.
 func (s *slowStart) handle(r *replica, event Event) {
 	for _, action := range r.Handle(s.now, event, nil) {
 		switch action.Kind {
@@ -97,10 +98,10 @@
 	}
 }
 
-// sent records an attempt and plans its end.
+// sent records an attempt and schedules its end.
 func (s *slowStart) sent(r *replica, action *Action) {
 	if action.Endpoint == coldID {
-		s.toCold = append(s.toCold, coldSend{s.now, s.born})
+		s.toCold = append(s.toCold, coldSend{s.now, s.coldStartedAt})
 	}
 	outcome, took := s.outcome(action.Endpoint), 5*ms
 	if outcome != OK {
@@ -116,14 +117,14 @@
 	s.due = slices.Insert(s.due, i, event)
 }
 
-// arrive brings a request at any of the replicas.
+// arrive passes a request to a random replica.
 func (s *slowStart) arrive() {
 	s.next++
 	r := s.replicas[s.rng.Intn(len(s.replicas))]
 	s.handle(r, Event{Kind: RequestArrived, Request: s.next, Remaining: 2 * time.Second})
 }
 
-// run plays the load for a time.
+// run simulates the load for a time.
 func (s *slowStart) run(span time.Duration) {
 	for end := s.now + span; s.now < end; s.now += ms {
 		for len(s.due) > 0 && s.due[0].at <= s.now {
@@ -137,9 +138,9 @@
 	}
 }
 
-// checkBudget checks that no span of the settings' time brought the cold endpoint more than its budget: N requests,
-// the multiple of what it bears at its age, and 2 x root of N and 2 beyond, or 3 x root of N and 3 where N is small.
-// Warm endpoints bear what the load brings each of them, at least.
+// checkBudget checks that the cold endpoint got no more attempts than its budget within any OverloadPeriod. With N
+// requests as OverloadMultiple times its capacity at its age, the budget is N + 2*sqrt(N) + 2, or N + 3*sqrt(N) + 3 for
+// small N. The capacity of a warm endpoint is at least its share of the load.
 func (s *slowStart) checkBudget(least int) {
 	s.t.Helper()
 	contract := &s.cfg.Contract
@@ -151,20 +152,20 @@
 				sent++
 			}
 		}
-		age := first.at - first.born
+		age := first.at - first.startedAt
 		n := contract.OverloadMultiple * contract.capacity(age) * warmRate * contract.OverloadPeriod.Seconds()
 		if budget := coldBudget(n); float64(sent) > budget {
-			s.t.Errorf("%v after its start, %v after the beginning: %d attempts within %v, budget %.1f (N is %.1f)",
-				age, first.at-s.begun, sent, contract.OverloadPeriod, budget, n)
+			s.t.Errorf("%v after its start, %v after the test began: got %d attempts within %v, budget %.1f (N is %.1f)",
+				age, first.at-s.startedAt, sent, contract.OverloadPeriod, budget, n)
 			return
 		}
 	}
 	if len(s.toCold) < least {
-		s.t.Errorf("the cold endpoint got %d attempts, want %d at least", len(s.toCold), least)
+		s.t.Errorf("got %d attempts at the cold endpoint, want at least %d", len(s.toCold), least)
 	}
 }
 
-// coldBudget is how many requests of mean work a cold endpoint may be sent that bears n.
+// coldBudget returns the number of requests of mean work that a cold endpoint with a capacity of n may get.
 func coldBudget(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -172,11 +173,11 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// slowStartRates are loads of all replicas together: a few requests of which a cold endpoint gets one now and then, and
-// many.
+// slowStartRates are loads of all replicas together, in requests per second. At the lowest, a cold endpoint gets few
+// requests.
 var slowStartRates = []float64{4, 60, 900}
 
-// The budget binds for any number of processes, also for one and two.
+// The budget must hold for any number of replicas, including one and two.
 func TestSlowStartBudgetOfFewReplicas(t *testing.T) {
 	for _, count := range []int{1, 2, 3, 7} {
 		for _, rate := range slowStartRates {
@@ -194,7 +195,7 @@
 	}
 }
 
-// Replicas come and go while an endpoint warms up, and all know it a while later.
+// Replicas start and stop while an endpoint warms up, and the others learn it with a delay.
 func TestSlowStartBudgetOverAChangedNumberOfReplicas(t *testing.T) {
 	for _, rate := range slowStartRates {
 		for _, counts := range [][]int{{2, 6, 1}, {1, 2, 1}, {5, 1, 5}} {
@@ -224,11 +225,11 @@
 	}
 }
 
-// A proxy that starts knows nothing of the load: clients that come back to it all at once make it no greater.
+// A proxy that starts does not know the load. Clients that return all at once must not raise its estimate.
 func TestSlowStartBudgetAcrossARestartOfTheProxy(t *testing.T) {
 	for _, rate := range slowStartRates {
 		for _, count := range []int{1, 2} {
-			for _, waiting := range []time.Duration{0, 100 * ms, 500 * ms} { // the load of this time comes at once
+			for _, waiting := range []time.Duration{0, 100 * ms, 500 * ms} { // the load of this time arrives at once
 				t.Run(fmt.Sprintf("%d replicas, %.0f a second, %v waiting", count, rate, waiting), func(t *testing.T) {
 					s := newSlowStart(t, rate, 5)
 					for index := range count {
@@ -257,11 +258,11 @@
 	}
 }
 
-// At an upgrade two processes are one replica. Each knows of the other a while later, the second begins with what the
-// first has learnt, and the clients go over to it one by one.
+// During an upgrade two processes are one replica. Each learns of the other with a delay, the second starts from a
+// snapshot of the first, and the clients move to it gradually.
 func TestSlowStartBudgetOverAnUpgrade(t *testing.T) {
 	for _, rate := range slowStartRates {
-		for _, after := range []time.Duration{0, 30 * ms, 3 * time.Second} { // the first one's start
+		for _, after := range []time.Duration{0, 30 * ms, 3 * time.Second} { // after the start of the first process
 			t.Run(fmt.Sprintf("%.0f a second, %v after a start", rate, after), func(t *testing.T) {
 				s := newSlowStart(t, rate, 5)
 				first := s.start(0, 1)
@@ -284,8 +285,9 @@
 	}
 }
 
-// Two processes of one replica, each with half of the clients, send a cold endpoint no more than one would.
-func TestTwoProcessesShareASlowStartBudget(t *testing.T) {
+// Two processes of one replica, each with half of the clients, must not send a cold endpoint more than one process
+// does.
+func TestTwoProcessesShareOneSlowStartBudget(t *testing.T) {
 	play := func(processes int) int {
 		s := newSlowStart(t, 900, 5)
 		first := s.start(0, 1)
@@ -304,11 +306,11 @@
 	}
 	alone, together := play(1), play(2)
 	if float64(together) > 1.1*float64(alone) {
-		t.Errorf("two processes sent %d attempts, one alone %d", together, alone)
+		t.Errorf("got %d attempts from two processes and %d from one, want at most a tenth more", together, alone)
 	}
 }
 
-// An endpoint that starts again and again gets no new credit for each start.
+// An endpoint that restarts repeatedly must not get new credit at each start.
 func TestSlowStartBudgetOverRepeatedRestarts(t *testing.T) {
 	for _, rate := range slowStartRates {
 		for _, count := range []int{1, 2, 7} {
@@ -330,13 +332,13 @@
 	}
 }
 
-// What a cold endpoint rejects, and what comes to it as a retry, counts like any attempt. Where most attempts fail, none
-// is held against an endpoint, so its budget alone keeps what fails quickly from being sent there again and again.
+// Rejected attempts and retries must count against the budget of a cold endpoint. If most attempts fail, failures add
+// no penalty, so that only the budget limits attempts at an endpoint that fails quickly.
 func TestSlowStartBudgetCountsRejectedWorkAndRetries(t *testing.T) {
 	for _, rate := range slowStartRates {
 		for _, outcome := range []Outcome{Rejected, Error, ConnectFailed, NotSent} {
 			for _, count := range []int{1, 2} {
-				for _, failing := range []float64{0, 0.25, 0.7} { // part of the attempts at warm endpoints
+				for _, failing := range []float64{0, 0.25, 0.7} { // fraction of failing attempts at warm endpoints
 					name := fmt.Sprintf("%d replicas, %.0f a second, %v, %v elsewhere", count, rate, outcome, failing)
 					t.Run(name, func(t *testing.T) {
 						s := newSlowStart(t, rate, 5)
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Of many replicas, one that spread its attempts over all endpoints met each too seldom to know its health.
-func TestManyReplicasKeepToSubsets(t *testing.T) {
+// Guards against many replicas that each use all endpoints and send to each too seldom to learn its health.
+func TestReplicasPreferTheirSubset(t *testing.T) {
 	const endpoints = 60
 	for _, replicas := range []int{1, 2, 30, 300} {
 		cfg := testConfig()
@@ -20,10 +20,11 @@
 				}
 			}
 			if own < int(minSubset) || replicas <= 2 && own != endpoints {
-				t.Fatalf("%d replicas: replica %d keeps to %d endpoints", replicas, i, own)
+				t.Fatalf("%d replicas: replica %d has %d endpoints in its subset", replicas, i, own)
 			}
-			if _, actions := h.arrive(0); !h.b.endpoints.byID[only(t, actions, Send).Endpoint].inSubset {
-				t.Errorf("%d replicas: an idle endpoint of the subset was passed over", replicas)
+			if _, actions := h.arrive(0); !h.b.endpoints.byID[onlyAction(t, actions, Send).Endpoint].inSubset {
+				t.Errorf("%d replicas: got an attempt outside the subset, want an idle endpoint of the subset",
+					replicas)
 			}
 		}
 		least, most := replicas, 0
@@ -31,18 +32,19 @@
 			least, most = min(least, inSubset[id+1]), max(most, inSubset[id+1])
 		}
 		if most-least > replicas/20+1 {
-			t.Errorf("%d replicas: endpoints are in %d to %d subsets", replicas, least, most)
+			t.Errorf("%d replicas: endpoints are in %d to %d subsets, want an even spread", replicas, least, most)
 		}
 	}
 	cfg := testConfig()
 	cfg.ReplicaCount, cfg.ReplicaIndex = 300, -7
 	h := newHost(t, cfg, readyList(endpoints)...)
-	for range 8 { // endpoints of the subset that are busy give way to idle ones elsewhere
+	for range 8 { // idle endpoints elsewhere are preferred to busy ones of the subset
 		h.b.limiter.maxIFR = 20
 		h.arrive(0)
 	}
 	if h.b.endpoints.subset.size >= 8 || h.b.attempts.inFlight < 6 {
-		t.Errorf("subset of %v, %d attempts in flight", h.b.endpoints.subset.size, h.b.attempts.inFlight)
+		t.Errorf("got subset size %v, want below 8; got %d attempts in flight, want at least 6",
+			h.b.endpoints.subset.size, h.b.attempts.inFlight)
 	}
 	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListFull, Endpoints: readyList(1)})
 	if h.b.endpoints.subset.size != 1 || !h.b.endpoints.byID[1].inSubset {
@@ -50,8 +52,8 @@
 	}
 }
 
-// Subsets across a partitioned link once cost every second attempt a failed connection.
-func TestSubsetIsOfTheOwnZoneWhereItHasEnough(t *testing.T) {
+// Guards against subsets across zones: with a partitioned link between them, every second attempt failed to connect.
+func TestSubsetStaysInOwnZoneWithEnoughEndpoints(t *testing.T) {
 	cfg := testConfig()
 	cfg.ReplicaCount, cfg.Zone = 40, 1
 	for _, c := range []struct {
@@ -72,7 +74,7 @@
 			}
 		}
 		if (far > 0) != c.far {
-			t.Errorf("%d endpoints in the own zone: %d of the subset elsewhere", c.own, far)
+			t.Errorf("%d endpoints in the own zone: got %d subset endpoints in other zones", c.own, far)
 		}
 	}
 }
--- a/balancer/warmup_test.go
+++ b/balancer/warmup_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Replicas with less than an attempt each for an endpoint that warms up must not all send at once.
+// Replicas whose part of a warm-up budget is less than one attempt must not all send at once.
 func TestWarmUpBudgetOverManyReplicas(t *testing.T) {
-	const replicas, endpoints, perSecond = 12, 10, 10 // of each replica
+	const replicas, endpoints, perSecond = 12, 10, 10 // requests per second of each replica
 	cfg := testConfig()
 	cfg.ReplicaCount = replicas
 	list := readyList(endpoints)
@@ -28,14 +28,13 @@
 					Endpoints: []Endpoint{{ID: 99, State: Ready, StartedAt: born}}})
 			}
 			id, actions := h.arrive(0)
-			if only(t, actions, Send).Endpoint == 99 {
+			if onlyAction(t, actions, Send).Endpoint == 99 {
 				toWarmingUp = append(toWarmingUp, now-born)
 			}
 			h.end(id, 0, OK, 5*ms)
 		}
 	}
-	// A warm endpoint bears 12 attempts a second; the budget of any span at age a is
-	// multiple x (capacity at a) x that.
+	// A warm endpoint gets 12 attempts per second. The budget of any span at age a is multiple x (capacity at a) x 12.
 	span := cfg.Contract.OverloadPeriod
 	for from := time.Duration(0); from < 8*time.Second; from += 100 * ms {
 		sent := 0
@@ -47,17 +46,17 @@
 		initial, warmUp := cfg.Contract.InitialCapacity, float64(cfg.Contract.WarmUpPeriod)
 		capacity := float64(replicas*perSecond) / endpoints * (initial + (1-initial)*float64(from)/warmUp)
 		if budget := cfg.Contract.OverloadMultiple * capacity * span.Seconds(); float64(sent) > budget {
-			t.Errorf("%v after its start: %d attempts within %v, budget %.1f", from, sent, span, budget)
+			t.Errorf("%v after the start: got %d attempts within %v, budget %.1f", from, sent, span, budget)
 		}
 	}
 	if len(toWarmingUp) < 10 {
-		t.Errorf("an endpoint that warms up got only %d attempts", len(toWarmingUp))
+		t.Errorf("got %d attempts at the endpoint that warms up, want at least 10", len(toWarmingUp))
 	}
 }
 
-// Overload once raised the warm-up budget: attempts that are rejected or time out say nothing of what an endpoint
-// can do.
-func TestWarmUpBudgetGoesByAttemptsServed(t *testing.T) {
+// Guards against a warm-up budget that grows with overload: rejected and timed-out attempts say nothing about the
+// capacity of an endpoint.
+func TestWarmUpBudgetCountsOnlyServedAttempts(t *testing.T) {
 	cfg := testConfig()
 	cfg.Limits.MaxAttempts = 1
 	h := newHost(t, cfg, readyList(10)...)
@@ -67,16 +66,16 @@
 		h.end(id, 0, Rejected, 0)
 	}
 	if rate := h.b.endpoints.served.add(h.b.now, 0); rate > 0.01 {
-		t.Errorf("%.2f attempts served a second, of none", rate)
+		t.Errorf("got %.2f served attempts per second, want 0", rate)
 	}
 	id, _ := h.arrive(4)
 	h.end(id, 0, OK, ms)
 	if h.b.endpoints.served.add(h.b.now, 0) <= 0.01 {
-		t.Error("a served attempt did not count")
+		t.Error("a served attempt was not counted")
 	}
 }
 
-// Replicas that saved a whole attempt each for an endpoint that warmed up once sent them all at once.
+// Guards against replicas that each save a whole attempt for an endpoint that warms up and send them all at once.
 func TestUnusedWarmUpCreditExpires(t *testing.T) {
 	cfg := testConfig()
 	cfg.ReplicaCount = 100
@@ -93,13 +92,14 @@
 		}
 	}
 	if ready > 3 {
-		t.Errorf("%d replicas would send to an endpoint that warms up at once", ready)
+		t.Errorf("got %d replicas that could send to the warming endpoint at once, want at most 3", ready)
 	}
 }
 
-// A clock that is an hour ahead, another machine's or this one's before it was set back, keeps no endpoint cold for
-// longer than the warm-up, and later lists that state the same start don't begin that anew.
-func TestStartAheadOfTheClockCountsFromWhenItIsStated(t *testing.T) {
+// Guards against a start time in the future, from a wrong clock of another machine or of this one before a
+// correction. It must not keep an endpoint cold beyond the warm-up period, and later lists with the same start must not
+// restart the warm-up.
+func TestFutureStartCountsFromFirstListing(t *testing.T) {
 	h := newHost(t, testConfig(), readyList(2)...)
 	ahead := Endpoint{ID: 1, State: Ready, StartedAt: h.now + time.Hour}
 	began := h.now
@@ -112,12 +112,13 @@
 		h.now = began + time.Duration(version)*warmUp/4
 		h.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Version: 10 + version, Endpoints: []Endpoint{ahead}})
 		if e, share := state(); e.StartedAt != began || share >= 1 {
-			t.Errorf("list %d: started at %v, want %v; may get a share of %v", version, e.StartedAt, began, share)
+			t.Errorf("list %d: got start %v, want %v; got load share %v, want below 1",
+				version, e.StartedAt, began, share)
 		}
 	}
 	h.now = began + warmUp
 	h.handle(Event{Kind: EndpointListUpdated, ListKind: ListChanges, Version: 14, Endpoints: []Endpoint{ahead}})
 	if _, share := state(); share < 1 {
-		t.Errorf("after the warm-up it may get a share of %v", share)
+		t.Errorf("after the warm-up got load share %v, want 1", share)
 	}
 }
