--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -58,16 +58,16 @@
 
 // attemptTable counts and orders the attempts in flight. A request has at most one.
 type attemptTable struct {
-	byClass       []attemptList
-	inFlight      int
-	siblings      int       // attempts in flight of the other processes of this replica
-	busyEndpoints int       // endpoints with attempts in flight
-	lateEndpoints int       // endpoints with attempts marked late
-	ages          []float64 // scratch space of youngestLate
+	byClass          []attemptList
+	inFlight         int
+	siblingsInFlight int       // attempts in flight of the other processes of this replica
+	busyEndpoints    int       // endpoints with attempts in flight
+	lateEndpoints    int       // endpoints with attempts marked late
+	ages             []float64 // scratch space of youngestLate
 }
 
 // occupied returns the number of attempts in flight of all processes of this replica, which share one limit.
-func (t *attemptTable) occupied() int { return t.inFlight + t.siblings }
+func (t *attemptTable) occupied() int { return t.inFlight + t.siblingsInFlight }
 
 // start records that an attempt of r is sent to e.
 func (t *attemptTable) start(r *request, e *endpoint) {
--- a/balancer/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -43,7 +43,7 @@
 
 func TestAttemptTableCounts(t *testing.T) {
 	table, e, requests := newAttempts(2)
-	table.siblings = 3
+	table.siblingsInFlight = 3
 	if table.inFlight != 2 || e.inFlight != 2 || table.busyEndpoints != 1 || table.occupied() != 5 {
 		t.Errorf("with two attempts got table %+v, endpoint %+v, want 2 in flight at 1 endpoint", table, e)
 	}
--- a/balancer/config.go
+++ b/balancer/config.go
@@ -54,7 +54,8 @@
 	Share float64
 }
 
-// Config holds the settings of a Balancer. New replaces zero values by defaults.
+// Config holds the settings of a Balancer. A zero field means unknown; New sets defaults where
+// needed.
 type Config struct {
 	Classes         []Class
 	Tenants         []Tenant
@@ -74,8 +75,8 @@
 
 // Goal states how service is valued beyond the priority weights.
 type Goal struct {
-	// LogLossWeight is the weight of availability in nines, which are the negative logarithm of the unserved
-	// fraction within short spans.
+	// LogLossWeight is the weight of availability counted in nines: the orders of magnitude by which the
+	// unserved fraction of short spans lies below 1.
 	LogLossWeight float64
 	TopNines      float64 // nines that score in full; with 3, 1 of 1,000 may be unserved
 }
--- a/balancer/decay.go
+++ b/balancer/decay.go
@@ -49,8 +49,8 @@
 }
 
 // restore sets the rate as if it had been observed since a time in the past.
-func (r *decayingRate) restore(now time.Duration, rate float64, longAgo time.Duration) {
-	r.startedAt = min(r.startedAt, longAgo)
+func (r *decayingRate) restore(now time.Duration, rate float64, observedSince time.Duration) {
+	r.startedAt = min(r.startedAt, observedSince)
 	r.count = rate * r.span
 	r.updatedAt = now
 }
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -6,6 +6,7 @@
 // values in order. The same events, times and seed give the same actions.
 //
 // The policy files are balancer.go, limiter.go, admission.go, request.go, keyorder.go, picker.go,
-// endpoint.go, endpointlist.go, health.go, warmup.go and subset.go. They hold every order, threshold and
-// tuning constant, and are bounded in size. The other files hold types and mechanisms without policy.
+// endpoint.go, endpointlist.go, listpoll.go, health.go, warmup.go and subset.go. They hold every order,
+// threshold and tuning constant, and are bounded in size. The other files hold types and mechanisms without
+// policy.
 package balancer
--- a/balancer/endpointset.go
+++ b/balancer/endpointset.go
@@ -21,8 +21,8 @@
 	withdrawn  withdrawals // endpoints that were removed
 
 	subset     subset
-	candidates []*endpoint // scratch space of chooseSubset
-	local      []*endpoint // scratch space of chooseSubset: candidates of the own zone
+	candidates []*endpoint // scratch space of chooseSubset: usable endpoints
+	local      []*endpoint // scratch space of chooseSubset: candidates of this replica's zone
 
 	served  decayingRate // served attempts
 	scanned int          // endpoints scanned by picks so far; read by tests
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -15,7 +15,7 @@
 // idle. The penalty shrinks with the class's error rate, so that a common failure excludes no endpoint.
 func (b *Balancer) recordOutcome(e *endpoint, class int, outcome Outcome, elapsed time.Duration) {
 	penalty, relativeLatency := e.health.at(b.now, b.endpoints.halfLife)
-	blame := max(0, 1-2*b.stats.errorRate[class])
+	failureWeight := max(0, 1-2*b.stats.errorRate[class])
 	wasFailing := e.lastResult == resultFailed
 	switch outcome {
 	case OK:
@@ -27,7 +27,7 @@
 		e.lastResult = resultFailed
 		fallthrough
 	case Error, Rejected, RejectedInDoubt:
-		penalty = min(penalty+blame*(penalty+1), maxPenalty)
+		penalty = min(penalty+failureWeight*(penalty+1), maxPenalty)
 		if penalty == maxPenalty && e.health.penalty < maxPenalty/2 {
 			b.logf("endpoint %x keeps failing (%v): it gets few attempts", uint64(e.ID), outcome)
 		}
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -18,7 +18,7 @@
 // quotas and warm-up budgets.
 func (b *Balancer) SetSiblings(others, inFlight int) {
 	b.division.processes = 1 + max(others, 0)
-	b.attempts.siblings = max(inFlight, 0)
+	b.attempts.siblingsInFlight = max(inFlight, 0)
 }
 
 // SetReplicas sets this replica's index, the number of replicas, and the number of replicas that may be
--- a/balancer/quota.go
+++ b/balancer/quota.go
@@ -13,12 +13,12 @@
 }
 
 // rate returns the requests per second that this process may admit of a tenant's quota. whole is the quota
-// divided by the number of processes of a replica. equal is whole divided by the number of replicas and
-// applies until SetQuota is called.
-func (q *tenantQuota) rate(now time.Duration, whole, equal float64) float64 {
+// divided by the number of processes of a replica. equalShare is whole divided by the number of replicas
+// and applies until SetQuota is called.
+func (q *tenantQuota) rate(now time.Duration, whole, equalShare float64) float64 {
 	switch {
 	case !q.set:
-		return equal
+		return equalShare
 	case now < q.expiresAt:
 		return whole * q.fraction
 	}
@@ -26,7 +26,7 @@
 }
 
 // SetQuota sets the fraction of a tenant's quota that this replica may use for a duration, and the fallback
-// that applies afterwards unless SetQuota is called again. The expiry ends loans between replicas.
+// that applies afterwards unless SetQuota is called again, so that a loan ends without a further call.
 func (b *Balancer) SetQuota(tenant int, fraction, fallback float64, duration time.Duration) {
 	if tenant < 0 || tenant >= len(b.quotas) {
 		return
--- a/balancer/requeststate.go
+++ b/balancer/requeststate.go
@@ -7,14 +7,14 @@
 
 // request is the state of a request from its arrival until it is answered and has no attempt in flight.
 type request struct {
-	id         RequestID
-	classIndex int
-	class      *Class
-	priority   float64       // priority weight relative to the highest of all classes
-	deadline   time.Duration // an answer after this has no value
-	attempts   []*endpoint   // endpoints of the attempts so far, in order; some may have been removed since
-	sentAt     time.Duration // when the latest attempt was sent
-	sentTo     Endpoint      // list entry of the latest attempt's endpoint when the attempt was sent
+	id          RequestID
+	classIndex  int
+	class       *Class
+	priority    float64       // priority weight relative to the highest of all classes
+	deadline    time.Duration // an answer after this has no value
+	attempts    []*endpoint   // endpoints of the attempts so far, in order; some may have been removed since
+	sentAt      time.Duration // when the latest attempt was sent
+	entryAtSend Endpoint      // list entry of the latest attempt's endpoint when the attempt was sent
 
 	answered bool
 	inFlight bool // the latest attempt is in flight
@@ -56,13 +56,13 @@
 func (r *request) sendTo(e *endpoint, now time.Duration) {
 	r.attempts = append(r.attempts, e)
 	r.sentAt = now
-	r.sentTo = e.Endpoint
+	r.entryAtSend = e.Endpoint
 	r.inFlight = true
 }
 
 // setPossiblyExecuted records that the latest attempt may have been executed.
 func (r *request) setPossiblyExecuted(idempotencyExpiry time.Duration) {
-	r.firstExecutor = r.sentTo
+	r.firstExecutor = r.entryAtSend
 	r.possiblyExecutedOn = &r.firstExecutor
 	r.idempotencyExpiry = idempotencyExpiry
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -292,9 +292,9 @@
 		s := newSlowStart(t, 900, 5)
 		first := s.start(0, 1)
 		s.run(20 * time.Second)
-		learnt := first.Snapshot()
+		snapshot := first.Snapshot()
 		for range processes - 1 {
-			s.start(0, 1).Restore(learnt)
+			s.start(0, 1).Restore(snapshot)
 		}
 		for _, r := range s.replicas {
 			r.SetSiblings(processes-1, 0)
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -35,8 +35,8 @@
 		l.maxIFR = min(max(s.Limit, l.floor), l.ceiling)
 	}
 	if s.Rate > 0 && s.Rate < maxRestoredRate {
-		longAgo := b.now - observedSpans*b.cfg.Contract.WarmUpPeriod
-		b.endpoints.served.restore(b.now, s.Rate, longAgo)
+		observedSince := b.now - observedSpans*b.cfg.Contract.WarmUpPeriod
+		b.endpoints.served.restore(b.now, s.Rate, observedSince)
 	}
 	b.stats.restore(s.TypicalLatency, s.ErrorRate)
 }
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -48,8 +48,8 @@
 		local = all
 	}
 	s.subset.size = int(math.Ceil(min(max(subsetPerSlot*initialSlots*part, minSubset), float64(len(local)))))
-	between := float64(len(local)) / replicas
-	from, to := int(float64(s.cfg.ReplicaIndex)*between), int(float64(s.cfg.ReplicaIndex+1)*between)
+	spacing := float64(len(local)) / replicas
+	from, to := int(float64(s.cfg.ReplicaIndex)*spacing), int(float64(s.cfg.ReplicaIndex+1)*spacing)
 	for i := range min(max(s.subset.size, to-from), len(local)) {
 		local[(from+i)%len(local)].inSubset = true
 	}
