--- a/internal/socket/deadline.go
+++ b/internal/socket/deadline.go
@@ -2,5 +2,5 @@
 
 import "time"
 
-// PastDeadline is over whenever it is set: it ends the operation that is under way on a connection.
+// PastDeadline is a deadline that has always passed. Setting it interrupts the operation in progress on a connection.
 var PastDeadline = time.Unix(1, 0)
--- a/internal/socket/fault.go
+++ b/internal/socket/fault.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// A call that fails for a fault of this machine is made again for so long, unless its deadline ends that before.
+	// How long a call that fails because of a local fault is retried, unless its deadline ends it before.
 	maxFaultPeriod = 5 * time.Second
-	// A call that says that a connection has ended, while a poll says that it has not, is made again so often. A call
-	// that can't wait is made so often in all.
-	maxRepeats = 4
+	// How often a call is retried that reports the end of a connection while a poll does not. For calls that don't
+	// wait, it is the number of attempts in all.
+	maxImmediateRetries = 4
 )
 
-// connectionErrors are the errors by which the system reports that a connection has ended, can't be made, or is none.
-// It reports most of them once: the next call sees a plain end.
+// connectionErrors are the errors by which the system reports that a connection has ended, can't be established, or
+// that the descriptor is not a connection. It reports most of them once: the next call gets an orderly end.
 var connectionErrors = []syscall.Errno{
 	syscall.ECONNRESET, syscall.EPIPE, syscall.ECONNABORTED, syscall.ETIMEDOUT, syscall.ECONNREFUSED, syscall.ENOTCONN,
 	syscall.ESHUTDOWN, syscall.EHOSTUNREACH, syscall.EHOSTDOWN, syscall.ENETUNREACH, syscall.ENETDOWN,
@@ -26,61 +26,62 @@
 	syscall.EADDRINUSE,
 }
 
-// MayPass reports whether err is a fault of this machine that may pass by itself, such as a lack of buffers. It says
-// nothing of the other side, and the connection goes on: the call can be made again. A deadline, an orderly end and
-// what says that the connection has ended do not pass.
+// MayPass reports whether err is a local fault that may pass by itself, such as a lack of buffers. Such an error does
+// not concern the peer and leaves the connection open, so the call can be retried. MayPass is false for a deadline, an
+// orderly end, and errors by which the system reports the end of the connection.
 func MayPass(err error) bool {
 	var number syscall.Errno
 	return errors.As(err, &number) && !slices.Contains(connectionErrors, number)
 }
 
-// Verdict is what follows from a call that failed.
+// Verdict is the consequence of a failed call.
 type Verdict string
 
-// The verdicts.
+// The verdicts on failed calls.
 const (
-	Retried   Verdict = "retried"    // the call is made again
-	GivenUp   Verdict = "given up"   // a fault of this machine has lasted for too long
-	PeerEnded Verdict = "peer ended" // the connection has ended, by the other side or the network
+	Retried   Verdict = "retried"    // the call is retried
+	GivenUp   Verdict = "given up"   // a local fault has lasted for too long
+	PeerEnded Verdict = "peer ended" // the peer or the network has ended the connection
 )
 
-// Observer is told of calls that fail.
+// Observer receives each failed call with the verdict on it.
 type Observer interface {
 	CallFailed(call string, err error, verdict Verdict)
 }
 
-// Caller is who wants a call to be made.
+// Caller decides whether a call that has made no progress is still needed.
 type Caller interface {
-	// StillWants reports whether the call is to be made again. What held before its first time may hold no more.
+	// StillWants reports whether the call may be retried. The conditions under which it was first made may have
+	// changed.
 	StillWants() bool
 }
 
-// Retry judges the errors of a call, in one place for all sides: whether it is to be made again, and whether the
-// connection has ended. It is used for one call and its repetitions.
+// Retry decides for all parts of the proxy whether a failed call is retried or the connection has ended. A Retry is
+// used for one call and its repetitions.
 type Retry struct {
 	Call     string
-	Observer Observer // nil is none
-	// Peer is the connection, if an error by which the system says that it has ended is to be believed only if a poll
-	// says so too. It is nil where an orderly end has a meaning that a reset has not: the system reports a reset once,
-	// and an orderly end afterwards.
+	Observer Observer // may be nil
+	// Peer is the connection to poll before an error that reports its end is accepted. It is nil where an orderly end
+	// means something else than a reset: the system reports a reset once and an orderly end afterwards, so a retry
+	// would hide the reset.
 	Peer syscall.Conn
-	// Caller is asked before a call that has done nothing yet is made again; nil wants all of them.
+	// Caller is consulted before a call that has made no progress is retried. If it is nil, all are retried.
 	Caller Caller
-	// Backoff is the pause before the next call.
+	// Backoff computes the pause before the next call.
 	Backoff Backoff
 
-	began   time.Time // of the faults in a row
-	repeats int       // since an error that a poll did not confirm
-	lasting error     // the last fault; nil after progress
-	partial bool      // the call has done part of its work
+	faultsSince     time.Time // start of the current series of faults; zero if there is none
+	unconfirmedEnds int       // errors reporting the end of the connection that a poll did not confirm
+	lastFault       error     // last error that was retried; nil after progress
+	partial         bool      // the call has made progress
 }
 
-// Again reports whether a call that failed with err is to be made again, after the pause that it has made then. The
-// deadline of the connection holds all the same: a call beyond it fails with that, which is final.
+// Again reports whether a call that failed with err may be retried. If the verdict is Retried, it first sleeps for the
+// backoff. The connection's deadline still applies: a call made after it fails with a final error.
 func (r *Retry) Again(err error) bool {
 	var number syscall.Errno
 	if !errors.As(err, &number) {
-		return false // an orderly end, a deadline, or closed here
+		return false // an orderly end, a deadline, or closed by this process
 	}
 	verdict := r.judge(err)
 	if r.Observer != nil {
@@ -89,38 +90,38 @@
 	if verdict != Retried {
 		return false
 	}
-	r.lasting = err
+	r.lastFault = err
 	time.Sleep(r.Backoff.Next())
 	return r.partial || r.Caller == nil || r.Caller.StillWants()
 }
 
 func (r *Retry) judge(err error) Verdict {
 	if !MayPass(err) {
-		if r.Peer == nil || r.repeats >= maxRepeats || PeerClosed(r.Peer) {
+		if r.Peer == nil || r.unconfirmedEnds >= maxImmediateRetries || PeerClosed(r.Peer) {
 			return PeerEnded
 		}
-		r.repeats++
+		r.unconfirmedEnds++
 		return Retried
 	}
-	if r.began.IsZero() {
-		r.began = time.Now()
+	if r.faultsSince.IsZero() {
+		r.faultsSince = time.Now()
 	}
-	if time.Since(r.began) > maxFaultPeriod {
+	if time.Since(r.faultsSince) > maxFaultPeriod {
 		return GivenUp
 	}
 	return Retried
 }
 
-// progress records that the call has done part of its work.
+// progress records that the call has done part of its work, which ends the current series of faults.
 func (r *Retry) progress() {
-	r.began = time.Time{}
-	r.lasting = nil
+	r.faultsSince = time.Time{}
+	r.lastFault = nil
 	r.partial = true
 	r.Backoff.Reset()
 }
 
-// Write writes buffers whole. A fault that passes does not end that: what is left is written from the very byte on at
-// which it stopped, until the connection's write deadline. What is written is taken from buffers.
+// Write writes all of buffers. After a local fault it resumes at the first unwritten byte, until the connection's write
+// deadline. It removes written bytes from buffers.
 func Write(conn io.Writer, buffers *net.Buffers, retry *Retry) error {
 	for {
 		n, err := buffers.WriteTo(conn)
@@ -136,11 +137,11 @@
 	}
 }
 
-// Lasting returns the fault that has kept the call from doing anything since its last progress, or nil. Where a
-// deadline ends the call then, the other side is not to blame.
-func (r *Retry) Lasting() error { return r.lasting }
+// Lasting returns the last fault since the call last made progress, or nil. If a deadline then ends the call, the local
+// fault is the cause and not the peer.
+func (r *Retry) Lasting() error { return r.lastFault }
 
-// Read reads once. A fault that passes does not end that: it reads again, until the connection's read deadline.
+// Read makes one read. It retries local faults until the connection's read deadline.
 func Read(conn io.Reader, p []byte, retry Retry) (int, error) {
 	for {
 		n, err := conn.Read(p)
@@ -150,7 +151,7 @@
 	}
 }
 
-// Steady is a connection whose reads and writes outlast faults that pass.
+// Steady is a connection whose Read and Write retry local faults.
 type Steady struct {
 	net.Conn
 	Observer Observer // nil is none
@@ -161,7 +162,7 @@
 	return Read(s.Conn, p, Retry{Call: "read", Observer: s.Observer})
 }
 
-// Write implements [io.Writer].
+// Write implements [io.Writer]. It reports 0 bytes on any error.
 func (s Steady) Write(p []byte) (int, error) {
 	retry := Retry{Call: "write", Observer: s.Observer}
 	if err := Write(s.Conn, &net.Buffers{p}, &retry); err != nil {
@@ -170,9 +171,10 @@
 	return len(p), nil
 }
 
-// repeat makes a call that does not wait, again if it fails for a fault of this machine, and returns its last error.
-func repeat(call func() error) (err error) {
-	for range maxRepeats {
+// retryImmediately makes a call that does not wait, retries it without a pause while it fails because of a local fault,
+// and returns its last error.
+func retryImmediately(call func() error) (err error) {
+	for range maxImmediateRetries {
 		if err = call(); !MayPass(err) || errors.Is(err, syscall.EAGAIN) {
 			break
 		}
@@ -180,19 +182,19 @@
 	return err
 }
 
-// CloseWrite ends the sending side of a connection. One that has ended already has none. An error is a fault of this
-// machine: the other side has not been told.
+// CloseWrite shuts down the sending side of a connection. It succeeds on a connection that has already ended. An error
+// is a local fault: the peer has not been notified.
 func CloseWrite(conn interface{ CloseWrite() error }) error {
-	err := repeat(conn.CloseWrite)
+	err := retryImmediately(conn.CloseWrite)
 	if !MayPass(err) {
 		return nil
 	}
 	return err
 }
 
-// Persist makes a call that may have to wait for what this machine lacks now, again and again for a while. Any other
-// error is returned at once.
-func Persist[T any](call func() (T, error)) (T, error) {
+// RetryFaults makes a call and retries it for up to maxFaultPeriod while it fails because of a local fault, such as a
+// lack of descriptors. It returns any other error at once.
+func RetryFaults[T any](call func() (T, error)) (T, error) {
 	var retry Retry
 	for {
 		result, err := call()
--- a/internal/socket/fault_test.go
+++ b/internal/socket/fault_test.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// flaky is a connection whose calls fail now and then, each after it has done a part.
-type flaky struct {
+// flakyConn is a connection whose first calls fail with fault. A failing write first takes half of its bytes.
+type flakyConn struct {
 	written  bytes.Buffer
 	source   io.Reader
 	fault    error
-	faults   int // calls that are still to fail
+	faults   int // number of calls still to fail
 	verdicts []Verdict
 }
 
-func (f *flaky) fail(call string) error {
+func (f *flakyConn) fail(call string) error {
 	if f.faults == 0 {
 		return nil
 	}
@@ -28,79 +28,80 @@
 	return &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, f.fault)}
 }
 
-func (f *flaky) Write(p []byte) (int, error) {
+func (f *flakyConn) Write(p []byte) (int, error) {
 	if err := f.fail("write"); err != nil {
-		n, _ := f.written.Write(p[:len(p)/2]) // a part was taken before
+		n, _ := f.written.Write(p[:len(p)/2]) // partial write before the fault
 		return n, err
 	}
 	return f.written.Write(p)
 }
 
-func (f *flaky) Read(p []byte) (int, error) {
+func (f *flakyConn) Read(p []byte) (int, error) {
 	if err := f.fail("read"); err != nil {
 		return 0, err
 	}
 	return f.source.Read(p)
 }
 
-func (f *flaky) CallFailed(_ string, _ error, verdict Verdict) {
+func (f *flakyConn) CallFailed(_ string, _ error, verdict Verdict) {
 	f.verdicts = append(f.verdicts, verdict)
 }
 
-// What may pass, and what says that the connection has ended.
-func TestErrorsAreJudgedInOnePlace(t *testing.T) {
+// MayPass is true for local faults, and false for errors that report the end of the connection.
+func TestMayPass(t *testing.T) {
 	for _, fault := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR, syscall.EAGAIN, syscall.EMFILE,
 		syscall.ENFILE, syscall.EIO, syscall.ENOSPC, syscall.EADDRNOTAVAIL} {
 		if !MayPass(&net.OpError{Op: "read", Err: os.NewSyscallError("read", fault)}) {
-			t.Errorf("%v is not held to pass", fault)
+			t.Errorf("MayPass(%v) = false, want true", fault)
 		}
 	}
 	for _, final := range []error{syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH,
 		syscall.ECONNREFUSED, syscall.EBADF, io.EOF, os.ErrDeadlineExceeded, net.ErrClosed, nil} {
 		if MayPass(final) {
-			t.Errorf("%v is held to pass", final)
+			t.Errorf("MayPass(%v) = true, want false", final)
 		}
 	}
 }
 
-// A write goes on from the very byte at which a fault stopped it: nothing is repeated, nothing skipped.
-func TestWritesGoOnFromTheByteAtWhichTheyStopped(t *testing.T) {
+// A write resumes at the byte at which a fault interrupted it, without repeating or skipping any.
+func TestWriteResumesAtFailedByte(t *testing.T) {
 	for _, fault := range []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EIO, syscall.EINTR} {
-		conn := &flaky{fault: fault, faults: 4}
+		conn := &flakyConn{fault: fault, faults: 4}
 		retry := Retry{Call: "write", Observer: conn}
 		if err := Write(conn, &net.Buffers{[]byte("head, "), []byte("first part, "), []byte("second")}, &retry); err != nil {
-			t.Errorf("%v: %v", fault, err)
+			t.Errorf("%v: got write error %v, want none", fault, err)
 		}
 		if text := conn.written.String(); text != "head, first part, second" {
-			t.Errorf("%v: %q", fault, text)
+			t.Errorf("%v: got written text %q, want all parts once", fault, text)
 		}
 		if len(conn.verdicts) != 4 || conn.verdicts[0] != Retried {
-			t.Errorf("%v: %v", fault, conn.verdicts)
+			t.Errorf("%v: got verdicts %v, want 4 times retried", fault, conn.verdicts)
 		}
 	}
 }
 
-// What has ended the connection ends a write at once, with what was written before.
-func TestWritesEndWithTheConnection(t *testing.T) {
-	conn := &flaky{fault: syscall.EPIPE, faults: 1}
+// An error that reports the end of the connection ends a write at once, without a retry.
+func TestWriteFailsWhenConnectionEnds(t *testing.T) {
+	conn := &flakyConn{fault: syscall.EPIPE, faults: 1}
 	retry := Retry{Call: "write", Observer: conn}
 	err := Write(conn, &net.Buffers{[]byte("abcd")}, &retry)
 	if !errors.Is(err, syscall.EPIPE) || conn.written.String() != "ab" || conn.verdicts[0] != PeerEnded {
-		t.Errorf("%v, %q, %v", err, conn.written.String(), conn.verdicts)
+		t.Errorf("got error %v, written text %q, verdicts %v, want EPIPE, \"ab\", peer ended",
+			err, conn.written.String(), conn.verdicts)
 	}
 }
 
-// A read outlasts faults, and an orderly end is believed at once.
-func TestReadsOutlastFaults(t *testing.T) {
-	conn := &flaky{fault: syscall.ENOBUFS, faults: 3, source: bytes.NewReader([]byte("text"))}
+// A read retries local faults, and an orderly end ends it at once.
+func TestReadRetriesFaults(t *testing.T) {
+	conn := &flakyConn{fault: syscall.ENOBUFS, faults: 3, source: bytes.NewReader([]byte("text"))}
 	text, err := io.ReadAll(readerOf(conn))
 	if err != nil || string(text) != "text" {
-		t.Errorf("%q, %v", text, err)
+		t.Errorf("got %q, error %v, want \"text\" and no error", text, err)
 	}
 }
 
-// readerOf reads as the proxy does.
-func readerOf(conn *flaky) io.Reader {
+// readerOf returns a reader that calls Read, as the proxy does.
+func readerOf(conn *flakyConn) io.Reader {
 	return readFunc(func(p []byte) (int, error) { return Read(conn, p, Retry{Call: "read", Observer: conn}) })
 }
 
@@ -108,32 +109,32 @@
 
 func (f readFunc) Read(p []byte) (int, error) { return f(p) }
 
-// An error that says that the other side has ended a connection is believed only if a poll agrees, where the caller
-// wants that; and one that stays is believed in the end.
-func TestAnEndIsConfirmed(t *testing.T) {
-	server, client := pair(t)
+// With Peer set, an error that reports the end of the connection is retried unless a poll confirms it. If the error
+// persists, it is accepted after maxImmediateRetries.
+func TestRetryConfirmsConnectionEnd(t *testing.T) {
+	server, client := connPair(t)
 	retry := Retry{Call: "read", Peer: server}
 	if !retry.Again(syscall.ECONNRESET) {
-		t.Error("a reset of a connection that is open is believed")
+		t.Error("reset of an open connection: got no retry, want one")
 	}
-	for range maxRepeats {
+	for range maxImmediateRetries {
 		retry.Again(syscall.ECONNRESET)
 	}
 	if retry.Again(syscall.ECONNRESET) {
-		t.Error("it is asked for ever")
+		t.Error("repeated resets of an open connection: got one more retry, want none")
 	}
 	client.Close()
 	time.Sleep(20 * time.Millisecond)
 	retry = Retry{Call: "read", Peer: server}
 	if retry.Again(syscall.ECONNRESET) {
-		t.Error("the end of a connection is not believed")
+		t.Error("reset of a closed connection: got a retry, want none")
 	}
 }
 
-// A fault that stays ends a call after a while, without a pause that keeps the processor busy.
-func TestFaultsThatStayAreGivenUp(t *testing.T) {
-	conn := &flaky{fault: syscall.ENOBUFS, faults: 1 << 30}
-	retry := Retry{Call: "read", Observer: conn, began: time.Now().Add(-maxFaultPeriod - time.Second)}
+// A local fault that lasts beyond maxFaultPeriod ends the call.
+func TestReadGivesUpOnPersistentFault(t *testing.T) {
+	conn := &flakyConn{fault: syscall.ENOBUFS, faults: 1 << 30}
+	retry := Retry{Call: "read", Observer: conn, faultsSince: time.Now().Add(-maxFaultPeriod - time.Second)}
 	if _, err := Read(conn, make([]byte, 1), retry); !errors.Is(err, syscall.ENOBUFS) {
 		t.Error(err)
 	}
--- a/internal/socket/listener.go
+++ b/internal/socket/listener.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listener accepts connections as descriptors. A net.TCPListener closes a connection that it has accepted and that the
-// system can't register for waiting in that moment.
+// Listener accepts connections as descriptors. A net.TCPListener instead closes an accepted connection if the system
+// momentarily fails to register it for polling.
 type Listener struct {
 	file    *os.File
 	raw     syscall.RawConn
@@ -21,25 +21,25 @@
 	closed  atomic.Bool
 }
 
-// Listen opens a listener. Where this machine lacks something for it, it tries again for a while. A shared address may
-// be listened at by several processes of one user.
+// Listen returns a listener on a TCP address. It retries local faults for a while, as [RetryFaults] does. If shared is
+// set, several processes of one user may listen on the address.
 func Listen(address string, shared bool) (*Listener, error) {
 	var config net.ListenConfig
 	if shared {
 		config.Control = sharePort
 	}
-	opened, err := Persist(func() (net.Listener, error) {
+	opened, err := RetryFaults(func() (net.Listener, error) {
 		return config.Listen(context.Background(), "tcp", address)
 	})
 	if err != nil {
 		return nil, err
 	}
-	defer opened.Close() // the file is another descriptor of it
-	return Persist(func() (*Listener, error) { return newListener(opened.(*net.TCPListener)) })
+	defer opened.Close() // the returned listener holds a duplicate of its descriptor
+	return RetryFaults(func() (*Listener, error) { return newListener(opened.(*net.TCPListener)) })
 }
 
-// sharePort lets several processes of one user listen at an address. It is the
-// Control of a net.ListenConfig.
+// sharePort lets several processes of one user listen on the same address. It is the Control function of a
+// net.ListenConfig.
 func sharePort(_, _ string, raw syscall.RawConn) error {
 	var optionErr error
 	controlErr := raw.Control(func(fd uintptr) {
@@ -48,7 +48,7 @@
 	return errors.Join(controlErr, optionErr)
 }
 
-// newListener returns a listener at the address of another one, which may be closed then.
+// newListener returns a listener on a duplicate of the descriptor of opened, which the caller may close afterwards.
 func newListener(opened *net.TCPListener) (*Listener, error) {
 	file, err := opened.File()
 	if err != nil {
@@ -58,7 +58,7 @@
 	if err == nil {
 		err = file.SetReadDeadline(time.Time{})
 	}
-	if errors.Is(err, os.ErrNoDeadline) { // it could not be registered for waiting
+	if errors.Is(err, os.ErrNoDeadline) { // the system failed to register it for polling
 		err = os.NewSyscallError("epoll_ctl", unix.ENOMEM)
 	}
 	if err != nil {
@@ -68,8 +68,8 @@
 	return &Listener{file: file, raw: raw, address: opened.Addr()}, nil
 }
 
-// Await accepts the next connection. It returns os.ErrDeadlineExceeded after the deadline, also where connections wait,
-// and os.ErrClosed once the listener is closed.
+// Await waits for the next connection and accepts it. It returns os.ErrDeadlineExceeded after the deadline, even if
+// connections are queued, and os.ErrClosed once the listener is closed.
 func (l *Listener) Await() (descriptor int, err error) {
 	waitErr := l.raw.Read(func(listener uintptr) (done bool) {
 		descriptor, err = acceptNow(listener)
@@ -81,7 +81,7 @@
 	return descriptor, err
 }
 
-// Next accepts a connection that waits, also after the deadline. Where none does it returns EAGAIN.
+// Next accepts a queued connection without waiting, also after the deadline. It returns EAGAIN if none is queued.
 func (l *Listener) Next() (descriptor int, err error) {
 	controlErr := l.raw.Control(func(listener uintptr) { descriptor, err = acceptNow(listener) })
 	if controlErr != nil {
@@ -90,7 +90,8 @@
 	return descriptor, err
 }
 
-// waitError returns os.ErrClosed once the listener is closed: the os package has an error of its own for that here.
+// waitError returns os.ErrClosed once the listener is closed, and err before. The os package returns an unexported
+// error on a closed file here.
 func (l *Listener) waitError(err error) error {
 	if l.closed.Load() {
 		return os.ErrClosed
@@ -98,8 +99,8 @@
 	return err
 }
 
-// acceptNow accepts a connection without waiting for one. It does not ask for the client's address: unix.Accept4 closes
-// what it has accepted if a second call, which the address takes, fails.
+// acceptNow accepts a connection without waiting. It does not request the client's address: unix.Accept4 converts the
+// address in a second step, and closes the accepted connection if that step fails.
 func acceptNow(listener uintptr) (descriptor int, err error) {
 	accepted, _, errno := unix.Syscall6(unix.SYS_ACCEPT4, listener, 0, 0, unix.SOCK_CLOEXEC, 0, 0)
 	if errno != 0 {
@@ -108,20 +109,20 @@
 	return int(accepted), nil
 }
 
-// SetDeadline sets when Await ends.
+// SetDeadline sets the deadline of Await.
 func (l *Listener) SetDeadline(t time.Time) error { return l.file.SetReadDeadline(t) }
 
-// Addr returns the address that it listens at.
+// Addr returns the address that the listener listens on.
 func (l *Listener) Addr() net.Addr { return l.address }
 
-// Close ends accepting. Who waits in the queue is reset.
+// Close closes the listener. Connections still in its queue are reset.
 func (l *Listener) Close() {
 	l.closed.Store(true)
 	_ = l.file.Close()
 }
 
-// IsClosed reports whether an error of accept says that the listener accepts nobody any more. Any other says nothing of
-// those who wait behind: the system reports faults of one connection there, such as EPROTO or EHOSTUNREACH.
+// IsClosed reports whether an error of accept means that the listener no longer accepts connections. Other errors may
+// concern a single connection, such as EPROTO or EHOSTUNREACH, and not the ones queued after it.
 func IsClosed(err error) bool {
 	for _, closed := range []error{os.ErrClosed, net.ErrClosed, unix.EBADF, unix.EINVAL} {
 		if errors.Is(err, closed) {
--- a/internal/socket/listener_test.go
+++ b/internal/socket/listener_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Whoever waits for connections is told when the listener is closed, and so is who asks later.
-func TestClosingAListenerEndsAccepting(t *testing.T) {
+// Closing the listener ends a pending Await, and later calls of Await and Next fail with an error that IsClosed
+// reports.
+func TestListenerCloseEndsAccept(t *testing.T) {
 	listener, err := Listen("127.0.0.1:0", false)
 	if err != nil {
 		t.Fatal(err)
@@ -17,23 +18,23 @@
 		_, err := listener.Await()
 		ended <- err
 	}()
-	time.Sleep(20 * time.Millisecond) // it waits
+	time.Sleep(20 * time.Millisecond) // until Await blocks
 	listener.Close()
 	select {
 	case err := <-ended:
 		if !IsClosed(err) {
-			t.Errorf("ended by %v", err)
+			t.Errorf("pending Await: got error %v, want one of a closed listener", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("it waits for ever")
+		t.Fatal("pending Await did not return within 10s of the close")
 	}
 	for name, accept := range map[string]func() (int, error){"await": listener.Await, "next": listener.Next} {
 		if _, err := accept(); !IsClosed(err) {
-			t.Errorf("%s after the close: %v", name, err)
+			t.Errorf("%s after the close: got error %v, want one of a closed listener", name, err)
 		}
 	}
 	if conn, err := net.Dial("tcp", listener.Addr().String()); err == nil {
 		conn.Close()
-		t.Error("somebody still listens")
+		t.Error("dial after the close: got a connection, want an error")
 	}
 }
--- a/internal/socket/peek.go
+++ b/internal/socket/peek.go
@@ -1,5 +1,8 @@
-// Package socket inspects connections without reading from them, ends what waits on them, and keeps descriptors in
-// reserve.
+// Package socket provides system-level operations on TCP sockets: it inspects connections without reading from them,
+// retries calls that fail because of local faults, accepts connections, and keeps descriptors in reserve.
+//
+// A local fault is an error that this machine causes and that may pass by itself, such as a lack of buffers (see
+// [MayPass]).
 package socket
 
 import (
@@ -10,20 +13,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// State is what the receiving end of a connection is at.
+// State is the state of the receiving side of a connection.
 type State uint8
 
 // The states of a connection.
 const (
-	Quiet   State = iota // open, and nothing has come in
-	Waiting              // bytes have come in that nobody has read
-	Ended                // closed by the other side
+	Quiet   State = iota // open, no unread bytes
+	Waiting              // unread bytes have been received
+	Ended                // closed by the peer, no unread bytes
 	Broken               // reset, or unreadable for another reason
-	Unknown              // it could not be inspected: a fault of this machine, which says nothing of the connection
+	Unknown              // a local fault prevented the inspection; the connection may be in any state
 )
 
-// Peek inspects a connection. It does not wait and takes nothing from it but a reset: the system reports that once,
-// and a plain end from then on.
+// Peek returns the state of a connection. It does not wait and consumes no bytes. It does consume a reset: the system
+// reports a reset once and an orderly end from then on.
 func Peek(c syscall.Conn) State {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -33,7 +36,7 @@
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n := 0
-		err := repeat(func() (err error) {
+		err := retryImmediately(func() (err error) {
 			n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 			return err
 		})
@@ -54,8 +57,8 @@
 	return state
 }
 
-// PeerClosed reports whether the other side has closed or reset a connection, also behind
-// bytes that nobody has read. It does not wait and takes nothing from it.
+// PeerClosed reports whether the peer has closed or reset a connection, even if unread bytes precede the close. It does
+// not wait and consumes nothing.
 func PeerClosed(c syscall.Conn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -65,7 +68,7 @@
 	err = raw.Control(func(fd uintptr) {
 		polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		n := 0
-		err := repeat(func() (err error) {
+		err := retryImmediately(func() (err error) {
 			n, err = unix.Poll(polled, 0)
 			return err
 		})
@@ -78,7 +81,7 @@
 	return closed || err != nil
 }
 
-// States of a connection in TCP_INFO in which the other side has closed or reset it.
+// TCP_INFO states of a connection that the peer has closed or reset.
 const (
 	tcpClose     = 7
 	tcpCloseWait = 8
@@ -86,7 +89,8 @@
 	tcpClosing   = 11
 )
 
-// hasClosedState asks the state of the connection itself, where it can't be polled.
+// hasClosedState reports whether the TCP state of a connection shows that the peer has closed or reset it. It is the
+// fallback for a failed poll.
 func hasClosedState(descriptor int) bool {
 	info, err := unix.GetsockoptTCPInfo(descriptor, unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
@@ -99,30 +103,30 @@
 	return false
 }
 
-// Discard throws away what has been received on a connection, up to about maxBytes, without waiting for more.
+// Discard reads and drops up to about maxBytes received bytes of a connection, without waiting for more.
 func Discard(c syscall.Conn, maxBytes int) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return
 	}
-	// A connection that is closed has nothing to discard.
+	// Control fails only on a closed connection, which has nothing to discard.
 	_ = raw.Control(func(fd uintptr) { DiscardFrom(int(fd), maxBytes) })
 }
 
-// DiscardFrom is Discard on a descriptor.
+// DiscardFrom is like [Discard] for a descriptor.
 func DiscardFrom(descriptor, maxBytes int) {
 	var block [4 << 10]byte
 	for n := 1; n > 0 && maxBytes > 0; maxBytes -= n {
-		_ = repeat(func() (err error) { // an error is the end of what can be discarded
+		_ = retryImmediately(func() (err error) { // on an error n is not positive, which ends the loop
 			n, _, err = syscall.Recvfrom(descriptor, block[:], syscall.MSG_DONTWAIT)
 			return err
 		})
 	}
 }
 
-// Send sends a message on a descriptor without waiting. One that has been sent in part is an error.
+// Send sends a message on a descriptor without waiting. A partial send returns [io.ErrShortWrite].
 func Send(descriptor int, message []byte) error {
-	return repeat(func() error {
+	return retryImmediately(func() error {
 		n, err := unix.SendmsgN(descriptor, message, nil, nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
 		if err == nil && n < len(message) {
 			err = io.ErrShortWrite
--- a/internal/socket/peek_test.go
+++ b/internal/socket/peek_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// faultyConn is a connection whose descriptor can't be had, or is no sound socket.
+// faultyConn is a connection whose descriptor is unavailable or not a valid socket.
 type faultyConn struct {
 	connErr, controlErr error
 	fd                  uintptr
@@ -27,8 +27,8 @@
 func (f faultyConn) Read(func(uintptr) bool) error  { return errors.ErrUnsupported }
 func (f faultyConn) Write(func(uintptr) bool) error { return errors.ErrUnsupported }
 
-// pair returns both ends of a connection.
-func pair(t testing.TB) (own, peer *net.TCPConn) {
+// connPair returns both ends of a TCP connection over loopback.
+func connPair(t testing.TB) (own, peer *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,9 +47,9 @@
 	return accepted.(*net.TCPConn), dialed.(*net.TCPConn)
 }
 
-// What can't be inspected is broken, so nothing is sent over it; and a client counts as gone only if the system says so
-// or the connection is closed here.
-func TestInspectingWhatCannotBeInspected(t *testing.T) {
+// A connection that can't be inspected is Broken, so nothing is sent over it. PeerClosed reports true only if the
+// system reports a close or the connection was closed by this process.
+func TestPeekOfUnusableDescriptor(t *testing.T) {
 	file, err := os.Open("/dev/null")
 	if err != nil {
 		t.Fatal(err)
@@ -60,23 +60,24 @@
 		conn   faultyConn
 		closed bool
 	}{
-		"closed here":               {faultyConn{connErr: net.ErrClosed}, true},
-		"closed here meanwhile":     {faultyConn{controlErr: net.ErrClosed}, true},
-		"EBADF":                     {faultyConn{fd: noDescriptor}, false},
-		"ENOTSOCK, always readable": {faultyConn{fd: file.Fd()}, false},
+		"closed by this process":           {faultyConn{connErr: net.ErrClosed}, true},
+		"closed by this process meanwhile": {faultyConn{controlErr: net.ErrClosed}, true},
+		"EBADF":                            {faultyConn{fd: noDescriptor}, false},
+		"ENOTSOCK, always readable":        {faultyConn{fd: file.Fd()}, false},
 	} {
 		if state := Peek(tc.conn); state != Broken {
-			t.Errorf("%s: state %d", name, state)
+			t.Errorf("%s: got state %d, want Broken", name, state)
 		}
 		if closed := PeerClosed(tc.conn); closed != tc.closed {
-			t.Errorf("%s: closed %v", name, closed)
+			t.Errorf("%s: got PeerClosed %v, want the opposite", name, closed)
 		}
-		Discard(tc.conn, 1<<10) // which ends
+		Discard(tc.conn, 1<<10) // must return
 	}
 }
 
-// Each state of a connection is told from the others, by both, and nothing is taken from it.
-func TestStatesOfAConnection(t *testing.T) {
+// Peek and PeerClosed report the state of a connection for each action of the peer. Peek does not change what
+// PeerClosed and hasClosedState report afterwards.
+func TestPeekReportsState(t *testing.T) {
 	for name, tc := range map[string]struct {
 		peer   func(*net.TCPConn)
 		state  State
@@ -86,27 +87,27 @@
 		"waiting":                {func(c *net.TCPConn) { c.Write([]byte("xy")) }, Waiting, false},
 		"ended":                  {func(c *net.TCPConn) { c.Close() }, Ended, true},
 		"half closed":            {func(c *net.TCPConn) { c.CloseWrite() }, Ended, true},
-		"ended behind bytes":     {func(c *net.TCPConn) { c.Write([]byte("xy")); c.Close() }, Waiting, true},
+		"ended after bytes":      {func(c *net.TCPConn) { c.Write([]byte("xy")); c.Close() }, Waiting, true},
 		"reset":                  {func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, Broken, true},
-		"reset behind bytes":     {func(c *net.TCPConn) { c.Write([]byte("xy")); c.SetLinger(0); c.Close() }, Waiting, true},
+		"reset after bytes":      {func(c *net.TCPConn) { c.Write([]byte("xy")); c.SetLinger(0); c.Close() }, Waiting, true},
 		"half closed with bytes": {func(c *net.TCPConn) { c.Write([]byte("xy")); c.CloseWrite() }, Waiting, true},
 	} {
-		own, peer := pair(t)
+		own, peer := connPair(t)
 		tc.peer(peer)
 		for end := time.Now().Add(time.Second); PeerClosed(own) != tc.closed && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		if closed := PeerClosed(own); closed != tc.closed {
-			t.Errorf("%s: closed %v", name, closed)
+			t.Errorf("%s: got PeerClosed %v before Peek, want the opposite", name, closed)
 		}
 		if state := Peek(own); state != tc.state {
-			t.Errorf("%s: state %d, want %d", name, state, tc.state)
+			t.Errorf("%s: got state %d, want %d", name, state, tc.state)
 		}
 		if closed := PeerClosed(own); closed != tc.closed {
-			t.Errorf("%s: closed %v once it was inspected", name, closed)
+			t.Errorf("%s: got PeerClosed %v after Peek, want the opposite", name, closed)
 		}
 		if closed := hasClosedState(int(descriptorOf(t, own))); closed != tc.closed {
-			t.Errorf("%s: closed %v by its state, where it can't be polled", name, closed)
+			t.Errorf("%s: got hasClosedState %v, want the opposite", name, closed)
 		}
 	}
 }
@@ -123,13 +124,13 @@
 	return descriptor
 }
 
-// BenchmarkPeerClosed is what it costs to ask for a client behind unread bytes.
+// BenchmarkPeerClosed measures the poll of an open connection.
 func BenchmarkPeerClosed(b *testing.B) {
-	own, _ := pair(b)
+	own, _ := connPair(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		if PeerClosed(own) {
-			b.Fatal("it has not left")
+			b.Fatal("PeerClosed: got true for an open connection, want false")
 		}
 	}
 }
--- a/internal/socket/receive.go
+++ b/internal/socket/receive.go
@@ -7,16 +7,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Receive reads what has come in on a connection, without waiting for more. It returns 0 if there is nothing, or if it
-// can't be read.
+// Receive reads received bytes of a connection into p without waiting for more. It returns 0 if there are none or the
+// connection can't be read.
 func Receive(c syscall.Conn, p []byte) (n int) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0
 	}
-	// What a closed connection has brought is lost, and nobody needs it.
+	// Errors are ignored: the bytes of a closed connection are lost, and no caller needs them.
 	_ = raw.Control(func(fd uintptr) {
-		_ = repeat(func() (err error) {
+		_ = retryImmediately(func() (err error) {
 			n, _, err = syscall.Recvfrom(int(fd), p, syscall.MSG_DONTWAIT)
 			return err
 		})
@@ -24,8 +24,8 @@
 	return max(n, 0)
 }
 
-// SinceLastReceived returns how long ago the last bytes came in on a connection, in whole milliseconds, if the system
-// says so.
+// SinceLastReceived returns how long ago the last bytes were received on a connection, in whole milliseconds. known is
+// false if the system can't report it.
 func SinceLastReceived(c syscall.Conn) (ago time.Duration, known bool) {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/socket/reserve.go
+++ b/internal/socket/reserve.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// OutOfDescriptors reports whether err says that this process or machine has no descriptor or memory to spare now:
-// such an error says nothing of the other side.
+// OutOfDescriptors reports whether err means that this process or machine currently lacks descriptors or memory. Such
+// an error does not concern the peer.
 func OutOfDescriptors(err error) bool {
 	for _, fault := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		if errors.Is(err, fault) {
@@ -21,22 +21,23 @@
 	return false
 }
 
-// Reserve holds descriptors for when the process has no other left. It is safe for concurrent use.
+// Reserve holds open descriptors that can be freed when the process has no others left. It is safe for concurrent use.
 type Reserve struct {
-	// mu guards what follows.
+	// mu guards the following fields.
 	mu          sync.Mutex
 	size        int
 	descriptors []int
 }
 
-// NewReserve reserves n descriptors, or as many as there are.
+// NewReserve returns a reserve of n descriptors, or of as many as are available now.
 func NewReserve(n int) *Reserve {
 	r := &Reserve{size: n}
 	r.Fill()
 	return r
 }
 
-// Lend frees one descriptor for the next call that needs one. It reports false if none is left. Fill takes it back.
+// Lend frees one descriptor of the reserve for the next call that needs one. It reports false if none is left. Fill
+// replaces lent descriptors.
 func (r *Reserve) Lend() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -49,13 +50,13 @@
 	return true
 }
 
-// Fill takes back what was lent, as far as there are descriptors, and moves the reserve to low numbers that have become
-// free: a limit that is lowered later allows those below it alone, and to free another brings nothing. It reports
-// whether the reserve is full.
+// Fill replaces lent descriptors as far as there are free ones, and moves the reserve to the lowest free numbers. After
+// the descriptor limit is lowered, only numbers below it can be opened, so freeing a higher one would not help. Fill
+// reports whether the reserve is full.
 func (r *Reserve) Fill() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lowerAllLocked()
+	r.moveToLowNumbersLocked()
 	for len(r.descriptors) < r.size {
 		fd, err := openReserved()
 		if err != nil {
@@ -66,13 +67,13 @@
 	return true
 }
 
-// Exhausted reports whether the process can't have one more descriptor now. It tells a lack that goes on from a call
-// that failed once.
+// Exhausted reports whether the process can't open one more descriptor now, or the reserve is not full. It
+// distinguishes a persistent lack from a single failed call.
 func (r *Reserve) Exhausted() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.descriptors) < r.size {
-		return true // the next one goes to the reserve
+		return true // the next free descriptor is used to fill the reserve
 	}
 	fd, err := openReserved()
 	if err != nil {
@@ -82,7 +83,7 @@
 	return false
 }
 
-// Close frees the whole reserve for good.
+// Close frees the whole reserve. Fill does not refill it afterwards.
 func (r *Reserve) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -93,13 +94,13 @@
 	r.size = 0
 }
 
-// lowerAllLocked moves descriptors to lower numbers, the highest first, as long as there are any. r.mu is held.
-func (r *Reserve) lowerAllLocked() {
+// moveToLowNumbersLocked moves descriptors to lower free numbers, the highest first. Callers must hold r.mu.
+func (r *Reserve) moveToLowNumbersLocked() {
 	for range r.descriptors {
 		slices.Sort(r.descriptors)
 		highest := len(r.descriptors) - 1
 		lowest, err := unix.FcntlInt(uintptr(r.descriptors[highest]), unix.F_DUPFD_CLOEXEC, 0)
-		if err != nil { // not even one is free
+		if err != nil { // no descriptor is free
 			return
 		}
 		if lowest > r.descriptors[highest] {
@@ -111,26 +112,26 @@
 	}
 }
 
-// openReserved opens a descriptor that leads nowhere.
+// openReserved opens a placeholder descriptor.
 func openReserved() (int, error) { return unix.Open("/dev/null", unix.O_RDONLY|unix.O_CLOEXEC, 0) }
 
-// closeDescriptor closes a descriptor of /dev/null, which can't fail in a way that matters.
+// closeDescriptor closes a descriptor of /dev/null. Its errors are ignored: there is no data to lose.
 func closeDescriptor(fd int) { _ = unix.Close(fd) }
 
-// Bounds of the pause after a call that failed for want of a resource.
+// Bounds of the pause after a call that failed for lack of a resource.
 const (
 	minPause = time.Millisecond
 	maxPause = 50 * time.Millisecond
 )
 
-// Backoff is how long to wait after failures in a row. Its zero value is ready.
+// Backoff computes the pauses after consecutive failures. Its zero value is ready to use.
 type Backoff struct {
-	Max time.Duration // bounds the pause further; 0 leaves it at maxPause
+	Max time.Duration // upper bound of the pause if below maxPause; 0 is none
 
 	last time.Duration
 }
 
-// Next returns the pause after one more failure: twice the last, within bounds.
+// Next returns the pause after another failure: twice the previous one, within the bounds.
 func (b *Backoff) Next() time.Duration {
 	longest := maxPause
 	if b.Max > 0 {
@@ -140,5 +141,5 @@
 	return b.last
 }
 
-// Reset records a success.
+// Reset records a success: the next pause is the shortest again.
 func (b *Backoff) Reset() { b.last = 0 }
--- a/internal/socket/reserve_test.go
+++ b/internal/socket/reserve_test.go
@@ -7,8 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// A limit that is lowered allows low numbers alone, so a reserve that was filled while many descriptors were open moves
-// down once these are closed: lent at the limit it would free nothing otherwise.
+// After the descriptor limit is lowered, only low numbers can be opened. A reserve that was filled while many
+// descriptors were open must therefore move to low numbers once these are closed. Otherwise, lending a descriptor would
+// not help.
 func TestReserveMovesToLowNumbers(t *testing.T) {
 	openOne := func() int {
 		t.Helper()
@@ -29,14 +30,14 @@
 		closeDescriptor(fd)
 	}
 	if !r.Fill() || len(r.descriptors) != 2 {
-		t.Fatalf("holds %v", r.descriptors)
+		t.Fatalf("got reserved descriptors %v, want 2", r.descriptors)
 	}
 	if got := slices.Max(r.descriptors); got >= before || got > slices.Max(others) {
-		t.Errorf("holds %v, the numbers up to %d have become free", r.descriptors, slices.Max(others))
+		t.Errorf("got reserved descriptors %v, want lower ones: numbers up to %d have become free", r.descriptors, slices.Max(others))
 	}
 	next := openOne()
 	defer closeDescriptor(next)
 	if next < slices.Max(r.descriptors) {
-		t.Errorf("holds %v while %d is free", r.descriptors, next)
+		t.Errorf("got reserved descriptors %v, want only numbers below the free %d", r.descriptors, next)
 	}
 }
