--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -1,5 +1,5 @@
-// Package buffer keeps blocks of one size and uses them again: for reading
-// from connections and for holding bodies until they have been passed on.
+// Package buffer pools memory blocks of one size. They are used to read from connections and to hold message bodies
+// until these have been forwarded.
 package buffer
 
 import (
@@ -11,19 +11,19 @@
 	"sync"
 )
 
-// Size is the size of every block.
+// Size is the size of every block in bytes.
 const Size = 4 << 10
 
-// ErrTooLarge says that a body is longer than the limit it was read with.
+// ErrTooLarge is returned for a body longer than the limit that it is read with.
 var ErrTooLarge = errors.New("body is too large")
 
-// Pool hands out blocks and readers and takes them back. The zero value is
-// ready, and a Pool may be used from many goroutines.
+// Pool allocates and reuses blocks and buffered readers. The zero value is ready to use. A Pool is safe for concurrent
+// use.
 type Pool struct {
 	blocks, readers sync.Pool
 }
 
-// Reader returns a buffered reader of src.
+// Reader returns a buffered reader of src, to be returned with [Pool.PutReader].
 func (p *Pool) Reader(src io.Reader) *bufio.Reader {
 	if r, ok := p.readers.Get().(*bufio.Reader); ok {
 		r.Reset(src)
@@ -32,7 +32,7 @@
 	return bufio.NewReaderSize(src, Size)
 }
 
-// PutReader takes a reader back. It must not be used any more.
+// PutReader returns a reader to the pool. The caller must not use it afterwards.
 func (p *Pool) PutReader(r *bufio.Reader) {
 	r.Reset(nil)
 	p.readers.Put(r)
@@ -52,7 +52,7 @@
 	size   int
 }
 
-// ReadBody reads src to its end, limit bytes at most.
+// ReadBody reads src to its end. It returns [ErrTooLarge] if src holds more than limit bytes.
 func (p *Pool) ReadBody(src io.Reader, limit int) (*Body, error) {
 	b, whole, err := p.ReadPart(src, limit+1, nil)
 	if err == nil && !whole {
@@ -65,17 +65,17 @@
 	return b, nil
 }
 
-// ReadPart reads src to its end, or until it has so many bytes, or enough says
-// after some that they will do; nil never does. It reports whether it has met the
-// end. What was read before an error is returned with it.
-func (p *Pool) ReadPart(src io.Reader, limit int, enough func() bool) (b *Body, whole bool, err error) {
+// ReadPart reads src until its end, until at least limit bytes are read, or until enough, called after each read that
+// leaves the body nonempty, returns true; enough may be nil. complete reports whether the end of src was reached. On an
+// error, ReadPart also returns what was read before.
+func (p *Pool) ReadPart(src io.Reader, limit int, enough func() bool) (b *Body, complete bool, err error) {
 	b = &Body{pool: p}
 	for b.size < limit && (b.size == 0 || enough == nil || !enough()) {
-		at := b.size % Size
-		if at == 0 && len(b.blocks)*Size == b.size {
+		offset := b.size % Size
+		if offset == 0 && len(b.blocks)*Size == b.size {
 			b.blocks = append(b.blocks, p.block())
 		}
-		n, err := src.Read(b.blocks[len(b.blocks)-1][at:])
+		n, err := src.Read(b.blocks[len(b.blocks)-1][offset:])
 		b.size += n
 		if errors.Is(err, io.EOF) {
 			return b, true, nil
@@ -87,10 +87,10 @@
 	return b, false, nil
 }
 
-// Block returns a block of [Size] bytes, to be given back.
+// Block returns a block of [Size] bytes, to be returned with [Pool.PutBlock].
 func (p *Pool) Block() *[Size]byte { return p.block() }
 
-// PutBlock takes a block back. It must not be used any more.
+// PutBlock returns a block to the pool. The caller must not use it afterwards.
 func (p *Pool) PutBlock(b *[Size]byte) { p.blocks.Put(b) }
 
 // Len returns the length of the body.
@@ -101,15 +101,15 @@
 	return b.size
 }
 
-// AppendTo appends the body's blocks to v. They are valid until Free.
+// AppendTo appends the body's blocks to v without copying their bytes. They are valid until Free.
 func (b *Body) AppendTo(v net.Buffers) net.Buffers {
-	for at := 0; at < b.Len(); at += Size {
-		v = append(v, b.blocks[at/Size][:min(Size, b.size-at)])
+	for offset := 0; offset < b.Len(); offset += Size {
+		v = append(v, b.blocks[offset/Size][:min(Size, b.size-offset)])
 	}
 	return v
 }
 
-// Free gives the blocks back. The body is empty afterwards.
+// Free returns the body's blocks to the pool. The body is empty afterwards.
 func (b *Body) Free() {
 	if b == nil {
 		return
@@ -120,9 +120,9 @@
 	b.blocks, b.size = nil, 0
 }
 
-// Hash adds the body to a hash.
+// Hash writes the body's bytes to hash.
 func (b *Body) Hash(hash *maphash.Hash) {
-	for at := 0; at < b.Len(); at += Size {
-		hash.Write(b.blocks[at/Size][:min(Size, b.size-at)])
+	for offset := 0; offset < b.Len(); offset += Size {
+		hash.Write(b.blocks[offset/Size][:min(Size, b.size-offset)])
 	}
 }
