--- a/downstream/accept.go
+++ b/downstream/accept.go
@@ -14,7 +14,8 @@
 	"ryerill/internal/socket"
 )
 
-// clientListener is where clients connect: a [socket.Listener]. Tests inject system-call errors in its place.
+// clientListener accepts client connections. It is a [socket.Listener], or in tests one that injects system-call
+// errors.
 type clientListener interface {
 	Await() (descriptor int, err error)
 	Next() (descriptor int, err error)
@@ -23,13 +24,13 @@
 	Close()
 }
 
-// acceptAll accepts connections until the shutdown ends it.
+// acceptAll accepts connections until the listener's deadline, which beginShutdown sets.
 func (s *Server) acceptAll() error {
 	var backoff socket.Backoff
 	for {
 		descriptor, err := s.listener.Await()
 		lastDescriptor := s.outOfDescriptors(err) && s.freeDescriptor()
-		if lastDescriptor { // readiness checks must be answered even now, and other requests shed
+		if lastDescriptor { // without descriptors, readiness checks must still be answered and other requests shed
 			descriptor, err = s.listener.Await()
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -38,7 +39,7 @@
 		if socket.IsClosed(err) {
 			return fmt.Errorf("accept clients: %w", err)
 		}
-		if err != nil { // the client is gone again, or another has taken the descriptor
+		if err != nil { // the client has disconnected, or the freed descriptor has been taken by other code
 			s.acceptFailed("accept", err, faultlog.Retried)
 			s.descriptors.Fill()
 			time.Sleep(backoff.Next())
@@ -49,7 +50,7 @@
 	}
 }
 
-// acceptBacklog accepts what still waits in the listener's queue, which would be reset with it.
+// acceptBacklog accepts the connections left in the listener's queue. Closing the listener would reset them.
 func (s *Server) acceptBacklog() {
 	var backoff socket.Backoff
 	for end := time.Now().Add(newConnectionGrace); time.Now().Before(end); {
@@ -57,7 +58,7 @@
 		if errors.Is(err, unix.EAGAIN) || socket.IsClosed(err) {
 			return
 		}
-		if err != nil { // who waits there has connected: a pause is worth it
+		if err != nil { // retry after a pause: clients in the queue have already connected
 			s.acceptFailed("accept", err, faultlog.Retried)
 			if s.outOfDescriptors(err) {
 				s.freeDescriptor()
@@ -70,8 +71,8 @@
 	}
 }
 
-// outOfDescriptors reports whether err came of a lack of descriptors that goes on. Else it passes by itself, and no
-// connection is evicted for it: its client may be about to use it.
+// outOfDescriptors reports whether err was caused by a lack of descriptors that persists. A shortage that has already
+// passed evicts no connection, because the client of an evicted connection may be about to use it.
 func (s *Server) outOfDescriptors(err error) bool {
 	return socket.OutOfDescriptors(err) && s.descriptors.Exhausted()
 }
@@ -80,9 +81,10 @@
 	s.faults.Failed(s.name, call, err, consequence, "")
 }
 
-// admit makes a connection of a descriptor that was accepted, and starts it. That takes a second descriptor for a
-// moment, and the system has to register it for waiting. Where it fails now it is tried again beside other connections,
-// until the deadline: the client has connected. lastDescriptor is whether the process had no other.
+// admit creates a connection from an accepted descriptor and starts it. This briefly needs a second descriptor, which
+// the system must register for polling. If that fails, a goroutine retries until the deadline, because the client has
+// already connected; beyond maxPendingAdmissions goroutines, admit itself retries and blocks the accept loop.
+// lastDescriptor reports whether the process had no other descriptor.
 func (s *Server) admit(descriptor int, lastDescriptor bool, deadline time.Time) {
 	file := os.NewFile(uintptr(descriptor), "client")
 	err := s.tryAdmit(file, lastDescriptor)
@@ -90,16 +92,16 @@
 		return
 	}
 	if !s.beginAdmission() {
-		s.admitLate(file, lastDescriptor, err, deadline)
+		s.retryAdmission(file, lastDescriptor, err, deadline)
 		return
 	}
 	go func() {
-		defer s.endAdmission()
-		s.admitLate(file, lastDescriptor, err, deadline)
+		defer s.finishAdmission()
+		s.retryAdmission(file, lastDescriptor, err, deadline)
 	}()
 }
 
-// tryAdmit makes and starts a connection of a file, if the system can do so now.
+// tryAdmit creates a connection from file and starts it, without retrying.
 func (s *Server) tryAdmit(file *os.File, lastDescriptor bool) error {
 	nc, err := s.fileConn(file)
 	if err == nil {
@@ -108,16 +110,16 @@
 	return err
 }
 
-// start starts a connection, in place of the file that it was made of.
+// start closes the file that nc was created from, and starts serving nc.
 func (s *Server) start(file *os.File, nc net.Conn, lastDescriptor bool) {
 	file.Close()
 	shed := lastDescriptor && !s.descriptors.Fill() // others may have been closed since
 	s.addConn(nc.(*net.TCPConn), shed)
 }
 
-// admitLate tries again to make a connection of a file, which has failed with err, until the deadline. Then it answers
-// the client unread.
-func (s *Server) admitLate(file *os.File, lastDescriptor bool, err error, deadline time.Time) {
+// retryAdmission retries tryAdmit, which has failed with err, until the deadline. Then it answers the client 503
+// without reading its request.
+func (s *Server) retryAdmission(file *os.File, lastDescriptor bool, err error, deadline time.Time) {
 	backoff := socket.Backoff{Max: maxAdmissionPause}
 	for ; err != nil; err = s.tryAdmit(file, lastDescriptor) {
 		if time.Now().After(deadline) {
@@ -133,47 +135,49 @@
 	}
 }
 
-// beginAdmission reports whether one more connection may be made beside others.
+// beginAdmission reserves a slot for an admission that is retried in a goroutine of its own. It reports false if none
+// is free.
 func (s *Server) beginAdmission() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lateAdmissions >= maxLateAdmissions {
+	if s.pendingAdmissions >= maxPendingAdmissions {
 		return false
 	}
-	s.lateAdmissions++
+	s.pendingAdmissions++
 	return true
 }
 
-func (s *Server) endAdmission() {
+func (s *Server) finishAdmission() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lateAdmissions--
+	s.pendingAdmissions--
 	s.connEnded.Broadcast()
 }
 
-// refusal is the answer to a connection for which there is no room.
+// refusal returns the response to a connection beyond the limit.
 func refusal() []byte {
 	head := responseHead{status: http.StatusServiceUnavailable, retryAfter: overloadRetryAfter, closes: true}
 	return head.encode()
 }
 
-// refuseFile sheds a connection that is not registered for waiting, and closes it. Nothing was written to it before, so
-// that the answer fits into its buffer. What waits there unread would have the answer reset.
+// refuseFile answers 503 on a connection that is not registered for polling, and closes it. The response fits into the
+// send buffer, because nothing has been written before. Received bytes are discarded: closing over unread bytes would
+// reset the connection and lose the response.
 func refuseFile(file *os.File) {
 	defer file.Close()
 	descriptor := int(file.Fd())
-	_ = socket.Send(descriptor, refusal()) // a client that is gone needs none
+	_ = socket.Send(descriptor, refusal()) // a client that has disconnected needs no response
 	_ = unix.Shutdown(descriptor, unix.SHUT_WR)
 	socket.DiscardFrom(descriptor, maxHeadBytes)
 }
 
-// refuseUnread sheds a connection without reading its request, and closes it.
+// refuseUnread answers 503 on a connection without reading its request, and closes it.
 func refuseUnread(nc *net.TCPConn) {
 	nc.SetWriteDeadline(time.Now().Add(writeTimeout))
-	// A client that is gone needs no answer, and the close says the same as the end of the sending side.
+	// Errors are ignored: a client that has disconnected needs no response, and Close also ends the sending side.
 	_ = socket.Write(nc, &net.Buffers{refusal()}, &socket.Retry{Call: "write"})
 	_ = socket.CloseWrite(nc)
-	// What lies there unread would have the answer reset.
+	// Closing over unread bytes would reset the connection and lose the response.
 	socket.Discard(nc, maxHeadBytes)
 	nc.Close()
 }
--- a/downstream/conn.go
+++ b/downstream/conn.go
@@ -16,37 +16,39 @@
 )
 
 const (
-	firstRequestTimeout = 2200 * time.Millisecond // a connection that never brings a request is closed after this
-	idleTimeout         = 10 * time.Second        // one between requests is closed after this
+	firstRequestTimeout = 2200 * time.Millisecond // closes a connection that has never sent a request
+	idleTimeout         = 10 * time.Second        // closes a connection between requests
 
-	// A head is received in this time after its first byte; the first one after the accept,
+	// Time to receive a request head, from its first byte. The time for the first head counts from the accept.
 	requestTimeout = 2500 * time.Millisecond
-	// or this long after its first byte, if that is later.
+	// The first head has at least this long from its first byte.
 	firstHeadTimeout = 2200 * time.Millisecond
 
-	writeTimeout = 5 * time.Second  // a message is written in this time
-	watchMargin  = 30 * time.Second // a connection is watched this long beyond its request's time
+	writeTimeout = 5 * time.Second  // bounds the write of one message
+	watchMargin  = 30 * time.Second // how long the read that detects a close outlasts the request
 
-	// A write that waits for room is tried again after so long, the pause growing while it does not get on.
+	// A blocked write is retried after this step, which doubles up to the maximum while the write makes no progress.
 	firstWriteStep = 20 * time.Millisecond
 	maxWriteStep   = 100 * time.Millisecond
 
-	// What is received after a last response is read for this long: closing over unread bytes would reset it.
+	// After the last response, incoming bytes are discarded for this long. Closing over unread bytes would reset the
+	// connection and lose the response.
 	lingerPeriod = 500 * time.Millisecond
-	// An evicted connection lingers only this long: another one waits for its slot.
+	// An evicted connection lingers only this long, because another one waits for its slot.
 	shortLingerPeriod = 5 * time.Millisecond
-	// So long a fault may keep bytes that wait on an idle connection from being read before it ends,
+	// How long reads of bytes known to wait on an idle connection are retried while a local fault fails them.
 	unreadFaultPeriod = 5 * time.Second
-	// and so long it may keep them from being seen: nothing says that there are any.
-	unseenFaultPeriod = 500 * time.Millisecond
-	// An idle connection whose sending side can't be shut down is closed after this.
+	// How long they are retried while a local fault keeps the connection from being inspected: there may be no bytes.
+	peekFaultPeriod = 500 * time.Millisecond
+	// An idle connection whose sending side can't be shut down is closed after this period.
 	closeFaultPeriod = 50 * time.Millisecond
 
-	// How often a client that can't be read is polled. No attempt begins meanwhile: each asks Left before it writes.
+	// How often a client is polled for a close that no read detects. Attempts don't rely on it: each calls Left before
+	// it writes.
 	clientPollInterval = 50 * time.Millisecond
 )
 
-// callRead is the name under which reads from the client are recorded.
+// callRead is the name of client reads in the fault log.
 const callRead = "read"
 
 // connState is the state of a connection.
@@ -56,41 +58,43 @@
 	stateIdle      connState = iota // between requests
 	stateReading                    // part of a request has been received
 	stateBusy                       // a request is open
-	stateLingering                  // its sending side is closed: what is still received is discarded
+	stateLingering                  // the sending side is closed; received bytes are discarded
 	stateClosed
 )
 
-// conn is a connection of a client. One goroutine, serve, reads it and closes it; while a request is open its read
-// detects that the client has left. Another goroutine writes each result, and closes the socket behind a truncated one.
+// conn is a client connection. The goroutine running serve reads and closes it; while a request is open, a pending read
+// detects that the client has disconnected. A separate goroutine writes each result, and closes the socket after a
+// truncated one.
 type conn struct {
 	server     *Server
 	nc         *net.TCPConn
 	reader     *bufio.Reader
 	acceptedAt time.Time
-	descriptor int32 // for inspections alone
+	descriptor int32 // used only for polling
 
-	// Of the goroutine that reads:
-	readLimit    int64  // bytes that one request may still bring
-	broken       bool   // the connection itself broke, or the client has left
+	// Used only by the reading goroutine:
+	readLimit    int64  // bytes that may still be read for the current request
+	broken       bool   // the connection failed, or the client has disconnected
 	overLimit    bool   // requests are shed: the server has no capacity for the connection
 	http10       bool   // the client speaks HTTP/1.0
-	requestClass string // that the present request states; empty if none is known
-	requestID    string // of the present request, once it is accepted; empty before
+	requestClass string // class that the current request states; empty if unknown
+	requestID    string // of the current request, once it is accepted; empty before
 	end          endReason
 	pacing       bodyPacing
 
-	// No read notices at once that the client leaves: more of it has been, or is to be, received, or reads fail.
-	unwatched atomic.Bool
+	// Set when no pending read detects at once that the client disconnects: further bytes have been received or are
+	// expected, or reads fail. The connection is polled instead.
+	needsPoll atomic.Bool
 
 	// Guarded by server.mu:
 	state           connState
 	stateSince      time.Time
-	stateDeadline   time.Time // when the connection is to leave its state at the latest
-	hasRequested    bool      // it has brought a request
-	uploadAbandoned bool      // the body that is being received is not wanted any more
-	evicted         bool      // it is to end as soon as possible, unless a request has been received already
+	stateDeadline   time.Time // latest time at which the connection leaves its state
+	hasRequested    bool      // a request has been received
+	uploadAbandoned bool      // the body being received is no longer needed
+	evicted         bool      // ends as soon as possible, unless a request has already been received
 	open            openRequest
-	truncated       bool // the last response could not be written whole
+	truncated       bool // the last response could not be written completely
 }
 
 func newConn(s *Server, nc *net.TCPConn) *conn {
@@ -100,8 +104,7 @@
 	return c
 }
 
-// enterStateLocked changes the state, and until when the connection may stay in it. Nothing leads back from its end.
-// The server's mutex is held.
+// enterStateLocked sets the state and its deadline. A closed connection stays closed. Callers must hold server.mu.
 func (c *conn) enterStateLocked(state connState, deadline time.Time) {
 	if c.state == stateClosed {
 		return
@@ -109,7 +112,7 @@
 	c.state = state
 	c.stateSince = time.Now()
 	c.stateDeadline = deadline
-	if c.evicted && state != stateLingering { // it goes on after all
+	if c.evicted && state != stateLingering { // a request was received, so the eviction is cancelled
 		c.evicted = false
 		c.server.evicted--
 		c.server.connEnded.Broadcast()
@@ -117,7 +120,7 @@
 	c.nc.SetReadDeadline(deadline)
 }
 
-// becomeIdleLocked records that the connection is between requests. The server's mutex is held.
+// becomeIdleLocked records that the connection is between requests. Callers must hold server.mu.
 func (c *conn) becomeIdleLocked() {
 	if c.hasRequested {
 		c.enterStateLocked(stateIdle, time.Now().Add(idleTimeout))
@@ -129,8 +132,8 @@
 	}
 }
 
-// endWhenIdleLocked ends an idle connection while all are to end: at once, or shortly after its start if it has not
-// brought a request yet. The server's mutex is held.
+// endWhenIdleLocked ends an idle connection during a shutdown or drain: at once, or newConnectionGrace after the accept
+// if it has not sent a request yet. Callers must hold server.mu.
 func (c *conn) endWhenIdleLocked() {
 	graceEnd := c.acceptedAt.Add(newConnectionGrace)
 	if !c.hasRequested && time.Now().Before(graceEnd) {
@@ -140,9 +143,9 @@
 	}
 }
 
-// evictLocked ends a connection that has no request open. It wakes the reader, since only the reader knows whether a
-// request was received at the last moment: one that has reached this machine counts as accepted, and closing the
-// connection would lose it. The server's mutex is held.
+// evictLocked ends a connection that has no open request. It only wakes the reader, which alone knows whether a request
+// has just been received: a request that has reached this machine counts as accepted, and closing the connection would
+// lose it. Callers must hold server.mu.
 func (c *conn) evictLocked() {
 	if c.state != stateBusy && c.state != stateClosed && !c.evicted {
 		c.evicted = true
@@ -151,8 +154,8 @@
 	}
 }
 
-// Read reads from the client, at most what one request may bring. What was received before the connection was evicted,
-// or before its idle timeout, is still read.
+// Read reads from the client, up to the read limit of the current request. Bytes received before the connection was
+// evicted, or before its idle timeout, are still read.
 func (c *conn) Read(p []byte) (int, error) {
 	if c.readLimit <= 0 {
 		return 0, io.EOF
@@ -173,14 +176,14 @@
 	return n, err
 }
 
-// receiveWaiting reads what waits although the deadline is over, if it may. As long as a fault of this machine keeps it
-// from being read, or from being seen, it may still be there: closing the connection would lose it. If nothing waits it
-// returns deadlineErr.
+// receiveWaiting reads bytes that have already been received although the deadline has passed, if readsPastDeadline
+// allows it. While a local fault prevents reading or inspecting the connection, bytes may still wait and closing would
+// lose them, so it retries. If nothing waits it returns deadlineErr.
 func (c *conn) receiveWaiting(p []byte, deadlineErr error) (int, error) {
 	began := time.Now()
 	for time.Since(began) < unreadFaultPeriod && c.readsPastDeadline() {
 		state := socket.Peek(c.nc)
-		mayWait := state == socket.Unknown && time.Since(began) < unseenFaultPeriod
+		mayWait := state == socket.Unknown && time.Since(began) < peekFaultPeriod
 		if state != socket.Waiting && !mayWait {
 			break
 		}
@@ -194,7 +197,7 @@
 	return 0, deadlineErr
 }
 
-// receive reads from the client. Only the system's word is taken for its end: a fault of this machine passes.
+// receive reads from the client. It retries local faults and errors that a poll of the connection does not confirm.
 func (c *conn) receive(p []byte) (int, error) {
 	return socket.Read(c.nc, p, socket.Retry{Call: callRead, Observer: c, Peer: c.nc})
 }
@@ -202,12 +205,12 @@
 // CallFailed implements [socket.Observer].
 func (c *conn) CallFailed(call string, err error, verdict socket.Verdict) {
 	if call == callRead {
-		c.unwatched.Store(true) // a read that fails does not see the client leave
+		c.needsPoll.Store(true) // a failing read does not detect that the client disconnects
 	}
 	c.server.faults.Failed(c.server.name, call, err, faultlog.Consequence(verdict), c.requestID)
 }
 
-// readsPastDeadline reports whether bytes that wait are read although the deadline is over: they were, or may
+// readsPastDeadline reports whether waiting bytes are read although the deadline has passed, because they were, or may
 // have been, received before it.
 func (c *conn) readsPastDeadline() bool {
 	c.server.mu.Lock()
@@ -215,13 +218,13 @@
 	return c.state == stateIdle || c.evicted && time.Now().Before(c.stateDeadline)
 }
 
-// beginBody records that a body begins to be received, which has a time of its own.
+// beginBody starts the pacing of a body, which has a deadline of its own.
 func (c *conn) beginBody() {
 	c.pacing = bodyPacing{began: time.Now()}
 	c.extendBodyDeadline()
 }
 
-// extendBodyDeadline moves the time until when more of the body must be received.
+// extendBodyDeadline sets the deadline by which more of the body must be received.
 func (c *conn) extendBodyDeadline() {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -231,8 +234,8 @@
 	}
 }
 
-// awaitRequest waits for the first byte of the next request. It reports false when the connection has ended, or was
-// evicted and nothing has been received.
+// awaitRequest waits for the first byte of the next request. It reports false if the connection has ended, or has timed
+// out or been evicted with nothing received.
 func (c *conn) awaitRequest() bool {
 	if _, err := c.reader.Peek(1); err != nil {
 		c.end = c.idleEnd(err)
@@ -241,14 +244,14 @@
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	deadline := time.Now().Add(requestTimeout)
-	if !c.hasRequested { // a client that sends its first request slowly, or stops in it, must be answered in time
+	if !c.hasRequested { // answers a client in time that sends its first request slowly or stalls in it
 		deadline = c.acceptedAt.Add(max(requestTimeout, time.Since(c.acceptedAt)+firstHeadTimeout))
 	}
 	c.enterStateLocked(stateReading, deadline)
 	return true
 }
 
-// requestReceived records that a whole request has been received, or as much of it as is waited for.
+// requestReceived records that a request has been received: all of it, or as much as is buffered before it is accepted.
 func (c *conn) requestReceived() {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -256,25 +259,25 @@
 	c.enterStateLocked(stateBusy, time.Time{})
 }
 
-// setOpen records the request that has been accepted.
+// setOpen records the accepted request.
 func (c *conn) setOpen(open openRequest) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	c.open = open
 }
 
-// writeMessage writes a head and the body behind it. It reports whether all of it is written.
+// writeMessage writes a head followed by a body. It reports whether everything was written.
 func (c *conn) writeMessage(head []byte, body *buffer.Body) bool {
 	buffers := body.AppendTo(net.Buffers{head})
 	return c.writeAll(buffers, writeTimeout)
 }
 
-// writeAll writes buffers, and reports whether all of them are written in time. It tries again in steps, should the
-// system not tell that there is room again.
+// writeAll writes buffers and reports whether everything was written within timeout. It retries in short steps, in case
+// the system does not signal that the socket has become writable.
 func (c *conn) writeAll(buffers net.Buffers, timeout time.Duration) bool {
 	retry := socket.Retry{Call: "write", Observer: c, Peer: c.nc}
 	end := time.Now().Add(timeout)
-	left := -1 // bytes, at the last step
+	left := -1 // bytes left after the previous step
 	for step := firstWriteStep; ; {
 		c.nc.SetWriteDeadline(earlier(end, time.Now().Add(step)))
 		err := socket.Write(c.nc, &buffers, &retry)
@@ -283,14 +286,14 @@
 		}
 		step = min(2*step, maxWriteStep)
 		now := totalLength(buffers)
-		if now != left { // it gets on
+		if now != left { // the write made progress
 			step = firstWriteStep
 		}
 		left = now
 	}
 }
 
-// totalLength is how many bytes buffers hold.
+// totalLength returns the number of bytes in buffers.
 func totalLength(buffers net.Buffers) (bytes int) {
 	for _, b := range buffers {
 		bytes += len(b)
@@ -298,8 +301,9 @@
 	return bytes
 }
 
-// beginLingerLocked closes the sending side, and sets how long what is still received is read. None of it is executed:
-// the last response announced the close, so the client sends it again elsewhere. The server's mutex is held.
+// beginLingerLocked closes the sending side and sets how long received bytes are still read. Requests among them are
+// not executed: the last response announced the close, so the client sends them again on another connection. Callers
+// must hold server.mu.
 func (c *conn) beginLingerLocked(period time.Duration) {
 	if c.state == stateLingering || c.state == stateClosed {
 		return
@@ -311,10 +315,10 @@
 	_ = c.server.closeWrite(c.nc)
 }
 
-// requestBeforeEnd ends the sending side of a connection whose client does not know yet that it ends. Where that fails
-// for a while the client is not told, so what it sends is a request like any other: requestBeforeEnd reports whether
-// one waits.
-func (c *conn) requestBeforeEnd() bool {
+// requestBeforeClose shuts down the sending side of an idle or evicted connection, whose client has not been notified
+// of the close. While the shutdown fails, the client may send another request, which must be served: requestBeforeClose
+// reports whether one has been received.
+func (c *conn) requestBeforeClose() bool {
 	if c.broken || c.end != endIdle && c.end != endEvicted {
 		return false
 	}
@@ -330,13 +334,14 @@
 			return true
 		}
 		if time.Now().After(deadline) {
-			return false // the close tells the client
+			return false // closing the connection notifies the client
 		}
 	}
 }
 
-// linger ends a connection whose client is still connected: the sending side first, the receiving side once the client
-// has closed its own, or after a timeout. Closing over unread bytes would reset it, and lose the last response.
+// linger ends a connection whose client is still connected. It shuts down the sending side, then reads until the client
+// closes its side or a timeout expires. Closing over unread bytes would reset the connection and lose the last
+// response.
 func (c *conn) linger() {
 	if c.broken {
 		return
@@ -362,7 +367,7 @@
 	}
 }
 
-// close closes the connection, once, and frees its slot in the server.
+// close closes the connection and frees its slot in the server. It must be called once.
 func (c *conn) close() {
 	c.nc.Close()
 	c.server.buffers.PutReader(c.reader)
--- a/downstream/end.go
+++ b/downstream/end.go
@@ -5,10 +5,10 @@
 	"os"
 )
 
-// endReason is why a connection has ended.
+// endReason is the reason why a connection ended.
 type endReason string
 
-// The reasons; the management endpoint names them.
+// The reasons, as the management endpoint reports them.
 const (
 	endAfterResponse  endReason = "closed after a response"
 	endTruncated      endReason = "response not written whole"
@@ -20,7 +20,7 @@
 	endUnread         endReason = "refused unread"
 )
 
-// idleEnd is why a connection ends that has brought no further request, but an error.
+// idleEnd returns the reason why a connection ended whose wait for the next request failed with err.
 func (c *conn) idleEnd(err error) endReason {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return endClosedByClient
@@ -33,7 +33,7 @@
 	return endIdle
 }
 
-// finalReasonLocked is why the connection has ended. The server's mutex is held.
+// finalReasonLocked returns the reason why the connection ended. Callers must hold server.mu.
 func (c *conn) finalReasonLocked() endReason {
 	if c.truncated {
 		return endTruncated
--- a/downstream/eviction.go
+++ b/downstream/eviction.go
@@ -3,9 +3,10 @@
 import "time"
 
 const (
-	// For this long a new connection is expected to bring a request, and one that has begun to be received whole.
+	// A connection is not evicted for this long after the accept or after the first byte of a request: the request, or
+	// the rest of it, is likely to arrive.
 	freshPeriod = 50 * time.Millisecond
-	// A connection that has been idle for longer may be closed at any time.
+	// A connection idle for at least this long is less likely to be used again, and is evicted earlier.
 	settledAfter = 2 * time.Second
 )
 
@@ -13,16 +14,16 @@
 type evictionRank int
 
 const (
-	rankLingering    evictionRank = iota // only lingers
-	rankSilent                           // was to bring a request and does not
-	rankIdle                             // idle for long
-	rankIncomplete                       // its request does not come to its end
-	rankRecentlyUsed                     // idle for a short time: its client is likely to use it again
+	rankLingering    evictionRank = iota // the sending side is closed already
+	rankNoRequest                        // no request received within freshPeriod of the accept
+	rankIdle                             // idle for at least settledAfter
+	rankIncomplete                       // request not received completely within freshPeriod
+	rankRecentlyUsed                     // idle for less than settledAfter: the client is likely to use it again
 	notEvictable
 )
 
-// freeDescriptor frees a descriptor of the reserve at once, and evicts a connection, whose descriptor is free soon. It
-// reports whether the reserve had one.
+// freeDescriptor frees a reserved descriptor at once and evicts a connection, which soon frees its descriptor. It
+// reports whether the reserve had a descriptor left.
 func (s *Server) freeDescriptor() bool {
 	s.mu.Lock()
 	candidate := s.evictionCandidateLocked(time.Now())
@@ -34,8 +35,8 @@
 	return s.descriptors.Lend()
 }
 
-// evictionCandidateLocked returns the connection of the lowest eviction rank, or nil. Among equals it is the one that
-// has been in its state for longest. s.mu is held.
+// evictionCandidateLocked returns the connection with the lowest eviction rank, or nil if none can be evicted. Among
+// equal ranks it returns the one that has been in its state for longest. Callers must hold s.mu.
 func (s *Server) evictionCandidateLocked(now time.Time) (candidate *conn) {
 	lowest := notEvictable
 	for c := range s.conns {
@@ -51,7 +52,7 @@
 	return candidate
 }
 
-// evictionRank is the connection's rank. The server's mutex is held.
+// evictionRank returns the connection's rank at the given time. Callers must hold server.mu.
 func (c *conn) evictionRank(now time.Time) evictionRank {
 	inState := now.Sub(c.stateSince)
 	switch {
@@ -60,7 +61,7 @@
 	case c.state == stateLingering:
 		return rankLingering
 	case c.state == stateIdle && !c.hasRequested && inState >= freshPeriod:
-		return rankSilent
+		return rankNoRequest
 	case c.state == stateIdle && c.hasRequested && inState >= settledAfter:
 		return rankIdle
 	case c.state == stateReading && inState >= freshPeriod:
--- a/downstream/faults_test.go
+++ b/downstream/faults_test.go
@@ -18,19 +18,19 @@
 	"ryerill/internal/socket"
 )
 
-// faultyListener fails calls of accept for a while with an error of the system, and accepts as usual otherwise.
+// faultyListener fails a set number of accept calls with a system error, and accepts normally otherwise.
 type faultyListener struct {
 	clientListener
 
 	mu      sync.Mutex
 	fault   error
-	faults  int           // calls that are still to fail
-	failed  atomic.Int64  // calls that have failed
-	backlog bool          // the faults are those of the raw listener; nobody is accepted before its deadline
+	faults  int           // number of calls still to fail
+	failed  atomic.Int64  // number of calls that have failed
+	backlog bool          // Next fails instead of Await, and Await accepts nothing before the deadline
 	stopped chan struct{} // closed once a deadline is set
 }
 
-// next returns the fault of the next call, or nil.
+// next returns the error of the next call, or nil. backlog is set for calls of Next.
 func (l *faultyListener) next(backlog bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -42,8 +42,8 @@
 	return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", l.fault)}
 }
 
-// breakFor makes the next calls fail.
-func (l *faultyListener) breakFor(calls int, fault error, backlog bool) {
+// failNext makes the next calls fail: those of Next if backlog is set, otherwise those of Await.
+func (l *faultyListener) failNext(calls int, fault error, backlog bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fault, l.faults, l.backlog = fault, calls, backlog
@@ -76,7 +76,7 @@
 	return l.clientListener.Next()
 }
 
-// listenFaulty returns a server whose calls of accept can be made to fail.
+// listenFaulty returns a server and its listener, whose accept calls can be made to fail.
 func listenFaulty(t *testing.T) (*Server, *faultyListener) {
 	t.Helper()
 	s, err := Listen("127.0.0.1:0", 64, false, new(buffer.Pool))
@@ -88,12 +88,12 @@
 	return s, listener
 }
 
-// getAll sends requests, each on a connection of its own, and returns the errors.
+// getAll sends concurrent requests, each on a connection of its own, and returns their errors joined.
 func getAll(address string, requests int) error {
 	failures := make(chan error, requests)
 	for range requests {
 		go func() {
-			client := http.Client{Timeout: longWait, Transport: &http.Transport{DisableKeepAlives: true}}
+			client := http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 			response, err := client.Get("http://" + address + "/ready")
 			if err == nil {
 				_, err = io.Copy(io.Discard, response.Body)
@@ -109,42 +109,42 @@
 	return all
 }
 
-// acceptFaults are errors of accept that say nothing of the clients who wait behind.
+// acceptFaults are errors of accept that do not concern the other clients in the queue.
 var acceptFaults = []syscall.Errno{
 	syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO,
 	syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.EPERM,
 }
 
-// Whatever accept fails with, accepting goes on after a short pause: nobody who waits is lost, and the processor is not
-// kept busy by a fault that stays.
-func TestAcceptingGoesOnAfterFaults(t *testing.T) {
+// After any error of accept, the server accepts again after a short pause. It loses no waiting client, and a persistent
+// fault does not make it spin.
+func TestAcceptContinuesAfterFaults(t *testing.T) {
 	for _, fault := range acceptFaults {
 		t.Run(fault.Error(), func(t *testing.T) {
 			t.Parallel()
 			s, listener := listenFaulty(t)
 			ctx, cancel := context.WithCancel(context.Background())
 			ended := make(chan error, 1)
-			listener.breakFor(20, fault, false)
+			listener.failNext(20, fault, false)
 			began := time.Now()
-			go func() { ended <- s.Serve(ctx, newHolding(time.Second)) }()
+			go func() { ended <- s.Serve(ctx, newHeldService(time.Second)) }()
 			if err := getAll(s.Address(), 5); err != nil {
-				t.Errorf("lost: %v", err)
+				t.Errorf("requests during accept faults failed: %v", err)
 			}
 			if took := time.Since(began); took > 2*time.Second {
-				t.Errorf("answered after %v", took)
+				t.Errorf("answered after %v, want at most 2s", took)
 			}
 
-			listener.breakFor(1<<30, fault, false)
-			if conn, err := net.Dial("tcp", s.Address()); err == nil { // ends the call that waits
+			listener.failNext(1<<30, fault, false)
+			if conn, err := net.Dial("tcp", s.Address()); err == nil { // wakes the pending accept
 				defer conn.Close()
 			}
 			time.Sleep(500 * time.Millisecond)
-			if n := listener.failed.Load(); n > 60 { // two a pause of 50 ms, and those before
-				t.Errorf("%d calls in half a second", n)
+			if n := listener.failed.Load(); n > 60 { // two per pause of 50 ms, and the first calls with shorter pauses
+				t.Errorf("got %d failed accept calls in 500ms, want at most 60", n)
 			}
-			listener.breakFor(0, nil, false)
+			listener.failNext(0, nil, false)
 			if err := getAll(s.Address(), 5); err != nil {
-				t.Errorf("lost after a long fault: %v", err)
+				t.Errorf("requests after a long accept fault failed: %v", err)
 			}
 			cancel()
 			if err := <-ended; err != nil {
@@ -154,16 +154,16 @@
 	}
 }
 
-// Whoever is accepted at the end without a second descriptor, which making a connection takes for a moment, is served
-// once there is one.
-func TestAcceptedAtTheEndWithoutASecondDescriptor(t *testing.T) {
+// Creating a connection from an accepted descriptor briefly takes a second one. If none is free for a client accepted
+// during the shutdown, the client is served once there is one.
+func TestShutdownAdmitsConnectionOnceDescriptorIsFree(t *testing.T) {
 	for _, fault := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		t.Run(fault.Error(), func(t *testing.T) {
 			t.Parallel()
 			s, listener := listenFaulty(t)
-			service := newHolding(time.Second)
+			service := newHeldService(time.Second)
 			service.plan = func(time.Duration) drain.Plan { return drain.Plan{CloseIdle: time.Millisecond} }
-			listener.breakFor(0, nil, true)
+			listener.failNext(0, nil, true)
 			var failures atomic.Int64
 			failures.Store(5)
 			s.fileConn = func(file *os.File) (net.Conn, error) {
@@ -174,7 +174,7 @@
 			}
 			answered := make(chan error, 1)
 			go func() { answered <- getAll(s.Address(), 4) }()
-			time.Sleep(50 * time.Millisecond) // they wait in the queue: nobody accepts yet
+			time.Sleep(50 * time.Millisecond) // until the clients wait in the queue: the server does not accept yet
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
 			if err := s.Serve(ctx, service); err != nil {
@@ -187,20 +187,21 @@
 	}
 }
 
-// Whoever waits in the listener's queue at its end is accepted, whatever accept fails with on the way.
-func TestQueueAtTheEndIsAcceptedDespiteFaults(t *testing.T) {
+// During the shutdown, the server accepts all clients in the listener's queue, whatever errors accept returns
+// meanwhile.
+func TestShutdownAcceptsBacklogDespiteFaults(t *testing.T) {
 	for _, fault := range acceptFaults {
 		t.Run(fault.Error(), func(t *testing.T) {
 			t.Parallel()
 			s, listener := listenFaulty(t)
-			service := newHolding(time.Second)
+			service := newHeldService(time.Second)
 			service.plan = func(time.Duration) drain.Plan { return drain.Plan{CloseIdle: time.Millisecond} }
-			listener.breakFor(3, fault, true)
+			listener.failNext(3, fault, true)
 			answered := make(chan error, 1)
 			go func() { answered <- getAll(s.Address(), 4) }()
-			time.Sleep(50 * time.Millisecond) // they wait in the queue: nobody accepts yet
+			time.Sleep(50 * time.Millisecond) // until the clients wait in the queue: the server does not accept yet
 			ctx, cancel := context.WithCancel(context.Background())
-			cancel() // accepting ends before it begins
+			cancel() // Serve stops accepting at once and only empties the queue
 			if err := s.Serve(ctx, service); err != nil {
 				t.Error(err)
 			}
@@ -211,27 +212,26 @@
 	}
 }
 
-// What was seen: a client that had sent a request got no response, only the connection's end. How it came about: the
-// proxy evicted the connection, idle until then, and the call that shuts its sending side down failed, for some
-// milliseconds, each time that it was made. Cause: what is received after that call is discarded, as of a client that
-// has been told; this one had not. What proved it: the trace of the calls, with the request read between the call that
-// failed and the close. A client that could not be told is served as if its connection had not been evicted.
-func TestARequestOfAClientThatCouldNotBeToldOfTheEndIsServed(t *testing.T) {
+// When the proxy evicts an idle connection and the shutdown of its sending side fails for some milliseconds, the client
+// is not notified and may send a request. The proxy once discarded that request as received after the close, so the
+// client got no response, only the end of the connection; a trace showed the request being read between the failed call
+// and the close. Such a request must be served as if the connection had not been evicted.
+func TestRequestServedWhenCloseWriteFails(t *testing.T) {
 	for name, end := range map[string]func(s *Server, stop func()){
 		"evicted":   func(s *Server, _ func()) { evictAll(s) },
 		"shut down": func(_ *Server, stop func()) { stop() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, stop := serving(t, closingIdleAtOnce{receiving{prompt{names}}}, 64)
+			s, stop := startServer(t, immediateCloseService{readingService{immediateService{testClasses}}}, 64)
 			client, reader := connect(t, s.Address())
 			send(t, client, get(1, ""))
-			status200(t, reader)
+			expectOK(t, reader)
 			var failures atomic.Int64
 			s.closeWrite = func(nc *net.TCPConn) error {
 				switch failures.Add(1) {
 				case 1:
 					send(t, client, get(2, ""))
-					for until := time.Now().Add(longWait); socket.Peek(nc) != socket.Waiting && time.Now().Before(until); {
+					for until := time.Now().Add(testTimeout); socket.Peek(nc) != socket.Waiting && time.Now().Before(until); {
 						time.Sleep(time.Millisecond)
 					}
 					return syscall.ENOBUFS
@@ -241,15 +241,15 @@
 				return socket.CloseWrite(nc)
 			}
 			end(s, stop)
-			status200(t, reader)
+			expectOK(t, reader)
 			if failures.Load() == 0 {
-				t.Error("the connection was not evicted")
+				t.Error("got no CloseWrite call, want the connection evicted")
 			}
 		})
 	}
 }
 
-// evictAll evicts the connections that can be spared.
+// evictAll evicts all connections that are evictable now.
 func evictAll(s *Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -259,26 +259,27 @@
 	}
 }
 
-// closingIdleAtOnce ends idle connections as soon as a shutdown begins.
-type closingIdleAtOnce struct{ receiving }
+// immediateCloseService plans shutdowns that close idle connections at once.
+type immediateCloseService struct{ readingService }
 
-func (closingIdleAtOnce) ShutdownPlan(time.Duration) drain.Plan {
+func (immediateCloseService) ShutdownPlan(time.Duration) drain.Plan {
 	return drain.Plan{CloseIdle: time.Millisecond, Reject: time.Second}
 }
 
-// A client that can't be told of its connection's end is told by the close itself, soon: others wait for its place.
-func TestAConnectionWhoseSendingSideCannotBeShutDownIsClosedSoon(t *testing.T) {
-	s, _ := serving(t, receiving{prompt{names}}, 64)
+// If the sending side of an evicted connection can't be shut down, the connection is closed soon all the same, because
+// other clients wait for its slot.
+func TestConnectionClosedWhenCloseWriteKeepsFailing(t *testing.T) {
+	s, _ := startServer(t, readingService{immediateService{testClasses}}, 64)
 	client, reader := connect(t, s.Address())
 	send(t, client, get(1, ""))
-	status200(t, reader)
+	expectOK(t, reader)
 	s.closeWrite = func(*net.TCPConn) error { return syscall.ENOBUFS }
 	began := time.Now()
 	evictAll(s)
 	if _, err := reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("%v, want the connection's end", err)
+		t.Errorf("got %v, want EOF", err)
 	}
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("closed after %v", took)
+		t.Errorf("closed after %v, want at most 1s", took)
 	}
 }
--- a/downstream/head.go
+++ b/downstream/head.go
@@ -10,8 +10,8 @@
 	"ryerill/message"
 )
 
-// uniqueHeaders are the headers that a request may carry at most once: of two, an endpoint might read another one than
-// this proxy.
+// uniqueHeaders are the headers that a request may contain at most once. Of two values, an endpoint might use a
+// different one than this proxy.
 var uniqueHeaders = [...]string{
 	"Host",
 	http1.HeaderID,
@@ -22,9 +22,9 @@
 	http1.HeaderDeadline,
 }
 
-// checkHead checks a request's head as received and returns how its body is delimited. [http.ReadRequest] would
-// repair what it can and drop a length beside a transfer coding: an endpoint that reads the same bytes otherwise
-// would find a second request in the body of the first.
+// checkHead checks the raw head of a request and returns how its body is delimited. [http.ReadRequest] would accept
+// some malformed heads and ignore a Content-Length next to a Transfer-Encoding. An endpoint that interprets the same
+// bytes differently would find a second request in the body of the first (request smuggling).
 func checkHead(head []byte) (framing.Body, error) {
 	lines := strings.Split(strings.TrimSuffix(string(head), "\r\n"), "\r\n")
 	lines = lines[:len(lines)-1]
@@ -53,17 +53,17 @@
 	}
 	seen := make(map[string]bool, len(uniqueHeaders))
 	for i, line := range lines {
-		if !http1.Clean(line) { // bare CR or LF among others
+		if !http1.HasNoControlCharacters(line) { // includes a bare CR or LF
 			return badRequest("control character in the head")
 		}
 		if i == 0 {
 			continue
 		}
 		name, _, hasColon := strings.Cut(line, ":")
-		if !hasColon || !isToken(name) { // continuation lines too, and space before the colon
+		if !hasColon || !isToken(name) { // includes continuation lines and a space before the colon
 			return badRequest("malformed header")
 		}
-		unique := uniqueHeader(name)
+		unique := matchUniqueHeader(name)
 		if unique == "" {
 			continue
 		}
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// uniqueHeader is the header among uniqueHeaders that has a name, or empty.
-func uniqueHeader(name string) string {
+// matchUniqueHeader returns the entry of uniqueHeaders that equals name, ignoring case, or "".
+func matchUniqueHeader(name string) string {
 	for _, unique := range uniqueHeaders {
 		if strings.EqualFold(name, unique) {
 			return unique
@@ -85,7 +85,7 @@
 	return ""
 }
 
-// isToken reports whether text may name a header.
+// isToken reports whether text is a valid header name.
 func isToken(text string) bool {
 	return text != "" && !strings.ContainsFunc(text, func(r rune) bool {
 		return r <= ' ' || r > '~' || strings.ContainsRune(`"(),/:;<=>?@[\]{}`, r)
--- a/downstream/head_test.go
+++ b/downstream/head_test.go
@@ -13,12 +13,12 @@
 	"ryerill/internal/buffer"
 )
 
-var names = PoolClasses{Classes: []string{"read", "pay", "burn"}, Tenants: []string{"t"},
+var testClasses = PoolClasses{Classes: []string{"read", "pay", "burn"}, Tenants: []string{"t"},
 	Effects:   []balancer.Effect{balancer.Safe, balancer.Keyed, balancer.Unsafe},
 	Deadlines: []time.Duration{time.Second, time.Second, time.Second}}
 
-// parseText reads one request from text as a connection does and returns its
-// status if it is turned away, its body and what is left unread.
+// parseText reads one request from text as a connection does. It returns the status if the request is rejected, -1 if
+// it is truncated, and otherwise 0, the body and the text left unread.
 func parseText(text string) (status int, body, left string) {
 	s := &Server{buffers: new(buffer.Pool)}
 	c := &conn{server: s, nc: new(net.TCPConn), readLimit: maxHeadBytes}
@@ -37,7 +37,7 @@
 			for _, block := range b.AppendTo(nil) {
 				body += string(block)
 			}
-			_, err = names.parse(req, b, "")
+			_, err = testClasses.parse(req, b, "")
 		}
 	}
 	if errors.As(err, &wrong) {
@@ -48,9 +48,9 @@
 	return 0, body, rest()
 }
 
-// What an endpoint might read otherwise than this proxy must not pass: it could
-// hide a request in the body of another. Each case stands between good lines.
-func TestRequestsAreJudgedAsTheyStand(t *testing.T) {
+// Requests that an endpoint might parse differently from this proxy must be rejected, because one could hide a second
+// request in its body. Each case is followed by the start of another request, which must be left unread.
+func TestHeadRejectsAmbiguousRequests(t *testing.T) {
 	const post, next = "POST /burn HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\nReq-Kind: burn\r\n", "GET /hidden"
 	const get = "GET /read/7 HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\n"
 	const chunk = "Transfer-Encoding: chunked\r\n\r\n"
@@ -116,10 +116,10 @@
 			status, body, left = parseText(tc.text)
 		}
 		if status != tc.status || body != tc.body || status == 0 && left != next {
-			t.Errorf("%s: status %d, body %q, left %q", tc.name, status, body, left)
+			t.Errorf("%s: got status %d, body %q, unread text %q", tc.name, status, body, left)
 		}
 	}
 	if status, _, _ := parseText(get + "A: " + strings.Repeat("x", maxHeadBytes)); status != http.StatusRequestHeaderFieldsTooLarge {
-		t.Errorf("endless head: %d", status)
+		t.Errorf("head beyond maxHeadBytes: got status %d, want 431", status)
 	}
 }
--- a/downstream/lifecycle_test.go
+++ b/downstream/lifecycle_test.go
@@ -22,96 +22,96 @@
 	"ryerill/message"
 )
 
-const longWait = 20 * time.Second // for what must come; no test waits so long unless it fails
+const testTimeout = 20 * time.Second // for awaited events; only a failing test waits this long
 
-// holding takes each request and answers it when the test says so.
-type holding struct {
-	prompt
-	taken   chan *message.Request
-	left    chan uint64
-	expired chan uint64
-	plan    func(killed time.Duration) drain.Plan
+// heldService accepts each request and answers it when the test calls serve.
+type heldService struct {
+	immediateService
+	accepted chan *message.Request
+	departed chan uint64
+	expired  chan uint64
+	plan     func(killDelay time.Duration) drain.Plan
 
-	mu     sync.Mutex
-	last   uint64
-	ending map[uint64]bool // answered or left
-	open   map[uint64]*message.Request
+	mu    sync.Mutex
+	last  uint64
+	ended map[uint64]bool // answered, expired, or its client has left
+	open  map[uint64]*message.Request
 }
 
-func newHolding(deadline time.Duration) *holding {
-	return &holding{prompt: prompt{PoolClasses{Classes: []string{"read", "burn"}, Effects: []balancer.Effect{balancer.Safe, balancer.Unsafe},
-		Deadlines: []time.Duration{deadline, deadline}}}, taken: make(chan *message.Request, 64), left: make(chan uint64, 64),
-		expired: make(chan uint64, 64), plan: drain.Shutdown, ending: map[uint64]bool{}, open: map[uint64]*message.Request{}}
+func newHeldService(deadline time.Duration) *heldService {
+	return &heldService{immediateService: immediateService{PoolClasses{Classes: []string{"read", "burn"}, Effects: []balancer.Effect{balancer.Safe, balancer.Unsafe},
+		Deadlines: []time.Duration{deadline, deadline}}}, accepted: make(chan *message.Request, 64), departed: make(chan uint64, 64),
+		expired: make(chan uint64, 64), plan: drain.Shutdown, ended: map[uint64]bool{}, open: map[uint64]*message.Request{}}
 }
 
-func (h *holding) Find(req *http.Request, _ string) (Route, error) {
+func (h *heldService) Find(req *http.Request, _ string) (Route, error) {
 	return Route{Service: h, Target: req.RequestURI}, nil
 }
-func (h *holding) ShutdownPlan(killed time.Duration) drain.Plan { return h.plan(killed) }
-func (h *holding) Accept(inv *message.Request) uint64 {
+func (h *heldService) ShutdownPlan(killDelay time.Duration) drain.Plan { return h.plan(killDelay) }
+func (h *heldService) Accept(request *message.Request) uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.last++
-	h.open[h.last] = inv
-	h.taken <- inv
+	h.open[h.last] = request
+	h.accepted <- request
 	return h.last
 }
-func (h *holding) ClientLeft(ticket uint64) bool {
-	if h.over(ticket) {
+func (h *heldService) ClientLeft(ticket uint64) bool {
+	if h.markEnded(ticket) {
 		return false
 	}
-	h.left <- ticket
+	h.departed <- ticket
 	return true
 }
-func (h *holding) Expire(ticket uint64) {
-	if !h.over(ticket) {
+func (h *heldService) Expire(ticket uint64) {
+	if !h.markEnded(ticket) {
 		h.expired <- ticket
 		h.open[ticket].Reply(message.Result{Kind: message.TimedOut})
 	}
 }
 
-// over notes the one end of a request. It reports whether it had one.
-func (h *holding) over(ticket uint64) bool {
+// markEnded records the end of a request. It reports whether the request had already ended.
+func (h *heldService) markEnded(ticket uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	was := h.ending[ticket]
-	h.ending[ticket] = true
+	was := h.ended[ticket]
+	h.ended[ticket] = true
 	return was
 }
 
-// serve answers a request, unless its client has left.
-func (h *holding) serve(ticket uint64) {
+// serve answers a request unless it has already ended.
+func (h *heldService) serve(ticket uint64) {
 	h.mu.Lock()
-	inv := h.open[ticket]
+	request := h.open[ticket]
 	h.mu.Unlock()
-	if !h.over(ticket) {
-		inv.Reply(message.Result{Kind: message.Served})
+	if !h.markEnded(ticket) {
+		request.Reply(message.Result{Kind: message.Served})
 	}
 }
 
-// serving runs a server for a test, whose end leaves nothing behind.
-func serving(t *testing.T, services Router, most int) (s *Server, stop func()) {
+// startServer runs a server until the test ends. The cleanup checks that no connection, request id or goroutine leaks.
+func startServer(t *testing.T, services Router, maxConnections int) (s *Server, stop func()) {
 	t.Helper()
 	leaks := goleak.IgnoreCurrent()
-	s, err := Listen("127.0.0.1:0", most, false, new(buffer.Pool))
+	s, err := Listen("127.0.0.1:0", maxConnections, false, new(buffer.Pool))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan error, 1)
-	go func() { over <- s.Serve(ctx, services) }()
+	served := make(chan error, 1)
+	go func() { served <- s.Serve(ctx, services) }()
 	t.Cleanup(func() {
 		cancel()
 		select {
-		case err := <-over:
+		case err := <-served:
 			if err != nil {
 				t.Error(err)
 			}
-		case <-time.After(longWait):
-			t.Fatal("the server does not end")
+		case <-time.After(testTimeout):
+			t.Fatal("timed out waiting for Serve to return")
 		}
 		if len(s.conns) != 0 || s.evicted != 0 || len(s.openIDs) != 0 {
-			t.Errorf("left over: %d connections, %d leaving, %d ids", len(s.conns), s.evicted, len(s.openIDs))
+			t.Errorf("after Serve returned: got %d connections, %d evicted, %d open ids, want none", len(s.conns), s.evicted, len(s.openIDs))
 		}
 		if err := goleak.Find(leaks); err != nil {
 			t.Error(err)
@@ -127,7 +127,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(longWait))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c.(*net.TCPConn), bufio.NewReader(c)
 }
 
@@ -142,35 +142,34 @@
 	}
 }
 
-func status200(t *testing.T, r *bufio.Reader) {
+func expectOK(t *testing.T, r *bufio.Reader) {
 	t.Helper()
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Fatalf("answered %v, %v", resp, err)
+		t.Fatalf("got response %v, error %v, want status 200", resp, err)
 	}
 }
 
-func came[T any](t *testing.T, from <-chan T, what string) (v T) {
+func receiveFrom[T any](t *testing.T, from <-chan T, event string) (v T) {
 	t.Helper()
 	select {
 	case v = <-from:
-	case <-time.After(longWait):
-		t.Fatal("never: " + what)
+	case <-time.After(testTimeout):
+		t.Fatal("timed out waiting for " + event)
 	}
 	return v
 }
 
-// A connection ends by its sending side first: a request that crosses the end, which
-// the client writes before it has seen it, is neither sent on nor answered by a reset.
-// Whoever has ended it, for being idle, for room, or because all ends.
-func TestRequestsThatCrossTheEndOfAConnection(t *testing.T) {
+// The server closes the sending side of a connection first. A request that the client writes before it has seen the
+// close must be neither forwarded nor answered by a reset, whatever the reason for the close.
+func TestRequestsCrossingConnectionClose(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		first string // asked and answered before
+		first string // request answered before the close; empty if none
 		end   func(s *Server, stop func())
 	}{
-		{"all ends", get(1, ""), func(_ *Server, stop func()) { stop() }},
-		{"given up for room", get(1, ""), func(s *Server, _ func()) {
+		{"server shutdown", get(1, ""), func(_ *Server, stop func()) { stop() }},
+		{"evicted for room", get(1, ""), func(s *Server, _ func()) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			for c := range s.conns {
@@ -179,10 +178,10 @@
 				c.nc.SetReadDeadline(socket.PastDeadline)
 			}
 		}},
-		{"asked to close", get(1, "Connection: close\r\n"), func(*Server, func()) {}},
-		{"ready, asked to close", "GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", func(*Server, func()) {}},
-		{"not understood", "GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n", func(*Server, func()) {}},
-		{"never asked", "", func(s *Server, _ func()) {
+		{"Connection: close", get(1, "Connection: close\r\n"), func(*Server, func()) {}},
+		{"readiness check with Connection: close", "GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", func(*Server, func()) {}},
+		{"malformed request", "GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n", func(*Server, func()) {}},
+		{"no request sent", "", func(s *Server, _ func()) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			for c := range s.conns {
@@ -191,13 +190,13 @@
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := newHolding(100 * time.Millisecond)
-			s, stop := serving(t, h, 64)
+			h := newHeldService(100 * time.Millisecond)
+			s, stop := startServer(t, h, 64)
 			c, r := connect(t, s.Address())
 			if tc.first != "" {
 				send(t, c, tc.first)
 				if strings.Contains(tc.first, "/read ") {
-					came(t, h.taken, "the first request")
+					receiveFrom(t, h.accepted, "the first request")
 					h.serve(1)
 				}
 				if _, err := http.ReadResponse(r, nil); err != nil {
@@ -212,143 +211,142 @@
 			}
 			tc.end(s, stop)
 			if _, err := io.ReadAll(r); err != nil { // up to the end of the server's side
-				t.Fatalf("the end is no plain one: %v", err)
+				t.Fatalf("got error %v, want EOF", err)
 			}
-			if tc.name == "given up for room" {
-				return // there it lasts a moment only
+			if tc.name == "evicted for room" {
+				return // an evicted connection lingers only briefly
 			}
 			for id := 2; id < 40; id++ {
 				if _, err := io.WriteString(c, get(id, "")); err != nil {
-					t.Fatalf("request %d across the end: %v", id, err)
+					t.Fatalf("write request %d after the close: %v", id, err)
 				}
 			}
 			if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-				t.Errorf("after requests across the end: %v", err)
+				t.Errorf("read after requests written after the close: got %v, want EOF", err)
 			}
 			c.Close()
 			select {
-			case inv := <-h.taken:
-				t.Errorf("%s was sent on after the sending side was shut", inv.Outgoing.Header.Get("Req-Id"))
+			case request := <-h.accepted:
+				t.Errorf("request %s was accepted after the sending side was closed", request.Outgoing.Header.Get("Req-Id"))
 			default:
 			}
 		})
 	}
 }
 
-// What a client has sent beyond its request is no reason to reset the answer.
-func TestNoCloseOverUnreadBytes(t *testing.T) {
+// Bytes that a client has sent after its request must not cause a reset that loses the response.
+func TestUnreadBytesDoNotResetResponse(t *testing.T) {
 	for _, size := range []int{1, 100, 5 << 10, 100 << 10} {
-		h := newHolding(time.Minute)
-		s, _ := serving(t, h, 64)
+		h := newHeldService(time.Minute)
+		s, _ := startServer(t, h, 64)
 		c, r := connect(t, s.Address())
 		send(t, c, get(1, "Connection: close\r\n")+strings.Repeat("x", size))
-		came(t, h.taken, "the request")
+		receiveFrom(t, h.accepted, "the request")
 		h.serve(1)
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil || resp.StatusCode != http.StatusOK {
-			t.Fatalf("%d bytes beyond: %v, %v", size, resp, err)
+			t.Fatalf("%d bytes after the request: got response %v, error %v, want status 200", size, resp, err)
 		}
 		if rest, err := io.ReadAll(r); err != nil || len(rest) > 0 {
-			t.Errorf("%d bytes beyond: then %q, %v", size, rest, err)
+			t.Errorf("%d bytes after the request: got %q, error %v after the response, want EOF", size, rest, err)
 		}
 		c.Close()
 	}
 }
 
-// A client that leaves while its request is open is noticed, whatever it has sent
-// behind it, and the request is cancelled once.
-func TestClientsThatLeaveAfterPipelining(t *testing.T) {
+// A client that disconnects while its request is open is detected, whatever it has sent after the request, and the
+// request is cancelled once.
+func TestClientCloseDetectedAfterPipelining(t *testing.T) {
 	closes := func(c *net.TCPConn) { c.Close() }
 	resets := func(c *net.TCPConn) { c.SetLinger(0); c.Close() }
 	half := func(c *net.TCPConn) { c.CloseWrite() }
 	for _, more := range []int{0, 1, 100, 4 << 10, 5 << 10, 64 << 10} {
-		for name, leave := range map[string]func(*net.TCPConn){"closes": closes, "resets": resets, "ends its side": half} {
+		for name, leave := range map[string]func(*net.TCPConn){"closes": closes, "resets": resets, "closes its sending side": half} {
 			t.Run(fmt.Sprint(more, " more, ", name), func(t *testing.T) {
-				h := newHolding(time.Minute)
-				s, _ := serving(t, h, 64)
+				h := newHeldService(time.Minute)
+				s, _ := startServer(t, h, 64)
 				c, _ := connect(t, s.Address())
 				send(t, c, get(1, "")+strings.Repeat("x", more))
-				came(t, h.taken, "the request")
+				receiveFrom(t, h.accepted, "the request")
 				leave(c)
-				if got := came(t, h.left, "the client has left"); got != 1 {
-					t.Errorf("request %d", got)
+				if got := receiveFrom(t, h.departed, "the disconnect"); got != 1 {
+					t.Errorf("got disconnect for ticket %d, want 1", got)
 				}
-				h.serve(1) // too late: of no effect
+				h.serve(1) // no effect: the request has ended
 			})
 		}
 	}
 }
 
-// Where no read notices that a client leaves, right before an attempt it is asked: behind more bytes and in an upload.
-// What it is told of at once is the end of the request too, and that is not noticed a second time.
-func TestClientsThatLeaveAreNoticedBeforeAnAttempt(t *testing.T) {
+// Where no read detects a disconnect (further bytes after the request, an upload), Client.Left polls the connection
+// before an attempt. It also ends the request, so that the disconnect is reported to the service once.
+func TestClientCloseDetectedBeforeAttempt(t *testing.T) {
 	const upload = "POST /burn HTTP/1.1\r\nHost: x\r\nReq-Id: %d\r\nContent-Length: 9000000\r\n\r\n"
-	h := newHolding(time.Minute)
-	s, _ := serving(t, h, 64)
+	h := newHeldService(time.Minute)
+	s, _ := startServer(t, h, 64)
 	id := 0
 	later := "" // sent once the request is open
 	for name, text := range map[string]func() string{
-		"one byte behind":   func() string { return get(id, "") + "x" },
-		"more than is held": func() string { return get(id, "") + strings.Repeat("x", 64<<10) },
-		"one byte later":    func() string { later = "x"; return get(id, "") },
-		"a request behind":  func() string { return get(id, "") + get(-id, "") },
-		"in an upload":      func() string { return fmt.Sprintf(upload, id) + strings.Repeat("y", 80<<10) },
+		"one byte pipelined":             func() string { return get(id, "") + "x" },
+		"more than the buffer pipelined": func() string { return get(id, "") + strings.Repeat("x", 64<<10) },
+		"one byte later":                 func() string { later = "x"; return get(id, "") },
+		"a request pipelined":            func() string { return get(id, "") + get(-id, "") },
+		"in an upload":                   func() string { return fmt.Sprintf(upload, id) + strings.Repeat("y", 80<<10) },
 	} {
 		for how, leave := range map[string]func(*net.TCPConn){
-			"closes":        func(c *net.TCPConn) { c.Close() },
-			"resets":        func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
-			"ends its side": func(c *net.TCPConn) { c.CloseWrite() },
+			"closes":                  func(c *net.TCPConn) { c.Close() },
+			"resets":                  func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
+			"closes its sending side": func(c *net.TCPConn) { c.CloseWrite() },
 		} {
 			t.Run(name+", "+how, func(t *testing.T) {
 				id++
 				later = ""
 				c, _ := connect(t, s.Address())
 				send(t, c, text())
-				client := came(t, h.taken, "the request").Outgoing.Client
+				client := receiveFrom(t, h.accepted, "the request").Outgoing.Client
 				send(t, c, later)
 				time.Sleep(10 * time.Millisecond) // until its bytes have been seen
 				if client.Left() {
-					t.Fatal("it has not left")
+					t.Fatal("Left: got true before the disconnect, want false")
 				}
 				leave(c)
 				left := time.Now()
 				for !client.Left() {
 					if took := time.Since(left); took > 100*time.Millisecond {
-						t.Fatalf("not noticed in %v", took)
+						t.Fatalf("disconnect not detected within %v", took)
 					}
 				}
-				came(t, h.left, "the client has left")
+				receiveFrom(t, h.departed, "the disconnect")
 			})
 		}
 	}
 }
 
-// One that has sent much of a request that nobody reads yet is noticed too.
-func TestClientsThatLeaveDuringAnUpload(t *testing.T) {
+// A client that disconnects during an upload is detected although no read of its body is in progress.
+func TestClientCloseDetectedDuringUpload(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){
 		"closes": func(c *net.TCPConn) { c.Close() }, "resets": func(c *net.TCPConn) { c.SetLinger(0); c.Close() }} {
 		t.Run(name, func(t *testing.T) {
-			h := newHolding(time.Minute)
-			s, _ := serving(t, h, 64)
+			h := newHeldService(time.Minute)
+			s, _ := startServer(t, h, 64)
 			c, _ := connect(t, s.Address())
 			send(t, c, "POST /burn HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\nContent-Length: 9000000\r\n\r\n"+strings.Repeat("y", 80<<10))
-			inv := came(t, h.taken, "the request")
+			request := receiveFrom(t, h.accepted, "the request")
 			leave(c)
-			came(t, h.left, "the client has left")
-			if _, err := io.Copy(io.Discard, inv.Outgoing.Stream); err == nil { // which takes an end for no error
-				t.Error("the rest of its body ends as if it were whole")
+			receiveFrom(t, h.departed, "the disconnect")
+			if _, err := io.Copy(io.Discard, request.Outgoing.Stream); err == nil { // nil means EOF
+				t.Error("read of the truncated body: got EOF, want an error")
 			}
 		})
 	}
 }
 
-// Requests that come at once are answered in turn, the one that had begun to come in
-// while another was open too.
-func TestRequestsBehindOneAnother(t *testing.T) {
-	for _, n := range []int{2, 3, 200} { // the last are more than is kept
-		for _, early := range []bool{true, false} { // the next come before the first is answered, or after
-			h := newHolding(time.Minute)
-			s, _ := serving(t, h, 64)
+// Pipelined requests are answered in order, including one of which a part was received while another was open.
+func TestPipelinedRequestsAnsweredInOrder(t *testing.T) {
+	for _, n := range []int{2, 3, 200} { // 200 requests exceed the read buffer
+		for _, early := range []bool{true, false} { // whether the rest is sent before the first response
+			h := newHeldService(time.Minute)
+			s, _ := startServer(t, h, 64)
 			c, r := connect(t, s.Address())
 			text := ""
 			for id := range n {
@@ -356,75 +354,75 @@
 			}
 			first := len(get(0, ""))
 			send(t, c, text[:first+20])
-			came(t, h.taken, "the first request")
+			receiveFrom(t, h.accepted, "the first request")
 			if early {
 				send(t, c, text[first+20:])
 			}
 			h.serve(1)
-			status200(t, r)
+			expectOK(t, r)
 			if !early {
 				send(t, c, text[first+20:])
 			}
 			for id := 1; id < n; id++ {
-				came(t, h.taken, "the next request")
+				receiveFrom(t, h.accepted, "the next request")
 				h.serve(uint64(id + 1))
-				status200(t, r)
+				expectOK(t, r)
 			}
 			c.Close()
 		}
 	}
 }
 
-// What is open when the process is about to be killed is answered before, once; where
-// only a listener goes, it has its time.
-func TestAnsweredBeforeTheKill(t *testing.T) {
+// Requests still open shortly before the process may be killed are answered then, once. If the process stays and only
+// the listener closes, they keep their deadline.
+func TestOpenRequestsAnsweredBeforeKill(t *testing.T) {
 	for _, stays := range []bool{false, true} {
 		t.Run(fmt.Sprint("stays ", stays), func(t *testing.T) {
-			h := newHolding(300 * time.Millisecond)
-			h.plan = func(killed time.Duration) drain.Plan {
-				p := drain.Shutdown(killed)
+			h := newHeldService(300 * time.Millisecond)
+			h.plan = func(killDelay time.Duration) drain.Plan {
+				p := drain.Shutdown(killDelay)
 				p.KeepsProcess = stays
 				return p
 			}
-			s, stop := serving(t, h, 64)
+			s, stop := startServer(t, h, 64)
 			c, r := connect(t, s.Address())
 			send(t, c, get(1, "Req-Deadline-Ms: 60000\r\n"))
-			came(t, h.taken, "the request")
+			receiveFrom(t, h.accepted, "the request")
 			began := time.Now()
 			stop()
-			stop() // stopping again changes nothing
+			stop() // a second stop must have no effect
 			if stays {
-				for open := true; open; { // past the time at which it would have been killed
+				for open := true; open; { // until after the kill delay
 					s.mu.Lock()
 					open = s.stoppedAt.IsZero() || time.Since(s.stoppedAt) < s.killDelay
 					s.mu.Unlock()
 					time.Sleep(time.Millisecond)
 				}
 				h.serve(1)
-				status200(t, r)
+				expectOK(t, r)
 				return
 			}
 			resp, err := http.ReadResponse(r, nil)
 			if err != nil || resp.StatusCode != http.StatusGatewayTimeout || !resp.Close {
-				t.Fatalf("answered %v, %v", resp, err)
+				t.Fatalf("got response %v, error %v, want status 504 with Connection: close", resp, err)
 			}
-			if killed := 300*time.Millisecond + killGrace; time.Since(began) > killed {
-				t.Errorf("after %v, killed after %v", time.Since(began), killed)
+			if killDelay := 300*time.Millisecond + killGrace; time.Since(began) > killDelay {
+				t.Errorf("answered after %v, want at most the kill delay %v", time.Since(began), killDelay)
 			}
 			h.serve(1)
 			if rest, err := io.ReadAll(r); err != nil || len(rest) > 0 {
-				t.Errorf("then %q, %v", rest, err)
+				t.Errorf("after the response: got %q, error %v, want EOF", rest, err)
 			}
 			if len(h.expired) != 1 {
-				t.Errorf("expired %d times", len(h.expired))
+				t.Errorf("got %d expired requests, want 1", len(h.expired))
 			}
 		})
 	}
 }
 
-// An answer may be through only after its client has gone and the connection has
-// ended: it must not come back to life, nor count among those that leave.
-func TestAnEndedConnectionStaysEnded(t *testing.T) {
+// A result may be written after the client has disconnected and the connection has closed. The connection must then
+// stay closed and must not count as evicted.
+func TestClosedConnectionStaysClosed(t *testing.T) {
 	s, err := Listen("127.0.0.1:0", 16, false, new(buffer.Pool))
 	if err != nil {
 		t.Fatal(err)
@@ -444,17 +442,17 @@
 	c.close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drainSince = time.Now().Add(-time.Hour) // all go
+	s.drainSince = time.Now().Add(-time.Hour) // the drain closes all idle connections
 	c.becomeIdleLocked()
 	c.evictLocked()
 	c.beginLingerLocked(lingerPeriod)
 	if c.state != stateClosed || c.evicted || s.evicted != 0 || len(s.conns) != 0 {
-		t.Errorf("state %d, gone %v, %d leaving, %d connections", c.state, c.evicted, s.evicted, len(s.conns))
+		t.Errorf("got state %d, evicted %v, %d evicted in all, %d connections, want a closed connection and no other", c.state, c.evicted, s.evicted, len(s.conns))
 	}
 }
 
-// Beyond the connections reserved for rejections a new one is answered 503, though its request is unread.
-func TestRequestRefusedUnreadIsAnswered(t *testing.T) {
+// A connection beyond the reserve is answered 503 without its request being read, and is not reset.
+func TestConnectionBeyondReserveAnswered503(t *testing.T) {
 	s, err := Listen("127.0.0.1:0", 16, false, new(buffer.Pool))
 	if err != nil {
 		t.Fatal(err)
@@ -465,7 +463,7 @@
 	}
 	for _, size := range []int{0, 100, 16 << 10} {
 		client, r := connect(t, s.Address())
-		send(t, client, get(1, "")+strings.Repeat("x", size)) // has arrived once it is written
+		send(t, client, get(1, "")+strings.Repeat("x", size)) // received once it is written: loopback
 		nc, err := acceptOne(s)
 		if err != nil {
 			t.Fatal(err)
@@ -473,22 +471,22 @@
 		s.addConn(nc, false)
 		text, err := io.ReadAll(r)
 		if err != nil || !strings.HasPrefix(string(text), "HTTP/1.1 503") {
-			t.Errorf("%d bytes behind: %q, %v", size, text, err)
+			t.Errorf("%d bytes after the request: got %q, error %v, want status 503", size, text, err)
 		}
 		if _, err := io.WriteString(client, "x"); err != nil {
-			t.Errorf("%d bytes behind: the end was a reset: %v", size, err)
+			t.Errorf("%d bytes after the request: write after the close failed: %v", size, err)
 		}
 	}
 }
 
-// A client may have left before its request is read: it lay in the listener's queue, or
-// behind another request. Nobody waits for an answer any more, so it is not accepted.
-func TestRequestOfAClientThatLeftIsNotAccepted(t *testing.T) {
+// A client may disconnect before its request is read, while the request waits in the listener's queue or behind another
+// request. Such a request must not be accepted, because no client waits for the response.
+func TestRequestNotAcceptedAfterClientClose(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){
-		"closes": func(c *net.TCPConn) { c.Close() }, "ends its side": func(c *net.TCPConn) { c.CloseWrite() }} {
+		"closes": func(c *net.TCPConn) { c.Close() }, "closes its sending side": func(c *net.TCPConn) { c.CloseWrite() }} {
 		for _, text := range []string{get(1, ""), "POST /burn HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\nContent-Length: 90000\r\n\r\n" + strings.Repeat("y", 90000)} {
 			t.Run(fmt.Sprint("in the queue, ", name, ", ", len(text), " bytes"), func(t *testing.T) {
-				h := newHolding(time.Minute)
+				h := newHeldService(time.Minute)
 				s, err := Listen("127.0.0.1:0", 64, false, new(buffer.Pool))
 				if err != nil {
 					t.Fatal(err)
@@ -497,33 +495,33 @@
 				send(t, c, text)
 				leave(c)
 				ctx, cancel := context.WithCancel(context.Background())
-				over := make(chan error, 1)
-				go func() { over <- s.Serve(ctx, h) }()
-				other, r := connect(t, s.Address()) // whose request comes behind it
+				served := make(chan error, 1)
+				go func() { served <- s.Serve(ctx, h) }()
+				other, r := connect(t, s.Address()) // a second client, later in the queue
 				send(t, other, get(2, ""))
-				if inv := came(t, h.taken, "the other request"); inv.Outgoing.Header.Get("Req-Id") == "1" {
-					t.Error("sent on though its client had left")
+				if request := receiveFrom(t, h.accepted, "the other request"); request.Outgoing.Header.Get("Req-Id") == "1" {
+					t.Error("accepted the request of a client that had disconnected")
 				} else {
 					h.serve(1)
-					status200(t, r)
+					expectOK(t, r)
 				}
 				other.Close()
 				c.Close()
 				cancel()
-				if err := <-over; err != nil {
+				if err := <-served; err != nil {
 					t.Error(err)
 				}
-				if len(h.taken) > 0 || len(s.conns) != 0 || len(s.openIDs) != 0 {
-					t.Errorf("%d more taken, %d connections, %d ids", len(h.taken), len(s.conns), len(s.openIDs))
+				if len(h.accepted) > 0 || len(s.conns) != 0 || len(s.openIDs) != 0 {
+					t.Errorf("got %d more accepted requests, %d connections, %d open ids, want none", len(h.accepted), len(s.conns), len(s.openIDs))
 				}
 			})
 		}
-		t.Run("behind another, "+name, func(t *testing.T) {
-			h := newHolding(time.Minute)
-			s, _ := serving(t, h, 64)
+		t.Run("behind another request, "+name, func(t *testing.T) {
+			h := newHeldService(time.Minute)
+			s, _ := startServer(t, h, 64)
 			c, _ := connect(t, s.Address())
 			send(t, c, get(1, ""))
-			came(t, h.taken, "the first request")
+			receiveFrom(t, h.accepted, "the first request")
 			send(t, c, get(2, ""))
 			leave(c)
 			h.serve(1)
@@ -533,8 +531,8 @@
 				s.mu.Unlock()
 				time.Sleep(time.Millisecond)
 			}
-			if len(h.taken) > 0 {
-				t.Error("the second was sent on though its client had left")
+			if len(h.accepted) > 0 {
+				t.Error("accepted the second request of a client that had disconnected")
 			}
 		})
 	}
--- a/downstream/request.go
+++ b/downstream/request.go
@@ -24,28 +24,28 @@
 const (
 	maxHeadBytes = 32 << 10  // of a request
 	maxIDBytes   = 256       // of a Req-Id
-	maxRemaining = time.Hour // no client is believed to wait longer
+	maxRemaining = time.Hour // longer deadlines are cut to this
 
-	// Bytes of a body in chunks, with their framing: a chunk for each byte takes six.
+	// Bytes of a chunked body including its framing. One chunk per body byte takes six bytes for each.
 	maxChunkedBytes = 8 * message.MaxBody
 
-	// keyParameter of the query names what the request concerns.
+	// Query parameter that names the resource of a request, for endpoint affinity.
 	keyParameter = "k"
 )
 
 // unsafeMethods are the methods of requests that are not safe to repeat.
 var unsafeMethods = []string{http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete}
 
-// requestError is the answer to a request that can't be accepted.
+// requestError rejects a request with a status.
 type requestError struct {
 	status int
 	text   string
 }
 
-// Error implements error: it is what is wrong with the request.
+// Error returns the reason for the rejection.
 func (e *requestError) Error() string { return e.text }
 
-// retryAfter is when to come back, where that helps.
+// retryAfter returns the value of Retry-After: 0, which omits the header, unless the status is 503.
 func (e *requestError) retryAfter() time.Duration {
 	if e.status == http.StatusServiceUnavailable {
 		return overloadRetryAfter
@@ -53,11 +53,11 @@
 	return 0
 }
 
-// badRequest is a requestError of status 400.
+// badRequest returns a requestError with status 400.
 func badRequest(text string) error { return &requestError{http.StatusBadRequest, text} }
 
-// readHead reads the head of the next request and how its body is delimited. An error that is not a requestError
-// means that the client broke off.
+// readHead reads the head of the next request and returns it with the framing of its body. An error that is not a
+// requestError means that the connection ended within the head.
 func (c *conn) readHead() (*http.Request, framing.Body, error) {
 	c.readLimit = maxHeadBytes
 	text, err := framing.ReadHead(c.reader, maxHeadBytes)
@@ -77,8 +77,8 @@
 	return req, body, nil
 }
 
-// readBody reads the body of a request whose head has been read, as far as it is held in memory. What is still to be
-// received of it then is returned too.
+// readBody reads the body of a request after its head. A body longer than message.MaxBufferedBody is buffered only in
+// part; the upload reads the remainder.
 func (c *conn) readBody(req *http.Request, framed framing.Body) (*buffer.Body, *upload, error) {
 	if framed.Length == 0 && !framed.Chunked {
 		return nil, nil, nil
@@ -104,7 +104,7 @@
 	return body, newUpload(c, source, message.MaxBody-int64(body.Len())), nil
 }
 
-// answerExpectation answers 100 Continue to a client that waits for it before it sends the body.
+// answerExpectation writes 100 Continue to a client that expects it before it sends the body.
 func (c *conn) answerExpectation(expectation string) error {
 	switch {
 	case expectation == "":
@@ -117,23 +117,24 @@
 	return nil
 }
 
-// readError is the error of a part of a request that could not be read.
+// readError converts an error from reading a part of a request, "head" or "body", to a requestError if the client can
+// still be answered.
 func (c *conn) readError(err error, part string, tooLargeStatus int) error {
 	tooLarge := errors.Is(err, framing.ErrHeadTooLarge) || errors.Is(err, buffer.ErrTooLarge) || c.readLimit <= 0
 	switch {
 	case tooLarge:
 		return &requestError{tooLargeStatus, "the " + part + " is too large"}
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return &requestError{http.StatusRequestTimeout, "the " + part + " did not come in time"}
+		return &requestError{http.StatusRequestTimeout, "the " + part + " was not received in time"}
 	case socket.MayPass(err):
-		return &requestError{http.StatusServiceUnavailable, "the " + part + " can't be received now"}
+		return &requestError{http.StatusServiceUnavailable, "the " + part + " can't be read because of a local fault"}
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), c.broken:
 		return err
 	}
 	return badRequest("malformed " + part)
 }
 
-// readRequest reads what is left of a request whose head has been read, and finds its route.
+// readRequest finds the route of a request whose head has been read, and reads and parses the rest of the request.
 func (c *conn) readRequest(req *http.Request, framed framing.Body) (Route, *message.Request, error) {
 	route, err := c.server.findRoute(req)
 	if err != nil {
@@ -156,7 +157,7 @@
 	return route, request, nil
 }
 
-// reserveBody takes memory for as much of a body as is held, and returns the function that gives it back.
+// reserveBody reserves memory for the part of a body that is buffered, and returns the function that releases it.
 func reserveBody(service Service, framed framing.Body) (release func(), err error) {
 	if framed.Length == 0 && !framed.Chunked {
 		return func() {}, nil
@@ -167,12 +168,13 @@
 	}
 	release, ok := service.ReserveBody(int(size))
 	if !ok {
-		return nil, &requestError{http.StatusServiceUnavailable, "no room for the body"}
+		return nil, &requestError{http.StatusServiceUnavailable, "no memory for the body"}
 	}
 	return release, nil
 }
 
-// readParsed reads the body of a request and parses the whole of it.
+// readParsed reads the body of a request and parses the request. If the body is not buffered completely, the outgoing
+// request gets a stream of the remainder.
 func (c *conn) readParsed(req *http.Request, framed framing.Body, route *Route) (*message.Request, error) {
 	body, stream, err := c.readBody(req, framed)
 	if err != nil {
@@ -213,7 +215,8 @@
 	return found, nil
 }
 
-// statedClass is the class that a request names.
+// statedClass returns the class that a request states: the Req-Kind header or, without it, the first segment of the
+// path.
 func statedClass(req *http.Request) string {
 	if kind := req.Header.Get(http1.HeaderKind); kind != "" {
 		return kind
@@ -221,14 +224,14 @@
 	return firstSegment(req)
 }
 
-// firstSegment is the first segment of a request's path.
+// firstSegment returns the first segment of a request's path.
 func firstSegment(req *http.Request) string {
 	first, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
 	return first
 }
 
-// parse parses the headers of a request, by the classes of its pool. routeClass is the class of requests that state
-// none; if it is empty that is the first segment of the path.
+// parse checks the headers of a request against the classes of its pool and converts it to a message.Request.
+// routeClass is the class of requests that state none; if it is empty, the first segment of the path is used.
 func (p *PoolClasses) parse(req *http.Request, body *buffer.Body, routeClass string) (*message.Request, error) {
 	receivedAt := time.Now()
 	if err := checkRequestLine(req); err != nil {
@@ -248,7 +251,7 @@
 		Write:       req.Method != http.MethodGet,
 		ReceivedAt:  receivedAt,
 		Remaining:   p.Deadlines[class],
-		Key:         keyOf(req),
+		Key:         affinityKey(req),
 	}
 	if text, stated := req.Header[http1.HeaderDeadline]; stated {
 		milliseconds, ok := framing.Digits(text[0])
@@ -260,7 +263,7 @@
 	return request, nil
 }
 
-// checkRequestLine checks what every request must state.
+// checkRequestLine checks the HTTP version, the target and the Host and Req-Id headers.
 func checkRequestLine(req *http.Request) error {
 	id := req.Header.Get(http1.HeaderID)
 	unprintable := func(r rune) bool { return r <= ' ' || r > '~' }
@@ -275,7 +278,7 @@
 	return nil
 }
 
-// classOf is the index of a request's class.
+// classOf returns the index of a request's class.
 func (p *PoolClasses) classOf(req *http.Request, routeClass string) (int, error) {
 	first := firstSegment(req)
 	name := req.Header.Get(http1.HeaderKind)
@@ -295,8 +298,8 @@
 	return class, nil
 }
 
-// checkEffect requires that a request fits the effect of its class, which decides how often it may be executed: a
-// method that contradicts it must be a mistake.
+// checkEffect checks that the method, body and idempotency key of a request fit the effect of its class. The effect
+// decides how often the request may be executed, so a method that contradicts it is rejected as a client error.
 func checkEffect(effect balancer.Effect, req *http.Request, body *buffer.Body) error {
 	methodFits := false
 	switch effect {
@@ -311,15 +314,15 @@
 	case !methodFits:
 		return &requestError{http.StatusMethodNotAllowed, "method does not fit " + http1.HeaderKind}
 	case effect == balancer.Safe && body.Len() > 0:
-		return badRequest("a body where none belongs")
+		return badRequest("unexpected body in a safe request")
 	case effect == balancer.Keyed && req.Header.Get(http1.HeaderKey) == "":
 		return badRequest(http1.HeaderKey + " is missing")
 	}
 	return nil
 }
 
-// keyOf is the hash of what a request concerns, or 0 where it does not state it.
-func keyOf(req *http.Request) uint64 {
+// affinityKey returns the hash of the query parameter keyParameter, or 0 if the request has none.
+func affinityKey(req *http.Request) uint64 {
 	if req.URL.RawQuery == "" {
 		return 0
 	}
@@ -328,6 +331,6 @@
 		return 0
 	}
 	hash := fnv.New64a()
-	_, _ = io.WriteString(hash, key) // a hash takes all bytes
+	_, _ = io.WriteString(hash, key) // a hash.Hash never returns an error
 	return hash.Sum64()
 }
--- a/downstream/response.go
+++ b/downstream/response.go
@@ -14,10 +14,10 @@
 	"ryerill/message"
 )
 
-// progressTimeout ends a long response of which the client takes nothing for so long.
+// progressTimeout ends a streamed response if a part of it can't be written to the client within this time.
 const progressTimeout = 10 * time.Second
 
-// headCapacity is the initial size of a head's buffer: enough for most responses.
+// headCapacity is the initial size in bytes of a head's buffer, enough for most responses.
 const headCapacity = 256
 
 // responseHead is the head of a response.
@@ -25,12 +25,13 @@
 	status     int
 	length     int64 // of the body, or message.UnknownLength
 	header     http.Header
-	retryAfter time.Duration // 0 is none
-	closes     bool          // the connection ends with the response
-	http10     bool          // the client does not understand chunks
+	retryAfter time.Duration // 0 omits the header
+	closes     bool          // the connection closes after the response
+	http10     bool          // the client does not support chunked bodies
 }
 
-// encode writes the head. A body of unknown length goes in chunks, to a client of HTTP/1.0 until the connection ends.
+// encode returns the encoded head. A body of unknown length is chunked; for an HTTP/1.0 client it ends with the
+// connection.
 func (h *responseHead) encode() []byte {
 	b := make([]byte, 0, headCapacity)
 	b = append(b, "HTTP/1.1 "...)
@@ -58,7 +59,7 @@
 	return append(b, "\r\n"...)
 }
 
-// statusOf is the status of a result.
+// statusOf returns the HTTP status of a result.
 func statusOf(kind message.ResultKind) int {
 	switch kind {
 	case message.Served:
@@ -71,11 +72,11 @@
 	return http.StatusBadGateway
 }
 
-// writeResult writes a final result and notifies the reader, over written, whether the connection goes on.
+// writeResult writes a final result and sends on written whether the connection stays open.
 func (c *conn) writeResult(result message.Result, id string, closes bool, stream *upload, written chan<- bool) {
 	defer result.Response.Free()
 	c.server.releaseID(id, c)
-	early := stream != nil && !stream.abandon() // before the whole request has been received
+	early := stream != nil && !stream.abandon() // the request has not been received completely
 	closes = closes || early || c.server.phase().ClosesAfterResponse
 	head := responseHead{status: statusOf(result.Kind), retryAfter: result.RetryAfter, closes: closes, http10: c.http10}
 	var body *buffer.Body
@@ -99,7 +100,7 @@
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	switch {
-	case !whole: // what is truncated must not look whole
+	case !whole: // close at once, so that the truncated response does not look complete
 		c.truncated = true
 		c.nc.Close()
 	case closes && early:
@@ -112,20 +113,21 @@
 	written <- whole && !closes
 }
 
-// writeStream writes a response whose body is still being received. It reports whether all of it is written.
+// writeStream writes a response whose body is still being received: body is the part received so far, rest reads the
+// remainder. It reports whether everything was written.
 func (c *conn) writeStream(head *responseHead, body *buffer.Body, rest io.Reader) bool {
 	chunked := head.length == message.UnknownLength && !c.http10
-	c.nc.SetReadDeadline(time.Time{}) // it may take longer than the client would have waited for its beginning
+	c.nc.SetReadDeadline(time.Time{}) // the stream may last beyond the deadline of the request
 	whole := c.writeMessage(head.encode(), nil) &&
 		(body.Len() == 0 || c.writePart(body.AppendTo(nil), chunked)) &&
 		c.copyStream(rest, chunked)
 	if !whole && c.http10 {
-		_ = c.nc.SetLinger(0) // reset: without chunks an orderly close would make the body look complete
+		_ = c.nc.SetLinger(0) // reset on close: without chunks, an orderly close would make the body look complete
 	}
 	return whole
 }
 
-// copyStream writes the remainder of a response as it is received. It reports whether all of it is written.
+// copyStream writes the remainder of a response as it is received. It reports whether everything was written.
 func (c *conn) copyStream(rest io.Reader, chunked bool) bool {
 	block := c.server.buffers.Block()
 	defer c.server.buffers.PutBlock(block)
@@ -143,7 +145,7 @@
 	}
 }
 
-// writePart writes part of a body, as a chunk if it goes in chunks.
+// writePart writes part of a body, as one chunk if chunked is set. It reports whether everything was written.
 func (c *conn) writePart(body net.Buffers, chunked bool) bool {
 	if chunked {
 		body = framing.AppendChunk(nil, body)
@@ -151,8 +153,8 @@
 	return c.writeAll(body, progressTimeout)
 }
 
-// writeReadiness answers whether this proxy is ready. It is from its start on, with the endpoints known from before. It
-// reports whether the connection goes on.
+// writeReadiness answers a readiness check. The proxy is ready from its start, with the endpoint lists restored from
+// the previous run, until it shuts down or is drained. writeReadiness reports whether the connection stays open.
 func (c *conn) writeReadiness(closes bool) (goesOn bool) {
 	phase := c.server.phase()
 	head := responseHead{
@@ -172,7 +174,8 @@
 	return true
 }
 
-// reject answers what can't be accepted, if there is still a client to answer.
+// reject answers a request that can't be accepted with the status of err. If err is not a requestError, the client has
+// disconnected and gets no response.
 func (c *conn) reject(err error) {
 	var rejected *requestError
 	if !errors.As(err, &rejected) {
--- a/downstream/serve.go
+++ b/downstream/serve.go
@@ -15,16 +15,16 @@
 // readyPath is the path of the readiness check.
 const readyPath = "/ready"
 
-// serve handles the connection's requests one after another, and ends it.
+// serve handles the connection's requests one after another, then closes the connection.
 func (c *conn) serve() {
 	defer c.close()
-	written := make(chan bool, 1) // from writeResult: whether the connection goes on
-	for c.serveRequest(written) || c.requestBeforeEnd() {
+	written := make(chan bool, 1) // from writeResult: whether the connection stays open
+	for c.serveRequest(written) || c.requestBeforeClose() {
 	}
 	c.linger()
 }
 
-// serveRequest receives one request and sees it answered. It reports whether the connection goes on.
+// serveRequest receives one request and waits until it is answered. It reports whether the connection stays open.
 func (c *conn) serveRequest(written chan bool) (goesOn bool) {
 	c.readLimit = maxHeadBytes
 	c.requestClass = ""
@@ -54,14 +54,14 @@
 	}
 	request.Remaining = c.server.limitRemaining(request.Remaining)
 	c.requestID = id
-	remaining := request.Remaining // the request is its service's once it is accepted
+	remaining := request.Remaining // read before Accept, which passes the request to the service
 	stream, _ := request.Outgoing.Stream.(*upload)
 	closes := req.Close || c.http10
 	request.Outgoing.Client = c
-	c.unwatched.Store(stream != nil || c.reader.Buffered() > 0)
+	c.needsPoll.Store(stream != nil || c.reader.Buffered() > 0)
 	request.Reply = func(result message.Result) { go c.writeResult(result, id, closes, stream, written) }
 	if stream == nil {
-		c.watchFrom(request.ReceivedAt, remaining)
+		c.setWatchDeadline(request.ReceivedAt, remaining)
 	}
 	open := openRequest{service: route.Service, ticket: route.Service.Accept(request)}
 	c.setOpen(open)
@@ -69,7 +69,7 @@
 		if !c.awaitUpload(stream, open, id, written) {
 			return false
 		}
-		c.watchFrom(time.Now(), remaining)
+		c.setWatchDeadline(time.Now(), remaining)
 	}
 	goesOn, clientLeft := c.awaitResult(written)
 	if clientLeft {
@@ -81,11 +81,11 @@
 	return goesOn
 }
 
-// serveReadiness answers a readiness check.
+// serveReadiness answers a readiness check. It reports whether the connection stays open.
 func (c *conn) serveReadiness(req *http.Request, framed framing.Body) (goesOn bool) {
 	body, stream, err := c.readBody(req, framed)
 	if err == nil && stream != nil {
-		err = &requestError{http.StatusRequestEntityTooLarge, "a body where none belongs"}
+		err = &requestError{http.StatusRequestEntityTooLarge, "unexpected body in a readiness check"}
 	}
 	body.Free()
 	if err != nil {
@@ -96,8 +96,8 @@
 	return c.writeReadiness(req.Close)
 }
 
-// mayAccept reports whether a request that has been received is to be accepted. If not it has been answered, unless its
-// client is gone.
+// mayAccept reports whether a received request may be accepted, and claims its id. If not, mayAccept has answered it,
+// unless the client has disconnected.
 func (c *conn) mayAccept(id string) bool {
 	if c.overLimit || c.server.phase().Rejects {
 		c.server.router.CountRejected(c.requestClass, true)
@@ -106,27 +106,29 @@
 		c.writeMessage(shed.encode(), nil)
 		return false
 	}
-	if socket.PeerClosed(c.nc) { // while its request waited in the listener's queue, or after another request
+	if socket.PeerClosed(c.nc) { // while the request waited in the listener's queue or behind another request
 		c.broken = true
 		c.end = endClientLeft
 		return false
 	}
 	if !c.server.claimID(id, c) {
-		c.reject(&requestError{http.StatusConflict, http1.HeaderID + " is open already"})
+		c.reject(&requestError{http.StatusConflict, http1.HeaderID + " of another open request"})
 		return false
 	}
 	return true
 }
 
-// watchFrom prepares the read that detects that the client has left, for the time that its request may take and more.
-func (c *conn) watchFrom(start time.Time, remaining time.Duration) {
+// setWatchDeadline sets the deadline and the byte limit of the read that detects that the client disconnects while its
+// request is open. The deadline is watchMargin after the request's own.
+func (c *conn) setWatchDeadline(start time.Time, remaining time.Duration) {
 	c.pacing = bodyPacing{}
 	c.readLimit = maxHeadBytes
 	c.nc.SetReadDeadline(start.Add(remaining + watchMargin))
 }
 
-// awaitUpload waits until the remainder of a request's body has been received: until then only the upload reads the
-// connection. It reports false if the connection ends with it.
+// awaitUpload waits until the remainder of a request's body has been received. Until then only the upload reads from
+// the connection, so the client is polled while no such read is pending. awaitUpload reports false if the connection
+// ends.
 func (c *conn) awaitUpload(stream *upload, open openRequest, id string, written <-chan bool) bool {
 	for ended := false; !ended; {
 		select {
@@ -138,7 +140,7 @@
 			}
 			open.service.ClientLeft(open.ticket)
 			stream.abandon()
-			c.broken = true // nobody else reads it any more
+			c.broken = true // safe to set: no other goroutine reads the connection any more
 			c.end = endClientLeft
 			c.server.releaseID(id, c)
 			return false
@@ -149,19 +151,20 @@
 		return true
 	}
 	if !errors.Is(err, errAbandoned) && open.service.ClientLeft(open.ticket) {
-		c.requestClass = "" // its end has been recorded
+		c.requestClass = "" // the service has recorded the end of the request, so reject must not
 		c.server.releaseID(id, c)
 		c.reject(err)
 		return false
 	}
-	<-written // the result, which announces a close
+	<-written // the response announces the close, because the request was not received completely
 	return false
 }
 
-// awaitResult waits until the result is written, and reports whether the connection goes on, or that the client has
-// left, which may be seen only after the beginning of a next request.
+// awaitResult waits until the result is written or the client disconnects. goesOn reports whether the connection stays
+// open. A disconnect is also detected after bytes of the next request have been received.
 func (c *conn) awaitResult(written <-chan bool) (goesOn, clientLeft bool) {
-	// Where the client can't be read for long it is polled, as behind the beginning of a next request.
+	// The read returns when the client disconnects. If it returns bytes of the next request or a local fault instead,
+	// the client is polled below.
 	if _, err := c.reader.Peek(1); err != nil && !socket.MayPass(err) {
 		c.server.mu.Lock()
 		hasResult := len(written) > 0 // writeResult sends before it unlocks the mutex
@@ -171,7 +174,7 @@
 		}
 		return <-written, false
 	}
-	c.unwatched.Store(true)
+	c.needsPoll.Store(true)
 	for len(written) > 0 || !socket.PeerClosed(c.nc) {
 		select {
 		case goesOn := <-written:
@@ -182,16 +185,16 @@
 	return false, true
 }
 
-// Left implements [message.Client]. Where a read waits for the client's end it costs nothing; otherwise the system is
-// asked, also behind bytes that nobody has read, and a request that is open is ended.
+// Left implements [message.Client]. While a pending read detects a close, Left makes no system call. Otherwise it polls
+// the connection, which also detects a close after unread bytes, and ends the open request if the client has left.
 func (c *conn) Left() bool {
-	if !c.unwatched.Load() || !socket.PeerClosed(c.nc) {
+	if !c.needsPoll.Load() || !socket.PeerClosed(c.nc) {
 		return false
 	}
 	c.server.mu.Lock()
 	open := c.open
 	c.server.mu.Unlock()
-	if open.service != nil { // else it is being accepted; the poll ends it
+	if open.service != nil { // if nil, Accept has not returned yet, and the poll of serve ends the request
 		open.service.ClientLeft(open.ticket)
 	}
 	return true
--- a/downstream/server.go
+++ b/downstream/server.go
@@ -15,19 +15,21 @@
 )
 
 const (
-	// Connections beyond the limit that are answered 503, their requests having been read.
+	// Connections beyond the limit whose requests are read and answered 503.
 	reservedConnections = 8
-	// Descriptors kept aside for when the process has no others.
+	// Descriptors held in reserve for when the process has no others.
 	reservedDescriptors = 2
-	// Accepted connections that are made beside others, as the system does not register them at once.
-	maxLateAdmissions = 64
-	// Between two attempts at one of them: its client waits, and it takes several calls that all have to work.
+	// Accepted connections whose admission is retried in goroutines of their own, because the system failed to register
+	// them at once.
+	maxPendingAdmissions = 64
+	// The longest pause between two attempts to admit one of them. It is short because the client waits and an attempt
+	// takes several system calls that must all succeed.
 	maxAdmissionPause = 5 * time.Millisecond
 
-	// While all connections end, a new one may still bring a request for so long.
+	// During a shutdown or drain, a new connection may still send its first request for this long.
 	newConnectionGrace = 500 * time.Millisecond
 
-	overloadRetryAfter = time.Second // advice to clients that are rejected for lack of capacity
+	overloadRetryAfter = time.Second // Retry-After of responses to clients rejected for lack of capacity
 )
 
 // Server accepts the connections of clients and speaks HTTP/1.1 on them.
@@ -41,27 +43,27 @@
 	name        string                           // of the listener
 	faults      *faultlog.Recorder               // nil records nothing
 
-	// mu guards what follows, and the state of each connection.
-	mu             sync.Mutex
-	maxConnections int
-	connEnded      *sync.Cond // a connection has ended, or goes on after all
-	conns          map[*conn]struct{}
-	lateAdmissions int              // accepted connections that the system does not register at once
-	evicted        int              // connections that have been evicted and not ended yet
-	openIDs        map[string]*conn // by Req-Id: connections whose request is open
+	// mu guards the following fields and the state of each connection.
+	mu                sync.Mutex
+	maxConnections    int
+	connEnded         *sync.Cond // a connection or pending admission has ended, or an eviction was cancelled
+	conns             map[*conn]struct{}
+	pendingAdmissions int              // accepted connections whose admission is being retried
+	evicted           int              // connections that have been evicted and have not ended yet
+	openIDs           map[string]*conn // by Req-Id: connections whose request is open
 
 	stoppedAt   time.Time     // when the shutdown began; zero before
-	shutdown    drain.Plan    // from then on
-	killDelay   time.Duration // after stoppedAt: when the process may be killed, at the earliest; 0 is never
-	expireTimer *time.Timer   // has what is open answered before the kill; nil before the shutdown
-	drainSince  time.Time     // when a drain began that an operator ordered; zero is none
-	drainTimer  *time.Timer   // ends idle connections once that drain has come so far
+	shutdown    drain.Plan    // valid once stoppedAt is set
+	killDelay   time.Duration // the process may be killed this long after stoppedAt, at the earliest; 0 is never
+	expireTimer *time.Timer   // expires open requests before the kill; nil before the shutdown
+	drainSince  time.Time     // when the drain ordered by an operator began; zero if there is none
+	drainTimer  *time.Timer   // closes idle connections at that drain's CloseIdle
 }
 
-// Listen opens the address for clients. Of the connections that it may hold, a few are reserved for answering clients
-// beyond the limit that they are shed.
+// Listen returns a server that listens for clients on an address. Of its maxConnections, a few are reserved for
+// answering 503 to clients beyond the limit.
 //
-// A shared address may be listened at by several processes, to which the system distributes new connections.
+// If shared is set, several processes may listen on the address; the system distributes new connections among them.
 func Listen(address string, maxConnections int, shared bool, buffers *buffer.Pool) (*Server, error) {
 	listener, err := socket.Listen(address, shared)
 	if err != nil {
@@ -81,18 +83,18 @@
 	return s, nil
 }
 
-// RecordFaults has the server record calls that fail, under its name, and why connections end. It must be called before
-// Serve.
+// RecordFaults makes the server record failed system calls, under the given name of the listener, and the reasons why
+// connections end. It must be called before Serve.
 func (s *Server) RecordFaults(name string, faults *faultlog.Recorder) {
 	s.name = name
 	s.faults = faults
 }
 
-// withoutReserve is how many connections may bring requests, of all that a server may hold.
+// withoutReserve returns how many of maxConnections may have requests accepted.
 func withoutReserve(maxConnections int) int { return max(maxConnections-reservedConnections, 1) }
 
-// SetMaxConnections changes how many connections the server may hold. Of those beyond it the ones that can be spared
-// end now, the others when their requests do.
+// SetMaxConnections changes how many connections the server may hold. If there are more, it evicts those without an
+// open request, in the order of eviction; later connections evict others as usual.
 func (s *Server) SetMaxConnections(maxConnections int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +108,8 @@
 	}
 }
 
-// Close ends a server that never served.
+// Close releases the listener and the reserved descriptors. Serve calls it; other callers need it only for a server
+// that never served.
 func (s *Server) Close() {
 	s.listener.Close()
 	s.descriptors.Close()
@@ -115,9 +118,9 @@
 // Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Serve passes requests to router until ctx ends. It then goes on accepting for a while, since it takes time until
-// clients know that this proxy ends, and serves the connections that it has for half the time that is left to it: until
-// another proxy is back, there may be nobody else. It returns when all requests that were accepted have been answered.
+// Serve passes requests to router until ctx ends. Then it shuts down by the router's plan: it accepts connections for a
+// while, because clients take time to learn of the shutdown, and serves existing connections for half the remaining
+// time, because no other proxy may be available yet. It returns when all accepted requests have been answered.
 func (s *Server) Serve(ctx context.Context, router Router) error {
 	s.router = router
 	defer s.Close()
@@ -134,7 +137,7 @@
 	return nil
 }
 
-// awaitConnections returns when all connections have ended.
+// awaitConnections waits until all connections and pending admissions have ended.
 func (s *Server) awaitConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,20 +145,20 @@
 	if s.expireTimer != nil {
 		defer s.expireTimer.Stop()
 	}
-	for len(s.conns)+s.lateAdmissions > 0 {
+	for len(s.conns)+s.pendingAdmissions > 0 {
 		s.connEnded.Wait()
 	}
 }
 
-// addConn starts a connection. At the limit another is evicted for it; if all have requests open its requests are shed,
-// and beyond the reserve it is answered unread. With shed, which means that it holds the last descriptor, its requests
-// are shed in any case.
+// addConn starts serving a connection. At the limit it evicts another one; if none can be evicted, the requests of the
+// new connection are shed, and beyond the reserve it is answered 503 without reading a request. shed is set if the
+// connection holds the last descriptor: its requests are shed in any case.
 func (s *Server) addConn(nc *net.TCPConn, shed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	limit := s.maxConnections + reservedConnections
 	for len(s.conns) >= limit && s.evicted > 0 {
-		s.connEnded.Wait() // for a moment: connections that are evicted have nothing left to do
+		s.connEnded.Wait() // takes only a moment: evicted connections have no open request
 	}
 	if len(s.conns) >= limit {
 		s.faults.Ended(string(endUnread))
@@ -176,8 +179,8 @@
 	go c.serve()
 }
 
-// claimID records that a request with this id is open. It reports false if another one is: ids are fresh on every
-// request, and endpoints identify requests by them.
+// claimID records that the request with this id is open. It reports false if the id belongs to another open request:
+// ids must be unique, because endpoints identify requests by them.
 func (s *Server) claimID(id string, c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,7 +191,7 @@
 	return true
 }
 
-// releaseID records that a connection's request with this id is not open any more.
+// releaseID records that the connection's request with this id is no longer open.
 func (s *Server) releaseID(id string, c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/downstream/server_test.go
+++ b/downstream/server_test.go
@@ -19,9 +19,9 @@
 	"ryerill/message"
 )
 
-// A request that has reached this machine counts as taken: giving up its
-// connection in the same moment would reset it and lose the request.
-func TestGivenUpOnlyWhenNothingHasComeIn(t *testing.T) {
+// A request that has reached this machine counts as accepted. Evicting its connection at the same moment must not reset
+// the connection and lose the request.
+func TestEvictionKeepsConnectionWithUnreadBytes(t *testing.T) {
 	for _, tc := range []struct {
 		text string
 		want bool
@@ -46,26 +46,25 @@
 		s.mu.Unlock()
 		io.WriteString(client, tc.text)
 		for until := time.Now().Add(20 * time.Second); (socket.Peek(nc) == socket.Waiting) != tc.want && time.Now().Before(until); {
-			runtime.Gosched() // until the bytes have come in
+			runtime.Gosched() // until the bytes have been received
 		}
 		s.mu.Lock()
 		c.evictLocked()
 		s.mu.Unlock()
 		if got := c.awaitRequest(); got != tc.want {
-			t.Errorf("%q came in: goes on %v", tc.text, got)
+			t.Errorf("%q received before the eviction: awaitRequest returned %v", tc.text, got)
 		}
 	}
 }
 
-// At the limit the connection that is worth least makes room: silent newcomers
-// must not drive out the kept connections of good clients, and what has a
-// request open or is about to bring one stays.
+// At the limit the connection with the lowest rank is evicted. New connections that send nothing must not displace the
+// kept-alive connections of active clients, and a connection with an open or expected request is not evicted.
 func TestEvictionOrder(t *testing.T) {
 	now := time.Now()
-	c := func(s connState, asked bool, so time.Duration) *conn {
-		return &conn{state: s, hasRequested: asked, stateSince: now.Add(-so)}
+	c := func(state connState, hasRequested bool, inState time.Duration) *conn {
+		return &conn{state: state, hasRequested: hasRequested, stateSince: now.Add(-inState)}
 	}
-	order := []*conn{ // from what goes first to what goes last
+	order := []*conn{ // in order of eviction
 		c(stateLingering, true, 0),
 		c(stateIdle, false, 2*freshPeriod),
 		c(stateIdle, false, freshPeriod),
@@ -75,38 +74,37 @@
 		c(stateIdle, true, settledAfter/2),
 		c(stateIdle, true, 0),
 	}
-	gone := c(stateLingering, true, time.Hour)
-	gone.evicted = true
-	s := &Server{conns: map[*conn]struct{}{c(stateBusy, true, time.Hour): {}, c(stateIdle, false, 0): {}, c(stateReading, true, 0): {}, gone: {}}}
+	evicted := c(stateLingering, true, time.Hour)
+	evicted.evicted = true
+	s := &Server{conns: map[*conn]struct{}{c(stateBusy, true, time.Hour): {}, c(stateIdle, false, 0): {}, c(stateReading, true, 0): {}, evicted: {}}}
 	for _, c := range order {
 		s.conns[c] = struct{}{}
 	}
 	for i, want := range order {
 		got := s.evictionCandidateLocked(now)
 		if got != want {
-			t.Fatalf("place %d: %+v, want %+v", i, got, want)
+			t.Fatalf("eviction candidate %d: got %+v, want %+v", i, got, want)
 		}
 		delete(s.conns, got)
 	}
 	if got := s.evictionCandidateLocked(now); got != nil {
-		t.Errorf("then %+v", got)
+		t.Errorf("got eviction candidate %+v, want none left", got)
 	}
 }
 
-// Who is silent, drips or stops in its first request is told within 3 s of
-// connecting. How long that takes is what the constants say; that it happens
-// is shown on a socket.
-func TestNobodyHoldsAConnectionWithoutAsking(t *testing.T) {
+// A client that sends nothing, sends slowly or stalls in its first request is answered, or its connection closed,
+// within 3 s of connecting. The time is checked by the constants, the response on a socket.
+func TestSlowFirstRequestTimesOut(t *testing.T) {
 	if firstRequestTimeout < settledAfter || firstRequestTimeout >= 3*time.Second || requestTimeout >= 3*time.Second {
-		t.Errorf("waits %v for a request to begin and %v for its end", firstRequestTimeout, requestTimeout)
+		t.Errorf("got firstRequestTimeout %v and requestTimeout %v, want both below 3s and the first at least settledAfter", firstRequestTimeout, requestTimeout)
 	}
 	s, err := Listen("127.0.0.1:0", 64, false, new(buffer.Pool))
 	if err != nil {
 		t.Fatal(err)
 	}
-	over := make(chan error)
+	served := make(chan error)
 	ctx, stop := context.WithCancel(t.Context())
-	go func() { over <- s.Serve(ctx, prompt{names}) }()
+	go func() { served <- s.Serve(ctx, immediateService{testClasses}) }()
 	for _, tc := range []struct{ text, want string }{
 		{"", ""},
 		{"GET /read HTTP/1.1\r\nHo", "HTTP/1.1 408"},
@@ -123,48 +121,50 @@
 			io.WriteString(c, tc.text)
 			got, err := io.ReadAll(c)
 			if err != nil || len(got) < len(tc.want) || string(got[:len(tc.want)]) != tc.want {
-				t.Errorf("%q: answered %q, %v", tc.text, got, err)
+				t.Errorf("%q: got response %q, error %v", tc.text, got, err)
 			}
 		})
 	}
 	t.Cleanup(func() {
 		stop()
-		if err := <-over; err != nil {
+		if err := <-served; err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// prompt serves each request at once.
-type prompt struct{ names PoolClasses }
+// immediateService answers each request at once.
+type immediateService struct{ classes PoolClasses }
 
-func (p prompt) Classes() *PoolClasses                        { return &p.names }
-func (prompt) ReserveBody(int) (give func(), ok bool)         { return func() {}, true }
-func (p prompt) MaxDeadline() time.Duration                   { return slices.Max(p.names.Deadlines) }
-func (p prompt) ShutdownPlan(killed time.Duration) drain.Plan { return drain.Shutdown(killed) }
-func (p prompt) CountRejected(string, bool)                   {}
-func (p prompt) CloseSpareConnections()                       {}
-func (p prompt) Find(req *http.Request, _ string) (Route, error) {
+func (p immediateService) Classes() *PoolClasses                { return &p.classes }
+func (immediateService) ReserveBody(int) (give func(), ok bool) { return func() {}, true }
+func (p immediateService) MaxDeadline() time.Duration           { return slices.Max(p.classes.Deadlines) }
+func (p immediateService) ShutdownPlan(killDelay time.Duration) drain.Plan {
+	return drain.Shutdown(killDelay)
+}
+func (p immediateService) CountRejected(string, bool) {}
+func (p immediateService) CloseSpareConnections()     {}
+func (p immediateService) Find(req *http.Request, _ string) (Route, error) {
 	return Route{Service: p, Target: req.RequestURI}, nil
 }
-func (prompt) Accept(inv *message.Request) uint64 {
-	inv.Reply(message.Result{Kind: message.Served})
+func (immediateService) Accept(request *message.Request) uint64 {
+	request.Reply(message.Result{Kind: message.Served})
 	return 0
 }
-func (prompt) ClientLeft(uint64) bool { return false }
-func (prompt) Expire(uint64)          {}
+func (immediateService) ClientLeft(uint64) bool { return false }
+func (immediateService) Expire(uint64)          {}
 
-// After shutdown has begun, clients go on with the connections that they have:
-// until another proxy is back there may be nobody else. Then they are told.
-func TestIdleConnectionsAreServedAfterShutdownBegins(t *testing.T) {
+// After the shutdown has begun, idle connections are still served, because no other proxy may be available yet. Later
+// they are closed.
+func TestIdleConnectionsServedAfterShutdownBegins(t *testing.T) {
 	s, err := Listen("127.0.0.1:0", 64, false, new(buffer.Pool))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	over := make(chan error)
+	served := make(chan error)
 	go func() {
-		over <- s.Serve(ctx, prompt{PoolClasses{Classes: names.Classes, Effects: names.Effects, Deadlines: []time.Duration{time.Minute, 0, 0}}})
+		served <- s.Serve(ctx, immediateService{PoolClasses{Classes: testClasses.Classes, Effects: testClasses.Effects, Deadlines: []time.Duration{time.Minute, 0, 0}}})
 	}()
 	c, err := net.Dial("tcp", s.Address())
 	if err != nil {
@@ -179,62 +179,63 @@
 		return resp
 	}
 	if resp := ask("1"); resp == nil || resp.StatusCode != 200 {
-		t.Fatalf("before shutdown: %+v", resp)
+		t.Fatalf("before the shutdown: got response %+v, want status 200", resp)
 	}
 	began := time.Now()
 	stop()
-	for s.limitRemaining(time.Hour) == time.Hour && time.Since(began) < killGrace { // until shutdown has begun, and past the grace
+	for s.limitRemaining(time.Hour) == time.Hour && time.Since(began) < killGrace { // until the shutdown has begun and limits requests
 		runtime.Gosched()
 	}
 	resp := ask("2")
-	switch late := time.Since(began) >= s.killDelay/2; { // on a busy machine: nothing is promised
+	switch late := time.Since(began) >= s.killDelay/2; { // on a busy machine, idle connections may be closed already
 	case resp == nil && !late:
-		t.Error("after shutdown there is no answer")
+		t.Error("after the shutdown began: got no response, want status 200")
 	case resp != nil && (resp.StatusCode != 200 || resp.Close && !late):
-		t.Errorf("after shutdown: %s, closes %v", resp.Status, resp.Close)
+		t.Errorf("after the shutdown began: got status %s, close %v, want 200, false", resp.Status, resp.Close)
 	}
 	if _, err := r.ReadByte(); err != io.EOF {
-		t.Errorf("it ends with %v", err)
+		t.Errorf("end of the connection: got %v, want EOF", err)
 	}
-	if err := <-over; err != nil {
+	if err := <-served; err != nil {
 		t.Error(err)
 	}
 	for _, tc := range []struct{ since, want time.Duration }{{0, time.Hour}, {time.Second, s.killDelay - killMargin - time.Second}} {
 		s.stoppedAt = time.Now().Add(-tc.since)
 		if got := s.limitRemaining(time.Hour); got > tc.want || got < tc.want-10*time.Second {
-			t.Errorf("%v after shutdown a request may take %v, want %v", tc.since, got, tc.want)
+			t.Errorf("%v after the shutdown began: got remaining time %v, want up to 10s less than %v", tc.since, got, tc.want)
 		}
 	}
 }
 
-// torn takes a long request in, reads it to its end, and is owed an answer then.
-type torn struct {
-	prompt
-	turned chan string
+// failedUploadService accepts an upload, reads it to its end and does not answer it. The server must answer it when the
+// upload fails.
+type failedUploadService struct {
+	immediateService
+	rejected chan string
 }
 
-func (s torn) CountRejected(class string, _ bool) { s.turned <- class }
-func (s torn) CloseSpareConnections()             {}
-func (s torn) Find(req *http.Request, _ string) (Route, error) {
+func (s failedUploadService) CountRejected(class string, _ bool) { s.rejected <- class }
+func (s failedUploadService) CloseSpareConnections()             {}
+func (s failedUploadService) Find(req *http.Request, _ string) (Route, error) {
 	return Route{Service: s, Target: req.RequestURI}, nil
 }
-func (torn) Accept(inv *message.Request) uint64 {
-	go io.Copy(io.Discard, inv.Outgoing.Stream)
+func (failedUploadService) Accept(request *message.Request) uint64 {
+	go io.Copy(io.Discard, request.Outgoing.Stream)
 	return 1
 }
-func (torn) ClientLeft(uint64) bool { return true } // and books its end
+func (failedUploadService) ClientLeft(uint64) bool { return true } // it records the end of the request
 
-// An upload that breaks off is recorded as a request's end where it was taken; the
-// front, which tells the client, must not book it too.
+// The end of a request whose upload fails is recorded by the service that accepted it. The server answers the client
+// and must not record the end a second time.
 func TestBrokenUploadIsRecordedOnce(t *testing.T) {
 	s, err := Listen("127.0.0.1:0", 16, false, new(buffer.Pool))
 	if err != nil {
 		t.Fatal(err)
 	}
-	service := torn{prompt{PoolClasses{Classes: []string{"burn"}, Deadlines: []time.Duration{time.Second}, Effects: []balancer.Effect{balancer.Unsafe}}}, make(chan string, 4)}
+	service := failedUploadService{immediateService{PoolClasses{Classes: []string{"burn"}, Deadlines: []time.Duration{time.Second}, Effects: []balancer.Effect{balancer.Unsafe}}}, make(chan string, 4)}
 	ctx, stop := context.WithCancel(context.Background())
-	over := make(chan error)
-	go func() { over <- s.Serve(ctx, service) }()
+	served := make(chan error)
+	go func() { served <- s.Serve(ctx, service) }()
 	c, err := net.Dial("tcp", s.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -245,16 +246,16 @@
 	io.WriteString(c, "\r\nno chunk\r\n")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != http.StatusBadRequest {
-		t.Errorf("answered %v, %v", resp, err)
+		t.Errorf("got response %v, error %v, want status 400", resp, err)
 	}
 	c.Close()
 	stop()
-	if err := <-over; err != nil {
+	if err := <-served; err != nil {
 		t.Error(err)
 	}
 	select {
-	case class := <-service.turned:
-		t.Errorf("recorded by the server too, as of class %q", class)
+	case class := <-service.rejected:
+		t.Errorf("server recorded the failed upload too, with class %q", class)
 	default:
 	}
 }
--- a/downstream/shutdown.go
+++ b/downstream/shutdown.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// After the signal to stop, a process is killed after the longest deadline or this, whichever is shorter,
+	// After the stop signal, the process may be killed after the longest deadline or this, whichever is shorter, plus
+	// killGrace.
 	maxKillDelay = 3 * time.Second
-	// and this on top. What is received up to then may go unanswered.
+	// Added to the delay above. Requests received during it may remain unanswered.
 	killGrace = 700 * time.Millisecond
-	// The last results are written so long before the kill.
+	// Open requests expire this long before the kill, so that their results are still written.
 	killMargin = 400 * time.Millisecond
-	// Connections are closed so long before the kill.
+	// Lingering connections are closed this long before the kill.
 	closeMargin = killMargin / 4
 )
 
-// beginShutdown is called when the context of Serve ends.
+// beginShutdown starts the shutdown when the context of Serve ends.
 func (s *Server) beginShutdown() {
 	var killDelay time.Duration
 	if longest := s.router.MaxDeadline(); longest > 0 {
@@ -29,20 +30,20 @@
 	s.stoppedAt = time.Now()
 	s.killDelay = killDelay
 	s.shutdown = plan
-	// It can't fail on a listener that is open, and a closed one accepts nothing.
+	// SetDeadline fails only on a closed listener, which accepts no connections anyway.
 	_ = s.listener.SetDeadline(s.stoppedAt.Add(plan.StopAccepting))
 	if killDelay > 0 && !plan.KeepsProcess {
 		s.expireTimer = time.AfterFunc(killDelay-killMargin, s.expireRequests)
 	}
 }
 
-// openRequest is a request that has been accepted by its service.
+// openRequest identifies a request that its service has accepted.
 type openRequest struct {
 	service Service
 	ticket  uint64
 }
 
-// expireRequests has all that is still open answered: the process will be killed.
+// expireRequests expires all open requests, so that they are answered before the process is killed.
 func (s *Server) expireRequests() {
 	for _, open := range s.openRequests() {
 		open.service.Expire(open.ticket)
@@ -60,7 +61,8 @@
 	return all
 }
 
-// beforeKillLocked is t, or shortly before this process may be killed. s.mu is held.
+// beforeKillLocked returns t or closeMargin before the process may be killed, whichever is earlier. Callers must hold
+// s.mu.
 func (s *Server) beforeKillLocked(t time.Time) time.Time {
 	if s.stoppedAt.IsZero() || s.killDelay == 0 || s.shutdown.KeepsProcess {
 		return t
@@ -68,7 +70,8 @@
 	return earlier(t, s.stoppedAt.Add(s.killDelay-closeMargin))
 }
 
-// limitRemaining is how long a request accepted now may take whose client waits for remaining.
+// limitRemaining returns how long a request accepted now may take whose client waits for remaining: less than that if
+// the process may be killed before.
 func (s *Server) limitRemaining(remaining time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +81,7 @@
 	return min(remaining, max(time.Until(s.stoppedAt.Add(s.killDelay-killMargin)), 0))
 }
 
-// Drain empties the server as an operator has ordered, counted from since, or ends the drain if since is zero.
+// Drain starts a drain ordered by an operator, whose phases count from since, or ends it if since is zero.
 func (s *Server) Drain(since time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +95,7 @@
 	}
 }
 
-// phaseLocked is the phase of the shutdown and of the drain together. s.mu is held.
+// phaseLocked returns the combined phase of the shutdown and the drain. Callers must hold s.mu.
 func (s *Server) phaseLocked() drain.Phase {
 	phase := drain.Phase{Ready: true}
 	if !s.stoppedAt.IsZero() {
@@ -104,14 +107,14 @@
 	return phase
 }
 
-// phase is the present phase.
+// phase returns the combined phase of the shutdown and the drain.
 func (s *Server) phase() drain.Phase {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.phaseLocked()
 }
 
-// closeIdle ends all connections that have no request open, if the phase still wants that.
+// closeIdle ends all idle connections if the current phase still requires it: the drain may have ended meanwhile.
 func (s *Server) closeIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/downstream/unread.go
+++ b/downstream/unread.go
@@ -9,15 +9,15 @@
 	"ryerill/internal/socket"
 )
 
-// unreadInterval is how often idle connections are inspected for bytes that nobody reads.
+// unreadInterval is the time between inspections of idle connections for unread bytes.
 const unreadInterval = 250 * time.Millisecond
 
-// unreadWatch finds idle connections on which bytes have come in without their reader's having been told: a read that
-// the system has refused as not ready, though bytes waited, waits for an event that need not follow. One goroutine uses
-// it.
+// unreadWatch finds idle connections with received bytes of which the reader was not notified. If the system reports a
+// socket as not ready although bytes wait, the read blocks until a readiness event that may never follow. An
+// unreadWatch is used by a single goroutine.
 type unreadWatch struct {
 	server  *Server
-	flagged map[*conn]time.Time // had bytes at the last inspection: since when they are in their state
+	flagged map[*conn]time.Time // had unread bytes at the last inspection; the value is when they became idle
 	polled  []unix.PollFd
 }
 
@@ -36,15 +36,15 @@
 	}
 }
 
-// inspect wakes the readers of connections that had unread bytes the last time too.
+// inspect wakes the readers of connections that have unread bytes now and had them at the previous inspection.
 func (w *unreadWatch) inspect() {
 	idle := w.server.idleConnections()
 	before := w.flagged
 	w.flagged = make(map[*conn]time.Time)
 	for _, i := range w.readable(idle) {
 		c := idle[i].conn
-		since := idle[i].since
-		// The descriptor may be another connection's by now: this one is asked itself.
+		since := idle[i].idleSince
+		// The polled descriptor may belong to another connection by now, so the connection itself is inspected.
 		if socket.Peek(c.nc) != socket.Waiting {
 			continue
 		}
@@ -56,7 +56,7 @@
 	}
 }
 
-// readable returns the indexes of the connections whose descriptors can be read, by one call of the system.
+// readable returns the indexes of the connections whose descriptors are readable. It makes one system call for all.
 func (w *unreadWatch) readable(idle []idleConnection) (indexes []int) {
 	if len(idle) == 0 {
 		return nil
@@ -76,10 +76,10 @@
 	return indexes
 }
 
-// idleConnection is a connection that was between requests when it was inspected.
+// idleConnection is a connection that was idle when it was listed.
 type idleConnection struct {
-	conn  *conn
-	since time.Time
+	conn      *conn
+	idleSince time.Time
 }
 
 func (s *Server) idleConnections() (all []idleConnection) {
@@ -93,21 +93,21 @@
 	return all
 }
 
-// wake has the reader read what waits, unless the connection has left the state that it was in since then.
+// wake makes the reader read the waiting bytes, unless the connection has left the idle period that began at since.
 func (c *conn) wake(since time.Time) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	if c.state == stateIdle && !c.evicted && c.stateSince.Equal(since) {
-		c.nc.SetReadDeadline(socket.PastDeadline) // behind which waiting bytes are read
+		c.nc.SetReadDeadline(socket.PastDeadline) // conn.Read reads waiting bytes after the deadline
 	}
 }
 
-// descriptorOf returns the descriptor of a connection, or -1, which a poll passes over.
+// descriptorOf returns the descriptor of a connection, or -1 if it is closed. A poll ignores -1.
 func descriptorOf(c syscall.Conn) int32 {
 	descriptor := int32(-1)
 	raw, err := c.SyscallConn()
 	if err == nil {
-		_ = raw.Control(func(fd uintptr) { descriptor = int32(fd) }) // one that is closed has none
+		_ = raw.Control(func(fd uintptr) { descriptor = int32(fd) }) // fails only on a closed connection
 	}
 	return descriptor
 }
--- a/downstream/upload.go
+++ b/downstream/upload.go
@@ -11,39 +11,41 @@
 )
 
 const (
-	// A body has this time, and more for each byte of it that is received: half the pace that clients are allowed. But
-	// a client that stops in its middle is told after this time without a byte, however much it has sent before.
+	// A body must be received within bodyGrace plus the time that its received bytes take at minBodyBytesPerSecond,
+	// which is half the pace that clients are allowed. A client that stalls is answered after bodyGrace without a byte,
+	// however much it has sent before.
 	bodyGrace             = 2500 * time.Millisecond
 	minBodyBytesPerSecond = 32 << 10
 )
 
-// errAbandoned ends the reading of a body that nobody wants any more.
-var errAbandoned = errors.New("the invocation has ended")
+// errAbandoned ends the upload of a request that has ended before its body was received.
+var errAbandoned = errors.New("upload abandoned: the request has ended")
 
-// bodyPacing is how fast a body is received.
+// bodyPacing measures the pace at which a body is received.
 type bodyPacing struct {
-	began time.Time // zero while no body is read
+	began time.Time // zero while no body is being read
 	bytes int64
 }
 
-// deadline is until when more must be received by a read that begins now.
+// deadline returns the deadline of a read that begins now.
 func (p *bodyPacing) deadline() time.Time {
 	earned := float64(p.bytes) / minBodyBytesPerSecond * float64(time.Second)
 	return earlier(p.began.Add(bodyGrace+time.Duration(earned)), time.Now().Add(bodyGrace))
 }
 
-// upload is the remainder of a long body while it is received. Until it has ended only its reader reads the connection.
+// upload streams the part of a long body that was not buffered when the request was accepted. Until it has ended, only
+// its reader reads from the connection.
 type upload struct {
 	conn      *conn
 	body      io.Reader
-	remaining int64 // bytes that it may still bring
+	remaining int64 // bytes that it may still receive
 
-	// mu guards what follows. The server's mutex may be taken while it is held.
+	// mu guards the following fields. Lock order: mu, then server.mu.
 	mu        sync.Mutex
 	consumed  bool          // part of it has been read: the request can't be sent again
-	reading   bool          // a Read is under way
-	abandoned bool          // it is not wanted any more: the Read under way ends it
-	err       error         // why it has ended; io.EOF is its end
+	reading   bool          // a Read is in progress
+	abandoned bool          // no longer needed: the Read in progress ends the upload
+	err       error         // why the upload ended; io.EOF if it was received completely
 	ended     chan struct{} // closed once err is set
 }
 
@@ -51,7 +53,7 @@
 	return &upload{conn: c, body: body, remaining: remaining, ended: make(chan struct{})}
 }
 
-// Read reads what is received next.
+// Read implements [io.Reader]. Its first error ends the upload.
 func (u *upload) Read(p []byte) (int, error) {
 	if err := u.beginRead(); err != nil {
 		return 0, err
@@ -75,7 +77,7 @@
 	return n, err
 }
 
-// beginRead records that a Read is under way, or returns why the upload has ended.
+// beginRead records that a Read is in progress, or returns why the upload has ended.
 func (u *upload) beginRead() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -87,27 +89,27 @@
 	return nil
 }
 
-// Consumed reports whether any of it has been read.
+// Consumed reports whether Read has been called.
 func (u *upload) Consumed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.consumed
 }
 
-// isUnread reports whether no Read is under way, so that the client's leaving would not be noticed.
+// isUnread reports whether the upload is open and no Read is in progress, so that no read detects a disconnect.
 func (u *upload) isUnread() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return !u.reading && u.err == nil
 }
 
-// endLocked ends the upload. u.mu is held.
+// endLocked ends the upload with err. Callers must hold u.mu.
 func (u *upload) endLocked(err error) {
 	u.err = err
 	close(u.ended)
 }
 
-// abandon ends the upload, also while it is read, and reports whether all of it had been received.
+// abandon ends the upload, interrupting a Read in progress, and reports whether the body was received completely.
 func (u *upload) abandon() (whole bool) {
 	u.mu.Lock()
 	switch {
@@ -123,10 +125,10 @@
 	return errors.Is(u.err, io.EOF)
 }
 
-// abandonUpload ends the read of a body that is under way.
+// abandonUpload interrupts the read of a body that is in progress.
 func (c *conn) abandonUpload() {
 	c.server.mu.Lock()
-	defer c.server.mu.Unlock() // so that no deadline of the pacing follows
+	defer c.server.mu.Unlock() // extendBodyDeadline must not set a later deadline
 	c.uploadAbandoned = true
 	c.nc.SetReadDeadline(socket.PastDeadline)
 }
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -1,5 +1,5 @@
-// Package http1 holds what both sides of the proxy need to write heads of
-// HTTP/1.1: which headers pass, and the names that the protocol gives them.
+// Package http1 provides what both sides of the proxy, downstream and upstream, need to write HTTP/1.1 heads: the names
+// of the protocol's headers, and the rules by which headers are forwarded.
 package http1
 
 import (
@@ -7,27 +7,26 @@
 	"strings"
 )
 
-// Names of the protocol's headers.
+// Headers of the protocol between clients, the proxy and endpoints.
 const (
 	HeaderID       = "Req-Id"
 	HeaderKind     = "Req-Kind"
 	HeaderOwner    = "Req-Owner"
 	HeaderRetry    = "Req-Retry"
 	HeaderKey      = "Idempotency-Key"
-	HeaderDeadline = "Req-Deadline-Ms" // how long the sender will wait
+	HeaderDeadline = "Req-Deadline-Ms" // how long the sender will wait, in milliseconds
 	HeaderDeclined = "Srv-Declined"    // the endpoint has not run the request
 )
 
-// AppendHeader appends the lines of a header to b. It leaves out what concerns
-// one connection alone, what is written anew, and values that could be read as
-// more than one line.
+// AppendHeader appends the lines of header to b and returns the result. It omits hop-by-hop headers, headers that the
+// proxy writes itself, and values with control characters, which could be parsed as more than one line.
 func AppendHeader(b []byte, header http.Header) []byte {
 	for name, values := range header {
-		if stays(name) || !ours(name) && named(header["Connection"], name) {
+		if isOmitted(name) || !isProtocolHeader(name) && connectionNames(header["Connection"], name) {
 			continue
 		}
 		for _, value := range values {
-			if Clean(value) {
+			if HasNoControlCharacters(value) {
 				b = append(append(append(append(b, name...), ": "...), value...), "\r\n"...)
 			}
 		}
@@ -35,7 +34,8 @@
 	return b
 }
 
-func stays(name string) bool {
+// isOmitted reports whether a header is never forwarded: it is hop-by-hop, or the proxy writes its own.
+func isOmitted(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 		"Content-Length", "Host", "Proxy-Authenticate", "Proxy-Authorization", HeaderDeadline:
@@ -44,14 +44,14 @@
 	return false
 }
 
-// ours reports whether a header is part of the protocol between client and
-// endpoint. It always passes: without its id or key a request is another one.
-func ours(name string) bool {
+// isProtocolHeader reports whether a header belongs to the protocol between client and endpoint. Such a header is
+// forwarded even if a Connection header names it, because the id and the key identify the request.
+func isProtocolHeader(name string) bool {
 	return strings.HasPrefix(name, "Req-") || name == "Idempotency-Key"
 }
 
-// named reports whether the values of a Connection header name another header.
-func named(connection []string, name string) bool {
+// connectionNames reports whether the values of a Connection header list the header with the given name.
+func connectionNames(connection []string, name string) bool {
 	for _, value := range connection {
 		for token := range strings.SplitSeq(value, ",") {
 			if strings.EqualFold(strings.TrimSpace(token), name) {
@@ -62,7 +62,7 @@
 	return false
 }
 
-// Clean reports whether text has no control characters.
-func Clean(text string) bool {
+// HasNoControlCharacters reports whether text contains no control characters other than tabs.
+func HasNoControlCharacters(text string) bool {
 	return !strings.ContainsFunc(text, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f })
 }
