--- a/proxy/activity.go
+++ b/proxy/activity.go
@@ -7,17 +7,17 @@
 	"ryerill/fleet"
 )
 
-// maxAttemptResults bounds the attempts' results that wait for the fleet's next observation;
-// further ones would add no evidence.
+// maxAttemptResults bounds the attempt results buffered for the fleet's next observation. Results beyond it add no
+// evidence and are dropped.
 const maxAttemptResults = 4096
 
-// activity is what a pool records for the fleet. The pool's mutex guards it. Methods of
-// a nil activity, where nothing is shared, do nothing unless they say otherwise.
+// activity records the load and the results of a pool for the fleet. It is guarded by the pool's mutex. A nil activity
+// belongs to a pool that shares no state; its methods do nothing unless documented otherwise.
 type activity struct {
-	demand   []float64 // by tenant: requests since the last observation
-	arrivals []uint64  // by class, since the start
+	demand   []float64 // requests since the last observation, by tenant
+	arrivals []uint64  // requests since the start, by class
 	results  []attemptResult
-	total    fleet.PoolActivity // for rollouts, since the start
+	total    fleet.PoolActivity // totals since the start, for rollouts
 }
 
 type attemptResult struct {
@@ -29,7 +29,7 @@
 	return &activity{demand: make([]float64, len(cfg.Tenants)), arrivals: make([]uint64, len(cfg.Classes))}
 }
 
-// requestArrived records a request of a class and a tenant, which may be none that the settings name.
+// requestArrived counts a request by class and tenant. Indices that the settings do not define are ignored.
 func (a *activity) requestArrived(class, tenant int) {
 	if a == nil {
 		return
@@ -42,7 +42,7 @@
 	}
 }
 
-// attemptEnded records an attempt's end.
+// attemptEnded records the outcome of an attempt.
 func (a *activity) attemptEnded(endpoint balancer.EndpointID, outcome balancer.Outcome) {
 	if a == nil {
 		return
@@ -53,7 +53,7 @@
 	}
 }
 
-// requestEnded records a request's end. The activity must not be nil.
+// requestEnded records the end of a request. The activity must not be nil.
 func (a *activity) requestEnded(class *balancer.Class, served bool, took time.Duration) {
 	a.total.OfferedWeight += class.PriorityWeight
 	a.total.Requests++
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -12,25 +12,25 @@
 	"ryerill/upstream"
 )
 
-// attempt is one attempt of a request at an endpoint.
+// attempt is one attempt to execute a request at an endpoint.
 type attempt struct {
 	upstream.Attempt
 	request   *openRequest
-	index     int // among the request's attempts
+	index     int // position among the request's attempts
 	endpoint  balancer.EndpointID
-	startedAt time.Duration    // by the core's clock; of a request that streams, when its last byte was written
-	timeout   time.Duration    // from its last byte on, of a request that streams
-	outcome   balancer.Outcome // once it has ended
+	startedAt time.Duration    // by the core's clock; for a streamed request, when its last byte was written
+	timeout   time.Duration    // for a streamed request, counted from its last byte
+	outcome   balancer.Outcome // set once the attempt has ended
 }
 
-// startAttemptLocked starts the attempt of a Send action.
+// startAttemptLocked starts the attempt that a Send action requests.
 func (c *core) startAttemptLocked(action *balancer.Action) {
 	r := c.requests.open[action.Request]
 	if r == nil {
 		return
 	}
 	a := &attempt{request: r, index: len(r.attempts), endpoint: action.Endpoint, startedAt: c.clock.now()}
-	c.reasons.attemptStarted(r.attempts, r.inFlight)
+	c.ends.attemptStarted(r.attempts, r.inFlight)
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
 	endpoint := c.endpoints.byID[action.Endpoint]
@@ -46,7 +46,7 @@
 	}
 	a.timeout = time.Until(deadline)
 	if r.Outgoing.Stream != nil {
-		deadline = r.deadline // the time-out counts from the last byte
+		deadline = r.deadline // the timeout starts at the last byte
 	}
 	a.Attempt = upstream.Attempt{
 		Request:       r.Outgoing,
@@ -64,7 +64,8 @@
 	go c.runAttempt(a)
 }
 
-// checkGraceLocked returns what checks, once an attempt is sent, that its endpoint was not withdrawn long before.
+// checkGraceLocked returns a callback for the time an attempt is sent, which checks that the endpoint was not withdrawn
+// longer ago than the drain grace.
 func (c *core) checkGraceLocked(a *attempt, endpoint *listedEndpoint) func(time.Time) {
 	attempt := sentAttempt{
 		endpoint: endpoint.name,
@@ -72,10 +73,10 @@
 		streamed: a.request.Outgoing.Stream != nil,
 		grace:    c.settings.Balancer.Contract.DrainGrace,
 	}
-	return func(at time.Time) { c.graceCheck.sent(attempt, &endpoint.guard, at) }
+	return func(at time.Time) { c.graceCheck.checkSent(attempt, &endpoint.guard, at) }
 }
 
-// runAttempt makes an attempt and records its end.
+// runAttempt executes an attempt and records its outcome.
 func (c *core) runAttempt(a *attempt) {
 	outcome, response := c.connections.Do(&a.Attempt)
 	c.mu.Lock()
@@ -83,9 +84,8 @@
 	c.endAttemptLocked(a, outcome, response)
 }
 
-// attemptWritten records that an attempt is written whole. For a request that streams
-// it is only now that its time and the attempt's begin: it returns the attempt's
-// new deadline, and zero for any other.
+// attemptWritten records that an attempt has been written completely. The timeouts of a streamed request and of its
+// attempt start at this point: it returns the attempt's new deadline, or zero if the request is not streamed.
 func (c *core) attemptWritten(a *attempt) (deadline time.Time) {
 	c.counters.attempts.Add(1)
 	r := a.request
@@ -103,32 +103,32 @@
 	return time.Now().Add(min(a.timeout, resultTime(r.Remaining)))
 }
 
-// logAttemptLocked logs the end of an attempt, where the log's level wants it.
+// logAttemptLocked logs the end of an attempt at debug level.
 func (c *core) logAttemptLocked(a *attempt) {
 	if !c.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
-	before := "" // why it was made: the end of the attempt before
+	retriedFor := "" // the outcome of the previous attempt
 	if a.index > 0 {
-		before = a.request.attempts[a.index-1].outcome.String()
+		retriedFor = a.request.attempts[a.index-1].outcome.String()
 	}
-	use := a.Connection()
+	connection := a.Connection()
 	took := c.clock.now() - a.startedAt
 	c.log.Debug("attempt ended", "request", a.request.Outgoing.Header.Get(http1.HeaderID), "attempt", a.index,
-		"endpoint", a.EndpointName, "connection", use.Number, "uses", use.Uses,
-		"rest", use.Rest.Round(time.Microsecond), "outcome", a.outcome.String(),
-		"after", took.Round(time.Microsecond), "retried_for", before)
+		"endpoint", a.EndpointName, "connection", connection.Number, "uses", connection.Uses,
+		"rest", connection.Rest.Round(time.Microsecond), "outcome", a.outcome.String(),
+		"after", took.Round(time.Microsecond), "retried_for", retriedFor)
 }
 
-// endAttemptLocked records how an attempt ended. The first response that served goes to
-// the client at once and ends the request.
+// endAttemptLocked records the outcome of an attempt. The first successful response is sent to the client immediately
+// and ends the request.
 func (c *core) endAttemptLocked(a *attempt, outcome balancer.Outcome, response *message.Response) {
 	r := a.request
 	r.inFlight--
 	a.outcome = outcome
-	c.reasons.attemptEnded(outcome)
+	c.ends.attemptEnded(outcome)
 	c.logAttemptLocked(a)
-	if response != nil { // what a response costs is known only now
+	if response != nil { // the cost of a response depends on its size
 		c.resources.work.used.Add(int64(config.Cost(response.Body.Len())))
 	}
 	if outcome != balancer.OK || !c.replyLocked(r, message.Result{Kind: message.Served, Response: response}) {
--- a/proxy/core.go
+++ b/proxy/core.go
@@ -15,14 +15,13 @@
 	"ryerill/upstream"
 )
 
-// core is a pool. It connects sockets with decisions and knows no protocol: it turns what
-// happens into events, has the Balancer decide them, and executes the actions.
+// core is a running pool. It is independent of the protocol: it turns occurrences on sockets into events, passes them
+// to the Balancer, and executes the resulting actions.
 //
-// One mutex guards the Balancer and all that belongs to its decisions. Actions
-// are executed in order before it is released, so none of them may block.
-// Methods whose names end in Locked are called with the mutex held.
+// mu guards the Balancer and all state that its decisions depend on. Actions are executed in order while mu is held, so
+// no action may block. Callers of methods whose names end in Locked must hold mu.
 type core struct {
-	log           *slog.Logger // names the pool
+	log           *slog.Logger // has the pool's name as an attribute
 	name          string
 	clock         clock
 	classes       downstream.PoolClasses
@@ -44,11 +43,11 @@
 	overrides    override.Set
 	timers       timerSet
 	listObserver listObserver
-	activity     *activity // for the fleet; nil where nothing is shared
-	reasons      reasons
+	activity     *activity // for the fleet; nil if no state is shared
+	ends         endCounters
 }
 
-// coreConfig is what a pool is made of, beside its own configuration.
+// coreConfig holds the dependencies of a pool in addition to its own configuration.
 type coreConfig struct {
 	seed      uint64
 	resources *poolResources
@@ -58,87 +57,87 @@
 	counters  *counters
 	faults    *faultlog.Recorder
 	overrides override.Set
-	// refetch requests the whole list from discovery even where one is known: the known list of a
-	// second process of a proxy may be as old as the first one.
+	// refetch requests the complete list from discovery even if a list is known: in the second process of a proxy the
+	// known list may be as old as the first process.
 	refetch    bool
 	succession succession
-	shared     bool // activity is recorded for the fleet
+	shared     bool // record activity for the fleet
 }
 
-// newCore starts a pool: its Balancer, its connections, its discovery.
-func newCore(cfg config.Pool, parts coreConfig) *core {
+// newCore starts a pool with its Balancer, connections and discovery.
+func newCore(cfg config.Pool, deps coreConfig) *core {
 	settings := cfg.Settings
-	budget := &parts.resources.sockets
+	budget := &deps.resources.sockets
 	connectTimeout := settings.Balancer.Limits.ConnectTimeout
-	log := parts.log.With("pool", cfg.Name)
+	log := deps.log.With("pool", cfg.Name)
 	c := &core{
 		log:         log,
 		graceCheck:  graceCheck{log: log},
 		unsolicited: newUnsolicitedLog(log),
 		name:        cfg.Name,
-		clock:       parts.clock,
+		clock:       deps.clock,
 		cfg:         cfg,
 		settings:    settings,
-		resources:   parts.resources,
-		connections: upstream.NewPool(budget, settings.IdleClose, connectTimeout, parts.buffers),
-		counters:    parts.counters,
+		resources:   deps.resources,
+		connections: upstream.NewPool(budget, settings.IdleClose, connectTimeout, deps.buffers),
+		counters:    deps.counters,
 		decisions: decisionLoop{
 			log:      log,
-			clock:    parts.clock,
-			balancer: balancer.New(settings.Balancer, parts.seed),
+			clock:    deps.clock,
+			balancer: balancer.New(settings.Balancer, deps.seed),
 		},
 		requests:  newRequestTable(),
 		endpoints: newEndpointTable(),
-		overrides: parts.overrides,
+		overrides: deps.overrides,
 		timers:    timerSet{pending: make(map[*time.Timer]struct{})},
 		discovery: newDiscoveryWatch(),
 	}
-	c.connections.RecordFaults(cfg.Name, parts.faults)
+	c.connections.RecordFaults(cfg.Name, deps.faults)
 	c.connections.ObserveUnsolicited(c.unsolicited)
-	c.connections.SetBodyBudget(&parts.resources.bodies)
+	c.connections.SetBodyBudget(&deps.resources.bodies)
 	trim := c.connections.TrimIdle
-	parts.resources.trimIdle.Store(&trim)
-	if parts.shared {
+	deps.resources.trimIdle.Store(&trim)
+	if deps.shared {
 		c.activity = newActivity(&settings.Balancer)
 	}
 	c.setClasses()
 	if cfg.CountsDiscoverySocket {
-		c.resources.sockets.used.Add(1) // of its guarantee: no other pool can have it
+		c.resources.sockets.used.Add(1) // part of the pool's guarantee, so always available
 	}
-	c.startDiscovery(parts)
+	c.startDiscovery(deps)
 	return c
 }
 
-// startDiscovery puts the list in force that is known at the start, and has discovery tell of what is newer.
-func (c *core) startDiscovery(parts coreConfig) {
-	predecessor := parts.succession.predecessor
-	if c.sharesDiscovery(parts.succession) && c.joinDiscovery(predecessor) {
+// startDiscovery applies the endpoint list known at the start and watches discovery for newer ones.
+func (c *core) startDiscovery(deps coreConfig) {
+	predecessor := deps.succession.predecessor
+	if c.sharesDiscovery(deps.succession) && c.joinDiscovery(predecessor) {
 		return
 	}
-	kind := balancer.ListFull // without discovery the configuration's list is complete
+	kind := balancer.ListFull // without discovery the configured list is complete
 	known := c.cfg.KnownEndpoints
-	refetch := parts.refetch
-	discovered := false // by another pool
+	refetch := deps.refetch
+	discovered := false // whether another pool's discovery provided the list
 	if c.cfg.Discovery != "" {
 		kind = balancer.ListCached
 		if list, inherits := predecessor.discoveredList(); inherits {
 			known = list
-			refetch = true // its version may be another service's
+			refetch = true // its version may belong to another discovery service
 			discovered = true
 		} else {
-			known, discovered = parts.succession.current(known)
+			known, discovered = deps.succession.current(known)
 		}
 	}
-	held := known
-	held.Snapshot = known.Snapshot && !refetch // else the first call waits until there is something newer
+	clientList := known
+	clientList.Snapshot = known.Snapshot && !refetch // otherwise the first call would block until the list changes
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.discovery.start(&c.cfg, held, parts, c)
+	c.discovery.start(&c.cfg, clientList, deps, c)
 	c.applyListLocked(kind, known)
 	c.endpoints.discovered = discovered
 }
 
-// setClasses takes the classes and tenants from the settings.
+// setClasses sets the classes and tenants from the settings.
 func (c *core) setClasses() {
 	for _, class := range c.settings.Balancer.Classes {
 		c.classCounters = append(c.classCounters, c.counters.class(class.Name))
@@ -163,8 +162,8 @@
 	return func() { c.resources.bodies.Give(bytes) }, true
 }
 
-// adjustable reports whether the pool can take a new configuration over with all that
-// it has learnt: what it decides by is the same but for what may be adjusted.
+// adjustable reports whether the pool can apply a new configuration and keep its learnt state: only limits and the idle
+// timeout of the settings may differ.
 func (c *core) adjustable(cfg config.Pool) bool {
 	old, next := c.settings, cfg.Settings
 	old.Balancer.Limits = balancer.Limits{}
@@ -176,8 +175,7 @@
 		c.cfg.CountsDiscoverySocket == cfg.CountsDiscoverySocket
 }
 
-// adjust takes over a configuration for which the pool is adjustable. No open request
-// is disturbed.
+// adjust applies a configuration for which adjustable reports true. Open requests are not affected.
 func (c *core) adjust(cfg config.Pool) {
 	limits := cfg.Settings.Balancer.Limits
 	c.connections.SetTimeouts(cfg.Settings.IdleClose, limits.ConnectTimeout)
@@ -196,9 +194,8 @@
 	c.cfg = cfg
 }
 
-// drain ends a pool that no route leads to any more, once all its requests have their results,
-// after the timeout at the latest. Attempts that are still in flight then release what they
-// hold at their own deadlines.
+// drain closes a pool that is no longer routed to, once all its requests have their results or the timeout has passed.
+// Attempts still in flight after the timeout release their resources at their own deadlines.
 func (c *core) drain(timeout time.Duration) {
 	c.mu.Lock()
 	c.requests.drain()
@@ -213,7 +210,7 @@
 	c.close()
 }
 
-// close ends the pool's discovery, timers and idle connections.
+// close stops the pool's discovery and timers and closes its idle connections.
 func (c *core) close() {
 	c.discovery.stop(c)
 	c.connections.Close()
--- a/proxy/counters.go
+++ b/proxy/counters.go
@@ -8,29 +8,28 @@
 	"ryerill/message"
 )
 
-// maxClasses bounds the classes that are counted apart over all reloads; further
-// ones count together as otherClass.
+// maxClasses bounds the classes counted separately over all reloads. Further classes are counted together as
+// otherClass.
 const (
 	maxClasses = 4096
 	otherClass = "(other)"
 )
 
-// counters count what the proxy has done since its start. They are written by
-// requests and read at any time.
+// counters are the totals of the proxy since its start. They are safe for concurrent use.
 type counters struct {
 	inFlight      atomic.Int64 // requests without a final result
-	attempts      atomic.Int64 // written whole
+	attempts      atomic.Int64 // written completely
 	reloadsOK     atomic.Int64
 	reloadsFailed atomic.Int64
 
 	mu      sync.Mutex
-	classes map[string]*classCounters // guarded by mu, but for the counters themselves
+	classes map[string]*classCounters // the map is guarded by mu, the counters are atomic
 }
 
-// classCounters count the requests of one class by how they ended, each once.
+// classCounters count the requests of one class by result. Each request is counted once.
 type classCounters struct{ served, shed, failed atomic.Int64 }
 
-// class returns the counters of a class that a configuration names.
+// class returns the counters of a configured class, which it creates if needed.
 func (c *counters) class(name string) *classCounters {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,14 +48,14 @@
 	return c.classes[name]
 }
 
-// known returns the counters of a class if a configuration has named it, else nil.
-func (c *counters) known(name string) *classCounters {
+// lookup returns the counters of a class, or nil if no configuration has named the class.
+func (c *counters) lookup(name string) *classCounters {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.classes[name]
 }
 
-// requests returns the counts of all classes.
+// requests returns the counts by class.
 func (c *counters) requests() map[string]admin.RequestCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,7 +70,7 @@
 	return counts
 }
 
-// ended counts the one end of a request.
+// ended counts the result of a request.
 func (c *classCounters) ended(kind message.ResultKind) {
 	switch kind {
 	case message.Served:
@@ -83,8 +82,8 @@
 	}
 }
 
-// CloseSpareConnections implements [downstream.Router]. Clients must not wait for a reload: while one goes on nothing
-// is closed.
+// CloseSpareConnections implements [downstream.Router]. It closes nothing while a reload holds the mutex, because
+// clients must not wait for a reload.
 func (p *Proxy) CloseSpareConnections() {
 	if !p.mu.TryLock() {
 		return
@@ -95,10 +94,10 @@
 	}
 }
 
-// CountRejected implements [downstream.Router]. A class that no configuration names is not counted:
-// clients may state any.
+// CountRejected implements [downstream.Router]. Classes that no configuration names are not counted, because clients
+// can send arbitrary class names.
 func (p *Proxy) CountRejected(class string, shed bool) {
-	counts := p.counters.known(class)
+	counts := p.counters.lookup(class)
 	switch {
 	case counts == nil:
 	case shed:
@@ -108,7 +107,7 @@
 	}
 }
 
-// CountFailedReload counts a reload whose configuration could not even be read.
+// CountFailedReload counts a reload that failed because its configuration could not be read.
 func (p *Proxy) CountFailedReload() { p.counters.reloadsFailed.Add(1) }
 
 // Stats implements [admin.Controller].
@@ -120,7 +119,7 @@
 		ReloadsOK:     p.counters.reloadsOK.Load(),
 		ReloadsFailed: p.counters.reloadsFailed.Load(),
 	}
-	avoided := map[string]bool{} // by name of each listed endpoint: whether one pool at least avoids it
+	avoided := map[string]bool{} // by name of the listed endpoint: whether any pool avoids it
 	for _, c := range p.activePools() {
 		c.addAvoided(avoided)
 	}
--- a/proxy/deadline.go
+++ b/proxy/deadline.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// The result of a request whose time is over is due a margin before its client gives up: this process may be held up
-// (by a busy or stopping machine, or by calls that take long) when the request comes in, which its time does not count,
-// or when the result is due.
+// A timed-out request is answered a margin before its client gives up. The margin covers delays of this process (a busy
+// or stopping machine, slow calls) when the request arrives, which its deadline does not include, and when the result
+// is sent.
 const (
-	maxHoldUp      = 150 * time.Millisecond
-	maxMarginShare = 5 // the margin is at most one part in so many of the client's time
+	maxDelay      = 150 * time.Millisecond
+	marginDivisor = 5 // the margin is at most 1/marginDivisor of the client's timeout
 )
 
-// resultTime returns how long a request may take whose client waits for remaining.
+// resultTime returns the time available to a request whose client waits for remaining.
 func resultTime(remaining time.Duration) time.Duration {
-	return remaining - min(maxHoldUp, remaining/maxMarginShare)
+	return remaining - min(maxDelay, remaining/marginDivisor)
 }
--- a/proxy/decisions.go
+++ b/proxy/decisions.go
@@ -9,28 +9,28 @@
 	"ryerill/message"
 )
 
-// clock is Unix time at its start plus the monotonic time since. It never goes
-// back, and it shares its scale with the start times of endpoints in the list.
+// clock reads the Unix time at its start plus the monotonic time elapsed since. It never goes backwards and is
+// comparable with the start times of endpoints in endpoint lists.
 type clock struct{ start time.Time }
 
 func (c clock) now() time.Duration {
 	return time.Duration(c.start.UnixNano()) + time.Since(c.start)
 }
 
-// decisionLoop has the Balancer decide events one at a time, in the order in which they come.
-// Its owner's mutex guards it.
+// decisionLoop passes events to the Balancer one at a time, in the order of arrival. It is guarded by its owner's
+// mutex.
 type decisionLoop struct {
 	log      *slog.Logger
 	clock    clock
 	balancer *balancer.Balancer
 	queue    []balancer.Event
-	next     int  // in the queue
-	running  bool // the queue is being worked off
+	next     int  // index in queue of the next event
+	running  bool // a caller is processing the queue
 	actions  []balancer.Action
 }
 
-// push queues an event. It reports true if the caller is to work the queue off, and
-// false if a caller further up does.
+// push queues an event. It reports true if the caller must process the queue, and false if a caller further up the
+// stack is already processing it.
 func (l *decisionLoop) push(event balancer.Event) bool {
 	l.queue = append(l.queue, event)
 	if l.running {
@@ -40,8 +40,8 @@
 	return true
 }
 
-// decideNext decides the next event; its actions are those to execute. It reports false once
-// the queue is empty.
+// decideNext decides the next event and stores the actions to execute in l.actions. It reports false if the queue is
+// empty.
 func (l *decisionLoop) decideNext() bool {
 	if l.next == len(l.queue) {
 		clear(l.queue)
@@ -56,9 +56,9 @@
 	return true
 }
 
-// decide has the Balancer decide. Should the decision code panic over one
-// event, the others still deserve a result: a request that it could not
-// decide fails at once, and any other is answered when its time is over.
+// decide passes an event to the Balancer. It recovers from panics of the decision code so that other requests are still
+// answered: if the event is the arrival of a request, the request fails immediately, and any other affected request is
+// answered at its deadline.
 func (l *decisionLoop) decide(event *balancer.Event) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -72,8 +72,8 @@
 	l.actions = l.balancer.Handle(l.clock.now(), *event, l.actions[:0])
 }
 
-// dispatchLocked has an event decided and executes the actions. An event that
-// arises on the way is dispatched after those before it.
+// dispatchLocked decides an event and executes the resulting actions. Events dispatched by those actions are processed
+// afterwards, in order.
 func (c *core) dispatchLocked(event balancer.Event) {
 	if !c.decisions.push(event) {
 		return
@@ -109,7 +109,7 @@
 		c.discovery.fetch()
 	case balancer.Log:
 		c.log.Info("balancer notice", "reason", action.Text)
-	default: // neither probes nor messages to peers exist on sockets
+	default: // probes and messages to peers are not supported over sockets
 		c.log.Warn("unsupported balancer action", "action", fmt.Sprint(action.Kind))
 	}
 }
--- a/proxy/discovery.go
+++ b/proxy/discovery.go
@@ -10,16 +10,15 @@
 	"ryerill/discovery"
 )
 
-// discoveryWatch is the watch of a pool's endpoint list. Where the configuration
-// lists the endpoints there is no client.
+// discoveryWatch watches the endpoint list of a pool. It has no client if the configuration lists the endpoints.
 type discoveryWatch struct {
 	client *discovery.Client
 
-	// listed is closed once discovery has answered, or there is none.
+	// listed is closed once discovery has answered, or if the pool has no discovery.
 	listed     chan struct{}
 	markListed func() // closes it, once
 
-	failingSince time.Time // of several failures in a row the first; zero is none. The pool's mutex guards it.
+	failingSince time.Time // first of consecutive failures, or zero; guarded by the pool's mutex
 }
 
 func newDiscoveryWatch() discoveryWatch {
@@ -30,7 +29,7 @@
 	}
 }
 
-// hasListed reports whether discovery has answered, or there is none.
+// hasListed reports whether discovery has answered or the pool has no discovery.
 func (w *discoveryWatch) hasListed() bool {
 	select {
 	case <-w.listed:
@@ -40,29 +39,30 @@
 	}
 }
 
-// start opens the discovery client if the configuration names a discovery service. It watches the list until stop.
-func (w *discoveryWatch) start(cfg *config.Pool, known discovery.EndpointList, parts coreConfig, c *core) {
+// start creates the discovery client if the configuration names a discovery service. The client watches the list until
+// stop.
+func (w *discoveryWatch) start(cfg *config.Pool, known discovery.EndpointList, deps coreConfig, c *core) {
 	if cfg.Discovery == "" {
 		w.markListed()
 		return
 	}
-	life := context.Background() // until the pool's last response
+	ctx := context.Background() // the watch ends with stop, after the pool's last response
 	if cfg.Settings.PushedDiscovery {
-		w.client = discovery.NewAgentClient(life, cfg.Discovery, known, parts.buffers, c)
+		w.client = discovery.NewAgentClient(ctx, cfg.Discovery, known, deps.buffers, c)
 	} else {
-		w.client = discovery.NewClient(life, cfg.Discovery, known, parts.buffers, c)
+		w.client = discovery.NewClient(ctx, cfg.Discovery, known, deps.buffers, c)
 	}
-	w.client.RecordFaults(parts.faults)
+	w.client.RecordFaults(deps.faults)
 }
 
-// stop ends the watch for a pool. It goes on for another pool that shares the client.
+// stop ends the watch for a pool. The client keeps running for other pools that share it.
 func (w *discoveryWatch) stop(c *core) {
 	if w.client != nil {
 		w.client.Leave(c)
 	}
 }
 
-// beginOutage records that a call has failed, and reports whether the one before had not.
+// beginOutage records a failed call and reports whether it is the first of consecutive failures.
 func (w *discoveryWatch) beginOutage() bool {
 	first := w.failingSince.IsZero()
 	if first {
@@ -71,7 +71,7 @@
 	return first
 }
 
-// endOutage records that a list was received, and returns for how long calls had failed before.
+// endOutage records that a list was received and returns the duration of the preceding outage, or 0.
 func (w *discoveryWatch) endOutage() time.Duration {
 	if w.failingSince.IsZero() {
 		return 0
@@ -115,12 +115,12 @@
 	}
 }
 
-// EndpointsWithdrawn implements [discovery.Listener]. The version of the list in force stays: what else changed up to
-// that of the list that is being read is not known.
+// EndpointsWithdrawn implements [discovery.Listener]. It keeps the version of the list in force, because the other
+// changes of the list that is still being read are not known yet.
 func (c *core) EndpointsWithdrawn(withdrawals discovery.Withdrawals) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var known []discovery.Endpoint // the entries are other listeners' too
+	var known []discovery.Endpoint // a copy: other listeners share the entries
 	for i := range withdrawals.Endpoints {
 		if c.endpoints.isReady(&withdrawals.Endpoints[i]) {
 			known = append(known, withdrawals.Endpoints[i])
@@ -133,7 +133,7 @@
 	c.applyEntriesLocked(balancer.ListWithdrawn, version, known)
 }
 
-// ListingFailed implements [discovery.Listener]. The first of several failures in a row is logged.
+// ListingFailed implements [discovery.Listener]. It logs only the first of consecutive failures.
 func (c *core) ListingFailed(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/proxy/endpoints.go
+++ b/proxy/endpoints.go
@@ -10,69 +10,68 @@
 	"ryerill/override"
 )
 
-// maxNames bounds the names of formerly listed endpoints that a pool keeps, so that
-// operators can take one down that is not listed now.
+// maxNames bounds the names of formerly listed endpoints that a pool keeps. They let operators take down an endpoint
+// that is currently not listed.
 const maxNames = 4096
 
-// listedEndpoint is an endpoint of the list.
+// listedEndpoint is an endpoint of the endpoint list.
 type listedEndpoint struct {
 	id      balancer.EndpointID
 	name    string
-	address string             // constant: an endpoint with another address is another one
-	entry   discovery.Endpoint // as the list states it
-	listed  balancer.Endpoint  // the same as the Balancer reads it
-	current balancer.Endpoint  // the same under the overrides, as the Balancer has it
+	address string             // constant: a changed address means another endpoint
+	entry   discovery.Endpoint // entry of the list
+	listed  balancer.Endpoint  // entry in the form used by the Balancer
+	current balancer.Endpoint  // listed with overrides applied, as passed to the Balancer
 
-	// guard says whether requests may be sent, by the list and by the overrides. Attempts read it without the pool's
-	// mutex.
+	// guard reports whether the list and the overrides allow requests. Attempts read it without the pool's mutex.
 	guard sendGuard
 }
 
-// override applies overrides to the state in a list of a version.
+// override applies overrides to the listed state; version is the version of the list.
 func (e *listedEndpoint) override(overrides override.Set, version uint64) {
 	e.current = overrides.Apply(e.name, e.listed)
 	e.guard.set(e.current.State == balancer.Ready, version)
 }
 
-// isWithdrawnAfter reports whether the endpoint drains, and an entry of an older list has it as ready still.
+// isWithdrawnAfter reports whether the endpoint is terminating while the entry of an older list still has it as ready.
 func (e *listedEndpoint) isWithdrawnAfter(older *discovery.Endpoint) bool {
 	return e.entry.Status == discovery.Terminating && older.Status == discovery.Ready &&
 		older.SinceMS <= e.entry.SinceMS
 }
 
-// endpointTable holds the endpoints of a pool. Its owner's mutex guards it.
+// endpointTable holds the endpoints of a pool. It is guarded by its owner's mutex.
 type endpointTable struct {
-	byID        map[balancer.EndpointID]*listedEndpoint
-	listVersion uint64              // of the list that is in force as a whole
-	newest      uint64              // version of which something is in force, perhaps only withdrawals
-	discovered  bool                // by a discovery service, for this pool or for the one that it replaces
-	names       map[string]struct{} // that are listed or were
+	byID          map[balancer.EndpointID]*listedEndpoint
+	listVersion   uint64              // version of the last list applied completely
+	newestVersion uint64              // newest version applied, possibly only its withdrawals
+	discovered    bool                // the list comes from discovery, of this pool or of the pool it replaces
+	knownNames    map[string]struct{} // of current and former endpoints
 }
 
 func newEndpointTable() endpointTable {
-	return endpointTable{byID: make(map[balancer.EndpointID]*listedEndpoint), names: make(map[string]struct{})}
+	return endpointTable{byID: make(map[balancer.EndpointID]*listedEndpoint), knownNames: make(map[string]struct{})}
 }
 
-// addName records a name that is listed. At the bound the names that are not listed any
-// more are removed: a scan of all endpoints, which must be rare however many are listed.
+// addName records a listed name. At the bound it removes all names that are no longer listed. That scans all endpoints,
+// so the bound grows with their number to keep scans rare.
 func (t *endpointTable) addName(name string) {
-	if len(t.names) >= maxNames+2*len(t.byID) {
-		clear(t.names)
+	if len(t.knownNames) >= maxNames+2*len(t.byID) {
+		clear(t.knownNames)
 		for _, e := range t.byID {
-			t.names[e.name] = struct{}{}
+			t.knownNames[e.name] = struct{}{}
 		}
 	}
-	t.names[name] = struct{}{}
+	t.knownNames[name] = struct{}{}
 }
 
-// get returns the endpoint of a name at an address, a new one if there is none. An
-// attempt that has not yet been sent to the name's former address is not sent any more:
-// another endpoint may have that address now. An empty address matches any.
+// get returns the endpoint with a name and an address, and creates it if needed. An empty address matches any. If the
+// address of the name has changed, attempts not yet sent to the former address are prevented, because another endpoint
+// may use that address now.
 func (t *endpointTable) get(name, address string) *listedEndpoint {
 	id := endpointID(name)
 	e := t.byID[id]
 	if e != nil && address != "" && e.address != address {
-		e.guard.set(false, t.newest)
+		e.guard.set(false, t.newestVersion)
 		e = nil
 	}
 	if e == nil {
@@ -82,7 +81,8 @@
 	return e
 }
 
-// isReady reports whether the list has the endpoint of an entry as ready, of the same start or an earlier one.
+// isReady reports whether the endpoint of an entry is listed as ready and did not start after the entry. An entry that
+// is gone matches any start time.
 func (t *endpointTable) isReady(entry *discovery.Endpoint) bool {
 	e := t.byID[endpointID(entry.Name)]
 	if e == nil || e.entry.Status != discovery.Ready {
@@ -91,21 +91,21 @@
 	return entry.Status == discovery.Gone || entry.SinceMS >= e.entry.SinceMS
 }
 
-// remove forgets endpoints that are gone, and returns their ids: new ones come under new ids
-// all day. Listed has those of the list, with false for those that it states to be gone;
-// unless it is of changes alone, all others are gone too. They are counted.
+// remove deletes endpoints that are gone, adds them to counts and returns their ids. Without it the table would grow,
+// because new endpoints get new ids. listed contains the endpoints of the list, with false for those stated as gone;
+// unless the list has changes only, all other endpoints are gone too.
 func (t *endpointTable) remove(
-	listed map[balancer.EndpointID]bool, changes bool, counted *listChanges,
+	listed map[balancer.EndpointID]bool, changes bool, counts *listChanges,
 ) (gone []uint64) {
 	removeIfGone := func(id balancer.EndpointID) {
 		if e := t.byID[id]; !listed[id] && e != nil {
-			e.guard.set(false, t.newest)
-			counted.remove(e.name)
+			e.guard.set(false, t.newestVersion)
+			counts.remove(e.name)
 			delete(t.byID, id)
 			gone = append(gone, uint64(id))
 		}
 	}
-	if changes { // a few, however many endpoints there are
+	if changes { // avoid a scan of all endpoints
 		for id := range listed {
 			removeIfGone(id)
 		}
@@ -117,7 +117,7 @@
 	return gone
 }
 
-// list returns the list as it is in force, in the order of the names.
+// list returns the list in force, sorted by name.
 func (t *endpointTable) list() discovery.EndpointList {
 	list := discovery.EndpointList{
 		Index:     t.listVersion,
@@ -131,12 +131,12 @@
 	return list
 }
 
-// currentStatus returns the status of an endpoint that another list names: its own there, unless it is listed here as
-// not ready, or was listed here and is gone.
+// currentStatus returns the current status of an entry of another list. The entry's own status applies unless the
+// endpoint is listed here as not ready, or was listed here and is gone.
 func (t *endpointTable) currentStatus(entry *discovery.Endpoint) string {
 	e := t.byID[endpointID(entry.Name)]
 	if e == nil {
-		if _, was := t.names[entry.Name]; was {
+		if _, wasListed := t.knownNames[entry.Name]; wasListed {
 			return discovery.Gone
 		}
 		return entry.Status
@@ -147,12 +147,12 @@
 	return e.entry.Status
 }
 
-// endpointID is a stable hash of an endpoint's name: the same in every proxy,
-// since the decisions of several proxies rank endpoints by it.
+// endpointID returns a stable hash of an endpoint's name. It must be the same in every proxy, because several proxies
+// rank endpoints by it.
 func endpointID(name string) balancer.EndpointID { return balancer.EndpointID(hash64(name)) }
 
-// indexOf returns the index of a name in names. Names that are not there get
-// numbers of their own beyond it, so that no two of them count as one.
+// indexOf returns the index of a name in names. An unknown name gets a number beyond the indices, derived from its hash
+// so that different unknown names are not treated as one.
 func indexOf(names []string, name string) int {
 	if i := slices.Index(names, name); i >= 0 {
 		return i
@@ -166,19 +166,18 @@
 	discovery.Gone:        balancer.Gone,
 }
 
-// applyListLocked takes over what is known of the endpoints. Those that are gone are
-// forgotten with their idle connections.
+// applyListLocked applies an endpoint list. Endpoints that are gone are removed and their idle connections closed.
 func (c *core) applyListLocked(kind balancer.ListKind, list discovery.EndpointList) {
 	c.endpoints.listVersion = list.Index
 	c.applyEntriesLocked(kind, list.Index, list.Endpoints)
 }
 
-// applyEntriesLocked takes over entries of a list of a version.
+// applyEntriesLocked applies entries of a list with the given version.
 func (c *core) applyEntriesLocked(kind balancer.ListKind, version uint64, entries []discovery.Endpoint) {
 	began := time.Now()
 	changes := kind == balancer.ListChanges || kind == balancer.ListWithdrawn
-	isOlder := version < c.endpoints.newest
-	c.endpoints.newest = version
+	isOlder := version < c.endpoints.newestVersion
+	c.endpoints.newestVersion = version
 	update := make([]balancer.Endpoint, 0, len(entries))
 	listed := make(map[balancer.EndpointID]bool, len(entries))
 	for i := range entries {
@@ -215,8 +214,8 @@
 	c.listAppliedLocked(began)
 }
 
-// setOverrides applies new overrides to the list. From then on attempts to endpoints that are
-// down fail their last check before the first byte, MaySend.
+// setOverrides applies new overrides to the list. Afterwards MaySend, the last check before the first byte, rejects
+// attempts to endpoints that are administratively down.
 func (c *core) setOverrides(overrides override.Set) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -224,13 +223,13 @@
 	var update []balancer.Endpoint
 	for _, e := range c.endpoints.byID {
 		previous := e.current
-		e.override(overrides, c.endpoints.newest)
+		e.override(overrides, c.endpoints.newestVersion)
 		if e.current == previous {
 			continue
 		}
 		update = append(update, e.current)
 		if e.current.State != balancer.Ready {
-			go c.connections.CloseIdle(uint64(e.id)) // it may be restarted now
+			go c.connections.CloseIdle(uint64(e.id)) // the endpoint may be restarted while it is down
 		}
 	}
 	if len(update) == 0 {
@@ -245,16 +244,15 @@
 	})
 }
 
-// hasListed reports whether the pool's list has a name, or had it since its start.
+// hasListed reports whether the pool's list contains a name, or contained it before and the name is still kept.
 func (c *core) hasListed(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, listed := c.endpoints.names[name]
+	_, listed := c.endpoints.knownNames[name]
 	return listed
 }
 
-// addAvoided adds the names of the listed endpoints, with true for those that the pool
-// sends nothing to now.
+// addAvoided adds the names of the listed endpoints to avoided, with true if the pool currently sends them no requests.
 func (c *core) addAvoided(avoided map[string]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/proxy/endpoints_test.go
+++ b/proxy/endpoints_test.go
@@ -40,19 +40,19 @@
 		name := fmt.Sprint("s", i)
 		endpoints.byID[balancer.EndpointID(i)] = &listedEndpoint{name: name}
 		delete(endpoints.byID, balancer.EndpointID(i-listed))
-		endpoints.names["mark"] = struct{}{}
+		endpoints.knownNames["mark"] = struct{}{}
 		endpoints.addName(name)
-		if _, there := endpoints.names["mark"]; !there {
+		if _, there := endpoints.knownNames["mark"]; !there {
 			forgotten++
 		}
-		if len(endpoints.names) > maxNames+2*listed+2 {
-			t.Fatalf("%d names are remembered", len(endpoints.names))
+		if len(endpoints.knownNames) > maxNames+2*listed+2 {
+			t.Fatalf("%d names are remembered", len(endpoints.knownNames))
 		}
 	}
 	if forgotten > 3 {
 		t.Errorf("forgotten %d times in %d names", forgotten, 3*listed)
 	}
-	if _, there := endpoints.names[fmt.Sprint("s", 3*listed-1)]; !there {
+	if _, there := endpoints.knownNames[fmt.Sprint("s", 3*listed-1)]; !there {
 		t.Error("the newest is forgotten")
 	}
 }
--- a/proxy/fleet.go
+++ b/proxy/fleet.go
@@ -16,25 +16,25 @@
 	"ryerill/internal/handover"
 )
 
-// joinInterval is how often a second process tries to take the fleet's address over from
-// the first.
+// joinInterval is the interval at which a second process retries to open the fleet's address, until the first process
+// has closed it.
 const joinInterval = 100 * time.Millisecond
 
 var (
 	errNoFleet = errors.New("this proxy is in no fleet now")
-	// errFleetRemoved ends the wait for the fleet's address after a reload.
-	errFleetRemoved = errors.New("the configuration has no fleet any more")
+	// errFleetRemoved ends the wait for the fleet's address after a reload has removed the fleet.
+	errFleetRemoved = errors.New("the configuration no longer has a fleet")
 )
 
-// fleetMember is the proxy's membership in its fleet. Without a fleet in the configuration
-// there is none: no socket, no goroutine, no timer.
+// fleetMember is the proxy's membership in its fleet. Without a configured fleet the proxy has no fleetMember and uses
+// no socket, goroutine or timer for it.
 type fleetMember struct {
-	stop  context.CancelFunc // nil until it runs
-	ended chan struct{}      // closed once it has run
+	stop  context.CancelFunc // nil until runFleet
+	ended chan struct{}      // closed when the membership has ended
 
 	mu sync.Mutex
 	// The fields below are guarded by mu.
-	host      *fleet.Fleet // nil until its address is free
+	host      *fleet.Fleet // nil until its address could be opened
 	positions map[string]placement.Position
 }
 
@@ -44,8 +44,8 @@
 	m.host = host
 }
 
-// joinFleet opens the fleet's address. A second process goes on without until the
-// first has closed it.
+// joinFleet opens the fleet's address. A second process starts without a host if the first process still uses the
+// address; runFleet then retries.
 func (p *Proxy) joinFleet() error {
 	if p.cfg.Fleet == nil {
 		return nil
@@ -80,7 +80,7 @@
 	return host, nil
 }
 
-// runFleet keeps up the membership until leaveFleet.
+// runFleet maintains the membership until leaveFleet.
 func (p *Proxy) runFleet() {
 	if p.fleet == nil {
 		return
@@ -96,8 +96,8 @@
 	}()
 }
 
-// awaitFleetHost waits until the fleet's address could be opened, and reports false if ctx
-// ends before or it can't be.
+// awaitFleetHost waits until the fleet's address is open. It reports false if ctx ends first or the fleet can't be
+// joined.
 func (p *Proxy) awaitFleetHost(ctx context.Context) bool {
 	for p.fleetHost() == nil {
 		select {
@@ -116,7 +116,7 @@
 	return true
 }
 
-// fleetHost returns the host of the membership; nil is none, or none yet.
+// fleetHost returns the fleet host, or nil if there is no fleet or its address is not open yet.
 func (p *Proxy) fleetHost() *fleet.Fleet {
 	if p.fleet == nil {
 		return nil
@@ -126,13 +126,13 @@
 	return p.fleet.host
 }
 
-// leaveFleet ends the membership. Where another process of this proxy takes it over the
-// name goes on, and the fleet is not notified of a departure. It may be called twice.
+// leaveFleet ends the membership. If another process of this proxy takes over, the replica's name remains in use and
+// the fleet is not notified of a departure. It may be called twice.
 func (p *Proxy) leaveFleet() {
 	if p.fleet == nil || p.fleet.stop == nil {
 		return
 	}
-	if host := p.fleetHost(); host != nil && p.processes.successor() {
+	if host := p.fleetHost(); host != nil && p.processes.hasSuccessor() {
 		host.Abandon()
 	}
 	p.fleet.stop()
@@ -154,7 +154,7 @@
 
 func (p *Proxy) phaseLocked() membership.Phase {
 	switch {
-	case p.ending || p.processes.state == handover.Leaving:
+	case p.shuttingDown || p.processes.state == handover.Leaving:
 		return membership.Leaving
 	case p.overrides.DrainSince != 0:
 		return membership.Draining
@@ -164,15 +164,15 @@
 	return membership.Starting
 }
 
-// setPositions takes over this replica's positions in its pools.
+// setPositions stores this replica's positions in its pools and applies them.
 func (p *Proxy) setPositions(positions map[string]placement.Position) {
 	p.fleet.mu.Lock()
 	p.fleet.positions = positions
 	p.fleet.mu.Unlock()
-	go p.applyPositions() // the fleet does not wait for the pools
+	go p.applyPositions() // in the background, so that the fleet does not wait for the pools
 }
 
-// applyPositions passes the newest positions on to the pools.
+// applyPositions passes the latest positions to the pools.
 func (p *Proxy) applyPositions() {
 	if p.fleet == nil {
 		return
@@ -189,7 +189,8 @@
 	}
 }
 
-// setPosition states the position of this replica among those of the pool.
+// setPosition sets the position of this replica among the replicas of the pool. An unconfirmed position claims no quota
+// share.
 func (c *core) setPosition(position placement.Position) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -200,16 +201,15 @@
 	c.decisions.balancer.SetReplicas(position.Index, position.Of, quotaReplicas)
 }
 
-// reloadFleet takes over what a reload changes of the fleet: keys, pools, the hash of
-// the settings. It reports whether something else has changed: addresses and names hold from
-// the next start on.
+// reloadFleet applies a reload's changes of the fleet's keys and pools. It reports whether other fleet settings have
+// changed, such as addresses or names, which take effect only after a restart.
 func (p *Proxy) reloadFleet(old, cfg *config.Fleet) (restart bool) {
 	host := p.fleetHost()
 	if host == nil || cfg == nil || old == nil {
 		return (p.fleet != nil) != (cfg != nil)
 	}
 	if err := host.SetKeys(cfg.Keys); err != nil {
-		p.log.Error("fleet keys not replaced, the old ones hold", "err", err)
+		p.log.Error("fleet keys not replaced, keeping the old keys", "err", err)
 	}
 	host.SetPools(cfg.Pools, cfg.ReplicaCounts)
 	return old.Listen != cfg.Listen || old.Fleet != cfg.Fleet || old.Advertise != cfg.Advertise
--- a/proxy/hash.go
+++ b/proxy/hash.go
@@ -8,7 +8,8 @@
 	fnvPrime64  uint64 = 1099511628211
 )
 
-// hash32 is the FNV-1a hash of a text, as hash/fnv has it: without an allocation, as lists have thousands of names.
+// hash32 returns the 32-bit FNV-1a hash of a text, equal to that of hash/fnv. It does not allocate, because lists have
+// thousands of names.
 func hash32(text string) uint32 {
 	hash := fnvOffset32
 	for i := range len(text) {
@@ -18,7 +19,7 @@
 	return hash
 }
 
-// hash64 is the same in 64 bits.
+// hash64 returns the 64-bit FNV-1a hash of a text.
 func hash64(text string) uint64 {
 	hash := fnvOffset64
 	for i := range len(text) {
--- a/proxy/listeners.go
+++ b/proxy/listeners.go
@@ -8,14 +8,14 @@
 	"ryerill/downstream"
 )
 
-// listener is a server for clients at its address.
+// listener is a configured listener and its server.
 type listener struct {
 	config.Listener
 	server *downstream.Server
-	stop   context.CancelFunc // ends the server; nil until it serves
+	stop   context.CancelFunc // stops the server; nil until it serves
 }
 
-// openListenersLocked listens for clients.
+// openListenersLocked opens all configured listeners.
 func (p *Proxy) openListenersLocked(cfg config.Config) error {
 	maxConnections := p.maxConnectionsLocked(len(cfg.Listeners))
 	for _, entry := range cfg.Listeners {
@@ -29,7 +29,7 @@
 }
 
 func (p *Proxy) openListener(cfg config.Listener, maxConnections int) (*listener, error) {
-	// With a management endpoint comes a second process at an upgrade, which shares the address.
+	// A proxy with a management endpoint can be upgraded by a second process, which shares the address.
 	shared := p.admin != nil
 	server, err := downstream.Listen(cfg.Address, maxConnections, shared, p.buffers)
 	if err != nil {
@@ -39,32 +39,31 @@
 	return &listener{Listener: cfg, server: server}, nil
 }
 
-// maxConnectionsLocked is how many connections each of so many listeners may hold.
+// maxConnectionsLocked returns the connection limit of each listener, given the number of listeners.
 func (p *Proxy) maxConnectionsLocked(listeners int) int {
 	return p.cfg.Connections() / 2 / p.processes.count / max(listeners, 1)
 }
 
 // serveLocked starts a listener's server.
 func (p *Proxy) serveLocked(l *listener) {
-	ctx, stop := context.WithCancel(p.life)
+	ctx, stop := context.WithCancel(p.runCtx)
 	l.stop = stop
 	p.log.Info("serving", "name", p.name, "listener", l.Name, "pools", len(p.cfg.Pools), "address", l.server.Address())
-	p.leaving.Add(1)
+	p.running.Add(1)
 	go func() {
-		defer p.leaving.Done()
+		defer p.running.Done()
 		defer stop()
 		if err := l.server.Serve(ctx, p); err != nil {
 			select {
 			case p.failed <- err:
-			default: // another listener has failed before
+			default: // another listener's error is already reported
 			}
 		}
 	}()
 	l.server.Drain(p.drainStartLocked())
 }
 
-// Address returns the address of the first listener, or ""
-// while it does not listen.
+// Address returns the address of the first listener, or "" before any listener is open.
 func (p *Proxy) Address() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,7 +73,7 @@
 	return p.listeners[0].server.Address()
 }
 
-// AddressOf returns the address of a listener, or "" if there is none of that name.
+// AddressOf returns the address of the named listener, or "" if there is none.
 func (p *Proxy) AddressOf(name string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/proxy/listreport.go
+++ b/proxy/listreport.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// minListLogInterval is the time between two log lines of one pool on changes of its endpoint list.
+	// minListLogInterval is the minimum time between two log lines of a pool about changes of its endpoint list.
 	minListLogInterval = time.Second
-	// maxLoggedNames bounds the endpoints that one line names.
+	// maxLoggedNames bounds the endpoint names in one log line.
 	maxLoggedNames = 8
 )
 
-// listChanges counts what lists have changed of the endpoints of a pool.
+// listChanges counts the changes that endpoint lists make to the endpoints of a pool.
 type listChanges struct {
 	added     int
-	withdrawn int // from ready to draining
-	returned  int // ready again
+	withdrawn int // ready to draining
+	returned  int // draining to ready
 	removed   int
-	names     []string // of the first that were withdrawn or removed
+	names     []string // the first withdrawn or removed endpoints
 }
 
-// count counts an entry that changes the status of an endpoint, which is empty for a new one.
+// count counts a status change of an endpoint. The status before is empty for a new endpoint.
 func (l *listChanges) count(name, before, after string) {
 	switch {
-	case before == after || after == discovery.Gone: // removals are counted as they are made
+	case before == after || after == discovery.Gone: // removals are counted by remove
 	case before == "":
 		l.added++
 	case after == discovery.Ready:
@@ -37,7 +37,7 @@
 	}
 }
 
-// remove counts an endpoint that is listed no more.
+// remove counts an endpoint that is no longer listed.
 func (l *listChanges) remove(name string) {
 	l.removed++
 	l.addName(name)
@@ -51,18 +51,18 @@
 
 func (l *listChanges) isEmpty() bool { return l.added+l.withdrawn+l.returned+l.removed == 0 }
 
-// listObserver times the lists of a pool as they are applied, and logs what they change: at once, and no more often
-// than minListLogInterval, however many lists come. The pool's mutex guards it.
+// listObserver measures how long applying the lists of a pool takes, and logs their changes immediately, but at most
+// once per minListLogInterval. It is guarded by the pool's mutex.
 type listObserver struct {
 	applied      int64
-	longestApply time.Duration // in which no request of the pool is decided
+	longestApply time.Duration // blocks all decisions of the pool meanwhile
 
 	pending  listChanges // not logged yet
-	loggedAt time.Time   // zero is never
-	delayed  *time.Timer // logs what is pending; nil while nothing waits
+	loggedAt time.Time   // zero if never
+	delayed  *time.Timer // logs the pending changes; nil if not scheduled
 }
 
-// listAppliedLocked records that a list has been applied, which began at a time.
+// listAppliedLocked records that a list has been applied; began is when applying it started.
 func (c *core) listAppliedLocked(began time.Time) {
 	observer := &c.listObserver
 	observer.applied++
@@ -86,23 +86,23 @@
 
 func (c *core) logListChangesLocked() {
 	changes := c.listObserver.pending
-	c.log.Info("endpoints changed", "version", c.endpoints.newest, "endpoints", len(c.endpoints.byID),
+	c.log.Info("endpoints changed", "version", c.endpoints.newestVersion, "endpoints", len(c.endpoints.byID),
 		slog.Int("added", changes.added), slog.Int("withdrawn", changes.withdrawn),
 		slog.Int("returned", changes.returned), slog.Int("removed", changes.removed), slog.Any("names", changes.names))
 	c.listObserver.pending = listChanges{}
 	c.listObserver.loggedAt = time.Now()
 }
 
-// listReport is what the management endpoint tells of a pool's endpoint list.
+// listReport is the management endpoint's report on a pool's endpoint list.
 type listReport struct {
-	Version        uint64                `json:"version"`        // of the list in force as a whole
-	NewestVersion  uint64                `json:"newest_version"` // of which something is in force
+	Version        uint64                `json:"version"`        // of the last list applied completely
+	NewestVersion  uint64                `json:"newest_version"` // newest version applied at least in part
 	Endpoints      int                   `json:"endpoints"`
-	Ready          int                   `json:"ready"` // by the list, whatever overrides say
+	Ready          int                   `json:"ready"` // by the list, without overrides
 	Applied        int64                 `json:"applied"`
 	LongestApplyMS float64               `json:"longest_apply_ms"`
 	AgeMS          *int64                `json:"age_ms,omitempty"` // since discovery last answered
-	Calls          *discovery.CallCounts `json:"calls,omitempty"`  // to discovery, of all pools that share them
+	Calls          *discovery.CallCounts `json:"calls,omitempty"`  // to discovery, by all pools that share the client
 }
 
 // listReport returns the state of the pool's endpoint list.
@@ -111,7 +111,7 @@
 	defer c.mu.Unlock()
 	report := listReport{
 		Version:        c.endpoints.listVersion,
-		NewestVersion:  c.endpoints.newest,
+		NewestVersion:  c.endpoints.newestVersion,
 		Endpoints:      len(c.endpoints.byID),
 		Applied:        c.listObserver.applied,
 		LongestApplyMS: float64(c.listObserver.longestApply) / float64(time.Millisecond),
--- a/proxy/overrides.go
+++ b/proxy/overrides.go
@@ -21,7 +21,7 @@
 	})
 }
 
-// Restore implements [admin.Controller]. To restore an endpoint that is not down is no error.
+// Restore implements [admin.Controller]. Restoring an endpoint that is not down is not an error.
 func (p *Proxy) Restore(endpoint string) error {
 	return p.store.Update(func(set override.Set, now time.Duration) (override.Set, error) {
 		if !set.IsDown(endpoint) && !p.hasListed(endpoint) {
@@ -49,26 +49,26 @@
 	return fmt.Errorf("%q: %w", name, admin.ErrUnknownEndpoint)
 }
 
-// hasListed reports whether the list of one pool at least has an endpoint, or had it.
+// hasListed reports whether any pool's list contains an endpoint or contained it before.
 func (p *Proxy) hasListed(endpoint string) bool {
 	return slices.ContainsFunc(p.activePools(), func(c *core) bool { return c.hasListed(endpoint) })
 }
 
-// openOverrides reads the overrides that the processes of this proxy share.
+// openOverrides reads the overrides shared by the processes of this proxy.
 func (p *Proxy) openOverrides(path string) {
 	p.store = overridestore.Open(path, p.log, p.setOverrides)
-	p.statedOverrides = p.store.Current()
-	p.overrides = p.statedOverrides.Found(p.clock.now())
-	p.drainStart.found = p.overrides.DrainSince
+	p.storedOverrides = p.store.Current()
+	p.overrides = p.storedOverrides.Found(p.clock.now())
+	p.drainStart.foundAtStartup = p.overrides.DrainSince
 }
 
-// setOverrides brings new overrides into force: everywhere, before it returns.
+// setOverrides applies new overrides to all pools and listeners before it returns.
 func (p *Proxy) setOverrides(overrides override.Set) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	previous := p.overrides
-	stated := p.statedOverrides
-	p.statedOverrides = overrides
+	stated := p.storedOverrides
+	p.storedOverrides = overrides
 	overrides = overrides.Observed(stated, previous, p.clock.now())
 	p.overrides = overrides
 	for c := range p.pools.all() {
@@ -79,40 +79,39 @@
 		if p.fleet != nil {
 			go p.announcePhase()
 		}
-		start := p.drainStartLocked() // now, also without a listener: see there
+		start := p.drainStartLocked() // computed now even without a listener, see drainStartLocked
 		for _, l := range p.listeners {
 			l.server.Drain(start)
 		}
 	}
 	if !maps.Equal(overrides.Down, previous.Down) {
-		p.log.Info("endpoints taken down changed", "endpoint", slices.Sorted(maps.Keys(overrides.Down)))
+		p.log.Info("administratively down endpoints changed", "endpoint", slices.Sorted(maps.Keys(overrides.Down)))
 	}
 }
 
-// drainStart is when a drain began, by the monotonic clock of this process.
+// drainStart is the start of a drain by the monotonic clock of this process.
 type drainStart struct {
-	found   time.Duration // the order that this process found at its start, as the overrides state it: Unix time
-	ordered time.Duration // likewise, the order that at is of
-	at      time.Time
+	foundAtStartup time.Duration // DrainSince found at the start of this process (Unix time), or 0
+	requestedAt    time.Duration // DrainSince that startedAt was computed from (Unix time)
+	startedAt      time.Time
 }
 
-// drainStartLocked is when the drain began that is ordered; zero is none. It
-// may have been ordered at another process of this proxy, whose clock reads the same Unix time unless it has stepped
-// since: then a drain that was not there when this process last looked began after that, and none begins later than
-// now.
-// It is worked out once: a listener that opens after the wall clock has stepped follows the others.
+// drainStartLocked returns the start of the current drain, or zero if there is none. Another process of this proxy may
+// have started the drain, by a wall clock that has stepped since. The result is therefore not after now and, for a
+// drain that this process did not find at its start, not before the store was last read without it. It is computed once
+// per drain, so that listeners opened after a step of the wall clock use the same time.
 func (p *Proxy) drainStartLocked() time.Time {
 	if p.overrides.DrainSince == 0 {
 		return time.Time{}
 	}
-	if p.drainStart.ordered != p.overrides.DrainSince {
+	if p.drainStart.requestedAt != p.overrides.DrainSince {
 		now := time.Now()
 		elapsed := time.Duration(now.UnixNano()) - p.overrides.DrainSince
-		if p.store != nil && p.overrides.DrainSince != p.drainStart.found {
+		if p.store != nil && p.overrides.DrainSince != p.drainStart.foundAtStartup {
 			elapsed = min(elapsed, now.Sub(p.store.KnownAt()))
 		}
-		p.drainStart.ordered = p.overrides.DrainSince
-		p.drainStart.at = now.Add(-max(elapsed, 0))
+		p.drainStart.requestedAt = p.overrides.DrainSince
+		p.drainStart.startedAt = now.Add(-max(elapsed, 0))
 	}
-	return p.drainStart.at
+	return p.drainStart.startedAt
 }
--- a/proxy/overridestep_test.go
+++ b/proxy/overridestep_test.go
@@ -56,7 +56,7 @@
 	for _, step := range steps {
 		ordered := time.Duration(time.Now().Add(-before - step).UnixNano()) // as the wall clock has it now
 		p := &Proxy{overrides: override.Set{DrainSince: ordered}}
-		p.drainStart = drainStart{ordered: ordered, at: takenBeforeStep(t, time.Now().Add(-before), step)}
+		p.drainStart = drainStart{requestedAt: ordered, startedAt: takenBeforeStep(t, time.Now().Add(-before), step)}
 		if ago := time.Since(p.drainStartLocked()); ago < before || ago > before+500*time.Millisecond {
 			t.Errorf("step of %v: began %v ago, want %v", step, ago, before)
 		}
@@ -129,7 +129,7 @@
 			return set.Restore("a", now), err
 		})
 		p := processOf(path)
-		stated := p.statedOverrides.Restored["a"]
+		stated := p.storedOverrides.Restored["a"]
 		counted := p.overrides.Restored["a"]
 		if counted > p.clock.now() || counted > stated {
 			t.Errorf("step of %v: restored %v after the start, as stated %v after it", step, counted-p.clock.now(),
@@ -142,7 +142,7 @@
 			t.Errorf("step of %v: the drain begins in %v", step, time.Until(start))
 		}
 		// Another order doesn't change how what was found counts.
-		next, err := p.statedOverrides.TakeDown("b", p.clock.now())
+		next, err := p.storedOverrides.TakeDown("b", p.clock.now())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/proxy/pools.go
+++ b/proxy/pools.go
@@ -10,9 +10,9 @@
 	"ryerill/config"
 )
 
-// poolSet holds the pools of a proxy. The proxy's mutex guards it.
+// poolSet holds the pools of a proxy. It is guarded by the proxy's mutex.
 type poolSet struct {
-	active   map[string]*core // that routes lead to, by name; nil until Run
+	active   map[string]*core // routed to, by name; nil until Run
 	draining map[*core]struct{}
 }
 
@@ -32,20 +32,19 @@
 	}
 }
 
-// activePools returns the pools that routes lead to.
+// activePools returns the pools that are routed to.
 func (p *Proxy) activePools() []*core {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Collect(maps.Values(p.pools.active))
 }
 
-// pushedListTimeout bounds how long a start waits for lists that are pushed: whatever discovery does, the proxy is
-// ready soon after.
+// pushedListTimeout bounds how long startup waits for pushed lists, so that the proxy becomes ready even if discovery
+// does not respond.
 const pushedListTimeout = time.Second
 
-// awaitPushedLists waits until each pool whose list is pushed has received it. What an agent has counts as known from
-// the first moment of the process, and the list in the configuration may be older. An agent that is silent is not
-// waited for long.
+// awaitPushedLists waits until each pool with pushed discovery has received its list, for at most pushedListTimeout.
+// The agent's list must be in use from the start of the process, and the configured list may be older.
 func (p *Proxy) awaitPushedLists(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, pushedListTimeout)
 	defer cancel()
@@ -56,21 +55,21 @@
 		select {
 		case <-c.discovery.listed:
 		case <-ctx.Done():
-			p.log.Warn("discovery did not answer in time, using the endpoint list known before", "pool", c.name)
+			p.log.Warn("discovery did not answer in time, using the last known endpoint list", "pool", c.name)
 		}
 	}
 }
 
-// hasPool reports whether routes lead to a pool of a name.
+// hasPool reports whether there is an active pool with a name.
 func (p *Proxy) hasPool(name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.pools.active[name] != nil
 }
 
-// newPoolLocked starts a pool that has a claim to resources; index is its place in the configuration. A pool that
-// replaces another of the same endpoints begins with the list that is in force there: the configuration's may be as old
-// as the file.
+// newPoolLocked starts a pool, whose resources must be claimed already; index is its position in the configuration. A
+// pool that follows a predecessor with the same endpoints starts with the predecessor's list, because the configured
+// list may be as old as the configuration file.
 func (p *Proxy) newPoolLocked(cfg config.Pool, index int, refetch bool, from succession) *core {
 	return newCore(cfg, coreConfig{
 		seed:       p.cfg.Seed + uint64(index),
@@ -87,17 +86,17 @@
 	})
 }
 
-// drainPoolLocked has a pool that is active no more end in a goroutine for which Run waits.
+// drainPoolLocked drains a pool that is no longer active, in a goroutine that Run waits for.
 func (p *Proxy) drainPoolLocked(c *core) {
-	p.leaving.Add(1)
+	p.running.Add(1)
 	p.pools.draining[c] = struct{}{}
 	go func() {
-		defer p.leaving.Done()
+		defer p.running.Done()
 		c.drain(c.cfg.Drain)
 		p.mu.Lock()
 		delete(p.pools.draining, c)
 		p.mu.Unlock()
-		if !p.hasPool(c.name) { // else another pool of its name has its resources
+		if !p.hasPool(c.name) { // otherwise a new pool with the same name uses the resources
 			p.resources.release(c.name)
 		}
 	}()
--- a/proxy/pools_test.go
+++ b/proxy/pools_test.go
@@ -197,8 +197,8 @@
 	p.resources.mu.Lock()
 	defer p.resources.mu.Unlock()
 	r := p.resources
-	if len(r.claims) != len(before) || r.claims[0].Name != "a" || len(r.leaving) != 0 || !r.alone {
-		t.Errorf("claims of %d pools, %d leaving, alone %v", len(r.claims), len(r.leaving), r.alone)
+	if len(r.claims) != len(before) || r.claims[0].Name != "a" || len(r.draining) != 0 || !r.singlePool {
+		t.Errorf("claims of %d pools, %d leaving, alone %v", len(r.claims), len(r.draining), r.singlePool)
 	}
 }
 
--- a/proxy/processes.go
+++ b/proxy/processes.go
@@ -13,54 +13,53 @@
 )
 
 const (
-	// listTimeout bounds how long a second process waits for discovery: it is due to be ready in 6 s.
+	// listTimeout bounds how long a second process waits for discovery. The process must be ready within 6 s.
 	listTimeout = 4 * time.Second
-	// snapshotTimeout bounds how long it then waits for what the first one has learnt.
+	// snapshotTimeout bounds how long it then waits for the learnt state of the first process.
 	snapshotTimeout = 300 * time.Millisecond
 )
 
-// processes are the processes of this proxy, as this one sees them. At an upgrade there are two.
+// processes is the state of this proxy's processes as known to this one. During an upgrade there are two.
 type processes struct {
 	registry *handover.Registry
-	second   bool // another one was there before this one
-	// onShare is called with this process's part of the machine's memory.
-	onShare func(part float64)
-	// restored is closed once what another process has learnt is taken over.
+	second   bool // another process was running when this one started
+	// onMemoryShare is called with this process's fraction of the machine's memory.
+	onMemoryShare func(part float64)
+	// restored is closed once the learnt state of another process has been restored.
 	restored     chan struct{}
 	markRestored func() // closes it, once
 
 	// The fields below are guarded by the proxy's mutex.
-	count int // this one among them
+	count int // including this one
 	state handover.State
 }
 
 func newProcesses() processes {
 	restored := make(chan struct{})
 	return processes{
-		onShare:      func(float64) {},
-		restored:     restored,
-		markRestored: sync.OnceFunc(func() { close(restored) }),
-		count:        1,
-		state:        handover.Starting,
+		onMemoryShare: func(float64) {},
+		restored:      restored,
+		markRestored:  sync.OnceFunc(func() { close(restored) }),
+		count:         1,
+		state:         handover.Starting,
 	}
 }
 
-// successor reports whether another process of this proxy serves.
-func (s *processes) successor() bool {
+// hasSuccessor reports whether another process of this proxy is serving.
+func (s *processes) hasSuccessor() bool {
 	return slices.ContainsFunc(s.registry.Others(), func(other handover.Process) bool {
 		return other.State == handover.Serving
 	})
 }
 
-// poolState is what a process publishes of a pool for the others of its proxy.
+// poolState is the state of a pool that a process publishes to the other processes of its proxy.
 type poolState struct {
 	InFlight int               `json:"in_flight"`
 	Learnt   balancer.Snapshot `json:"learnt"`
 }
 
-// awaitHandover waits until discovery has answered each pool: the list in the configuration
-// may be as old as the process before this one. Then it waits until what that process has
-// learnt is taken over. Either wait is bounded.
+// awaitHandover waits until discovery has answered each pool, because the configured list may be as old as the previous
+// process. It then waits until the learnt state of the previous process has been restored. Both waits are bounded.
 func (p *Proxy) awaitHandover(ctx context.Context) {
 	timeout := time.NewTimer(listTimeout)
 	defer timeout.Stop()
@@ -70,15 +69,15 @@
 		case <-ctx.Done():
 			return
 		case <-timeout.C:
-			p.log.Warn("discovery did not answer in time, using the endpoint list known before", "pool", c.name)
-			timeout.Reset(0) // the other pools have had their time as well
+			p.log.Warn("discovery did not answer in time, using the last known endpoint list", "pool", c.name)
+			timeout.Reset(0) // the timeout is shared by all pools
 		}
 	}
 	select {
 	case <-p.processes.restored:
 	case <-ctx.Done():
 	case <-time.After(snapshotTimeout):
-		p.log.Warn("previous process did not publish what it has learnt")
+		p.log.Warn("previous process did not publish its learnt state in time")
 	}
 }
 
@@ -90,7 +89,7 @@
 	p.publish()
 }
 
-// publish publishes the state of this process, what it has in flight, and what it has learnt.
+// publish publishes the state of this process, its attempts in flight and its learnt state.
 func (p *Proxy) publish() {
 	p.mu.Lock()
 	state := p.processes.state
@@ -106,8 +105,8 @@
 	p.processes.registry.Publish(state, text)
 }
 
-// parsePools reads what another process published of its pools. Where that is torn, or of
-// another version, there are none: the next report may have more.
+// parsePools parses the pool states that another process published. It returns nil if the text is truncated or of an
+// incompatible version; a later publication may be readable.
 func parsePools(process handover.Process) map[string]poolState {
 	var pools map[string]poolState
 	if json.Unmarshal([]byte(process.Text), &pools) != nil {
@@ -116,12 +115,12 @@
 	return pools
 }
 
-// setProcesses takes over what the other processes of this proxy publish. What is
-// allowed is allowed them all together.
+// setProcesses applies the published states of the other processes of this proxy. Limits hold for all processes
+// together.
 func (p *Proxy) setProcesses(others []handover.Process) {
-	siblings := 0                     // that have requests, or may have
-	inFlight := map[string]int{}      // theirs, by pool
-	var previous map[string]poolState // pools of the one that serves
+	siblings := 0                     // processes that may have requests
+	inFlight := map[string]int{}      // attempts of the siblings, by pool
+	var previous map[string]poolState // pools of the serving process
 	for _, other := range others {
 		if other.State == handover.Starting {
 			continue
@@ -157,20 +156,20 @@
 	}
 }
 
-// setProcessCountLocked divides the machine among so many processes of this proxy.
+// setProcessCountLocked divides the machine's resources among count processes of this proxy.
 func (p *Proxy) setProcessCountLocked(count int) {
 	if count == p.processes.count {
 		return
 	}
 	p.processes.count = count
 	p.resources.setProcesses(count)
-	p.processes.onShare(1 / float64(count))
+	p.processes.onMemoryShare(1 / float64(count))
 	for _, l := range p.listeners {
 		l.server.SetMaxConnections(p.maxConnectionsLocked(len(p.listeners)))
 	}
 }
 
-// state is what other processes should know of the pool.
+// state returns the pool state to publish to other processes.
 func (c *core) state() poolState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,35 +177,35 @@
 	return poolState{InFlight: inFlight, Learnt: c.decisions.balancer.Snapshot()}
 }
 
-// setSiblings sets how many other processes serve as this replica, and how many attempts they have in flight.
+// setSiblings sets the number of other processes of this replica and their attempts in flight.
 func (c *core) setSiblings(siblings, inFlight int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.decisions.balancer.SetSiblings(siblings, inFlight)
 }
 
-// restore has the Balancer begin with what another process has learnt.
+// restore restores the Balancer's learnt state from another process's snapshot.
 func (c *core) restore(snapshot balancer.Snapshot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.decisions.balancer.Restore(snapshot)
 }
 
-// ShutdownPlan implements [downstream.Router]. Where another process of this proxy serves, clients
-// are led over to it.
+// ShutdownPlan implements [downstream.Router]. If another process of this proxy is serving, clients are handed over to
+// it.
 func (p *Proxy) ShutdownPlan(killedAfter time.Duration) drain.Plan {
-	if p.processes.successor() {
+	if p.processes.hasSuccessor() {
 		p.log.Info("handing over to the next process")
 		return drain.Handover()
 	}
 	plan := drain.Shutdown(killedAfter)
-	plan.KeepsProcess = !p.isEnding()
+	plan.KeepsProcess = !p.isShuttingDown()
 	return plan
 }
 
-// isEnding reports whether the whole process ends, and not a listener alone.
-func (p *Proxy) isEnding() bool {
+// isShuttingDown reports whether the whole process is shutting down, not only a listener.
+func (p *Proxy) isShuttingDown() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.life.Err() != nil
+	return p.runCtx.Err() != nil
 }
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -1,10 +1,9 @@
-// Package proxy is a balancing proxy that a program can embed: [New] makes one
-// from a configuration and [Proxy.Run] runs it.
+// Package proxy implements an embeddable load-balancing proxy. [New] creates a proxy from a configuration and
+// [Proxy.Run] runs it.
 //
-// A request comes in at a listener, and the router finds its pool. There it
-// is accepted and goes through attempts to its result (request.go, attempt.go). A
-// pool is a core that knows no protocol: what happens becomes events, package
-// balancer decides them, and the core executes the actions (decisions.go).
+// A listener receives a request and the router selects its pool. The pool accepts the request and executes attempts
+// until the request has a result (request.go, attempt.go). A pool is a core, which is independent of the protocol: it
+// turns occurrences into events, passes them to package balancer, and executes the resulting actions (decisions.go).
 package proxy
 
 import (
@@ -27,36 +26,36 @@
 	"ryerill/override"
 )
 
-// Reasons why the proxy is not ready. Their texts are the management endpoint's responses.
+// Reasons why the proxy is not ready. The management endpoint returns their texts.
 var (
-	errStarting = errors.New("not ready: it has no list of backends yet, or does not listen")
-	errEnding   = errors.New("not ready: it ends")
-	errDraining = errors.New("not ready: it drains, until POST /ops/drain/stop")
+	errStarting     = errors.New("not ready: it has no list of backends yet, or does not listen")
+	errShuttingDown = errors.New("not ready: it ends")
+	errDraining     = errors.New("not ready: it drains, until POST /ops/drain/stop")
 )
 
-// Proxy balances requests over the endpoints of its pools. Its exported methods
-// may be called concurrently unless they say otherwise.
+// Proxy balances requests over the endpoints of its pools. Its exported methods are safe for concurrent use unless
+// documented otherwise.
 //
-// Methods whose names end in Locked are called with the mutex held. It is taken before
-// that of any pool, of the fleet's member or of the resources.
+// Callers of methods whose names end in Locked must hold mu. Lock order: mu is acquired before the mutex of a pool, of
+// the fleet member or of the resources.
 type Proxy struct {
 	name      string
-	version   string // of the program
+	version   string // version of the program
 	log       *slog.Logger
 	buffers   *buffer.Pool
-	resources *resources // of the machine
+	resources *resources // the machine's resources
 	counters  counters
 	faults    *faultlog.Recorder
 	router    atomic.Pointer[router] // set by Run
-	admin     *admin.Server          // nil is none
+	admin     *admin.Server          // nil if there is no management endpoint
 	store     *overridestore.Store
 	processes processes
-	fleet     *fleetMember // nil is none
+	fleet     *fleetMember // nil if no fleet is configured
 	rollouts  rollouts
-	leaving   sync.WaitGroup // pools and listeners that end
+	running   sync.WaitGroup // serving listeners and draining pools
 	failed    chan error     // the first error of a listener
 
-	reloading sync.Mutex // held by a reload from its beginning to its end
+	reloading sync.Mutex // held for the whole duration of a reload
 
 	mu sync.Mutex
 	// The fields below are guarded by mu.
@@ -64,39 +63,38 @@
 	clock           clock // set by Run
 	listeners       []*listener
 	pools           poolSet
-	overrides       override.Set    // those that came since the start with their restores by clock
-	statedOverrides override.Set    // the same as they are stored
+	overrides       override.Set    // in force; restores since the start are timed by clock
+	storedOverrides override.Set    // as read from the store
 	drainStart      drainStart      // of the latest drain
-	life            context.Context // of Run; nil before
-	ready           bool            // it has lists and listens
-	ending          bool            // Run waits for the last results: nothing new begins
+	runCtx          context.Context // context of Run; nil before Run
+	ready           bool            // has endpoint lists and is listening
+	shuttingDown    bool            // Run waits for the last results and accepts no reload
 }
 
-// Option changes how a proxy is made.
+// Option configures a proxy.
 type Option func(*Proxy)
 
-// WithLogger makes the proxy log to log, which must not block, instead of
-// slog's default.
+// WithLogger sets the logger, which must not block. The default is slog's default logger.
 func WithLogger(log *slog.Logger) Option { return func(p *Proxy) { p.log = log } }
 
-// WithProcessShare makes the proxy report which part of the machine's memory is its own:
-// less than 1 while another process of the same proxy is running. The function must not block.
+// WithProcessShare sets a function that receives this process's fraction of the machine's memory, which is less than 1
+// while another process of the same proxy is running. The function must not block.
 func WithProcessShare(share func(part float64)) Option {
-	return func(p *Proxy) { p.processes.onShare = share }
+	return func(p *Proxy) { p.processes.onMemoryShare = share }
 }
 
-// WithProgram states the version of the program, which the fleet publishes.
+// WithProgram sets the version of the program that the proxy publishes to its fleet.
 func WithProgram(version string) Option { return func(p *Proxy) { p.version = version } }
 
-// WithRollouts has the proxy take part in its fleet's rollouts: change brings settings
-// into force here, parsePlan parses a plan that an operator submits.
+// WithRollouts enables the proxy to take part in its fleet's rollouts. change applies settings to this proxy; parsePlan
+// parses a plan submitted by an operator.
 func WithRollouts(change fleet.ChangeFunc, parsePlan func(text []byte) (rollout.Plan, error)) Option {
 	return func(p *Proxy) { p.rollouts = rollouts{change: change, parsePlan: parsePlan} }
 }
 
-// New returns a proxy that listens already; clients wait until Run. One that
-// finds another process of the same proxy listens in Run, when it is ready to serve.
-// An address that can't be listened at is a [config.AddressError].
+// New returns a proxy that is already listening; clients are served from Run on. If another process of the same proxy
+// is running, the listeners are opened in Run instead, when the proxy is ready to serve. New returns a
+// [config.AddressError] if it can't listen on an address.
 func New(cfg config.Config, options ...Option) (*Proxy, error) {
 	p := &Proxy{
 		name:      cfg.Name,
@@ -123,25 +121,25 @@
 	return p, nil
 }
 
-// openShared opens what the processes of this proxy share: overrides and their registry. Without
-// either the proxy serves all the same.
+// openShared opens the overrides and the registry shared by the processes of this proxy. The proxy can serve without
+// them.
 func (p *Proxy) openShared() {
 	path := ""
 	if p.cfg.Admin != "" {
 		path = overridestore.Path(p.cfg.SharedDir, p.name, p.cfg.Listeners[0].Address)
 		if path == "" {
-			p.log.Warn("overrides last only as long as this process", "reason", config.EnvTempDir+" is not set")
+			p.log.Warn("overrides are not stored beyond this process", "reason", config.EnvTempDir+" is not set")
 		}
 	}
 	p.openOverrides(path)
 	var err error
 	p.processes.registry, err = handover.Register(path, p.log)
 	if err != nil {
-		p.log.Warn("an upgrade will not find this process", "err", err)
+		p.log.Warn("process not registered, an upgrade will not detect it", "err", err)
 	}
 }
 
-// open opens the proxy's addresses, as far as this process is to have them now.
+// open opens the management and fleet addresses and, unless another process is running, the listeners.
 func (p *Proxy) open() error {
 	if p.cfg.Admin != "" {
 		server, err := admin.Listen(p.cfg.Admin)
@@ -168,7 +166,7 @@
 	return nil
 }
 
-// Close ends a proxy that never ran.
+// Close releases the resources of a proxy that has not been run.
 func (p *Proxy) Close() {
 	p.processes.registry.Deregister()
 	if host := p.fleetHost(); host != nil {
@@ -190,8 +188,8 @@
 	return p.admin.Address()
 }
 
-// Readiness implements [admin.Controller]. A drain does not make a second process unready while
-// the first one runs: it is ready to take over the first one's state, including its drain.
+// Readiness implements [admin.Controller]. A drain does not make a second process unready while the first process runs:
+// the second is ready to take over the first one's state, including its drain.
 func (p *Proxy) Readiness() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -199,18 +197,18 @@
 	switch {
 	case !p.ready:
 		return errStarting
-	case p.life.Err() != nil:
-		return errEnding
+	case p.runCtx.Err() != nil:
+		return errShuttingDown
 	case p.overrides.DrainSince != 0 && !takesOver:
 		return errDraining
 	}
 	return nil
 }
 
-// Starting reports whether the proxy doesn't serve yet.
+// Starting reports whether the proxy is not serving yet.
 func (p *Proxy) Starting() bool { return errors.Is(p.Readiness(), errStarting) }
 
-// Run serves until ctx ends and all that was accepted has its result. It is called once.
+// Run serves until ctx ends and all accepted requests have their results. It must be called at most once.
 func (p *Proxy) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -218,7 +216,7 @@
 		return fmt.Errorf("proxy %s: %w", p.name, err)
 	}
 	divides := p.dividesResources()
-	// What runs beside the requests goes on until the last has its result.
+	// Background tasks continue until the last request has its result.
 	background, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	if p.admin != nil {
@@ -254,15 +252,15 @@
 	return nil
 }
 
-// startPools starts the pools and the router that leads to them.
+// startPools starts the pools and the router.
 func (p *Proxy) startPools(ctx context.Context) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.clock = clock{time.Now()}
-	p.life = ctx
+	p.runCtx = ctx
 	p.pools.active = map[string]*core{}
 	if !p.resources.claim(p.cfg.Pools) {
-		return errGuarantees
+		return errGuaranteesTooHigh
 	}
 	for i, pool := range p.cfg.Pools {
 		p.pools.active[pool.Name] = p.newPoolLocked(pool, i, p.processes.second, succession{})
@@ -275,7 +273,7 @@
 	return nil
 }
 
-// runAdmin starts the management endpoint, and what passes orders and states between the processes of
+// runAdmin starts the management endpoint, and the watches of the overrides and the states shared by the processes of
 // this proxy.
 func (p *Proxy) runAdmin(ctx context.Context) {
 	p.log.Info("management endpoint listening", "address", p.admin.Address(), "second_process", p.processes.second)
@@ -284,7 +282,7 @@
 	go p.processes.registry.Watch(ctx, p.setProcesses)
 }
 
-// startListeners begins to serve clients.
+// startListeners starts serving clients on all listeners.
 func (p *Proxy) startListeners(ctx context.Context) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -300,25 +298,25 @@
 	return nil
 }
 
-// dividesResources reports whether resources may ever have to be divided among pools: the
-// platform's form of configuration has one pool, and its reloads add none.
+// dividesResources reports whether resources may have to be divided among pools. A configuration in the platform's
+// format has a single pool, also after reloads.
 func (p *Proxy) dividesResources() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.cfg.Pools) > 1 || p.cfg.Pools[0].Settings.AnyPath
 }
 
-// finish waits until all that was accepted has its result, and ends the pools.
+// finish waits until all accepted requests have their results, and closes the pools.
 func (p *Proxy) finish() {
 	p.setState(handover.Leaving)
 	p.mu.Lock()
-	p.ending = true
+	p.shuttingDown = true
 	p.mu.Unlock()
 	p.announcePhase()
-	if p.processes.successor() {
-		p.leaveFleet() // the other process takes its address over
+	if p.processes.hasSuccessor() {
+		p.leaveFleet() // lets the other process open the fleet's address
 	}
-	p.leaving.Wait()
+	p.running.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.pools.active {
--- a/proxy/reasons.go
+++ b/proxy/reasons.go
@@ -9,33 +9,33 @@
 	"ryerill/message"
 )
 
-// requestEnd is why a request has ended.
-type requestEnd uint8
+// endReason is the reason why a request ended.
+type endReason uint8
 
-// The reasons.
+// Reasons for the end of a request.
 const (
-	endServed     requestEnd = iota
-	endShed                  // rejected by a decision: nothing of it ran
-	endFull                  // rejected unseen: the pool has no allowance left
-	endFailed                // nothing is known of its execution
-	endTimedOut              // failed as its time was over
-	endNoDecision            // its time was over, and nothing had been decided
+	endServed      endReason = iota
+	endShed                  // rejected by the balancer; it was not executed
+	endNoAllowance           // rejected without a decision: the pool has no allowance left
+	endFailed                // may have been executed
+	endTimedOut              // failed at its deadline
+	endNoDecision            // reached its deadline without a decision
 	endClientLeft
-	requestEnds // their number
+	endReasonCount // number of reasons
 )
 
-var requestEndNames = [requestEnds]string{
-	endServed:     "served",
-	endShed:       "shed",
-	endFull:       "shed, no allowance left",
-	endFailed:     "failed",
-	endTimedOut:   "timed out",
-	endNoDecision: "timed out without a decision",
-	endClientLeft: "client left",
+var endReasonNames = [endReasonCount]string{
+	endServed:      "served",
+	endShed:        "shed",
+	endNoAllowance: "shed, no allowance left",
+	endFailed:      "failed",
+	endTimedOut:    "timed out",
+	endNoDecision:  "timed out without a decision",
+	endClientLeft:  "client left",
 }
 
-// endOf is the reason of a result.
-func endOf(kind message.ResultKind) requestEnd {
+// endReasonOf returns the reason for a result.
+func endReasonOf(kind message.ResultKind) endReason {
 	switch kind {
 	case message.Served:
 		return endServed
@@ -49,59 +49,59 @@
 }
 
 const (
-	outcomes = int(balancer.OutcomeCount)
-	// besideAnother is the reason of a further attempt that begins while an earlier one is in flight.
-	besideAnother     = outcomes
-	besideAnotherName = "beside an attempt in flight"
+	outcomeCount = int(balancer.OutcomeCount)
+	// concurrentAttempt is the reason for a further attempt that starts while another one is in flight.
+	concurrentAttempt     = outcomeCount
+	concurrentAttemptName = "beside an attempt in flight"
 )
 
-// reasons counts, of one pool, why requests and attempts have ended and why further attempts were made.
-type reasons struct {
-	requests [requestEnds]atomic.Int64
-	attempts [outcomes]atomic.Int64
-	retries  [outcomes + 1]atomic.Int64 // by the outcome of the attempt before, and besideAnother
+// endCounters counts the ends of requests and attempts and the further attempts of a pool, by reason.
+type endCounters struct {
+	requests [endReasonCount]atomic.Int64
+	attempts [outcomeCount]atomic.Int64
+	retries  [outcomeCount + 1]atomic.Int64 // by the outcome of the previous attempt, or concurrentAttempt
 }
 
-// requestEnded counts a request's end.
-func (r *reasons) requestEnded(why requestEnd) { r.requests[why].Add(1) }
+// requestEnded counts the end of a request.
+func (r *endCounters) requestEnded(reason endReason) { r.requests[reason].Add(1) }
 
-// attemptEnded counts an attempt's end.
-func (r *reasons) attemptEnded(outcome balancer.Outcome) { r.attempts[outcome].Add(1) }
+// attemptEnded counts the end of an attempt.
+func (r *endCounters) attemptEnded(outcome balancer.Outcome) { r.attempts[outcome].Add(1) }
 
-// attemptStarted counts why a further attempt is made, given those that were made before.
-func (r *reasons) attemptStarted(before []*attempt, inFlight int) {
+// attemptStarted counts the reason for a further attempt, given the previous attempts of the request.
+func (r *endCounters) attemptStarted(previous []*attempt, inFlight int) {
 	switch {
-	case len(before) == 0:
+	case len(previous) == 0:
 	case inFlight > 0:
-		r.retries[besideAnother].Add(1)
+		r.retries[concurrentAttempt].Add(1)
 	default:
-		r.retries[before[len(before)-1].outcome].Add(1)
+		r.retries[previous[len(previous)-1].outcome].Add(1)
 	}
 }
 
-// reasonCounts are the counts of a pool by their names; what never happened is left out.
+// reasonCounts are the counts of a pool by reason. Reasons with a count of 0 are omitted.
 type reasonCounts struct {
 	Requests map[string]int64 `json:"request_ends"`
 	Attempts map[string]int64 `json:"attempt_ends"`
-	Retries  map[string]int64 `json:"retries"` // by the end of the attempt before
+	Retries  map[string]int64 `json:"retries"` // by the outcome of the previous attempt
 
-	SendsAfterGrace int64 `json:"sends_after_grace"` // to withdrawn endpoints: 0 unless this proxy is at fault
+	SendsAfterGrace int64 `json:"sends_after_grace"` // to withdrawn endpoints; other than 0 only by a bug
 
 	Unsolicited unsolicitedCounts `json:"unsolicited_bytes"`
 
 	List listReport `json:"endpoint_list"`
 }
 
-func (r *reasons) counts() reasonCounts {
+func (r *endCounters) counts() reasonCounts {
 	counts := reasonCounts{Requests: map[string]int64{}, Attempts: map[string]int64{}, Retries: map[string]int64{}}
-	for why := range r.requests {
-		addCount(counts.Requests, requestEndNames[why], &r.requests[why])
+	for reason := range r.requests {
+		addCount(counts.Requests, endReasonNames[reason], &r.requests[reason])
 	}
 	for outcome := range r.attempts {
 		addCount(counts.Attempts, balancer.Outcome(outcome).String(), &r.attempts[outcome])
 		addCount(counts.Retries, balancer.Outcome(outcome).String(), &r.retries[outcome])
 	}
-	addCount(counts.Retries, besideAnotherName, &r.retries[besideAnother])
+	addCount(counts.Retries, concurrentAttemptName, &r.retries[concurrentAttempt])
 	return counts
 }
 
@@ -111,17 +111,17 @@
 	}
 }
 
-// faultReport is what the management endpoint tells of faults.
+// faultReport is the management endpoint's report on faults.
 type faultReport struct {
 	faultlog.Counts
-	Pools map[string]reasonCounts `json:"pools"` // since each began
+	Pools map[string]reasonCounts `json:"pools"` // by name, since the start of each pool
 }
 
 // Faults implements [admin.Controller].
 func (p *Proxy) Faults() (json.RawMessage, error) {
 	report := faultReport{Counts: p.faults.Counts(), Pools: map[string]reasonCounts{}}
 	for _, c := range p.activePools() {
-		counts := c.reasons.counts()
+		counts := c.ends.counts()
 		counts.SendsAfterGrace = c.graceCheck.violations.Load()
 		counts.Unsolicited = c.unsolicited.report()
 		counts.List = c.listReport()
--- a/proxy/reload.go
+++ b/proxy/reload.go
@@ -10,39 +10,37 @@
 	"ryerill/config"
 )
 
-// guaranteeTimeout is how long a reload waits for new pools' guarantees to come back from
-// those that have borrowed. Later they come as they are given back.
+// guaranteeTimeout bounds how long a reload waits until borrowed resources guaranteed to new pools are returned. After
+// it the pools start and receive the rest as it is returned.
 const guaranteeTimeout = time.Second
 
 var (
-	errNotRunning = errors.New("not running")
-	errGuarantees = errors.New("the pools' guarantees exceed what the machine has")
+	errNotRunning        = errors.New("not running")
+	errGuaranteesTooHigh = errors.New("the pools' guarantees exceed what the machine has")
 )
 
-// reload is one reload. What may fail is done first; until it is committed it changes nothing
-// that [reload.rollback] does not undo.
+// reload is the state of one reload. Steps that may fail run first; until the commit [reload.rollback] can undo all of
+// them.
 type reload struct {
-	proxy   *Proxy
-	old     config.Config
-	cfg     config.Config
-	restart bool // something in cfg holds only from the next start on
-
-	maxConnections int         // of each listener
-	listeners      []*listener // of cfg
-	opened         []*listener // those among them that are new
-	claimed        bool        // the pools of cfg have their claims
+	proxy         *Proxy
+	old           config.Config
+	cfg           config.Config
+	restartNeeded bool // cfg has changes that need a restart
+
+	maxConnections int         // per listener
+	listeners      []*listener // listeners of cfg
+	opened         []*listener // new listeners among them
+	claimed        bool        // resources are claimed for the pools of cfg
 	pools          map[string]*core
-	created        []*core // those among them that are new
-	replaced       []*core // active pools that go and whose place a new one of another name takes
+	created        []*core // new pools among them
+	replaced       []*core // removed pools that a new pool with another name replaces
 	router         *router
 }
 
-// Reload takes a whole configuration over while the proxy runs: listeners,
-// routes, pools and their limits. After an error nothing has changed.
-// Requests end in the pool that they met at their start; a pool
-// that goes finishes them, and one of which only limits change keeps what it has
-// learnt. What the machine allows, the proxy's name and its seed hold from the
-// next start on. It may be called concurrently.
+// Reload applies a complete configuration while the proxy runs: listeners, routes, pools and their limits. If it
+// returns an error, nothing has changed. Requests stay in the pool that accepted them; a removed pool drains, and a
+// pool whose limits alone change keeps its learnt state. Changes of the machine's limits, the management address, the
+// name or the seed take effect at the next start. It is safe for concurrent use.
 func (p *Proxy) Reload(cfg config.Config) error {
 	if err := p.reload(cfg); err != nil {
 		p.counters.reloadsFailed.Add(1)
@@ -79,11 +77,11 @@
 	return nil
 }
 
-// newReload sets what holds until the next start as it is.
+// newReload prepares a reload. Settings that need a restart keep their current values.
 func (p *Proxy) newReload(cfg config.Config) (*reload, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.ready || p.ending {
+	if !p.ready || p.shuttingDown {
 		return nil, errNotRunning
 	}
 	old := p.cfg
@@ -97,16 +95,16 @@
 		proxy:          p,
 		old:            old,
 		cfg:            cfg,
-		restart:        restart,
+		restartNeeded:  restart,
 		maxConnections: p.maxConnectionsLocked(len(cfg.Listeners)),
 		pools:          map[string]*core{},
 	}, nil
 }
 
-// openListeners keeps the listeners that there are, and opens the others.
+// openListeners keeps listeners that are already open and opens the others.
 func (r *reload) openListeners() error {
 	for _, entry := range r.cfg.Listeners {
-		if kept := r.present(entry); kept != nil {
+		if kept := r.findListener(entry); kept != nil {
 			r.listeners = append(r.listeners, kept)
 			continue
 		}
@@ -120,10 +118,10 @@
 	return nil
 }
 
-// present returns the listener that listens already at an entry's address, if no other entry has it.
-// Only a reload changes the proxy's listeners while it runs, so they can be read without its mutex.
-func (r *reload) present(entry config.Listener) *listener {
-	anyPort := strings.HasSuffix(entry.Address, ":0") // each is another address: the name decides
+// findListener returns the open listener at an entry's address, or nil if there is none or another entry uses it. It
+// reads the proxy's listeners without the proxy's mutex, because only a reload changes them while the proxy runs.
+func (r *reload) findListener(entry config.Listener) *listener {
+	anyPort := strings.HasSuffix(entry.Address, ":0") // each gets a port of its own, so listeners match by name
 	i := slices.IndexFunc(r.proxy.listeners, func(l *listener) bool {
 		if l.Address != entry.Address || anyPort && l.Name != entry.Name {
 			return false
@@ -136,23 +134,23 @@
 	return r.proxy.listeners[i]
 }
 
-// claimResources claims what the pools are guaranteed, and waits for that a while.
+// claimResources claims the pools' guarantees, and waits for at most guaranteeTimeout until they are available.
 func (r *reload) claimResources() error {
 	resources := r.proxy.resources
 	if !resources.claim(r.cfg.Pools) {
-		return errGuarantees
+		return errGuaranteesTooHigh
 	}
 	r.claimed = true
 	end := time.Now().Add(guaranteeTimeout)
-	for !resources.guaranteed(r.cfg.Pools) && time.Now().Before(end) {
+	for !resources.guaranteesMet(r.cfg.Pools) && time.Now().Before(end) {
 		resources.rebalance()
 		time.Sleep(rebalanceInterval / 4)
 	}
 	return nil
 }
 
-// createPoolsLocked keeps the pools that can be adjusted, creates the others, and checks that routes lead
-// to them and that the proxy still runs.
+// createPoolsLocked keeps adjustable pools, creates the others and the router, and checks that the proxy is still
+// running.
 func (r *reload) createPoolsLocked() error {
 	p := r.proxy
 	for i, pool := range r.cfg.Pools {
@@ -166,13 +164,13 @@
 	}
 	var err error
 	r.router, err = newRouter(r.cfg.Routes, r.pools)
-	if p.ending {
+	if p.shuttingDown {
 		return errNotRunning
 	}
 	return err
 }
 
-// rollback undoes all that was done before an error.
+// rollback undoes all steps of a failed reload.
 func (r *reload) rollback() {
 	for _, c := range r.created {
 		c.close()
@@ -191,7 +189,7 @@
 	}
 }
 
-// commitLocked puts the new configuration in force. Nothing fails any more.
+// commitLocked puts the new configuration in force. It cannot fail.
 func (r *reload) commitLocked() {
 	p := r.proxy
 	removed := r.replacePoolsLocked()
@@ -200,7 +198,7 @@
 		p.drainPoolLocked(c)
 	}
 	if p.reloadFleet(r.old.Fleet, r.cfg.Fleet) {
-		r.restart = true
+		r.restartNeeded = true
 	}
 	if p.fleet != nil {
 		go func() {
@@ -210,10 +208,10 @@
 	}
 	p.log.Info("configuration reloaded", "listeners", len(r.listeners), "routes", len(r.cfg.Routes),
 		"pools_kept", len(r.pools)-len(r.created), "pools_new", len(r.created), "pools_removed", len(removed),
-		"restart_needed", r.restart)
+		"restart_needed", r.restartNeeded)
 }
 
-// replacePoolsLocked leads new requests to the new pools, and returns those that are active no more.
+// replacePoolsLocked routes new requests to the new pools, and returns the pools that are no longer active.
 func (r *reload) replacePoolsLocked() (removed []*core) {
 	p := r.proxy
 	for _, pool := range r.cfg.Pools {
@@ -221,13 +219,13 @@
 		if c == p.pools.active[pool.Name] {
 			c.adjust(pool)
 		} else {
-			c.discovery.setAddress(pool.Discovery) // of a client that it shares with the pool that it replaces
+			c.discovery.setAddress(pool.Discovery) // of a client shared with the replaced pool
 		}
 	}
 	for name, c := range p.pools.active {
 		if r.pools[name] != c {
 			removed = append(removed, c)
-			c.connections.Close() // its idle connections are of the allowance of the pool that replaces it
+			c.connections.Close() // its idle connections use the allowance of the pool that replaces it
 		}
 	}
 	p.router.Store(r.router)
@@ -236,12 +234,12 @@
 	return removed
 }
 
-// replaceListenersLocked serves at the new listeners, and at others no more.
+// replaceListenersLocked starts the new listeners and stops those that are no longer configured.
 func (r *reload) replaceListenersLocked() {
 	p := r.proxy
 	for _, l := range p.listeners {
 		if !slices.Contains(r.listeners, l) {
-			l.stop() // it serves what it has and ends
+			l.stop() // it finishes its open requests first
 		}
 	}
 	p.listeners = r.listeners
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -10,36 +10,36 @@
 	"ryerill/message"
 )
 
-// maxUpload bounds how long the remainder of a request may take to be received. The
-// listener ends a slow one long before, by its pace.
+// maxUpload bounds how long receiving a streamed request may take. The listener aborts slow uploads much earlier, by
+// their rate.
 const maxUpload = time.Hour
 
-// retryAfterFull is the advice to clients of a pool that has no allowance left for another
-// request: in this time the resources are rebalanced many times.
-const retryAfterFull = 500 * time.Millisecond
+// retryAfterNoAllowance is the Retry-After for requests rejected because the pool has no allowance left. Resources are
+// rebalanced several times within it.
+const retryAfterNoAllowance = 500 * time.Millisecond
 
-// noTicket is the ticket of a request that was answered at once: the Balancer's ids begin at 1.
+// noTicket is the ticket of a request that was answered immediately. Request ids start at 1.
 const noTicket = 0
 
-// openRequest is a request that has no final result yet or has attempts in flight.
+// openRequest is a request without a final result or with attempts in flight.
 type openRequest struct {
 	*message.Request
 	id       balancer.RequestID
-	deadline time.Time // its result is due, before the client gives up
+	deadline time.Time // for the result, before the client gives up
 	attempts []*attempt
-	inFlight int  // attempts
-	done     bool // it has its result, or its client has left
+	inFlight int  // number of attempts in flight
+	done     bool // it has its result or its client has left
 	received bool // its last byte has been received
-	// expiry answers the request should no decision come in time, whatever the reason.
+	// expiry answers the request if there is no decision in time, for any reason.
 	expiry *time.Timer
 }
 
-// requestTable holds the open requests of a pool. Its owner's mutex guards it.
+// requestTable holds the open requests of a pool. It is guarded by its owner's mutex.
 type requestTable struct {
-	newest   balancer.RequestID
+	lastID   balancer.RequestID
 	open     map[balancer.RequestID]*openRequest
-	draining bool          // no new ones come
-	drained  chan struct{} // closed once it is draining and empty
+	draining bool          // no requests are added any more
+	drained  chan struct{} // closed once the table is draining and empty
 	ended    bool          // drained is closed
 }
 
@@ -47,14 +47,14 @@
 	return requestTable{open: make(map[balancer.RequestID]*openRequest), drained: make(chan struct{})}
 }
 
-// add gives a request an id.
+// add assigns an id to a request and adds it.
 func (t *requestTable) add(r *openRequest) {
-	t.newest++
-	r.id = t.newest
+	t.lastID++
+	r.id = t.lastID
 	t.open[r.id] = r
 }
 
-// remove forgets a request, and reports false if that has happened before.
+// remove removes a request and reports whether it was in the table.
 func (t *requestTable) remove(id balancer.RequestID) bool {
 	if t.open[id] == nil {
 		return false
@@ -63,13 +63,13 @@
 	return true
 }
 
-// drain has drained closed once the table is empty. No request may be added afterwards.
+// drain closes drained once the table is empty. Callers must not add requests afterwards.
 func (t *requestTable) drain() {
 	t.draining = true
 	t.checkDrained()
 }
 
-// checkDrained closes drained once that is due.
+// checkDrained closes drained if the table is draining and empty.
 func (t *requestTable) checkDrained() {
 	if t.draining && !t.ended && len(t.open) == 0 {
 		t.ended = true
@@ -82,8 +82,8 @@
 	if !c.resources.work.Take(1+config.Cost(req.Outgoing.Body.Len())) || !c.resources.openRequests.Take(1) {
 		req.Outgoing.Free()
 		c.classCounters[req.Class].ended(message.Shed)
-		c.reasons.requestEnded(endFull)
-		req.Reply(message.Result{Kind: message.Shed, RetryAfter: retryAfterFull})
+		c.ends.requestEnded(endNoAllowance)
+		req.Reply(message.Result{Kind: message.Shed, RetryAfter: retryAfterNoAllowance})
 		return noTicket
 	}
 	c.mu.Lock()
@@ -119,7 +119,7 @@
 	if r == nil || r.done {
 		return false
 	}
-	c.reasons.requestEnded(endClientLeft)
+	c.ends.requestEnded(endClientLeft)
 	c.abandonLocked(r)
 	return true
 }
@@ -134,7 +134,7 @@
 	}
 }
 
-// expire answers a request whose time is over.
+// expire answers a request that has reached its deadline.
 func (c *core) expire(r *openRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -142,13 +142,13 @@
 		return
 	}
 	c.log.Warn("request timed out without a result")
-	c.reasons.requestEnded(endNoDecision)
+	c.ends.requestEnded(endNoDecision)
 	r.Reply(message.Result{Kind: message.TimedOut})
 	c.abandonLocked(r)
 }
 
-// abandonLocked ends a request that is owed nothing any more. Attempts that wait for a
-// connection are not sent on, also where those that run may not be cancelled.
+// abandonLocked ends a request that needs no result any more. Attempts waiting for a connection are not sent, even if
+// running attempts may not be cancelled.
 func (c *core) abandonLocked(r *openRequest) {
 	r.done = true
 	c.recordEndLocked(r, message.Failed)
@@ -159,8 +159,8 @@
 	c.releaseLocked(r)
 }
 
-// replyLocked gives a request its final result, unless it has had one or its client
-// has left. It reports whether it did.
+// replyLocked sends a request's final result, unless it already has one or its client has left, and reports whether it
+// did.
 func (c *core) replyLocked(r *openRequest, result message.Result) bool {
 	if r == nil || r.done {
 		return false
@@ -169,7 +169,7 @@
 	if result.Kind == message.Failed && !time.Now().Before(r.deadline) {
 		result.Kind = message.TimedOut
 	}
-	c.reasons.requestEnded(endOf(result.Kind))
+	c.ends.requestEnded(endReasonOf(result.Kind))
 	if result.Response != nil && result.Response.Stream != nil {
 		c.endWithStream(r, result.Response)
 	} else {
@@ -188,7 +188,7 @@
 	}
 }
 
-// recordEndLocked counts the end of a request, once.
+// recordEndLocked counts the end of a request. It must be called once per request.
 func (c *core) recordEndLocked(r *openRequest, kind message.ResultKind) {
 	if r.received {
 		c.counters.inFlight.Add(-1)
@@ -200,7 +200,7 @@
 	}
 }
 
-// releaseLocked forgets a request that has its result and no attempt in flight.
+// releaseLocked removes a request that has its result and no attempt in flight.
 func (c *core) releaseLocked(r *openRequest) {
 	if !r.done {
 		return
@@ -214,23 +214,23 @@
 	c.requests.checkDrained()
 }
 
-// trackedStream counts the bytes of a streamed response as it is passed on.
+// trackedStream counts the bytes of a streamed response as the client side reads it.
 type trackedStream struct {
 	io.ReadCloser
-	bytes int
-	whole bool // its end has been passed on
+	bytes    int
+	complete bool // its end has been read
 }
 
 // Read implements [io.Reader].
 func (s *trackedStream) Read(p []byte) (int, error) {
 	n, err := s.ReadCloser.Read(p)
 	s.bytes += n
-	s.whole = errors.Is(err, io.EOF)
+	s.complete = errors.Is(err, io.EOF)
 	return n, err
 }
 
-// endWithStream has a request whose response is streamed counted at the end of that stream, when the response is freed.
-// That is done without the mutex held.
+// endWithStream counts the end of a request with a streamed response when the response is freed, at the end of the
+// stream. The response must be freed without holding mu.
 func (c *core) endWithStream(r *openRequest, response *message.Response) {
 	stream := &trackedStream{ReadCloser: response.Stream}
 	response.Stream = stream
@@ -241,7 +241,7 @@
 		}
 		c.resources.work.used.Add(int64(config.Cost(stream.bytes)))
 		kind := message.Failed
-		if stream.whole {
+		if stream.complete {
 			kind = message.Served
 		}
 		c.mu.Lock()
--- a/proxy/resources.go
+++ b/proxy/resources.go
@@ -11,31 +11,31 @@
 	"ryerill/fairshare"
 )
 
-// rebalanceInterval is how often what is lent among pools is divided anew. It is
-// also the span for which work is granted.
+// rebalanceInterval is the interval at which resources are redistributed among pools. Work is granted for one interval
+// at a time.
 const rebalanceInterval = 50 * time.Millisecond
 
-// resources divides what the machine has among the pools. A pool that is alone has all of it.
+// resources divides the machine's resources among the pools. A single pool has all of them.
 type resources struct {
 	mu sync.Mutex
 	// The fields below are guarded by mu.
-	total     config.Shares // constant
-	ledgers   [len(resourceKinds)]*fairshare.Ledger
-	pools     map[string]*poolResources
-	claims    []config.Pool          // of the pools that routes lead to
-	leaving   map[string]config.Pool // that finish what they have
-	alone     bool                   // one pool has all
-	processes int                    // of this proxy that share the machine, this one among them
+	total      config.Shares // constant
+	ledgers    [len(resourceKinds)]*fairshare.Ledger
+	pools      map[string]*poolResources
+	claims     []config.Pool          // active pools
+	draining   map[string]config.Pool // draining pools, by name
+	singlePool bool                   // there is one pool, which has all resources
+	processes  int                    // processes of this proxy on the machine, including this one
 }
 
-// resourceKind is a resource that is held and given back.
+// resourceKind is a resource that requests hold and give back.
 type resourceKind struct {
 	share  func(config.Shares) int
 	budget func(*poolResources) *budget
 }
 
-// resourceKinds are the resources that ledgers divide, in the ledgers' order. Work is not held,
-// but used up, and divided apart.
+// resourceKinds are the resources divided by ledgers, in the order of the ledgers. Work is consumed instead of held and
+// is divided separately.
 var resourceKinds = [...]resourceKind{
 	{
 		share:  func(s config.Shares) int { return s.Sockets },
@@ -55,7 +55,7 @@
 	r := &resources{
 		total:     total,
 		pools:     map[string]*poolResources{},
-		leaving:   map[string]config.Pool{},
+		draining:  map[string]config.Pool{},
 		processes: 1,
 	}
 	for k, kind := range resourceKinds {
@@ -64,16 +64,16 @@
 	return r
 }
 
-// pool returns the resources of a pool that has a claim.
+// pool returns the resources of a pool, which must have a claim.
 func (r *resources) pool(name string) *poolResources {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.pools[name]
 }
 
-// claim replaces the claims of the pools, and reports false if their guarantees exceed the
-// machine's resources. Pools that had a claim and have none now keep what others leave
-// until [resources.release]. Guarantees of new pools take effect with the next rebalancings.
+// claim replaces the claims of the pools. It reports false if their guarantees exceed the machine's resources. Pools
+// that lose their claim become draining and share what the others leave until [resources.release]. Guarantees of new
+// pools take effect with the next rebalancings.
 func (r *resources) claim(pools []config.Pool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,21 +85,21 @@
 		}
 	}
 	for _, pool := range r.claims {
-		r.leaving[pool.Name] = pool
+		r.draining[pool.Name] = pool
 	}
-	for _, pool := range pools { // all are there before anything is divided
+	for _, pool := range pools { // create all before dividing
 		if r.pools[pool.Name] == nil {
 			r.pools[pool.Name] = &poolResources{}
 		}
-		delete(r.leaving, pool.Name)
+		delete(r.draining, pool.Name)
 	}
 	r.claims = pools
 	r.setClaimsLocked()
 	return true
 }
 
-// setProcesses states how many processes of this proxy share the machine. What this one
-// has beyond its part it may keep until it is given back; idle connections are closed at once.
+// setProcesses sets the number of processes of this proxy on the machine. Resources in use beyond this process's share
+// are kept until they are given back, except for idle connections, which are closed immediately.
 func (r *resources) setProcesses(processes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,37 +110,37 @@
 	r.setClaimsLocked()
 }
 
-// release removes a pool that has left and has nothing open any more.
+// release removes the claim of a drained pool.
 func (r *resources) release(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.leaving, name)
+	delete(r.draining, name)
 	r.setClaimsLocked()
 }
 
 func (r *resources) setClaimsLocked() {
-	r.alone = len(r.claims) == 1 && len(r.leaving) == 0
+	r.singlePool = len(r.claims) == 1 && len(r.draining) == 0
 	for k, ledger := range r.ledgers {
 		ledger.Set(r.claimsLocked(resourceKinds[k]))
 	}
 	r.rebalanceLocked()
 }
 
-// claimsLocked returns what this process's pools are owed of a resource, those that leave
-// among them as far as anything is left.
+// claimsLocked returns the claims of this process's pools to a resource. Draining pools are guaranteed at most what the
+// active pools leave.
 func (r *resources) claimsLocked(kind resourceKind) map[string]fairshare.Claim {
 	claims := config.Claims(r.claims, kind.share)
 	total := kind.share(r.total) / r.processes
 	for name, claim := range claims {
 		claim.Guarantee /= r.processes
-		if len(r.claims) == 1 { // one that is alone may be guaranteed more than there is
+		if len(r.claims) == 1 { // a single pool's guarantee may exceed the total
 			claim.Guarantee = min(claim.Guarantee, total)
 		}
 		claims[name] = claim
 	}
 	rest := total - fairshare.Guaranteed(claims)
-	for _, name := range slices.Sorted(maps.Keys(r.leaving)) {
-		pool := r.leaving[name]
+	for _, name := range slices.Sorted(maps.Keys(r.draining)) {
+		pool := r.draining[name]
 		guarantee := min(kind.share(pool.Guarantee)/r.processes, rest)
 		rest -= guarantee
 		claims[name] = fairshare.Claim{Guarantee: guarantee, Weight: pool.Weight}
@@ -148,8 +148,8 @@
 	return claims
 }
 
-// guaranteed reports whether each pool may use what it is guaranteed.
-func (r *resources) guaranteed(pools []config.Pool) bool {
+// guaranteesMet reports whether the allowance of each pool covers its guarantee.
+func (r *resources) guaranteesMet(pools []config.Pool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, pool := range pools {
@@ -157,7 +157,7 @@
 		if budgets == nil {
 			return false
 		}
-		if r.alone {
+		if r.singlePool {
 			continue
 		}
 		for _, kind := range resourceKinds {
@@ -169,7 +169,7 @@
 	return true
 }
 
-// run divides anew until ctx ends.
+// run rebalances every rebalanceInterval until ctx ends.
 func (r *resources) run(ctx context.Context) {
 	ticker := time.NewTicker(rebalanceInterval)
 	defer ticker.Stop()
@@ -183,7 +183,7 @@
 	}
 }
 
-// rebalance divides anew by what pools use and want now, and begins the next span of work.
+// rebalance redistributes the resources by current usage and demand, and starts the next work interval.
 func (r *resources) rebalance() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -191,7 +191,7 @@
 }
 
 func (r *resources) rebalanceLocked() {
-	if r.alone {
+	if r.singlePool {
 		r.allowAllLocked()
 	} else {
 		r.grantWorkLocked()
@@ -200,7 +200,7 @@
 	r.trimIdleLocked()
 }
 
-// allowAllLocked gives the pool that is alone all that this process has.
+// allowAllLocked gives a single pool all resources of this process.
 func (r *resources) allowAllLocked() {
 	for _, budgets := range r.pools {
 		budgets.sockets.allowed.Store(int64(r.total.Sockets / r.processes))
@@ -210,9 +210,9 @@
 	}
 }
 
-// stepLedgersLocked divides what is held, and removes pools that neither are owed nor use anything.
+// stepLedgersLocked redistributes the resources divided by ledgers, and removes pools without claims and usage.
 func (r *resources) stepLedgersLocked() {
-	unclaimed := map[string]int{} // by pool: of how many resources
+	absent := map[string]int{} // by pool: number of ledgers without an entry for it
 	for k, ledger := range r.ledgers {
 		kind := resourceKinds[k]
 		usage := make(map[string]fairshare.Usage, len(r.pools))
@@ -221,21 +221,21 @@
 		}
 		allowed := ledger.Step(usage)
 		for name, budgets := range r.pools {
-			n, owed := allowed[name]
+			n, inLedger := allowed[name]
 			kind.budget(budgets).allowed.Store(int64(n))
-			if !owed {
-				unclaimed[name]++
+			if !inLedger {
+				absent[name]++
 			}
 		}
 	}
-	for name, n := range unclaimed {
+	for name, n := range absent {
 		if n == len(resourceKinds) {
 			delete(r.pools, name)
 		}
 	}
 }
 
-// usageOf returns what a pool uses and, up to a limit, was denied since the last call.
+// usageOf returns a pool's usage and the amount denied since the last call, which is capped at limit.
 func usageOf(b *budget, limit int) fairshare.Usage {
 	return fairshare.Usage{
 		Used:   int(b.used.Load()),
@@ -243,7 +243,7 @@
 	}
 }
 
-// trimIdleLocked closes idle connections beyond what a pool may hold.
+// trimIdleLocked closes idle connections of pools that exceed their socket allowance.
 func (r *resources) trimIdleLocked() {
 	for _, budgets := range r.pools {
 		excess := budgets.sockets.used.Load() - budgets.sockets.allowed.Load()
@@ -256,20 +256,20 @@
 	}
 }
 
-// grantWorkLocked begins the next span of work.
+// grantWorkLocked starts the next work interval.
 func (r *resources) grantWorkLocked() {
-	if r.total.Work == 0 { // not bounded
+	if r.total.Work == 0 { // unbounded
 		for _, budgets := range r.pools {
 			budgets.work.allowed.Store(unbounded)
 			budgets.work.used.Store(0)
 		}
 		return
 	}
-	claims := config.Claims(r.claims, func(s config.Shares) int { return workInSpan(s.Work) })
-	for name, pool := range r.leaving {
+	claims := config.Claims(r.claims, func(s config.Shares) int { return workPerInterval(s.Work) })
+	for name, pool := range r.draining {
 		claims[name] = fairshare.Claim{Weight: pool.Weight}
 	}
-	total := workInSpan(r.total.Work)
+	total := workPerInterval(r.total.Work)
 	usage := make(map[string]fairshare.Usage, len(r.pools))
 	for name, budgets := range r.pools {
 		usage[name] = fairshare.Usage{
@@ -284,7 +284,7 @@
 	}
 }
 
-// workInSpan is the work of one span at a rate a second.
-func workInSpan(perSecond int) int {
+// workPerInterval returns the work of one rebalancing interval at a rate per second.
+func workPerInterval(perSecond int) int {
 	return int(float64(perSecond) * rebalanceInterval.Seconds())
 }
--- a/proxy/rollout.go
+++ b/proxy/rollout.go
@@ -11,15 +11,14 @@
 	"ryerill/fleet/rollout"
 )
 
-// rollouts are the functions by which the proxy takes part in its fleet's rollouts;
-// without them it doesn't.
+// rollouts holds the functions needed to take part in the fleet's rollouts. Without them the proxy does not take part.
 type rollouts struct {
 	change    fleet.ChangeFunc
 	parsePlan func(text []byte) (rollout.Plan, error)
 }
 
-// reportRefused is the command by which an operator's tooling reports that it could not make a
-// change. Its argument is the plan and the reason.
+// reportRefused is the command with which an operator's tooling reports that it could not make a change. Its argument
+// is the plan and the reason, separated by a space.
 const reportRefused = "refused"
 
 // Rollout implements [admin.Controller].
@@ -59,8 +58,8 @@
 	return host.RolloutCommand(command)
 }
 
-// AwaitReady waits until discovery has answered each pool, and returns why the proxy is not ready
-// then; nil if it is. A rollout calls it after a reload.
+// AwaitReady waits until discovery has answered each pool. It returns nil if the proxy is ready then, otherwise the
+// reason. A rollout calls it after a reload.
 func (p *Proxy) AwaitReady(timeout time.Duration) error {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
--- a/proxy/router.go
+++ b/proxy/router.go
@@ -11,8 +11,8 @@
 	"ryerill/route"
 )
 
-// router finds the pool of a request. It is immutable: a reload replaces it, and a request
-// that has found its pool stays with that pool.
+// router selects the pool of a request. It is immutable and replaced by a reload; a request stays with the pool
+// selected for it.
 type router struct {
 	table       *route.Table
 	targets     []routeTarget // by the table's index
@@ -20,13 +20,13 @@
 	maxDeadline time.Duration
 }
 
-// routeTarget is where a route leads.
+// routeTarget is the pool and class that a route selects.
 type routeTarget struct {
 	pool  *core
 	class string
 }
 
-// newRouter returns the router of routes, or the first problem that makes them unusable.
+// newRouter returns a router for routes, or the first fatal problem.
 func newRouter(routes []config.Route, pools map[string]*core) (*router, error) {
 	r := &router{}
 	rules := make([]route.Rule, len(routes))
@@ -43,7 +43,7 @@
 			r.maxDeadline = max(r.maxDeadline, class.Deadline)
 		}
 	}
-	// The platform's form of configuration has one route for all: paths pass as they are there.
+	// A configuration in the platform's format has one route for everything; paths are passed unchanged.
 	if len(routes) == 1 && matchesEverything(routes[0]) {
 		r.only = r.targets[0].pool
 	}
@@ -54,14 +54,14 @@
 	return r.Host == "" && r.Path == "" && len(r.Methods)+len(r.Classes)+len(r.Headers) == 0 && r.Rewrite == ""
 }
 
-// firstFatal is the first problem of routes that can't be used.
+// firstFatal returns the first fatal problem.
 func firstFatal(problems []route.Problem) error {
 	for _, problem := range problems {
 		if problem.Fatal() {
 			return problem
 		}
 	}
-	return errors.New("the routes are at fault")
+	return errors.New("invalid routes")
 }
 
 // Find implements [downstream.Router].
@@ -72,8 +72,8 @@
 	path, _, _ := strings.Cut(req.RequestURI, "?")
 	query := route.Request{Host: req.Host, Path: path, Method: req.Method, Class: class,
 		Header: func(name string) (string, bool) {
-			values, there := req.Header[http.CanonicalHeaderKey(name)]
-			if !there {
+			values, present := req.Header[http.CanonicalHeaderKey(name)]
+			if !present {
 				return "", false
 			}
 			return values[0], true
@@ -86,10 +86,10 @@
 	return downstream.Route{Service: target.pool, Class: target.class, Target: r.table.Target(i, req.RequestURI)}, nil
 }
 
-// Find implements [downstream.Router], by the present routes.
+// Find implements [downstream.Router] with the current routes.
 func (p *Proxy) Find(req *http.Request, class string) (downstream.Route, error) {
 	return p.router.Load().Find(req, class)
 }
 
-// MaxDeadline implements [downstream.Router], by the present pools.
+// MaxDeadline implements [downstream.Router] for the current pools.
 func (p *Proxy) MaxDeadline() time.Duration { return p.router.Load().maxDeadline }
--- a/proxy/sendguard_test.go
+++ b/proxy/sendguard_test.go
@@ -16,7 +16,7 @@
 	var guard sendGuard
 	send := func(after time.Duration) {
 		at := time.Now().Add(after)
-		check.sent(sentAttempt{endpoint: "s1", index: 1, grace: grace}, &guard, at)
+		check.checkSent(sentAttempt{endpoint: "s1", index: 1, grace: grace}, &guard, at)
 	}
 	send(time.Hour)
 	guard.set(false, 7)
--- a/proxy/statesync.go
+++ b/proxy/statesync.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// poolActivity is what each pool did since its start.
+// poolActivity returns the totals of each pool since its start, as far as recorded.
 func (p *Proxy) poolActivity() (all []fleet.PoolActivity) {
 	for _, c := range p.activePools() {
 		if total, recorded := c.totalActivity(); recorded {
@@ -39,7 +39,7 @@
 	return all
 }
 
-// totalActivity is what the pool did since its start, if that is recorded.
+// totalActivity returns the pool's totals since its start, if activity is recorded.
 func (c *core) totalActivity() (total fleet.PoolActivity, recorded bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,7 +51,7 @@
 	return total, true
 }
 
-// observe adds what the pool recorded since the last observation, and begins anew.
+// observe adds the activity recorded since the last observation and resets it.
 func (c *core) observe(observed *fleet.Observations) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,10 +119,10 @@
 	return outlier.Endpoint{ID: uint64(id), StartedAt: int64(e.current.StartedAt)}
 }
 
-// quotaName is the name under which replicas share a tenant's quota in a pool.
+// quotaName returns the name under which replicas share a tenant's quota in a pool.
 func quotaName(pool, tenant string) string { return pool + "/" + tenant }
 
-// apply has the pool act on what follows from what the replicas share.
+// apply applies quota fractions and ejections derived from the state shared by the replicas.
 func (c *core) apply(directives *fleet.Directives) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,7 +133,7 @@
 	}
 	for _, id := range directives.Ejected[c.name] {
 		e := c.endpoints.byID[balancer.EndpointID(id)]
-		if e != nil && e.guard.MaySend() { // never one that the own list does not have
+		if e != nil && e.guard.MaySend() { // ignore endpoints not ready in this pool's own list
 			c.decisions.balancer.Penalize(e.id)
 		}
 	}
--- a/proxy/succession.go
+++ b/proxy/succession.go
@@ -9,19 +9,19 @@
 	"ryerill/discovery"
 )
 
-// This file holds what a pool takes over of the one that it replaces after a reload: the list of endpoints in force,
-// and the watch that tells what changes.
+// This file implements the handover of state to a new pool after a reload: the endpoint list in force and the discovery
+// client that watches it.
 
-// succession is how a new pool follows one that is active. Its zero value follows none.
+// succession states which active pools a new pool takes its endpoint list from. The zero value means none.
 type succession struct {
-	predecessor *core // whose list in force the new pool begins with
-	replaces    bool  // the predecessor goes, and no other pool takes its place
+	predecessor *core // its list in force is the new pool's first list; nil if there is none
+	replaces    bool  // the new pool is the only one that replaces the predecessor
 
-	others []*core // the active pools where there is no predecessor: they may know of the new pool's endpoints
+	others []*core // all active pools if there is no predecessor; their lists may contain the new pool's endpoints
 }
 
-// successionLocked returns how a new pool follows an active one: that of its name, else one that asks the same
-// discovery service, preferably one that goes. The proxy's mutex is held.
+// successionLocked returns the succession of a new pool. Its predecessor is the active pool with the same name,
+// otherwise one with the same discovery service, preferably one that is removed. Callers must hold the proxy's mutex.
 func (r *reload) successionLocked(next config.Pool) (found succession) {
 	active := r.proxy.pools.active
 	if c := active[next.Name]; c != nil {
@@ -32,7 +32,7 @@
 		if c == nil || next.Discovery == "" || pool.Discovery != next.Discovery {
 			continue
 		}
-		if r.goesUnreplaced(c) {
+		if r.isRemovedUnreplaced(c) {
 			r.replaced = append(r.replaced, c)
 			return succession{predecessor: c, replaces: true}
 		}
@@ -46,21 +46,21 @@
 	return found
 }
 
-// current returns a configuration's list as far as the active pools know better: without the endpoints that are gone
-// there, and with the status of those that are not ready. The configuration may be as old as its file. better reports
-// whether they do.
-func (s *succession) current(list discovery.EndpointList) (current discovery.EndpointList, better bool) {
+// current returns a configured list, which may be as old as the configuration file, updated from the lists of the other
+// pools: it omits endpoints that are gone and takes over the status of endpoints that are not ready. updated reports
+// whether the list has changed.
+func (s *succession) current(list discovery.EndpointList) (current discovery.EndpointList, updated bool) {
 	for _, pool := range s.others {
 		if entries, changed := pool.currentEntries(list.Endpoints); changed {
 			list.Endpoints = entries
-			better = true
+			updated = true
 		}
 	}
-	return list, better
+	return list, updated
 }
 
-// currentEntries returns the entries of a list that are not gone, with the status that discovery has told the pool.
-// changed reports whether that is not the list as it was.
+// currentEntries returns the entries that are not gone, with the status that the pool received from discovery. changed
+// reports whether the result differs from entries.
 func (c *core) currentEntries(entries []discovery.Endpoint) (current []discovery.Endpoint, changed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,34 +78,34 @@
 	return current, changed
 }
 
-// goesUnreplaced reports whether a pool is not in the new configuration, and no new pool takes its place so far.
-func (r *reload) goesUnreplaced(c *core) bool {
-	stays := slices.ContainsFunc(r.cfg.Pools, func(pool config.Pool) bool { return pool.Name == c.name })
-	return !stays && !slices.Contains(r.replaced, c)
+// isRemovedUnreplaced reports whether a pool is missing from the new configuration and no new pool replaces it yet.
+func (r *reload) isRemovedUnreplaced(c *core) bool {
+	configured := slices.ContainsFunc(r.cfg.Pools, func(pool config.Pool) bool { return pool.Name == c.name })
+	return !configured && !slices.Contains(r.replaced, c)
 }
 
-// sharesDiscovery reports whether a pool may go on with the discovery client of one that it replaces. Pools that both
-// stay may ask different services later, and so have a client each.
+// sharesDiscovery reports whether a pool can use the discovery client of the pool that it replaces. Two pools that both
+// remain need separate clients, because their discovery services may differ after a later reload.
 func (c *core) sharesDiscovery(from succession) bool {
 	return from.replaces &&
 		from.predecessor.discovery.client != nil && c.cfg.Discovery != "" &&
 		from.predecessor.settings.PushedDiscovery == c.settings.PushedDiscovery
 }
 
-// joinDiscovery joins the predecessor's discovery client, so that no change is missed in between, and begins with the
-// list in force there. Its service stays the predecessor's until the reload is committed. Where discovery has not
-// answered the predecessor, the pool begins with its configuration's list and waits for the same answer. It reports
-// false, and does nothing, where that could be of changes which do not follow that list, or the client has ended.
+// joinDiscovery joins the predecessor's discovery client, so that no change is missed, and applies the predecessor's
+// list. The client keeps using the predecessor's service until the reload is committed. If discovery has not answered
+// the predecessor yet, the pool starts with its configured list and waits for the same answer. It reports false and
+// changes nothing if that answer could contain changes not based on the configured list, or if the client has ended.
 func (c *core) joinDiscovery(predecessor *core) bool {
 	client := predecessor.discovery.client
-	follows := false
+	applies := false
 	joined := client.Join(c, func() {
 		list, discovered := predecessor.discoveredList()
 		if !discovered {
 			list = c.cfg.KnownEndpoints
 		}
-		follows = discovered || predecessor.changesFollow(list)
-		if !follows {
+		applies = discovered || predecessor.firstAnswerAppliesTo(list)
+		if !applies {
 			return
 		}
 		c.mu.Lock()
@@ -117,22 +117,23 @@
 			c.discovery.markListed()
 		}
 	})
-	if joined && !follows {
+	if joined && !applies {
 		client.Leave(c)
 	}
-	return joined && follows
+	return joined && applies
 }
 
-// changesFollow reports whether the first answer of discovery to the pool fits another list than that with which the
-// pool began: it may be of changes alone, since that one's version.
-func (c *core) changesFollow(list discovery.EndpointList) bool {
+// firstAnswerAppliesTo reports whether the first answer of discovery to the pool can be applied to another list. The
+// answer may contain only the changes since the version of the list that the pool started with.
+func (c *core) firstAnswerAppliesTo(list discovery.EndpointList) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	began := c.cfg.KnownEndpoints
 	return !began.Snapshot || list.Snapshot && list.Index >= began.Index
 }
 
-// discoveredList returns the list in force; ok is false while it is only the configuration's. A nil pool has none.
+// discoveredList returns the list in force. ok is false if the list comes only from the configuration or the pool is
+// nil.
 func (c *core) discoveredList() (list discovery.EndpointList, ok bool) {
 	if c == nil {
 		return discovery.EndpointList{}, false
--- a/proxy/timers.go
+++ b/proxy/timers.go
@@ -6,20 +6,20 @@
 	"ryerill/balancer"
 )
 
-// timerSet holds the timers that the Balancer has set. Its owner's mutex guards it.
+// timerSet holds the timers set by the Balancer. It is guarded by its owner's mutex.
 type timerSet struct {
 	pending map[*time.Timer]struct{}
-	stopped bool // none is set any more
+	stopped bool // no further timers are set
 }
 
-// fired removes a timer, and reports false if it had been stopped.
+// fired removes a timer that has fired. It reports false if the timer has been stopped.
 func (s *timerSet) fired(timer *time.Timer) bool {
 	_, pending := s.pending[timer]
 	delete(s.pending, timer)
 	return pending
 }
 
-// stop stops all timers for good.
+// stop stops all timers and prevents new ones.
 func (s *timerSet) stop() {
 	s.stopped = true
 	for timer := range s.pending {
@@ -28,8 +28,7 @@
 	clear(s.pending)
 }
 
-// scheduleTimerLocked dispatches a timer's event once it is due, unless the pool has
-// ended by then.
+// scheduleTimerLocked dispatches a timer event after wait, unless the pool has been closed by then.
 func (c *core) scheduleTimerLocked(wait time.Duration, token uint32) {
 	if c.timers.stopped {
 		return
@@ -42,5 +41,5 @@
 			c.dispatchLocked(balancer.Event{Kind: balancer.TimerFired, Token: token})
 		}
 	})
-	c.timers.pending[timer] = struct{}{} // before the function can get the mutex
+	c.timers.pending[timer] = struct{}{} // before the function can acquire the mutex
 }
--- a/proxy/unsolicited.go
+++ b/proxy/unsolicited.go
@@ -9,28 +9,28 @@
 	"ryerill/upstream"
 )
 
-// maxUnsolicitedEndpoints bounds the endpoints whose unsolicited bytes are counted by name; those of further ones are
-// counted together.
+// maxUnsolicitedEndpoints bounds the endpoints counted by name. Further endpoints are counted together as
+// otherEndpoints.
 const maxUnsolicitedEndpoints = 64
 
 const otherEndpoints = "other"
 
-// unsolicitedCounts are how often endpoints have sent what nobody asked for.
+// unsolicitedCounts counts the occurrences of unsolicited bytes from endpoints.
 type unsolicitedCounts struct {
 	Total int64 `json:"total"`
-	// Doubtful are those that were another response: the one before may have been another request's.
-	Doubtful   int64            `json:"responses_in_doubt"`
+	// InDoubt counts additional responses: the response before may have belonged to another request.
+	InDoubt    int64            `json:"responses_in_doubt"`
 	ByKind     map[string]int64 `json:"by_kind"`
 	ByEndpoint map[string]int64 `json:"by_endpoint"`
 }
 
-// unsolicitedLog counts what the endpoints of a pool send unasked, and logs the first and each doubling. It implements
-// [upstream.Observer].
+// unsolicitedLog counts unsolicited bytes from the endpoints of a pool, and logs the first occurrence and each doubling
+// of the count. It implements [upstream.Observer].
 type unsolicitedLog struct {
 	log *slog.Logger
 
-	// mu guards what follows.
-	mu     sync.Mutex
+	mu sync.Mutex
+	// counts is guarded by mu.
 	counts unsolicitedCounts
 }
 
@@ -48,7 +48,7 @@
 	l.counts.Total++
 	l.counts.ByKind[string(found.Kind)]++
 	if found.Kind == upstream.OtherResponse {
-		l.counts.Doubtful++
+		l.counts.InDoubt++
 	}
 	counted := found.Endpoint
 	if _, known := l.counts.ByEndpoint[counted]; !known && len(l.counts.ByEndpoint) >= maxUnsolicitedEndpoints {
