--- a/fleet/announcement_test.go
+++ b/fleet/announcement_test.go
@@ -10,7 +10,7 @@
 	"ryerill/fleet/quota"
 )
 
-// newIdleHost returns a host that doesn't run, so that nothing happens but what the test does.
+// newIdleHost returns a host that does not run, so that only the test generates events.
 func newIdleHost(t *testing.T, stateFile string) *Fleet {
 	t.Helper()
 	f, err := New(Config{
@@ -24,18 +24,18 @@
 	return f
 }
 
-// serving is the record of another member at an address.
-func serving(name, address string) membership.Record {
+// servingMember returns the record of a serving member with an address.
+func servingMember(name, address string) membership.Record {
 	return membership.Record{
 		State: membership.State{Name: name, Epoch: 1, Status: membership.Alive},
 		Tags:  &membership.Tags{Address: address, Pools: []string{"main"}, Phase: membership.Serving},
 	}
 }
 
-// learn has f learn records from a member named b.
-func (f *Fleet) learn(records ...membership.Record) {
+// receiveRecords passes gossip with the records, sent by a member named b, to f.
+func (f *Fleet) receiveRecords(records ...membership.Record) {
 	f.handleLocked(membership.Event{Kind: membership.MessageReceived, Message: &membership.Message{
-		Kind: membership.Gossip, From: serving("b", "").State, Updates: records,
+		Kind: membership.Gossip, From: servingMember("b", "").State, Updates: records,
 	}})
 }
 
@@ -58,17 +58,17 @@
 	}
 	message := receiver.decodeDatagram(buffer[:n], "a")
 	if message == nil {
-		t.Fatal("the datagram is dropped")
+		t.Fatal("datagram dropped, want it decoded")
 	}
 	return message
 }
 
-// Whatever a replica sends tells others no replica set but the one that is on its disk: they rely on it to count them
+// Every message announces the persisted replica set only, because the other replicas rely on the sender to count them
 // after a restart too.
-func TestNoMessageAnnouncesAReplicaSetThatIsNotPersisted(t *testing.T) {
+func TestMessagesAnnounceOnlyPersistedReplicaSet(t *testing.T) {
 	for name, kind := range map[string]membership.MessageKind{
-		"of shared state": membership.StateSync,
-		"of a rollout":    membership.Rollout,
+		"state sync":      membership.StateSync,
+		"rollout message": membership.Rollout,
 	} {
 		t.Run(name, func(t *testing.T) {
 			receiver := newTestTransport(t, nil)
@@ -79,63 +79,63 @@
 				f.mu.Unlock()
 				return receiveOne(t, receiver).ReplicaSetDigest
 			}
-			f.learn(serving("b", receiver.listenAddress().String()))
-			f.goroutines.Wait() // for the write that fails
+			f.receiveRecords(servingMember("b", receiver.listenAddress().String()))
+			f.goroutines.Wait() // the write fails
 			if got := announced(); got != 0 {
-				t.Errorf("%x is announced, and nothing is on the disk", got)
+				t.Errorf("announced digest %x without a persisted set, want 0", got)
 			}
 			f.stateFile.path = filepath.Join(t.TempDir(), "state")
 			f.persistReplicaSetLocked()
 			f.goroutines.Wait()
 			if got := announced(); got != f.positions.tracker.ReplicaSetDigest() || got == 0 {
-				t.Errorf("%x is announced, and %x is on the disk", got, f.positions.tracker.ReplicaSetDigest())
+				t.Errorf("announced digest %x, want the persisted %x", got, f.positions.tracker.ReplicaSetDigest())
 			}
 		})
 	}
 }
 
-// A replica set is not announced while loans do not fit the division among it, also if it has grown while the disk was
-// slow.
-func TestAReplicaSetThatGrowsDuringAWriteIsNotAnnouncedBeforeLoansFit(t *testing.T) {
+// A replica set is not announced while loans exceed the division of the quota among it, even if the set grew during a
+// slow write of the state file.
+func TestReplicaSetGrownDuringWriteNotAnnouncedBeforeLoansFit(t *testing.T) {
 	f := newIdleHost(t, filepath.Join(t.TempDir(), "state"))
-	f.learn(serving("b", "127.0.0.1:1"))
+	f.receiveRecords(servingMember("b", "127.0.0.1:1"))
 	f.goroutines.Wait()
 	f.mu.Lock()
-	of2 := f.persisted.digest
+	digestOfTwo := f.persisted.digest
 	f.mu.Unlock()
-	if of2 == 0 {
-		t.Fatal("the first set is not announced")
+	if digestOfTwo == 0 {
+		t.Fatal("set of two replicas not announced")
 	}
 	f.lendAlmostAll(t)
 
-	f.persisting.Lock() // the disk is slow
+	f.persisting.Lock() // simulates a slow disk
 	f.persistReplicaSetLocked()
-	f.learn(serving("c", "127.0.0.1:2"))
+	f.receiveRecords(servingMember("c", "127.0.0.1:2"))
 	f.persisting.Unlock()
 	f.goroutines.Wait()
 
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.loansFit() {
-		t.Fatal("what is lent fits: the test shows nothing")
+		t.Fatal("loans fit the division among three replicas, want a set-up in which they exceed it")
 	}
-	if f.persisted.digest != of2 {
-		t.Error("a set is announced by which others have more than is left of the quota")
+	if f.persisted.digest != digestOfTwo {
+		t.Error("announced a set that gives others more than the rest of the quota")
 	}
 }
 
-// lendAlmostAll lends b as much as this replica may lend of a quota, in a division among two.
+// lendAlmostAll lends b the most that this replica may lend of a quota shared by two replicas.
 func (f *Fleet) lendAlmostAll(t *testing.T) {
 	t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	quotas := f.stateSync.syncer.Quotas
-	*quotas = *quota.New("a", 1, 1, false, f.now()) // one that has lent nothing before
+	*quotas = *quota.New("a", 1, 1, false, f.now()) // has no earlier loans
 	f.stateSync.setLimits(f.now(), map[string]float64{"main/acme": 100})
 	f.updateQuotaReplicas()
 	request := quota.Message{Request: quota.RequestID{Replica: "b", Epoch: 1, Seq: 1}, Quota: "main/acme", Amount: 45}
 	granted := quotas.Handle(f.now(), "b", request, nil)
 	if len(granted) != 1 || granted[0].Message.Amount != request.Amount {
-		t.Fatalf("granted: %+v", granted)
+		t.Fatalf("got grants %+v, want one of the requested amount", granted)
 	}
 }
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -4,28 +4,28 @@
 
 // Config configures the host of a fleet.
 type Config struct {
-	Name             string            // of this replica, unique in the fleet
+	Name             string            // name of this replica, unique in the fleet
 	Fleet            string            // name of the fleet
-	Listen           string            // IP and port, for datagrams and connections
-	Advertise        string            // address by which others reach it; empty is Listen
-	Seeds            []string          // addresses where a replica may be found
-	AddressOverrides map[string]string // addresses by which this replica reaches others, by name, where they differ
-	Keys             [][]byte          // the first one signs, all are accepted
-	StateFile        string            // file that keeps the members over a restart; empty is none
-	ReplicaCounts    map[string]int    // by pool, the least number of replicas that quotas are divided among
+	Listen           string            // IP and port of the UDP and TCP sockets
+	Advertise        string            // address that other replicas send to; empty means Listen
+	Seeds            []string          // addresses of replicas to join through
+	AddressOverrides map[string]string // by replica name, replaces the advertised address
+	Keys             [][]byte          // the first key signs, all keys verify
+	StateFile        string            // keeps the members across restarts; empty disables it
+	ReplicaCounts    map[string]int    // by pool, minimum number of replicas that share a quota
 	Zone             string
 	Tier             int
 	Pools            []string
 	ProgramVersion   string
 	SettingsHash     string
 	Seed             uint64
-	Period           time.Duration  // between probes; 0 is the default
-	BytesPerSecond   int            // of gossip; 0 is the default
-	Sharing          *SharingConfig // state that replicas share; nil is none
+	Period           time.Duration  // probe interval; 0 means the default
+	BytesPerSecond   int            // gossip bandwidth; 0 means the default
+	Sharing          *SharingConfig // state shared between replicas; nil disables sharing
 }
 
 // SharingConfig selects the state that replicas share.
 type SharingConfig struct {
 	Quotas, Counters, Evidence bool
-	BytesPerSecond             int // 0 is the default
+	BytesPerSecond             int // 0 means the default
 }
--- a/fleet/displaced_test.go
+++ b/fleet/displaced_test.go
@@ -6,12 +6,12 @@
 	"ryerill/fleet/membership"
 )
 
-// A process that a later one of its name has replaced sends others nothing: they would report it as a second replica of
-// one name, long after an upgrade as it should be.
-func TestADisplacedReplicaSendsNothing(t *testing.T) {
+// A process displaced by a newer one with the same name sends nothing. Otherwise other replicas would report a name
+// conflict long after a regular upgrade.
+func TestDisplacedReplicaSendsNothing(t *testing.T) {
 	f := newIdleHost(t, "")
-	b := serving("b", "127.0.0.1:1")
-	f.learn(b)
+	b := servingMember("b", "127.0.0.1:1")
+	f.receiveRecords(b)
 	f.handleLocked(membership.Event{Kind: membership.SyncRequested, Message: &membership.Message{From: b.State}})
 	send := func() uint64 {
 		before := f.transport.statistics()
@@ -22,15 +22,15 @@
 		return after.FramesOut + after.Unsent - before.FramesOut - before.Unsent
 	}
 	if send() != 1 {
-		t.Fatal("it sends nothing before")
+		t.Fatal("no datagram sent before the displacement, want 1")
 	}
-	successor := serving("a", "127.0.0.1:2")
+	successor := servingMember("a", "127.0.0.1:2")
 	successor.Epoch = f.list.Self().Epoch + 1
-	f.learn(successor)
+	f.receiveRecords(successor)
 	if !f.list.Displaced() {
-		t.Fatal("it is not displaced")
+		t.Fatal("replica not displaced by its successor")
 	}
 	if sent := send(); sent != 0 {
-		t.Errorf("%d datagrams are sent", sent)
+		t.Errorf("got %d datagrams from the displaced replica, want 0", sent)
 	}
 }
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,9 +1,7 @@
-// Package fleet is the host of a proxy in a fleet of replicas: it holds the sockets,
-// clocks and files, and feeds what arrives to the pure packages below it. Package
-// membership decides who is in the fleet, placement what position follows from that,
-// statesync and quota what replicas share, rollout how changes reach them, and codec how
-// messages are encoded.
+// Package fleet makes a proxy a replica of a fleet. It owns the sockets, clocks and files and
+// passes events to pure packages: membership tracks the replicas, placement derives this
+// replica's position among them, statesync and quota share state, rollout distributes changes,
+// and codec encodes messages.
 //
-// A proxy that is not configured for a fleet creates none of this: no socket, no
-// goroutine, no timer.
+// A proxy without a fleet configuration creates no socket, goroutine or timer of this package.
 package fleet
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -14,14 +14,14 @@
 	"ryerill/fleet/membership"
 )
 
-// Descriptors is how many file descriptors a host may hold; they are reserved for it.
+// Descriptors is the maximum number of file descriptors of a host. The proxy reserves them.
 const Descriptors = 3 + maxInboundConnections + 2
 
 const (
-	departureGossip = 700 * time.Millisecond // how long the departure is disseminated before the sockets close
-	persistInterval = 30 * time.Second       // between writes of the state file without a change
+	departureGossip = 700 * time.Millisecond // time for gossip to spread the departure before the sockets close
+	persistInterval = 30 * time.Second       // between writes of an unchanged state file
 
-	// farFuture is later than any tick and earlier than what NextTick returns if none is due.
+	// farFuture is later than any scheduled tick and earlier than NextTick's value for "no tick scheduled".
 	farFuture time.Duration = 1 << 62
 )
 
@@ -32,29 +32,29 @@
 	startedAt  time.Time
 	transport  *transport
 	stateFile  *stateFile
-	restored   persistedState // what the state file held at the start
+	restored   persistedState // contents of the state file at the start
 	subject    Subject
-	goroutines sync.WaitGroup // all that Run and the events of the fleet start; Run waits for them
+	goroutines sync.WaitGroup // goroutines of this host; Run waits for them
 
-	// persisting is held from when the state to persist is taken until it is written, so that no older state replaces a
-	// newer one. It is locked before mu.
+	// persisting serializes taking a snapshot of the state and writing it, so that an older state never overwrites a
+	// newer one. Lock it before mu.
 	persisting sync.Mutex
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	list      *membership.List
-	actions   []membership.Action // buffer of the latest ones
+	actions   []membership.Action // reused buffer
 	tags      membership.Tags
-	timer     *time.Timer // of the next tick; nil before Run
+	timer     *time.Timer // fires at the next tick; nil before Run
 	positions positions
 	persisted persistedSet
 	stateSync *stateSyncHost // nil if no state is shared
 	rollouts  *rolloutHost   // nil if this replica takes no part in rollouts; set before Run
-	abandoned bool           // another process continues under this name
-	departed  bool           // the end has begun: nothing new is announced
-	ended     bool           // nothing is handled any more
+	abandoned bool           // another process has taken over this name
+	departed  bool           // shutdown has begun: no further announcements
+	ended     bool           // events are ignored
 }
 
-// New opens the sockets of a host. Nothing is sent before Run.
+// New opens the sockets of a host. The host sends nothing before Run.
 func New(cfg Config, log *slog.Logger, publish PositionsFunc) (*Fleet, error) {
 	limited := newThrottledLogger(log)
 	transport, err := newTransport(&cfg, limited)
@@ -94,7 +94,7 @@
 	return f, nil
 }
 
-// newList returns the membership list with the members that were restored.
+// newList returns a membership list with the restored members.
 func (f *Fleet) newList() *membership.List {
 	list := membership.New(membership.Config{
 		Name:                 f.cfg.Name,
@@ -109,25 +109,25 @@
 	return list
 }
 
-// epochRandomBits of an epoch are random: two processes of a copied configuration may
-// start in one millisecond and must still be distinguished.
+// epochRandomBits is the number of random low bits of an epoch. They distinguish two processes
+// with a copied configuration that start in the same millisecond.
 const epochRandomBits = 16
 
 func drawEpoch(now time.Time) uint64 {
 	return uint64(now.UnixMilli())<<epochRandomBits | rand.Uint64()>>(64-epochRandomBits)
 }
 
-// Address returns the address where the host listens.
+// Address returns the listen address.
 func (f *Fleet) Address() string { return f.transport.udp.LocalAddr().String() }
 
 // Close closes a host that never ran.
 func (f *Fleet) Close() { f.transport.close() }
 
-// now returns the time since the start, which the pure packages count in.
+// now returns the time since the start, the clock of the pure packages.
 func (f *Fleet) now() time.Duration { return time.Since(f.startedAt) }
 
-// Run keeps the replica in the fleet until ctx ends. Then it announces that the replica
-// leaves, and returns once that is disseminated and all goroutines have ended.
+// Run keeps the replica in the fleet until ctx ends. Then it announces the departure, and
+// returns after the gossip has had time to spread and all goroutines have ended.
 func (f *Fleet) Run(ctx context.Context) {
 	f.start()
 	f.log.Info("fleet joined", "fleet", f.cfg.Fleet, "replica", f.cfg.Name, "address", f.Address(),
@@ -151,20 +151,21 @@
 func (f *Fleet) start() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.timer = time.AfterFunc(time.Hour, f.tick) // set to the first tick by handle
+	f.timer = time.AfterFunc(time.Hour, f.tick) // handle resets it to the first tick
 	f.handle(membership.Event{Kind: membership.SetTags, Tags: f.tags})
 	f.handle(membership.Event{Kind: membership.Start})
 }
 
-// depart announces that this replica leaves, unless another process continues under its
-// name, and returns once that is disseminated. Its loans have ended.
+// depart persists and announces the departure, and waits for the gossip to spread. It announces
+// nothing if another process has taken over the name. All loans must have ended.
 func (f *Fleet) depart() {
 	f.mu.Lock()
 	f.departed = true
 	f.mu.Unlock()
-	// Before others divide quotas without this replica: one that restarts after that must not count on its fraction.
+	// Persist first: after the announcement others divide quotas without this replica, and a restart must not
+	// restore its quota fraction.
 	if !f.persistDeparture() {
-		f.log.Error("fleet departure not announced, as it can't be written", "file", f.stateFile.path)
+		f.log.Error("fleet departure not announced: state file not writable", "file", f.stateFile.path)
 		return
 	}
 	if f.announceDeparture() {
@@ -172,7 +173,7 @@
 	}
 }
 
-// announceDeparture announces that this replica leaves, and reports false if another process continues under its name.
+// announceDeparture announces the departure. It returns false if another process has taken over the name.
 func (f *Fleet) announceDeparture() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -192,8 +193,7 @@
 	f.transport.close()
 }
 
-// Announce changes the phase of this replica and the hash of its settings; an empty
-// hash leaves the previous one.
+// Announce changes this replica's phase and settings hash. An empty hash keeps the previous one.
 func (f *Fleet) Announce(phase membership.Phase, settingsHash string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -208,15 +208,14 @@
 	f.announceTags()
 }
 
-// Abandon has Run end without an announcement: another process continues under this name.
+// Abandon makes Run end without announcing a departure, because another process has taken over this name.
 func (f *Fleet) Abandon() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.abandoned = true
 }
 
-// SetPools replaces the pools, and the configured number of replicas of each, after a
-// reload.
+// SetPools replaces the pools and their configured replica counts after a reload.
 func (f *Fleet) SetPools(pools []string, replicaCounts map[string]int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -228,21 +227,21 @@
 	f.announceTags()
 }
 
-// announceTags publishes the tags, if the host runs. The mutex is held.
+// announceTags publishes the tags if the host is running. Callers must hold mu.
 func (f *Fleet) announceTags() {
 	if f.timer != nil && !f.departed {
 		f.handle(membership.Event{Kind: membership.SetTags, Tags: f.tags})
 	}
 }
 
-// SetKeys replaces the keys while the fleet runs. After an error the previous ones stay.
+// SetKeys replaces the keys at run time. After an error the previous keys remain in use.
 func (f *Fleet) SetKeys(keys [][]byte) error { return f.transport.setKeys(keys) }
 
-// ErrNotDead is returned by Forget for a member that can't be forgotten.
+// ErrNotDead is returned by Forget if no dead member has the name.
 var ErrNotDead = errors.New("no member of this name is held for dead")
 
-// Forget declares a dead member to be gone for good, on behalf of an operator. The error
-// is ErrNotDead if there is no dead member of this name.
+// Forget removes a dead member permanently at an operator's request. It returns ErrNotDead if
+// no dead member has this name.
 func (f *Fleet) Forget(name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -23,7 +23,7 @@
 	"ryerill/fleet/rollout"
 )
 
-// stubProxy is a proxy as the fleet observes and directs it.
+// stubProxy implements Subject.
 type stubProxy struct {
 	mu         sync.Mutex
 	positions  map[string]placement.Position
@@ -70,13 +70,13 @@
 	return s.directives.QuotaFractions["main/acme"].Current
 }
 
-// change returns what applies a rollout to f: it announces the new settings.
+// change returns a ChangeFunc that announces the new settings of f.
 func (s *stubProxy) change(f *Fleet) ChangeFunc {
 	return func(_ rollout.Kind, target string, _ []byte, back bool) error {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.refuse {
-			return errors.New("it will not")
+			return errors.New("refused by the test")
 		}
 		s.changed = append(s.changed, target)
 		if back {
@@ -94,7 +94,7 @@
 
 var testKeys = [][]byte{[]byte("sixteen-characters-or-more")}
 
-// startTrio starts three hosts on loopback that know the first one's address.
+// startTrio starts three hosts on loopback. The second and third use the first as seed.
 func startTrio(t *testing.T, configure func(i int, c *Config)) (hosts []*Fleet, proxies []*stubProxy) {
 	t.Helper()
 	seed := ""
@@ -134,22 +134,22 @@
 	return hosts, proxies
 }
 
-func waitFor(t *testing.T, what string, condition func() bool) {
+func waitFor(t *testing.T, event string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(90 * time.Second); !condition(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("still waiting for %s", what)
+			t.Fatalf("timed out waiting for %s", event)
 		}
 	}
 }
 
-// Three hosts find each other, divide quotas, lend, share evidence of an endpoint that hangs,
-// carry a plan out, and leave; no goroutine is left in the end.
-func TestHosts(t *testing.T) {
+// Three hosts discover each other, divide quotas, lend, share evidence of a hanging endpoint, complete a rollout and
+// leave without leaking goroutines.
+func TestHostsFormFleet(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	t.Run("together", func(t *testing.T) {
 		hosts, proxies := startTrio(t, nil)
-		waitFor(t, "all to know all", func() bool {
+		waitFor(t, "all hosts to know each other", func() bool {
 			for _, f := range hosts {
 				s := f.Status()
 				if len(s.Members) != 3 || s.Pools["main"].QuotaFraction < 0.33 || s.Pools["main"].Of != 3 {
@@ -159,8 +159,8 @@
 			return true
 		})
 		proxies[0].setDemand(80)
-		waitFor(t, "the first to borrow", func() bool { return proxies[0].quotaFraction() > 0.8 })
-		waitFor(t, "evidence of an endpoint that hangs everywhere", func() bool {
+		waitFor(t, "the first host to borrow", func() bool { return proxies[0].quotaFraction() > 0.8 })
+		waitFor(t, "evidence of the hanging endpoint from all hosts", func() bool {
 			s := hosts[1].SharedStatus()
 			return s != nil && len(s.Evidence) > 0 && s.Sums["arrivals"].Value == 30
 		})
@@ -172,7 +172,7 @@
 		if err := hosts[2].StartRollout(plan); err != nil {
 			t.Fatal(err)
 		}
-		waitFor(t, "the plan to be done", func() bool {
+		waitFor(t, "the rollout to complete", func() bool {
 			for _, f := range hosts {
 				if s, _ := f.RolloutStatus(); s.Phase != "done" {
 					return false
@@ -183,56 +183,56 @@
 		for _, f := range hosts {
 			s := f.Status()
 			if s.Members[0].Settings != "new" || s.Members[1].Settings != "new" || s.Members[2].Settings != "new" {
-				t.Errorf("%+v", s.Members)
+				t.Errorf("got members %+v, want the new settings on all", s.Members)
 			}
 		}
 	})
 }
 
-// What a host meets at its edges: a torn state file, one that can't be written, an address
-// that is taken, connections that send nothing.
-func TestHostEdges(t *testing.T) {
+// Hosts work with a truncated or unwritable state file, reject an address in use, and limit connections that send
+// nothing.
+func TestHostsTolerateFaults(t *testing.T) {
 	dir := t.TempDir()
-	torn := filepath.Join(dir, "c1")
-	if err := os.WriteFile(torn, []byte(`{"fleet":"f","na`), 0o600); err != nil {
+	truncated := filepath.Join(dir, "c1")
+	if err := os.WriteFile(truncated, []byte(`{"fleet":"f","na`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	hosts, _ := startTrio(t, func(i int, c *Config) {
 		c.Sharing = nil
 		if i == 1 {
-			c.StateFile = torn
+			c.StateFile = truncated
 		}
 		if i == 2 {
 			c.StateFile = filepath.Join(dir, "no", "such", "folder")
 		}
 	})
-	taken := Config{Name: "x", Fleet: "f", Listen: hosts[0].Address(), Keys: testKeys}
-	if _, err := New(taken, slog.New(slog.DiscardHandler), nil); err == nil {
-		t.Error("an address is taken twice")
+	duplicate := Config{Name: "x", Fleet: "f", Listen: hosts[0].Address(), Keys: testKeys}
+	if _, err := New(duplicate, slog.New(slog.DiscardHandler), nil); err == nil {
+		t.Error("New accepted an address in use")
 	}
-	waitFor(t, "all to know all", func() bool {
+	waitFor(t, "all hosts to know each other", func() bool {
 		return len(hosts[2].Status().Members) == 3 && len(hosts[0].Status().Members) == 3
 	})
-	for range maxInboundConnections + 4 { // those that send nothing hold no more than the bound
+	for range maxInboundConnections + 4 { // silent connections use at most maxInboundConnections
 		conn, err := net.Dial("tcp", hosts[0].Address())
-		if err == nil { // beyond the bound it may be reset at once
+		if err == nil { // connections beyond the limit may be reset at once
 			t.Cleanup(func() { conn.Close() })
 		}
 	}
-	waitFor(t, "connections beyond the bound to be refused", func() bool {
+	waitFor(t, "connections beyond the limit to be refused", func() bool {
 		return hosts[0].Status().Frames.ExchangesRefused > 0
 	})
 	if err := hosts[0].Forget("c2"); !errors.Is(err, ErrNotDead) {
 		t.Error(err)
 	}
 	if hosts[0].SharedStatus() != nil {
-		t.Error("state is shared that is not configured")
+		t.Error("got shared status, want nil without sharing configured")
 	}
 }
 
-// A state file is used if it is whole, of this form, of this replica and young. A replica
-// whose disk has lost it may have lent before its restart: it withholds that much.
-func TestStateFileIsRestoredWithCare(t *testing.T) {
+// A state file is used only if it is intact, of this format and of this replica; its confirmation also requires that it
+// is recent. A replica that lost its state file may have lent before the restart and withholds the possible loans.
+func TestRestoreRequiresValidStateFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "members")
 	newHost := func(t *testing.T) *Fleet {
 		f, err := New(Config{
@@ -269,23 +269,23 @@
 		return seal(text)
 	}
 	whole := with(func(*persistedState) {})
-	torn := append([]byte(nil), whole...)
-	torn[len(torn)/2] ^= 1
+	corrupted := append([]byte(nil), whole...)
+	corrupted[len(corrupted)/2] ^= 1
 	day := 24 * time.Hour
 	for name, tc := range map[string]struct {
 		text                        []byte
 		knows, confirmed, withholds bool
 	}{
-		"whole":                {whole, true, true, true},
-		"missing":              {nil, false, false, true},
-		"a byte changed":       {torn, false, false, true},
-		"cut short":            {whole[:200], false, false, true},
-		"of no version":        {whole[20:], false, false, true},
-		"another replica's":    {with(func(s *persistedState) { s.Name = "c" }), false, false, true},
-		"another fleet's":      {with(func(s *persistedState) { s.Fleet = "g" }), false, false, true},
-		"of yesterday":         {with(func(s *persistedState) { s.Written = time.Now().Add(-day) }), true, false, true},
-		"of tomorrow":          {with(func(s *persistedState) { s.Written = time.Now().Add(day) }), true, false, true},
-		"of one that has left": {with(func(s *persistedState) { s.Left, s.Confirmed, s.Members = true, false, nil }), false, false, false},
+		"whole":               {whole, true, true, true},
+		"missing":             {nil, false, false, true},
+		"corrupted byte":      {corrupted, false, false, true},
+		"cut short":           {whole[:200], false, false, true},
+		"no version":          {whole[20:], false, false, true},
+		"another replica's":   {with(func(s *persistedState) { s.Name = "c" }), false, false, true},
+		"another fleet's":     {with(func(s *persistedState) { s.Fleet = "g" }), false, false, true},
+		"a day old":           {with(func(s *persistedState) { s.Written = time.Now().Add(-day) }), true, false, true},
+		"a day in the future": {with(func(s *persistedState) { s.Written = time.Now().Add(day) }), true, false, true},
+		"departed replica":    {with(func(s *persistedState) { s.Left, s.Confirmed, s.Members = true, false, nil }), false, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			os.Remove(file)
@@ -299,14 +299,14 @@
 			confirmed := f.positions.tracker.Confirmed()
 			withheld := withholds(f)
 			if knows != tc.knows || confirmed != tc.confirmed || withheld != tc.withholds {
-				t.Errorf("knows %v, confirmed %v, withholds what it may have lent %v", knows, confirmed, withheld)
+				t.Errorf("got member known %v, confirmed %v, possible loans withheld %v", knows, confirmed, withheld)
 			}
 		})
 	}
 }
 
-// startHost runs a host on loopback that shares quotas with one other, and returns it with what has it leave. Its Run has
-// ended once the test has.
+// startHost runs a host on loopback that shares quotas with one other host. leave makes it leave the fleet. The test's
+// cleanup waits for Run to end.
 func startHost(t *testing.T, proxy *stubProxy, cfg Config) (f *Fleet, leave context.CancelFunc) {
 	t.Helper()
 	cfg.Fleet, cfg.Listen, cfg.Keys = "f", "127.0.0.1:0", testKeys
@@ -325,7 +325,7 @@
 	return f, leave
 }
 
-// spendable is what a host's replica may spend of its one quota, in units a second; 0 while it knows of none.
+// spendable returns the current limit of a host for its only quota, in units per second; 0 while the quota is unknown.
 func spendable(f *Fleet) float64 {
 	status := f.SharedStatus()
 	if len(status.Quotas) == 0 {
@@ -340,13 +340,13 @@
 	return f.tags.Phase == membership.Leaving
 }
 
-// A lender that is killed while it waits for its loans to end, and restarts, has not forgotten that it has lent: it and
-// the borrower together never may spend more than the quota.
-func TestALenderKilledWhileItLeavesWithholdsItsLoans(t *testing.T) {
+// A lender that is killed while it waits for its loans to end withholds the lent amount after its restart. Otherwise it
+// and the borrower together could spend more than the quota.
+func TestLenderKilledWhileLeavingWithholdsLoans(t *testing.T) {
 	t.Parallel()
 	const (
-		total      = 90                     // of the quota, as stubProxy states it
-		maxReading = 100 * time.Millisecond // of both rates: less than a credit ends before its debit
+		total      = 90                     // total quota of stubProxy
+		maxReading = 100 * time.Millisecond // for reading both rates: shorter than the gap between end of loan and debit
 	)
 	dir := t.TempDir()
 	stateFile, copied := filepath.Join(dir, "l"), filepath.Join(dir, "copy")
@@ -358,18 +358,18 @@
 	waitFor(t, "the lender's state file", func() bool { _, err := os.Stat(stateFile); return err == nil })
 
 	leave()
-	waitFor(t, "the lender to wait for its loans", lender.isLeaving)
-	onDisk, err := os.ReadFile(stateFile) // what a restart after a kill finds
+	waitFor(t, "the lender to start leaving", lender.isLeaving)
+	onDisk, err := os.ReadFile(stateFile) // as found by a restart after a kill
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(copied, onDisk, stateFileMode); err != nil {
 		t.Fatal(err)
 	}
-	lender.end() // it sends nothing more
+	lender.end() // simulates the kill
 	restarted, _ := startHost(t, &stubProxy{}, Config{Name: "l", StateFile: copied, Seeds: []string{borrower.Address()}})
 
-	overlapped := false // both had a part of the quota while the loan ran
+	overlapped := false // both had a positive limit during the loan
 	highest := 0.0
 	for end := time.Now().Add(2 * quota.Lease); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		began := time.Now()
@@ -382,15 +382,15 @@
 		highest = max(highest, borrowed+own)
 	}
 	if highest > total*1.0001 {
-		t.Errorf("both together may spend %.1f of %d", highest, total)
+		t.Errorf("got a combined limit of %.1f, want at most %d", highest, total)
 	}
 	if !overlapped {
-		t.Error("the lender had no part of the quota before the loan was over: the test shows nothing")
+		t.Error("the lender's limit stayed 0 during the loan, want a positive one")
 	}
 }
 
-// What a replica that has left finds at its next start says so, whichever write of the state file was the last.
-func TestAReplicaThatHasLeftPersistsIt(t *testing.T) {
+// The state file of a replica that has left says so, even after a later write.
+func TestDepartureIsPersisted(t *testing.T) {
 	t.Parallel()
 	f, leave := startHost(t, &stubProxy{}, Config{Name: "a", StateFile: filepath.Join(t.TempDir(), "a")})
 	waitFor(t, "the state to be persisted", func() bool {
@@ -403,7 +403,7 @@
 		return err == nil && state.Left && !state.Confirmed
 	}
 	waitFor(t, "the departure to be persisted", hasLeft)
-	if _, written := f.persist(); !written || !hasLeft() { // as one that was asked for before
-		t.Error("a later write has the replica not have left")
+	if _, written := f.persist(); !written || !hasLeft() { // like a write requested before the departure
+		t.Error("a later write failed or lost the departure")
 	}
 }
--- a/fleet/membership_host.go
+++ b/fleet/membership_host.go
@@ -4,7 +4,7 @@
 	"ryerill/fleet/membership"
 )
 
-// tick is called by the timer when the membership list has something due.
+// tick handles the timer of the membership list.
 func (f *Fleet) tick() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -25,8 +25,8 @@
 	}
 }
 
-// handle passes an event to the membership list, executes its actions and returns the
-// replies among them. The mutex is held.
+// handle passes an event to the membership list, executes the resulting actions and returns
+// the replies. Callers must hold mu.
 func (f *Fleet) handle(event membership.Event) (replies []*membership.Message) {
 	if f.ended {
 		return nil
@@ -60,7 +60,7 @@
 	return replies
 }
 
-// logAction logs what an operator should know: one line for each change of a member.
+// logAction logs one line for each action that concerns operators.
 func (f *Fleet) logAction(action *membership.Action) {
 	record := &action.Record
 	switch action.Kind {
@@ -73,21 +73,20 @@
 			"previous", action.PreviousStatus.String(), "reason", action.Reason,
 			"epoch", record.Epoch, "incarnation", record.Incarnation, "address", address)
 	case membership.Displaced:
-		f.log.Error("another process of this name started later, this one is not part of the fleet any more: "+
-			"expected at an upgrade, else give one of them another name", "replica", record.Name, "epoch", record.Epoch)
+		f.log.Error("replica displaced by a newer process with the same name, left the fleet: "+
+			"expected during an upgrade, otherwise rename one of them", "replica", record.Name, "epoch", record.Epoch)
 	case membership.NameConflict:
-		f.log.errorOccasionally("two processes have one replica name and the earlier one still sends: "+
-			"give one of them another name", "replica", record.Name)
+		f.log.errorThrottled("two running processes share a replica name and the older one still sends: "+
+			"rename one of them", "replica", record.Name)
 	case membership.TableFull:
-		f.log.warnOccasionally("no room for another fleet member", "replica", record.Name)
+		f.log.warnThrottled("fleet member table full, member ignored", "replica", record.Name)
 	case membership.Stalled:
-		f.log.Warn("this replica stood still and suspects nobody for it", "duration", action.Wait)
+		f.log.Warn("this replica stood still, no members suspected for the stall", "duration", action.Wait)
 	}
 }
 
-// sendToReplica sends a message of another package to a member, if its address is
-// known. A displaced process sends none: it is not part of the fleet any more. The mutex
-// is held.
+// sendToReplica sends a state sync or rollout message to a member whose address is known. A
+// displaced process sends nothing, since it has left the fleet. Callers must hold mu.
 func (f *Fleet) sendToReplica(name string, kind membership.MessageKind, payload []byte) {
 	r, known := f.list.Find(name)
 	if !known || r.Tags == nil || f.list.Displaced() {
@@ -98,13 +97,13 @@
 		From:             f.list.Self().State,
 		Target:           name,
 		Digest:           f.list.Digest(),
-		ReplicaSetDigest: f.persisted.digest, // as the list's own messages: see announceReplicaSet
+		ReplicaSetDigest: f.persisted.digest, // same as in membership messages: see announceReplicaSet
 		Payload:          payload,
 	})
 }
 
-// fromCurrentProcess reports whether a message for this replica is from the present
-// process of another member. The mutex is held.
+// fromCurrentProcess reports whether a message is addressed to this replica and comes from the
+// current process of another member. Callers must hold mu.
 func (f *Fleet) fromCurrentProcess(message *membership.Message) bool {
 	if f.ended || message.Target != f.cfg.Name || message.From.Name == f.cfg.Name {
 		return false
--- a/fleet/persistence.go
+++ b/fleet/persistence.go
@@ -11,35 +11,35 @@
 	"ryerill/fleet/placement"
 )
 
-// maxConfirmationAge is how old a persisted confirmation may be: an operator may have
-// declared this replica to be gone since, so that others have its quota fraction.
+// maxConfirmationAge is the maximum age of a persisted confirmation. An operator may have had
+// this replica forgotten since, which gives its quota fraction to others.
 const maxConfirmationAge = time.Hour
 
-// minPersistPause is the pause after a failed write of the state file. It doubles up to persistInterval with each
-// further failure in a row.
+// minPersistPause is the pause after the first failed write of the state file. It doubles with each consecutive
+// failure, up to persistInterval.
 const minPersistPause = 100 * time.Millisecond
 
-// maxDeparturePause is the last pause in which the end of this replica waits for a disk that fails.
+// maxDeparturePause is the longest pause between attempts to persist the departure during shutdown.
 const maxDeparturePause = 4 * minPersistPause
 
-// persistedSet is the replica set that would be restored after a restart. Only that one
-// is announced: others rely on this replica to keep counting them.
+// persistedSet is the replica set that a restart would restore. Only a persisted set is
+// announced, because other replicas rely on this one to keep counting them.
 type persistedSet struct {
 	digest    uint64
 	confirmed bool
 	writing   bool // a write of the state file is under way
 
-	failure error         // of the latest write of the state file; nil if it succeeded
-	pause   time.Duration // before the next write, after failures in a row
-	retryAt time.Time     // when that is over
+	failure error         // result of the latest write of the state file
+	pause   time.Duration // backoff after consecutive failures
+	retryAt time.Time     // end of the backoff
 }
 
-// mayWrite reports whether the state file may be written now: a disk that has failed is left in peace for a while.
+// mayWrite reports whether the backoff after a failed write is over.
 func (p *persistedSet) mayWrite(now time.Time) bool {
 	return p.failure == nil || !now.Before(p.retryAt)
 }
 
-// noteWrite notes how a write of the state file ended.
+// noteWrite records the result of a write of the state file.
 func (p *persistedSet) noteWrite(err error, now time.Time) {
 	p.failure = err
 	if err == nil {
@@ -50,12 +50,12 @@
 	p.retryAt = now.Add(p.pause)
 }
 
-// holds reports whether the tracker's replica set is the persisted one.
-func (p *persistedSet) holds(tracker *placement.Tracker) bool {
+// matches reports whether the tracker's replica set is the persisted one.
+func (p *persistedSet) matches(tracker *placement.Tracker) bool {
 	return p.digest == tracker.ReplicaSetDigest() && p.confirmed == tracker.Confirmed()
 }
 
-// restoreState reads the state file. What can't be used is logged and ignored.
+// restoreState reads the state file. It logs and ignores an unusable file.
 func (f *Fleet) restoreState() persistedState {
 	if !f.stateFile.enabled() {
 		return persistedState{}
@@ -65,10 +65,10 @@
 	case errors.Is(err, fs.ErrNotExist):
 		return persistedState{}
 	case err != nil:
-		f.log.Warn("fleet state file can't be used", "file", f.stateFile.path, "err", err)
+		f.log.Warn("fleet state file unusable, ignored", "file", f.stateFile.path, "err", err)
 		return persistedState{}
 	case state.Fleet != f.cfg.Fleet || state.Name != f.cfg.Name:
-		f.log.Warn("fleet state file is of another replica", "file", f.stateFile.path, "fleet", state.Fleet,
+		f.log.Warn("fleet state file is for another replica, ignored", "file", f.stateFile.path, "fleet", state.Fleet,
 			"replica", state.Name)
 		return persistedState{}
 	}
@@ -76,14 +76,14 @@
 	if age > maxConfirmationAge || age < -maxConfirmationAge {
 		state.Confirmed = false
 		state.outdated = true
-		f.log.Warn("fleet state file is old, this replica has no quota fraction until it has met all others",
+		f.log.Warn("fleet state file outdated, no quota fraction until this replica has reached all others",
 			"file", f.stateFile.path, "age", age.Round(time.Second))
 	}
 	return state
 }
 
-// currentState returns what is to be persisted now. A replica that has left is not counted
-// any more. The mutex is held.
+// currentState returns the state to persist. Others no longer count a replica that has left, so
+// its state is unconfirmed. Callers must hold mu.
 func (f *Fleet) currentState() persistedState {
 	left := f.departed && !f.abandoned
 	state := persistedState{
@@ -106,7 +106,8 @@
 	return state
 }
 
-// runPersistence writes the state file periodically, and again after a failure, until ctx ends, and then once more.
+// runPersistence writes the state file periodically and retries failed writes until ctx ends, then writes it once
+// more.
 func (f *Fleet) runPersistence(ctx context.Context) {
 	ticker := time.NewTicker(persistInterval)
 	defer ticker.Stop()
@@ -125,7 +126,7 @@
 	}
 }
 
-// retryPersisting has the state persisted that the latest write could not persist, if the pause after that is over.
+// retryPersisting retries a failed write of the state file once its backoff is over.
 func (f *Fleet) retryPersisting() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -134,8 +135,8 @@
 	}
 }
 
-// persist writes the state file and reports whether state is what would be restored.
-// A disk that fails is no reason to stop. The mutex is not held: it may take long.
+// persist writes the state file and reports whether a restart would restore state. The replica
+// keeps running if the disk fails. Callers must not hold mu, since the write may take long.
 func (f *Fleet) persist() (state persistedState, written bool) {
 	f.persisting.Lock()
 	defer f.persisting.Unlock()
@@ -150,8 +151,8 @@
 	return state, err == nil
 }
 
-// persistDeparture has it persisted that this replica has left, and reports whether a restart will know that. A disk
-// that fails is tried again for a moment.
+// persistDeparture persists the departure, with a few retries if the disk fails. It reports whether a restart cannot
+// restore the state before the departure.
 func (f *Fleet) persistDeparture() bool {
 	for pause := minPersistPause; ; pause *= 2 {
 		if _, written := f.persist(); written {
@@ -159,26 +160,26 @@
 		}
 		if pause > maxDeparturePause {
 			_, err := os.Stat(f.stateFile.path)
-			return errors.Is(err, fs.ErrNotExist) // a restart will know of nothing
+			return errors.Is(err, fs.ErrNotExist) // without a file a restart restores no state
 		}
 		time.Sleep(pause)
 	}
 }
 
-// noteWrite notes and logs how a write of the state file ended.
+// noteWrite records and logs the result of a write of the state file.
 func (f *Fleet) noteWrite(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err != nil {
-		f.log.warnOccasionally("fleet state file can't be written", "file", f.stateFile.path, "err", err)
+		f.log.warnThrottled("fleet state file not written, retrying", "file", f.stateFile.path, "err", err)
 	} else if f.persisted.failure != nil {
 		f.log.Info("fleet state file written again", "file", f.stateFile.path)
 	}
 	f.persisted.noteWrite(err, time.Now())
 }
 
-// persistReplicaSet has the replica set persisted, and announced after that. The mutex is
-// held.
+// persistReplicaSet starts a write of the replica set, which is announced after the write.
+// Callers must hold mu.
 func (f *Fleet) persistReplicaSet() {
 	if !f.stateFile.enabled() {
 		tracker := f.positions.tracker
@@ -194,15 +195,15 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.persisted.writing = false
-		// The set may have changed before or during the write. Then what is lent may not fit, and the next update of
-		// the positions has the set persisted again.
+		// If the set has changed meanwhile, loans may exceed its division of the quotas. The next update of the
+		// positions persists the new set.
 		if written && state.replicaSetDigest == f.positions.tracker.ReplicaSetDigest() && f.loansFit() {
 			f.announceReplicaSet(state.replicaSetDigest, state.Confirmed)
 		}
 	})
 }
 
-// announceReplicaSet announces a replica set that is persisted. The mutex is held.
+// announceReplicaSet announces a persisted replica set. Callers must hold mu.
 func (f *Fleet) announceReplicaSet(digest uint64, confirmed bool) {
 	f.persisted.digest = digest
 	f.persisted.confirmed = confirmed
--- a/fleet/positions.go
+++ b/fleet/positions.go
@@ -6,8 +6,8 @@
 	"ryerill/fleet/placement"
 )
 
-// PositionsFunc receives the replica's positions, by pool, with every change. It is
-// called with the fleet's mutex held: it must neither block nor call the fleet.
+// PositionsFunc receives the replica's positions by pool after each change. The fleet calls it
+// with its mutex locked: it must neither block nor call the fleet.
 type PositionsFunc func(positions map[string]placement.Position)
 
 // positions keeps the replica's positions and publishes their changes.
@@ -15,14 +15,14 @@
 	tracker       *placement.Tracker
 	publish       PositionsFunc // may be nil
 	updatedAt     time.Time
-	startedJoined bool // no view need be exchanged: there is no seed, or those that may run were restored
+	startedJoined bool // no sync is needed to join: no seeds, or the members were restored
 }
 
 func newPositions(cfg *Config, restored *persistedState, publish PositionsFunc) positions {
 	p := positions{
 		tracker:       placement.New(cfg.ReplicaCounts),
 		publish:       publish,
-		startedJoined: len(cfg.Seeds) == 0 || restored.countsMembers(),
+		startedJoined: len(cfg.Seeds) == 0 || restored.membersComplete(),
 	}
 	if restored.Confirmed {
 		p.tracker.RestoreConfirmed()
@@ -30,13 +30,13 @@
 	return p
 }
 
-// due reports whether the positions are to be updated although no member changed.
+// due reports whether the positions need an update even without a member change.
 func (p *positions) due(now time.Time) bool {
 	return now.Sub(p.updatedAt) >= p.tracker.NextUpdate()
 }
 
-// maxQuotaReplicas returns the greatest number of replicas that quotas of any pool are
-// divided among, and whether the positions in all pools are confirmed.
+// maxQuotaReplicas returns the maximum over all pools of the number of replicas that share a
+// quota, and whether the positions in all pools are confirmed.
 func (p *positions) maxQuotaReplicas() (replicas int, confirmed bool) {
 	confirmed = true
 	for _, name := range p.tracker.Pools() {
@@ -47,8 +47,8 @@
 	return replicas, confirmed
 }
 
-// updatePositions has the positions follow the members, and publishes them if they
-// change. The mutex is held.
+// updatePositions recomputes the positions from the members and publishes changes. Callers must
+// hold mu.
 func (f *Fleet) updatePositions(membersChanged bool) {
 	p := &f.positions
 	now := time.Now()
@@ -58,8 +58,8 @@
 	p.updatedAt = now
 	moved := p.tracker.Update(f.now(), f.placementSnapshot())
 	f.updateQuotaReplicas()
-	// Loans must end before others may rely on this replica's fraction being smaller.
-	if f.loansFit() && !f.persisted.holds(p.tracker) && f.persisted.mayWrite(now) {
+	// Loans beyond the smaller fraction must end before others may rely on it.
+	if f.loansFit() && !f.persisted.matches(p.tracker) && f.persisted.mayWrite(now) {
 		f.persistReplicaSet()
 	}
 	if moved && p.publish != nil {
--- a/fleet/rollout_fetch.go
+++ b/fleet/rollout_fetch.go
@@ -10,8 +10,8 @@
 	"ryerill/fleet/rollout"
 )
 
-// fetchIfNewer fetches the state of a replica, whose version is announced, if it is newer
-// than this replica's. The mutex is held.
+// fetchIfNewer fetches a replica's rollout state if the announced version is newer than this
+// replica's. Callers must hold mu.
 func (f *Fleet) fetchIfNewer(replica string, announced *rollout.State) {
 	h := f.rollouts
 	own := h.participant.State()
@@ -24,7 +24,7 @@
 	f.goroutines.Go(func() { f.fetchRolloutState(address) })
 }
 
-// fetchRolloutState fetches and adopts the state of another replica.
+// fetchRolloutState fetches another replica's rollout state and passes it to the participant.
 func (f *Fleet) fetchRolloutState(address string) {
 	state, text, err := f.requestRolloutState(address)
 	f.mu.Lock()
@@ -33,7 +33,7 @@
 	h.fetching = false
 	if err != nil {
 		h.fetchFailedAt = time.Now()
-		f.log.warnOccasionally("fleet rollout state can't be fetched", "address", address, "err", err)
+		f.log.warnThrottled("fleet rollout state not fetched", "address", address, "err", err)
 		return
 	}
 	h.fetchFailedAt = time.Time{}
@@ -47,7 +47,7 @@
 	}, nil))
 }
 
-// requestRolloutState returns the state of the replica at an address, and its encoded form.
+// requestRolloutState returns the rollout state of the replica at address, decoded and encoded.
 func (f *Fleet) requestRolloutState(address string) (*rollout.State, []byte, error) {
 	conn, err := dial(address)
 	if err != nil {
@@ -67,13 +67,13 @@
 	return state, response.Payload, err
 }
 
-// serveRolloutState sends this replica's state.
+// serveRolloutState sends this replica's rollout state.
 func (f *Fleet) serveRolloutState(conn net.Conn) {
 	payload, err := f.encodedRolloutState()
 	if err != nil || payload == nil {
 		return
 	}
-	// If it fails the other replica fetches the state again.
+	// After a failure the other replica fetches the state again.
 	_ = f.transport.write(conn, &membership.Message{Kind: membership.RolloutState, From: f.self(), Payload: payload})
 }
 
@@ -95,7 +95,7 @@
 	return cbor.Marshal(state)
 }
 
-// self returns this replica's own state.
+// self returns this replica's membership state.
 func (f *Fleet) self() membership.State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/rollout_host.go
+++ b/fleet/rollout_host.go
@@ -15,35 +15,35 @@
 const (
 	rolloutInterval  = 100 * time.Millisecond
 	reportInterval   = time.Second
-	fetchRetry       = 500 * time.Millisecond // after a state could not be fetched
+	fetchRetry       = 500 * time.Millisecond // pause after a failed fetch of a state
 	fencingTokenBits = 24                     // shift of the fencing token in a persisted version
 )
 
-// ChangeFunc changes this replica to target, as a rollout of the kind orders: to text if
-// that is not empty, or back to what it had. It is called in a goroutine of its own, and
-// returns why it could not.
+// ChangeFunc changes this replica to the target version of a rollout. A non-empty text holds the
+// new settings; back requests a rollback to the previous version. The fleet calls it in a
+// separate goroutine.
 type ChangeFunc func(kind rollout.Kind, target string, text []byte, back bool) error
 
-// PoolActivity is what this replica did in one pool since the start, for the comparison
-// of changed and unchanged replicas.
+// PoolActivity holds this replica's totals for one pool since the start. A rollout compares them
+// between changed and unchanged replicas.
 type PoolActivity struct {
 	Pool            string
 	OfferedWeight   float64 // priority weight of the requests
-	ServedWeight    float64 // priority weight of those that were answered in time
+	ServedWeight    float64 // priority weight of the requests answered in time
 	Responses       float64
-	ResponseSeconds float64 // that the responses took together
-	Requests        float64 // that ended
-	Attempts        float64 // that ended
+	ResponseSeconds float64 // total response time
+	Requests        float64 // ended requests
+	Attempts        float64 // ended attempts
 }
 
-// DesiredVersion is the version that the operator's own tools are to bring about here.
+// DesiredVersion is the version that the operator's tools must install on this replica.
 type DesiredVersion struct {
 	Plan        string `json:"plan"`
 	Target      string `json:"target"`
 	RollingBack bool   `json:"back"`
 }
 
-// refusal is why a replica could not take the version of a plan.
+// refusal records why a replica could not change to the version of a plan.
 type refusal struct{ plan, reason string }
 
 // rolloutVersion orders the states of a rollout.
@@ -53,28 +53,28 @@
 	return rolloutVersion{fencingToken: s.FencingToken, version: s.Version}
 }
 
-// rolloutHost is this replica's side of rollouts. The fleet's mutex guards it.
+// rolloutHost connects this replica to rollouts. Fleet.mu guards it.
 type rolloutHost struct {
 	participant      *rollout.Participant
 	change           ChangeFunc
 	activity         func() []PoolActivity
-	reportedActivity map[string]PoolActivity // by pool, at the latest report
-	reportedInterval uint64                  // number of the latest report
-	refusals         map[string]refusal      // by replica, the other ones
+	reportedActivity map[string]PoolActivity // by pool, totals at the latest report
+	reportedInterval uint64                  // number of the latest reported interval
+	refusals         map[string]refusal      // refusals of other replicas, by name
 	ownRefusal       refusal
-	attempt          uint64 // of the participant, that the refusals are of
+	refusalAttempt   uint64 // attempt at the plan in which the refusals occurred
 	desired          DesiredVersion
-	desiredAttempt   uint64 // of the participant, in which the version was ordered
+	desiredAttempt   uint64 // attempt at the plan that ordered the desired version
 
 	fetching      bool
-	fetchFailedAt time.Time // zero after a success
-	fetched       []byte    // the state of fetchedAt as it was received: it may hold more than this program knows
-	fetchedAt     rolloutVersion
+	fetchFailedAt time.Time      // zero after a success
+	fetched       []byte         // the state as received: it may have fields that this program does not know
+	fetchedAt     rolloutVersion // version of fetched
 
 	persistedVersion uint64
 }
 
-// EnableRollouts has this replica take part in rollouts. It must be called before Run.
+// EnableRollouts makes this replica take part in rollouts. It must be called before Run.
 func (f *Fleet) EnableRollouts(change ChangeFunc, activity func() []PoolActivity) {
 	f.rollouts = &rolloutHost{
 		participant:      rollout.New(f.cfg.Name, f.now()),
@@ -97,8 +97,8 @@
 	return &state
 }
 
-// changedSincePersisted reports whether the state has another version than when this was
-// called last.
+// changedSincePersisted reports whether the version of the state has changed since the previous
+// call.
 func (h *rolloutHost) changedSincePersisted() bool {
 	state := h.participant.State()
 	version := state.FencingToken<<fencingTokenBits | state.Version
@@ -109,7 +109,7 @@
 	return true
 }
 
-// replica returns a member as a rollout sees it.
+// replica converts a member to the replica type of package rollout.
 func (h *rolloutHost) replica(m *membership.MemberInfo, plan *rollout.Plan) rollout.Replica {
 	replica := rollout.Replica{
 		Name:     m.Name,
@@ -134,18 +134,19 @@
 	return replica
 }
 
-// forgetRefusals forgets what was refused in an earlier attempt at a plan: its cause may be mended. The mutex is held.
+// forgetRefusals discards the refusals of earlier attempts at a plan, whose causes may have been fixed. Callers must
+// hold Fleet.mu.
 func (h *rolloutHost) forgetRefusals() {
 	attempt := h.participant.Attempts()
-	if attempt == h.attempt {
+	if attempt == h.refusalAttempt {
 		return
 	}
-	h.attempt = attempt
+	h.refusalAttempt = attempt
 	h.ownRefusal = refusal{}
 	clear(h.refusals)
 }
 
-// noteReport notes whether the replica that sent a report refuses the plan. The mutex is held.
+// noteReport records whether the sender of a report refuses the plan. Callers must hold Fleet.mu.
 func (h *rolloutHost) noteReport(report *rollout.Report) {
 	if report.RefusedReason == "" {
 		delete(h.refusals, report.Name)
@@ -154,7 +155,7 @@
 	h.refusals[report.Name] = refusal{plan: report.Plan, reason: report.RefusedReason}
 }
 
-// replicas returns all replicas that may run. The mutex is held.
+// replicas returns all replicas that may be running. Callers must hold mu.
 func (f *Fleet) replicas() (all []rollout.Replica) {
 	state := f.rollouts.participant.State()
 	for _, m := range f.list.Members() {
@@ -192,7 +193,7 @@
 	f.persistRollout()
 }
 
-// persistRollout starts a write of the state file if the rollout has changed. The mutex is held.
+// persistRollout starts a write of the state file if the rollout has changed. Callers must hold mu.
 func (f *Fleet) persistRollout() {
 	if !f.stateFile.enabled() || f.persisted.writing || f.departed {
 		return
@@ -202,7 +203,7 @@
 	}
 }
 
-// executeRollout executes the actions of a rollout. The mutex is held.
+// executeRollout executes the actions of a rollout. Callers must hold mu.
 func (f *Fleet) executeRollout(actions []rollout.Action) {
 	for _, action := range actions {
 		switch action.Kind {
@@ -216,10 +217,10 @@
 	}
 }
 
-// applyVersion changes this replica as a rollout orders. The mutex is held.
+// applyVersion starts the change of this replica to the version that a rollout orders. Callers must hold mu.
 func (f *Fleet) applyVersion(action rollout.Action) {
 	h := f.rollouts
-	f.log.Info("fleet rollout changes this replica", "plan", action.Plan, "target", action.Target,
+	f.log.Info("applying fleet rollout to this replica", "plan", action.Plan, "target", action.Target,
 		"rolling_back", action.RollBack)
 	attempt := h.participant.Attempts()
 	h.desired = DesiredVersion{Plan: action.Plan, Target: action.Target, RollingBack: action.RollBack}
@@ -232,16 +233,15 @@
 		}
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.log.Error("this replica can't apply the fleet rollout", "plan", action.Plan, "err", err)
+		f.log.Error("fleet rollout not applied to this replica", "plan", action.Plan, "err", err)
 		if h.participant.Attempts() == attempt {
 			h.ownRefusal = refusal{plan: action.Plan, reason: err.Error()}
 		}
 	})
 }
 
-// RolloutRefused records that the operator's own tools could not bring about the
-// desired version of a plan. It is ignored where that was ordered in an earlier attempt
-// and has not been ordered again since.
+// RolloutRefused records that the operator's tools could not install the desired version of a
+// plan. It ignores a refusal if only an earlier attempt at the plan ordered that version.
 func (f *Fleet) RolloutRefused(plan, reason string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -252,16 +252,16 @@
 	h.ownRefusal = refusal{plan: plan, reason: reason}
 }
 
-// desiredNow returns the desired version, which is empty until the present attempt at the plan orders it.
-func (h *rolloutHost) desiredNow() DesiredVersion {
+// currentDesired returns the desired version. It is empty until the current attempt at the plan orders one.
+func (h *rolloutHost) currentDesired() DesiredVersion {
 	if h.desiredAttempt != h.participant.Attempts() {
 		return DesiredVersion{}
 	}
 	return h.desired
 }
 
-// sendRollout sends a message. Of a state only the version is sent: who has an older one
-// fetches it. The mutex is held.
+// sendRollout sends a rollout message. It reduces a state to its version; replicas with an older
+// one fetch the whole state. Callers must hold mu.
 func (f *Fleet) sendRollout(to string, message rollout.Message) {
 	if message.State != nil {
 		message.State = &rollout.State{FencingToken: message.State.FencingToken, Version: message.State.Version}
@@ -274,7 +274,7 @@
 	f.sendToReplica(to, membership.Rollout, payload)
 }
 
-// receiveRollout handles a datagram. The mutex is held.
+// receiveRollout handles a rollout datagram. Callers must hold mu.
 func (f *Fleet) receiveRollout(datagram *membership.Message) {
 	if f.rollouts == nil || !f.fromCurrentProcess(datagram) {
 		return
@@ -295,7 +295,7 @@
 	f.executeRollout(f.rollouts.participant.Handle(f.now(), message, nil))
 }
 
-// memoryMB returns how many MB this process holds of the system; 0 if that is not known.
+// memoryMB returns the memory, in MB, that this process has obtained from the system; 0 if unknown.
 func memoryMB() float64 {
 	samples := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(samples)
@@ -308,8 +308,8 @@
 	return float64(samples[0].Value.Uint64()-samples[1].Value.Uint64()) / bytesPerMB
 }
 
-// reportActivity reports to the leader what this replica did in the last interval, while a
-// rollout changes or observes replicas. The mutex is held.
+// reportActivity reports this replica's activity in the last interval to the leader while a
+// rollout changes or observes replicas. Callers must hold mu.
 func (f *Fleet) reportActivity() {
 	h := f.rollouts
 	state := h.participant.State()
@@ -317,11 +317,11 @@
 	if state.Phase == rollout.Observing {
 		memory = memoryMB()
 	}
-	underWay := state.Phase == rollout.Observing || state.Phase == rollout.Changing
+	inProgress := state.Phase == rollout.Observing || state.Phase == rollout.Changing
 	for _, activity := range h.activity() {
 		before := h.reportedActivity[activity.Pool]
 		h.reportedActivity[activity.Pool] = activity
-		if !underWay || state.Leader == "" {
+		if !inProgress || state.Leader == "" {
 			continue
 		}
 		report := rollout.Report{
@@ -350,7 +350,7 @@
 
 var errNoRollouts = errors.New("this proxy takes no part in rollouts now")
 
-// StartRollout starts a plan.
+// StartRollout starts a rollout of the plan.
 func (f *Fleet) StartRollout(plan rollout.Plan) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -360,7 +360,7 @@
 	return f.rollouts.participant.Start(f.now(), plan)
 }
 
-// RolloutCommand passes an operator's command on to the rollout.
+// RolloutCommand passes an operator's command to the rollout.
 func (f *Fleet) RolloutCommand(command string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/rollout_host_test.go
+++ b/fleet/rollout_host_test.go
@@ -12,7 +12,7 @@
 	"ryerill/fleet/rollout"
 )
 
-// newRolloutHost returns a host that does not run: it does only what a test has it do.
+// newRolloutHost returns a host with rollouts that does not run, so that only the test generates events.
 func newRolloutHost(t *testing.T, change ChangeFunc, stateFile string) *Fleet {
 	t.Helper()
 	cfg := Config{Name: "a", Fleet: "f", Listen: "127.0.0.1:0", Keys: testKeys, StateFile: stateFile}
@@ -26,8 +26,8 @@
 	return f
 }
 
-// What was refused in one attempt at a plan does not fail the next one, also not where the change ends late.
-func TestRefusalsAreForgottenInANewAttempt(t *testing.T) {
+// Refusals of one attempt at a plan do not fail the next attempt, even if the change of the earlier attempt ends late.
+func TestNewAttemptForgetsRefusals(t *testing.T) {
 	changes := make(chan error, 1)
 	f := newRolloutHost(t, func(rollout.Kind, string, []byte, bool) error { return <-changes }, "")
 	plan := rollout.Plan{ID: "p", Kind: rollout.Settings, Target: "new"}
@@ -59,13 +59,13 @@
 	changes <- errNoRollouts
 	f.goroutines.Wait()
 	if refusal() == "" {
-		t.Error("a refusal is not shown")
+		t.Error("got no refusal in the status, want one")
 	}
 	f.rollouts.noteReport(&rollout.Report{Name: "b", Plan: "p", RefusedReason: "disk full"})
 	abort()
 	start()
 	if refusal() != "" || len(f.rollouts.refusals) > 0 {
-		t.Errorf("refusals of the attempt before: %q, %v", refusal(), f.rollouts.refusals)
+		t.Errorf("got refusals of the previous attempt: own %q, others %v", refusal(), f.rollouts.refusals)
 	}
 	order()
 	abort()
@@ -73,17 +73,17 @@
 	changes <- errNoRollouts
 	f.goroutines.Wait()
 	if refusal() != "" {
-		t.Errorf("the late end of an earlier attempt counts: %q", refusal())
+		t.Errorf("got refusal %q from the late end of an earlier attempt, want none", refusal())
 	}
 	f.rollouts.noteReport(&rollout.Report{Name: "b", Plan: "p", RefusedReason: "disk full"})
 	f.rollouts.noteReport(&rollout.Report{Name: "b", Interval: uint64(time.Now().Unix())})
 	if len(f.rollouts.refusals) > 0 {
-		t.Errorf("a replica that refuses no more: %v", f.rollouts.refusals)
+		t.Errorf("got refusals %v after a report without one, want none", f.rollouts.refusals)
 	}
 }
 
-// A plan with its stage and history survives a restart where there is a state file.
-func TestAPlanSurvivesARestart(t *testing.T) {
+// A state file preserves a plan with its phase and history across a restart.
+func TestPlanSurvivesRestart(t *testing.T) {
 	stateFile := filepath.Join(t.TempDir(), "a")
 	begin := func() *Fleet {
 		return newRolloutHost(t, func(rollout.Kind, string, []byte, bool) error { return nil }, stateFile)
@@ -105,16 +105,16 @@
 	after, _ := restarted.RolloutStatus()
 	if after.Plan != "p" || after.Phase != "paused" || after.FencingToken != before.FencingToken ||
 		!slices.Equal(after.History, before.History) {
-		t.Errorf("before %+v\nafter %+v", before, after)
+		t.Errorf("status before the restart %+v\nafter it %+v", before, after)
 	}
 	if err := restarted.StartRollout(plan); err == nil || !strings.Contains(err.Error(), "plan p stands") {
-		t.Errorf("a second plan: %v", err)
+		t.Errorf("start of a second plan: got error %v, want \"plan p stands\"", err)
 	}
 }
 
-// A version is wanted of the operator's tools from the order of the present attempt on, not from one before, and a
-// refusal of an order before does not count.
-func TestAVersionIsWantedInEachAttempt(t *testing.T) {
+// Only an order of the current attempt sets the desired version, and refusals of orders of earlier attempts are
+// ignored.
+func TestDesiredVersionBelongsToCurrentAttempt(t *testing.T) {
 	f := newRolloutHost(t, func(rollout.Kind, string, []byte, bool) error { return nil }, "")
 	plan := rollout.Plan{ID: "p", Kind: rollout.Program, Target: "new"}
 	plan.Complete()
@@ -132,7 +132,7 @@
 		f.RolloutRefused("p", "exit status 1") // late, except in the first attempt
 		refused := status().Replicas[0].RefusedReason != ""
 		if desired := status().Desired; desired.Plan != "" || refused != (attempt == 0) {
-			t.Errorf("attempt %d wants %+v before it has ordered anything, refused %v", attempt, desired, refused)
+			t.Errorf("attempt %d before its order: got desired version %+v, refused %v", attempt, desired, refused)
 		}
 		f.mu.Lock()
 		f.applyVersion(rollout.Action{Kind: rollout.Apply, Plan: "p", Target: "new"})
@@ -141,7 +141,7 @@
 		now := status()
 		if number := rollout.AttemptOf(now.History); now.Desired.Plan != "p" || number <= before ||
 			now.Replicas[0].RefusedReason == "" {
-			t.Errorf("attempt %d, number %d: wants %+v", attempt, number, now.Desired)
+			t.Errorf("attempt %d, number %d: got desired version %+v", attempt, number, now.Desired)
 		} else {
 			before = number
 		}
--- a/fleet/rollout_status.go
+++ b/fleet/rollout_status.go
@@ -2,14 +2,14 @@
 
 import "ryerill/fleet/rollout"
 
-// RolloutStatus is what the management endpoint shows of a rollout.
+// RolloutStatus is the status of a rollout at the management endpoint.
 type RolloutStatus struct {
 	Plan            string          `json:"plan"`
 	Kind            string          `json:"kind"`
 	Target          string          `json:"target"`
 	Phase           string          `json:"phase"`
 	Ended           bool            `json:"ended"`
-	Stage           int             `json:"stage"` // from 1
+	Stage           int             `json:"stage"` // starts at 1
 	Stages          []StageStatus   `json:"stages"`
 	Reason          string          `json:"reason"`
 	Leader          string          `json:"leader"`
@@ -22,17 +22,17 @@
 	Replicas        []ReplicaStatus `json:"copies"`
 	Desired         DesiredVersion  `json:"wanted"`
 
-	Evidence string          `json:"evidence,omitempty"` // at the leader
-	Points   []rollout.Point `json:"points,omitempty"`   // at the leader
+	Evidence string          `json:"evidence,omitempty"` // set by the leader only
+	Points   []rollout.Point `json:"points,omitempty"`   // set by the leader only
 }
 
 // StageStatus is one stage of a plan.
 type StageStatus struct {
-	Replicas    int    `json:"copies"` // that are changed once it is reached
+	Replicas    int    `json:"copies"` // number of changed replicas at this stage
 	Observation string `json:"soak"`   // duration of the observation period
 }
 
-// ReplicaStatus is one replica as a rollout sees it.
+// ReplicaStatus is the status of one replica in a rollout.
 type ReplicaStatus struct {
 	Name          string `json:"name"`
 	Zone          string `json:"zone"`
@@ -42,8 +42,8 @@
 	RefusedReason string `json:"refused,omitempty"`
 }
 
-// RolloutStatus returns the status of the latest rollout. It is false if this replica
-// takes no part in rollouts.
+// RolloutStatus returns the status of the latest rollout, and false if this replica takes no
+// part in rollouts.
 func (f *Fleet) RolloutStatus() (RolloutStatus, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -71,7 +71,7 @@
 		ChangedReplicas: state.Selected,
 		FailedReplicas:  state.Failed,
 		History:         state.History,
-		Desired:         h.desiredNow(),
+		Desired:         h.currentDesired(),
 	}
 	status.Evidence, status.Points = h.participant.Evidence()
 	zones := map[string]bool{}
--- a/fleet/source_credits.go
+++ b/fleet/source_credits.go
@@ -6,59 +6,59 @@
 	"time"
 )
 
-// Bounds on the datagrams a second that are decoded, by where they come from.
+// Limits on decoded datagrams, in datagrams per second, and on the sources tracked. A source is verified once a valid
+// frame has arrived from it.
 const (
-	maxSourceRate  = 500 // of one source
+	maxSourceRate  = 500 // per source
 	maxSourceBurst = 1000
 
-	maxStrangerRate  = 2000 // of all sources that no valid frame came from
-	maxStrangerBurst = 4000
+	maxUnverifiedRate  = 2000 // all unverified sources together
+	maxUnverifiedBurst = 4000
 
-	maxMemberRate  = 10_000 // of all sources that valid frames came from
+	maxMemberRate  = 10_000 // all verified sources together
 	maxMemberBurst = 20_000
 
-	maxMemberSources = 8192 // that are kept; beyond it any one is dropped, until its next valid frame
-	strangerBuckets  = 1024 // that other hosts are divided among
+	maxMemberSources  = 8192 // verified sources kept; beyond that any one is evicted until its next valid frame
+	unverifiedBuckets = 1024 // buckets shared by the hosts of unverified sources
 )
 
-// sourceCredits bound the datagrams of each source that are decoded, so that a flood from some sources does not have
-// those of others dropped. Members are the sources that a valid frame came from, by address and port. Other ones share
-// the credits of a fixed number of buckets, by their host, and one of all together. Where a datagram comes from may be
-// forged: a flood that states a member's address and port has that member's datagrams dropped.
+// sourceCredits limits the rate of decoded datagrams per source, so that a flood from some sources does not cause
+// datagrams of others to be dropped. Members are verified sources, by address and port. Unverified sources share one of
+// a fixed number of buckets, chosen by host, and one credit for all of them. Source addresses can be forged: a flood
+// with a member's address and port causes that member's datagrams to be dropped.
 type sourceCredits struct {
-	members      map[string]*credit
-	allMembers   credit
-	strangers    [strangerBuckets]credit
-	allStrangers credit
-	hash         maphash.Seed
+	members       map[string]*credit
+	allMembers    credit
+	unverified    [unverifiedBuckets]credit
+	allUnverified credit
+	hashSeed      maphash.Seed
 }
 
 func newSourceCredits() *sourceCredits {
-	return &sourceCredits{members: map[string]*credit{}, hash: maphash.MakeSeed()}
+	return &sourceCredits{members: map[string]*credit{}, hashSeed: maphash.MakeSeed()}
 }
 
-// spend reports whether a datagram is within the rate of its source.
+// spend takes the credit for one datagram and reports whether the datagram is within the limits.
 func (s *sourceCredits) spend(now time.Time, address string) bool {
-	return s.spendOfMember(now, address) || s.spendOfStranger(now, address)
+	return s.spendMember(now, address) || s.spendUnverified(now, address)
 }
 
-// spendOfMember reports whether a datagram is within the rate of the member that it comes from, and of all members.
-func (s *sourceCredits) spendOfMember(now time.Time, address string) bool {
+// spendMember reports whether a datagram is within the limits of its member and of all members.
+func (s *sourceCredits) spendMember(now time.Time, address string) bool {
 	own := s.members[address]
 	return own != nil && own.spend(now, maxSourceRate, maxSourceBurst) &&
 		s.allMembers.spend(now, maxMemberRate, maxMemberBurst)
 }
 
-// spendOfStranger reports whether a datagram is within the rate of the hosts that share a bucket with its source, and
-// of all sources that no valid frame came from.
-func (s *sourceCredits) spendOfStranger(now time.Time, address string) bool {
+// spendUnverified reports whether a datagram is within the limits of its host's bucket and of all unverified sources.
+func (s *sourceCredits) spendUnverified(now time.Time, address string) bool {
 	host := address[:max(strings.LastIndexByte(address, ':'), 0)]
-	bucket := &s.strangers[maphash.String(s.hash, host)%strangerBuckets]
+	bucket := &s.unverified[maphash.String(s.hashSeed, host)%unverifiedBuckets]
 	return bucket.spend(now, maxSourceRate, maxSourceBurst) &&
-		s.allStrangers.spend(now, maxStrangerRate, maxStrangerBurst)
+		s.allUnverified.spend(now, maxUnverifiedRate, maxUnverifiedBurst)
 }
 
-// addMember takes note that a valid frame came from a source.
+// addMember records that a valid frame arrived from a source.
 func (s *sourceCredits) addMember(address string) {
 	if s.members[address] != nil {
 		return
@@ -72,13 +72,13 @@
 	s.members[address] = &credit{}
 }
 
-// credit accumulates with time up to a burst. Its zero value has the whole burst.
+// credit is a token bucket. Its zero value is full.
 type credit struct {
 	available float64
 	updatedAt time.Time
 }
 
-// spend takes one unit, and reports false if there is none.
+// spend takes one token, and returns false if none is available.
 func (c *credit) spend(now time.Time, perSecond, burst float64) bool {
 	c.available = min(c.available+perSecond*now.Sub(c.updatedAt).Seconds(), burst)
 	c.updatedAt = now
--- a/fleet/source_credits_test.go
+++ b/fleet/source_credits_test.go
@@ -9,12 +9,12 @@
 	"ryerill/fleet/membership"
 )
 
-// floodedTransport is one that frames of members and forged ones arrive at.
+// floodedTransport is a transport that receives frames of members and forged frames.
 type floodedTransport struct {
 	*transport
 	t      *testing.T
 	sender *transport
-	forged []byte // has the head of a frame of this fleet, and a code that does not fit
+	forged []byte // a frame of this fleet with an invalid authentication code
 }
 
 func newFloodedTransport(t *testing.T) *floodedTransport {
@@ -25,7 +25,7 @@
 	return f
 }
 
-// receive reports whether a member's frame from an address is received.
+// receive reports whether a valid frame from an address is decoded.
 func (f *floodedTransport) receive(from string) bool {
 	f.t.Helper()
 	frame, err := f.sender.encode(testMessage(membership.Gossip))
@@ -35,8 +35,8 @@
 	return f.decodeDatagram(frame, from) != nil
 }
 
-// While far more forged frames with the head of this fleet arrive than are decoded, all frames of members do too.
-func TestMembersFramesArriveUnderAFlood(t *testing.T) {
+// All frames of members are decoded during a flood of forged frames of this fleet far above the rate limit.
+func TestMemberFramesDecodedDuringFlood(t *testing.T) {
 	const floodFactor, frames = 200, 200
 	const member, other = "192.0.2.1:7000", "192.0.2.2:7000"
 	for name, source := range map[string]func(i int) string{
@@ -44,13 +44,13 @@
 		"from all ports of one host":    func(i int) string { return fmt.Sprint("203.0.113.9:", i) },
 		"from the member's host":        func(int) string { return "192.0.2.1:4000" },
 		"from another member's address": func(int) string { return other },
-		"from ever other hosts":         func(i int) string { return fmt.Sprintf("10.%d.%d.1:%d", i>>8, i&255, i) },
-		"from ever other hosts over v6": func(i int) string { return fmt.Sprintf("[2001:db8::%x]:1", i) },
+		"from changing hosts":           func(i int) string { return fmt.Sprintf("10.%d.%d.1:%d", i>>8, i&255, i) },
+		"from changing IPv6 hosts":      func(i int) string { return fmt.Sprintf("[2001:db8::%x]:1", i) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			receiver := newFloodedTransport(t)
 			if !receiver.receive(member) || !receiver.receive(other) {
-				t.Fatal("a member's frame is dropped before the flood")
+				t.Fatal("member's frame dropped before the flood")
 			}
 			arrived := 0
 			for i := range floodFactor * frames {
@@ -60,19 +60,20 @@
 				}
 			}
 			if arrived != frames {
-				t.Errorf("%d of the member's %d frames arrive", arrived, frames)
+				t.Errorf("got %d of the member's frames, want %d", arrived, frames)
 			}
 			invalid := receiver.statistics().Invalid
 			if invalid[faultFlood] == 0 || invalid[codec.ErrAuthentication.Error()] == 0 {
-				t.Errorf("some of the flood is to be decoded, and some is not: %v", invalid)
+				t.Errorf("got invalid frames %v, want some dropped by rate and some decoded", invalid)
 			}
 		})
 	}
 }
 
-// Frames of members that were not heard before arrive while one host floods, but for one that may share its bucket.
-func TestMembersJoinUnderAFloodFromOneHost(t *testing.T) {
-	const flood, joining = 10 * maxStrangerBurst, 5
+// First frames of new members are decoded during a flood from one host. One member may share the flooding host's
+// bucket and fail.
+func TestMembersJoinDuringFloodFromOneHost(t *testing.T) {
+	const flood, joining = 10 * maxUnverifiedBurst, 5
 	receiver := newFloodedTransport(t)
 	for i := range flood {
 		receiver.decodeDatagram(receiver.forged, fmt.Sprint("203.0.113.9:", i))
@@ -84,18 +85,18 @@
 		}
 	}
 	if arrived < joining-1 {
-		t.Errorf("frames of %d of %d members arrive", arrived, joining)
+		t.Errorf("got frames of %d of %d new members, want all but one at least", arrived, joining)
 	}
 }
 
-// The sources that are kept are bounded, and one that was dropped is kept again after its next frame.
+// The number of kept member sources is limited, and the latest source is always kept.
 func TestMemberSourcesAreBounded(t *testing.T) {
 	credits := newSourceCredits()
 	for i := range maxMemberSources + 10 {
 		address := fmt.Sprint("member ", i)
 		credits.addMember(address)
 		if credits.members[address] == nil || len(credits.members) > maxMemberSources {
-			t.Fatalf("%d sources are kept, the latest of them: %v", len(credits.members), credits.members[address] != nil)
+			t.Fatalf("got %d sources, latest one kept: %v", len(credits.members), credits.members[address] != nil)
 		}
 	}
 }
--- a/fleet/state_file.go
+++ b/fleet/state_file.go
@@ -19,35 +19,35 @@
 )
 
 const (
-	maxStateFile     = 16 << 20 // bytes: a fleet at its bound, all of whose tags are as long as they may be
+	maxStateFile     = 16 << 20 // bytes: fits a fleet of the maximum size whose tags all have the maximum length
 	stateFileMode    = 0o600
-	stateFileHeading = "ryerill-fleet 1 %016x\n" // with the checksum of the rest
+	stateFileHeading = "ryerill-fleet 1 %016x\n" // format version and checksum of the contents
 )
 
-// persistedState is what a replica keeps over a restart: the members, its own epoch,
-// which holds whatever the clock shows at the next start, and whether all others count
-// it, so that it has its quota fraction at once.
+// persistedState is the state of a replica that survives a restart: the members; its epoch, so
+// that the next one is higher whatever the clock shows; and whether all others count this
+// replica, so that it has its quota fraction immediately.
 type persistedState struct {
 	Written   time.Time           `json:"written"`
 	Fleet     string              `json:"fleet"`
 	Name      string              `json:"name"`
 	Epoch     uint64              `json:"epoch"`
 	Confirmed bool                `json:"sure"`
-	Left      bool                `json:"left"` // it announced that it leaves: unknown replicas may have joined since
+	Left      bool                `json:"left"` // it announced its departure: unknown replicas may have joined since
 	Members   []membership.Record `json:"members"`
 	Rollout   *rollout.State      `json:"rollout,omitempty"`
 
-	replicaSetDigest uint64 // of the members
-	outdated         bool   // an operator may have declared this replica to be gone since
+	replicaSetDigest uint64 // digest of the members
+	outdated         bool   // so old that an operator may have had this replica forgotten since
 }
 
-// countsMembers reports whether the members are all that may run, as others count them. Others may have joined in the
-// place of a replica that left or that was declared gone.
-func (s *persistedState) countsMembers() bool { return len(s.Members) > 0 && !s.Left && !s.outdated }
+// membersComplete reports whether the members include all replicas that may be running. They may not if this replica
+// left or was forgotten, because others may have joined in its place.
+func (s *persistedState) membersComplete() bool { return len(s.Members) > 0 && !s.Left && !s.outdated }
 
-// stateFile is the file of a persisted state. It is safe for concurrent use.
+// stateFile reads and writes a persisted state. It is safe for concurrent use.
 type stateFile struct {
-	path  string            // empty if nothing is persisted
+	path  string            // empty disables persistence
 	calls *atomicfile.Calls // nil outside of tests
 
 	mu sync.Mutex // serializes writes
@@ -59,16 +59,16 @@
 func (s *stateFile) write(state *persistedState) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sealable := *state
-	sealable.Members = withTagsAsText(state.Members)
-	text, err := json.Marshal(&sealable)
+	encodable := *state
+	encodable.Members = withTagsAsText(state.Members)
+	text, err := json.Marshal(&encodable)
 	if err != nil {
 		return err
 	}
 	return s.calls.Replace(s.path, seal(text), stateFileMode)
 }
 
-// read returns the state in the file. The error is fs.ErrNotExist if there is none.
+// read returns the state in the file. The error is fs.ErrNotExist if there is no file.
 func (s *stateFile) read() (persistedState, error) {
 	info, err := os.Stat(s.path)
 	if err != nil {
@@ -97,8 +97,8 @@
 	return state, nil
 }
 
-// withTagsAsText returns records whose unknown tags, which are bytes, are a text that JSON keeps: it has a character
-// for each byte.
+// withTagsAsText returns the records with their unknown tags, which are arbitrary bytes, converted to text with one
+// character per byte. JSON would not preserve bytes that are invalid UTF-8.
 func withTagsAsText(records []membership.Record) []membership.Record {
 	converted := slices.Clone(records)
 	for i := range converted {
@@ -116,8 +116,8 @@
 	return converted
 }
 
-// bytesOfText returns the bytes that withTagsAsText made a text of; none if it is not such a text, as earlier programs
-// wrote.
+// bytesOfText reverses the conversion by withTagsAsText. It returns an empty string for text that withTagsAsText cannot
+// have written; earlier programs wrote such text.
 func bytesOfText(text string) string {
 	unknown := make([]byte, 0, len(text))
 	for _, character := range text {
@@ -129,21 +129,21 @@
 	return string(unknown)
 }
 
-// seal puts a line with the version and a checksum before a text.
+// seal prepends a heading with the format version and a checksum to the text.
 func seal(text []byte) []byte {
 	return append(fmt.Appendf(nil, stateFileHeading, xxhash.Sum64(text)), text...)
 }
 
-// unseal takes that line off. A text that is torn, changed or of another version is an
-// error.
+// unseal verifies and removes the heading. It returns an error if the text is truncated,
+// corrupted or of another format version.
 func unseal(sealed []byte) ([]byte, error) {
 	var checksum uint64
 	heading, text, _ := bytes.Cut(sealed, []byte("\n"))
 	if _, err := fmt.Sscanf(string(heading)+"\n", stateFileHeading, &checksum); err != nil {
-		return nil, errors.New("of no known version")
+		return nil, errors.New("missing or unsupported format version")
 	}
 	if xxhash.Sum64(text) != checksum {
-		return nil, errors.New("its checksum does not fit")
+		return nil, errors.New("checksum mismatch")
 	}
 	return text, nil
 }
--- a/fleet/state_file_faults_test.go
+++ b/fleet/state_file_faults_test.go
@@ -20,11 +20,12 @@
 	"ryerill/internal/exhaustion"
 )
 
-// stateFileVariable names the file in the environment of a process that writes it until it is killed.
+// stateFileVariable is the environment variable with the path of the state file that a child process writes until it is
+// killed.
 const stateFileVariable = "RYERILL_STATE_FILE"
 
-// stateOf is a state of an epoch with a number of members, whose tags are as long as tags say.
-func stateOf(epoch uint64, members int, tags func(i int) *membership.Tags) *persistedState {
+// newState returns a state with an epoch and a number of members, whose tags come from the tags function.
+func newState(epoch uint64, members int, tags func(i int) *membership.Tags) *persistedState {
 	state := &persistedState{Written: time.Now(), Fleet: "f", Name: "a", Epoch: epoch, Confirmed: true}
 	for i := range members {
 		state.Members = append(state.Members, membership.Record{
@@ -37,7 +38,7 @@
 	return state
 }
 
-// usualTags are tags as proxies announce them.
+// usualTags returns typical tags.
 func usualTags(i int) *membership.Tags {
 	return &membership.Tags{
 		Address: fmt.Sprintf("10.20.%d.%d:7946", i/256, i%256), Zone: "zone-a", Pools: []string{"main", "orders"},
@@ -45,7 +46,7 @@
 	}
 }
 
-// longestTags are the longest that a member may announce.
+// longestTags returns the longest tags that a member may announce.
 func longestTags(int) *membership.Tags {
 	long := strings.Repeat("x", membership.MaxName)
 	return &membership.Tags{
@@ -55,9 +56,9 @@
 	}
 }
 
-// A state that can't be written whole, wherever that fails, leaves the one before and nothing beside it; once the disk
-// takes it again it is written.
-func TestStateFileThatCanNotBeWrittenStaysAsItWas(t *testing.T) {
+// A failed write, at whatever step, leaves the previous state and no other file. The next write after the fault
+// succeeds.
+func TestFailedWriteKeepsPreviousStateFile(t *testing.T) {
 	if !exhaustion.Alone(t) {
 		return
 	}
@@ -66,34 +67,34 @@
 	t.Setenv("TMPDIR", dir)
 	file := &stateFile{path: filepath.Join(dir, "state")}
 	epoch := uint64(1)
-	if err := file.write(stateOf(epoch, 20, usualTags)); err != nil {
+	if err := file.write(newState(epoch, 20, usualTags)); err != nil {
 		t.Fatal(err)
 	}
 	for name, limit := range map[string]struct {
-		which int
-		value uint64
+		resource int
+		value    uint64
 	}{
-		"no space":          {unix.RLIMIT_FSIZE, 0},
-		"space for a part":  {unix.RLIMIT_FSIZE, 1000},
-		"no descriptor":     {unix.RLIMIT_NOFILE, 0},
-		"no space, renewed": {unix.RLIMIT_FSIZE, 0},
+		"no space":           {unix.RLIMIT_FSIZE, 0},
+		"partial space":      {unix.RLIMIT_FSIZE, 1000},
+		"no free descriptor": {unix.RLIMIT_NOFILE, 0},
+		"no space again":     {unix.RLIMIT_FSIZE, 0},
 	} {
-		restore := exhaustion.Lower(t, limit.which, limit.value)
-		err := file.write(stateOf(epoch+1, 20, usualTags))
+		restore := exhaustion.Lower(t, limit.resource, limit.value)
+		err := file.write(newState(epoch+1, 20, usualTags))
 		restore()
 		if err == nil {
-			t.Errorf("%s: it counts as written", name)
+			t.Errorf("%s: write succeeded, want an error", name)
 		}
 		if state, err := file.read(); err != nil || state.Epoch != epoch || len(state.Members) != 20 {
-			t.Errorf("%s: %v, epoch %d of %d members", name, err, state.Epoch, len(state.Members))
+			t.Errorf("%s: got error %v, epoch %d, %d members, want the previous state", name, err, state.Epoch, len(state.Members))
 		}
 		epoch++
-		if err := file.write(stateOf(epoch, 20, usualTags)); err != nil {
-			t.Errorf("%s: written again: %v", name, err)
+		if err := file.write(newState(epoch, 20, usualTags)); err != nil {
+			t.Errorf("%s: write after the fault: %v", name, err)
 		}
 	}
 	if names := namesIn(t, dir); len(names) != 1 {
-		t.Errorf("left beside it: %v", names)
+		t.Errorf("got files %v, want only the state file", names)
 	}
 }
 
@@ -109,7 +110,7 @@
 	return names
 }
 
-// A process that is killed while it writes leaves the state that it wrote last or the one before, whole.
+// A process that is killed during a write leaves either the new state or the previous one intact.
 func TestStateFileSurvivesKills(t *testing.T) {
 	if path := os.Getenv(stateFileVariable); path != "" {
 		writeStates(&stateFile{path: path})
@@ -135,34 +136,34 @@
 		cmd.Wait()
 		state, err := file.read()
 		if err != nil || state.Epoch <= latest || len(state.Members) != 500 {
-			t.Fatalf("kill %d: %v, epoch %d after %d, %d members", kill, err, state.Epoch, latest, len(state.Members))
+			t.Fatalf("kill %d: got error %v, epoch %d (previous %d), %d members", kill, err, state.Epoch, latest, len(state.Members))
 		}
 		latest = state.Epoch
 	}
-	t.Logf("%d states were written, beside the file is left: %v", latest, namesIn(t, dir))
+	t.Logf("%d states written, files left: %v", latest, namesIn(t, dir))
 }
 
-// writeStates writes states of rising epochs, after that of the file, until the process is killed.
+// writeStates writes states with increasing epochs, starting after the epoch in the file, until the process is killed.
 func writeStates(file *stateFile) {
-	latest, _ := file.read() // the first one finds none
+	latest, _ := file.read() // the first child finds no file
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
 		latest.Epoch++
-		if err := file.write(stateOf(latest.Epoch, 500, usualTags)); err != nil {
+		if err := file.write(newState(latest.Epoch, 500, usualTags)); err != nil {
 			panic(err)
 		}
 	}
 }
 
-// What is written of the largest fleet is read again.
-func TestStateFileOfTheLargestFleet(t *testing.T) {
-	const members = 8191 // and this one
+// The state of a fleet of the maximum size can be written and read back.
+func TestStateFileOfLargestFleet(t *testing.T) {
+	const members = 8191 // besides this replica
 	for name, tags := range map[string]func(int) *membership.Tags{
 		"usual tags":       usualTags,
 		"the longest tags": longestTags,
 	} {
 		t.Run(name, func(t *testing.T) {
 			file := &stateFile{path: filepath.Join(t.TempDir(), "state")}
-			if err := file.write(stateOf(1, members, tags)); err != nil {
+			if err := file.write(newState(1, members, tags)); err != nil {
 				t.Fatal(err)
 			}
 			if info, err := os.Stat(file.path); err == nil {
@@ -170,50 +171,50 @@
 			}
 			state, err := file.read()
 			if err != nil || len(state.Members) != members {
-				t.Errorf("%v, %d members", err, len(state.Members))
+				t.Errorf("got error %v, %d members, want all of them", err, len(state.Members))
 			}
 		})
 	}
 }
 
-// Tags that only a later program knows are restored as they came, and those that an earlier program has spoilt are left
-// out: with them the member would not be restored, and be missing among those that divide quotas.
-func TestUnknownTagsSurviveTheStateFile(t *testing.T) {
-	every := make([]byte, membership.MaxUnknown)
-	for i := range every {
-		every[i] = byte(2 * i)
-	}
-	spoilt := string(every)
-	if text, err := json.Marshal(spoilt); err != nil || json.Unmarshal(text, &spoilt) != nil {
+// Tags known only to a later program are restored unchanged. Tags corrupted by an earlier program are dropped: with
+// them the member would not be restored, and would be missing from the replicas that share the quotas.
+func TestUnknownTagsSurviveStateFile(t *testing.T) {
+	allBytes := make([]byte, membership.MaxUnknown)
+	for i := range allBytes {
+		allBytes[i] = byte(2 * i)
+	}
+	corrupted := string(allBytes)
+	if text, err := json.Marshal(corrupted); err != nil || json.Unmarshal(text, &corrupted) != nil {
 		t.Fatal(err)
 	}
 	for name, tc := range map[string]struct{ unknown, want string }{
-		"none":               {"", ""},
-		"of a later program": {"\xa1\x18\x64\x65later", "\xa1\x18\x64\x65later"},
-		"all that fits":      {string(every), string(every)},
+		"none":           {"", ""},
+		"later program":  {"\xa1\x18\x64\x65later", "\xa1\x18\x64\x65later"},
+		"maximum length": {string(allBytes), string(allBytes)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			file := &stateFile{path: filepath.Join(t.TempDir(), "state")}
 			tags := usualTags(0)
 			tags.Unknown = tc.unknown
-			if err := file.write(stateOf(1, 1, func(int) *membership.Tags { return tags })); err != nil {
+			if err := file.write(newState(1, 1, func(int) *membership.Tags { return tags })); err != nil {
 				t.Fatal(err)
 			}
 			if tags.Unknown != tc.unknown {
-				t.Errorf("writing has changed them to %q", tags.Unknown)
+				t.Errorf("write changed the caller's tags to %q", tags.Unknown)
 			}
 			state, err := file.read()
 			if err != nil || len(state.Members) != 1 || state.Members[0].Tags.Unknown != tc.want {
-				t.Errorf("%v, %+v", err, state.Members)
+				t.Errorf("got error %v, members %+v, want one with its unknown tags", err, state.Members)
 			}
 			restored := membership.New(membership.Config{Name: "a"})
 			restored.Handle(0, membership.Event{Kind: membership.Restore, Records: state.Members}, nil)
 			if _, known := restored.Find("replica-0000"); !known {
-				t.Error("the member is not restored")
+				t.Error("member not restored")
 			}
 		})
 	}
-	if got := bytesOfText(spoilt); got != "" {
-		t.Errorf("of spoilt tags %q is left", got)
+	if got := bytesOfText(corrupted); got != "" {
+		t.Errorf("corrupted tags: got %q, want none", got)
 	}
 }
--- a/fleet/state_file_test.go
+++ b/fleet/state_file_test.go
@@ -11,10 +11,10 @@
 	"ryerill/fleet/membership"
 )
 
-func TestStateFileIsWrittenAndRead(t *testing.T) {
+func TestStateFileRoundTrips(t *testing.T) {
 	file := &stateFile{path: filepath.Join(t.TempDir(), "state")}
 	if _, err := file.read(); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("without a file: %v", err)
+		t.Errorf("read of a missing file: got error %v, want ErrNotExist", err)
 	}
 	want := persistedState{
 		Written: time.Now(), Fleet: "f", Name: "a", Epoch: 7, Confirmed: true,
@@ -25,12 +25,12 @@
 	}
 	got, err := file.read()
 	if err != nil || got.Epoch != want.Epoch || !got.Confirmed || len(got.Members) != 1 || got.Members[0] != want.Members[0] {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("got %+v, error %v, want the written state", got, err)
 	}
 	if err := os.Truncate(file.path, maxStateFile+1); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := file.read(); err == nil {
-		t.Error("a file beyond the bound is read")
+		t.Error("read accepted a file larger than maxStateFile")
 	}
 }
--- a/fleet/statesync_host.go
+++ b/fleet/statesync_host.go
@@ -13,56 +13,55 @@
 	"ryerill/fleet/statesync"
 )
 
-// AttemptResult is how an attempt of this replica ended.
+// AttemptResult is the result of one attempt by this replica.
 type AttemptResult struct {
 	Endpoint        outlier.Endpoint
 	Outcome         outlier.Outcome
 	RelativeLatency float64
 }
 
-// Observations are what the proxy did since the last ones, unless a field is described
-// otherwise.
+// Observations describe the proxy's activity since the previous observations, unless a field
+// says otherwise.
 type Observations struct {
-	Quotas    map[string]float64             // the whole quotas, in units a second
-	Demand    map[string]float64             // units of them that were asked for
-	Counters  map[counter.Key]counter.Counts // since the start
+	Quotas    map[string]float64             // total quotas, in units per second
+	Demand    map[string]float64             // requested units of each quota
+	Counters  map[counter.Key]counter.Counts // totals since the start
 	Attempts  []AttemptResult
-	Endpoints map[string][]outlier.Endpoint // the present ones, by pool
+	Endpoints map[string][]outlier.Endpoint // current endpoints, by pool
 }
 
-// Directives are what follows for the proxy.
+// Directives tell the proxy how to act on the shared state.
 type Directives struct {
 	QuotaFractions map[string]QuotaFraction
-	Ejected        map[string][]uint64 // by pool, the endpoints that this replica is not to attempt now
+	Ejected        map[string][]uint64 // by pool, endpoints that this replica must not use now
 }
 
-// QuotaFraction is the fraction of a quota that this replica may spend for some time, and
-// the fraction that it may spend after that.
+// QuotaFraction is the fraction of a quota that this replica may spend: Current during ValidFor,
+// Fallback afterwards.
 type QuotaFraction struct {
 	Current, Fallback float64
 	ValidFor          time.Duration
 }
 
-// Subject is the proxy, as the host observes and directs it. Its methods must not block
-// for long.
+// Subject is the proxy that the host observes and directs. Its methods must not block for long.
 type Subject interface {
 	Observe() Observations
 	Apply(Directives)
 }
 
-// maxFractionAge bounds how long a quota fraction holds without another directive.
+// maxFractionAge is the longest validity of a quota fraction without a new directive.
 const maxFractionAge = time.Second
 
-// SetSubject sets the proxy that is observed and directed. It must be called before Run.
+// SetSubject sets the proxy to observe and direct. It must be called before Run.
 func (f *Fleet) SetSubject(subject Subject) { f.subject = subject }
 
-// stateSyncHost hosts the state that replicas share. The fleet's mutex guards it.
+// stateSyncHost holds the state shared between replicas. Fleet.mu guards it.
 type stateSyncHost struct {
 	sharing *SharingConfig
 	syncer  *statesync.Syncer
 }
 
-// newStateSyncHost returns nil if no state is shared.
+// newStateSyncHost returns nil if state sharing is disabled.
 func (f *Fleet) newStateSyncHost() (*stateSyncHost, error) {
 	sharing := f.cfg.Sharing
 	if sharing == nil {
@@ -74,8 +73,8 @@
 		Zone:  f.cfg.Zone,
 		Epoch: epoch,
 		Seed:  f.cfg.Seed ^ epoch,
-		// Only a replica that announced that it leaves has lent nothing for certain: one without a state file
-		// may start for the first time, or have lost its disk.
+		// Only a replica that announced its departure certainly has no loans outstanding. Without a state file it
+		// may be starting for the first time or have lost its disk.
 		LostState:      !f.restored.Left,
 		Quotas:         sharing.Quotas,
 		Counters:       sharing.Counters,
@@ -88,7 +87,7 @@
 	return &stateSyncHost{sharing: sharing, syncer: syncer}, nil
 }
 
-// record adds what the proxy did, apart from its quotas.
+// record adds the observed demand, counters and attempts.
 func (h *stateSyncHost) record(now time.Duration, observed *Observations) {
 	for name, units := range observed.Demand {
 		h.syncer.Quotas.AddDemand(now, name, units)
@@ -101,7 +100,7 @@
 	}
 }
 
-// setLimits sets the whole quotas, in units a second.
+// setLimits sets the total quotas, in units per second.
 func (h *stateSyncHost) setLimits(now time.Duration, quotas map[string]float64) {
 	var limits []quota.Limit
 	for name, total := range quotas {
@@ -110,7 +109,7 @@
 	h.syncer.Quotas.SetLimits(now, limits)
 }
 
-// quotaFractions returns the fractions that this replica may spend.
+// quotaFractions returns this replica's fraction of each quota.
 func (h *stateSyncHost) quotaFractions(now time.Duration) map[string]QuotaFraction {
 	fractions := map[string]QuotaFraction{}
 	for _, status := range h.syncer.Quotas.Status(now) {
@@ -129,7 +128,7 @@
 	return fractions
 }
 
-// ejected returns, by pool, the outliers that it is not this replica's turn to probe.
+// ejected returns, by pool, the outlier endpoints except those that this replica should probe now.
 func (h *stateSyncHost) ejected(
 	now time.Duration, endpoints map[string][]outlier.Endpoint, zones int, tracker *placement.Tracker,
 ) map[string][]uint64 {
@@ -164,8 +163,8 @@
 	}
 }
 
-// syncState records what the proxy did, sends what is due to other replicas, and returns
-// what follows for the proxy.
+// syncState records the observations, sends due packets to other replicas and returns the
+// directives for the proxy.
 func (f *Fleet) syncState(observed *Observations) Directives {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -189,8 +188,8 @@
 	return directives
 }
 
-// peers returns the other replicas that are reachable, and the number of zones that any
-// replica that may run is in. The mutex is held.
+// peers returns the other reachable replicas, and the number of zones of all replicas that may
+// be running. Callers must hold mu.
 func (f *Fleet) peers() (peers []statesync.Peer, zones int) {
 	known := map[string]bool{f.cfg.Zone: true}
 	for _, m := range f.list.Members() {
@@ -205,14 +204,13 @@
 	return peers, len(known)
 }
 
-// updateQuotaReplicas sets the number of replicas that quotas are divided among. The
-// mutex is held.
+// updateQuotaReplicas sets the number of replicas that share the quotas. Callers must hold mu.
 func (f *Fleet) updateQuotaReplicas() {
 	if f.stateSync == nil {
 		return
 	}
 	replicas, confirmed := f.positions.maxQuotaReplicas()
-	if !confirmed || f.tags.Phase == membership.Leaving { // who leaves lends nothing more
+	if !confirmed || f.tags.Phase == membership.Leaving { // a leaving replica grants no new loans
 		replicas = 0
 	}
 	var alive []string
@@ -224,8 +222,8 @@
 	f.stateSync.syncer.Quotas.SetReplicaCount(f.now(), replicas, alive)
 }
 
-// loansFit reports whether what is lent fits the division of quotas that holds now. The
-// mutex is held.
+// loansFit reports whether this replica's loans fit within the current division of the quotas.
+// Callers must hold mu.
 func (f *Fleet) loansFit() bool {
 	if f.stateSync == nil {
 		return true
@@ -234,15 +232,15 @@
 	return f.stateSync.syncer.Quotas.FitsWithin(f.now(), max(replicas, 1))
 }
 
-// awaitLoans waits until what this replica has lent is returned: once it announces that
-// it leaves, others divide quotas without it. Until then the state file must not say that
-// it has left: killed meanwhile, it has to withhold its loans at the next start.
+// awaitLoans waits until all loans granted by this replica have ended, because others divide the
+// quotas without it once it announces its departure. Until then the state file must not say that
+// it has left: if it is killed meanwhile, it must withhold the lent amounts after a restart.
 func (f *Fleet) awaitLoans() {
 	if f.stateSync == nil {
 		return
 	}
-	const longest = quota.Lease * 11 / 10 // leases end by then, by any clock
-	for end := time.Now().Add(longest); time.Now().Before(end); time.Sleep(statesync.Interval / 2) {
+	const maxWait = quota.Lease * 11 / 10 // leases end by then on the clock of any replica
+	for end := time.Now().Add(maxWait); time.Now().Before(end); time.Sleep(statesync.Interval / 2) {
 		if f.loansReturned() {
 			return
 		}
@@ -257,7 +255,7 @@
 	return f.abandoned || f.stateSync.syncer.Quotas.FitsWithin(f.now(), math.MaxInt)
 }
 
-// expireSharedState forgets the state of a process that has ended. The mutex is held.
+// expireSharedState discards the shared state of a process that has ended. Callers must hold mu.
 func (f *Fleet) expireSharedState(changed *membership.Action) {
 	if f.stateSync == nil {
 		return
@@ -271,14 +269,14 @@
 	}
 }
 
-// sendStateSync sends packets to their replicas. The mutex is held.
+// sendStateSync sends the packets to their destinations. Callers must hold mu.
 func (f *Fleet) sendStateSync(packets []statesync.Outgoing) {
 	for _, packet := range packets {
 		f.sendToReplica(packet.To, membership.StateSync, packet.Payload)
 	}
 }
 
-// receiveStateSync handles a packet. The mutex is held.
+// receiveStateSync handles a state sync packet. Callers must hold mu.
 func (f *Fleet) receiveStateSync(message *membership.Message) {
 	if f.stateSync != nil && f.fromCurrentProcess(message) {
 		f.sendStateSync(f.stateSync.syncer.Receive(f.now(), message.From.Name, message.Payload))
--- a/fleet/statesync_status.go
+++ b/fleet/statesync_status.go
@@ -9,7 +9,7 @@
 	"ryerill/fleet/statesync"
 )
 
-// SharedStatus is what the management endpoint shows of the shared state.
+// SharedStatus is the status of the shared state at the management endpoint.
 type SharedStatus struct {
 	SharesQuotas   bool                     `json:"quotas"`
 	SharesCounters bool                     `json:"counts"`
@@ -22,27 +22,27 @@
 	Lending        quota.Stats              `json:"lending"`
 }
 
-// QuotaStatus is one quota at this replica, in units a second.
+// QuotaStatus is the status of one quota at this replica, in units per second.
 type QuotaStatus struct {
 	Name       string       `json:"name"`
 	Total      float64      `json:"whole"`
 	Guaranteed float64      `json:"guaranteed"` // this replica's fraction of the total
 	Lent       float64      `json:"lent"`
 	Borrowed   float64      `json:"borrowed"`
-	Rate       float64      `json:"rate"` // that this replica may spend now
+	Rate       float64      `json:"rate"` // current limit of this replica
 	Demand     float64      `json:"wanted"`
 	Loans      []LoanStatus `json:"loans"`
 }
 
-// LoanStatus is one loan.
+// LoanStatus is the status of one loan.
 type LoanStatus struct {
 	Peer        string  `json:"with"`
-	Lent        bool    `json:"given"` // else borrowed
+	Lent        bool    `json:"given"` // false: borrowed
 	Amount      float64 `json:"amount"`
 	ExpiresInMS int64   `json:"ends_ms"`
 }
 
-// CounterStatus is a sum over all replicas, with its bounds.
+// CounterStatus is the sum of a counter over all replicas, with lower and upper bounds.
 type CounterStatus struct {
 	Value    float64 `json:"n"`
 	Lower    float64 `json:"least"`
@@ -52,7 +52,7 @@
 	Stale    bool    `json:"stale"`
 }
 
-// SenderStatus is a replica, or the replicas of a zone, whose counters are known.
+// SenderStatus is the status of a replica, or of the replicas of a zone, with known counters.
 type SenderStatus struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone,omitempty"`
@@ -60,7 +60,7 @@
 	AgeMS   int64  `json:"age_ms"`
 }
 
-// SharedStatus returns the status of the shared state; nil if none is shared.
+// SharedStatus returns the status of the shared state; nil if state sharing is disabled.
 func (f *Fleet) SharedStatus() *SharedStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -114,7 +114,7 @@
 	return all
 }
 
-// sum returns the sum of one count over all replicas.
+// sum returns the sum of one counter over all replicas.
 func (h *stateSyncHost) sum(now time.Duration, count func(counter.Counts) float64) CounterStatus {
 	value := h.syncer.Counters.Sum(now, nil, count)
 	return CounterStatus{
--- a/fleet/status.go
+++ b/fleet/status.go
@@ -8,8 +8,8 @@
 	"ryerill/fleet/placement"
 )
 
-// Status is what the management endpoint shows of the fleet. Ages are in milliseconds;
-// -1 means never.
+// Status is the status of the fleet at the management endpoint. Ages are in milliseconds; -1
+// means never.
 type Status struct {
 	Fleet         string                    `json:"fleet"`
 	Name          string                    `json:"name"`
@@ -18,9 +18,9 @@
 	Displaced     bool                      `json:"displaced"`
 	Partitioned   bool                      `json:"likely_cut_off"`
 	PartitionedMS int64                     `json:"cut_off_ms,omitempty"`
-	StaleMS       int64                     `json:"stale_ms"` // since when no message arrived; 0 while they do
-	Health        int                       `json:"health"`   // 0 is good, 8 is worst
-	Digest        string                    `json:"digest"`   // equal where the same is known about all members
+	StaleMS       int64                     `json:"stale_ms"` // time since the last message; 0 while messages arrive
+	Health        int                       `json:"health"`   // 0 is best, 8 is worst
+	Digest        string                    `json:"digest"`   // equal on replicas with the same view of all members
 	RTTMicros     int64                     `json:"rtt_us"`
 	Pools         map[string]PositionStatus `json:"pools"`
 	Members       []MemberStatus            `json:"members"`
@@ -29,7 +29,7 @@
 	UptimeMS      int64                     `json:"uptime_ms"`
 }
 
-// PositionStatus is this replica's position among those of a pool.
+// PositionStatus is this replica's position among the replicas of a pool.
 type PositionStatus struct {
 	Index         int     `json:"number"`
 	Of            int     `json:"of"`
@@ -40,7 +40,7 @@
 	StaleMS       int64   `json:"stale_ms"`
 }
 
-// MemberStatus is what is known about one replica.
+// MemberStatus is this replica's knowledge of one member.
 type MemberStatus struct {
 	Name        string   `json:"name"`
 	Status      string   `json:"status"`
@@ -54,18 +54,18 @@
 	Settings    string   `json:"settings"`
 	Epoch       uint64   `json:"epoch"`
 	Incarnation uint32   `json:"count"`
-	SinceMS     int64    `json:"since_ms"`        // how long it has had this status
-	HeardMS     int64    `json:"heard_ms"`        // how long ago its latest own message arrived
+	SinceMS     int64    `json:"since_ms"`        // time in the current status
+	HeardMS     int64    `json:"heard_ms"`        // time since the latest message from it
 	Levels      [2]uint8 `json:"speaks"`          // lowest and highest protocol level
-	UnknownTags string   `json:"later,omitempty"` // what it announces that this program does not know, in hexadecimal
+	UnknownTags string   `json:"later,omitempty"` // tags that this program does not know, in hexadecimal
 	SuspectedBy []string `json:"accused_by,omitempty"`
 	ReportedBy  string   `json:"by,omitempty"`
 }
 
-// HostStatus is the status of the fleet and of what this replica needs of its own machine.
+// HostStatus is the status of the fleet and of this replica's use of its machine.
 type HostStatus struct {
 	Status
-	StateFileError string `json:"state_file_error,omitempty"` // of the latest write, if it failed
+	StateFileError string `json:"state_file_error,omitempty"` // error of the latest write, if it failed
 }
 
 // HostStatus returns the status of the fleet and of this replica's host.
@@ -79,7 +79,7 @@
 	return status
 }
 
-// Status returns the status of the fleet, as this replica sees it.
+// Status returns the status of the fleet as known to this replica.
 func (f *Fleet) Status() Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/sync_exchange.go
+++ b/fleet/sync_exchange.go
@@ -9,14 +9,13 @@
 )
 
 const (
-	maxInboundConnections = 8                     // that others opened, at once; more are closed and try again
-	connectionTimeout     = 4 * time.Second       // for all that passes over a connection
-	dialTimeout           = time.Second           // to open one
-	acceptRetry           = 10 * time.Millisecond // after a failure to accept one, as for lack of descriptors
+	maxInboundConnections = 8                     // concurrent inbound connections; others are closed and peers retry
+	connectionTimeout     = 4 * time.Second       // for the whole exchange over a connection
+	dialTimeout           = time.Second           // to open a connection
+	acceptRetry           = 10 * time.Millisecond // pause after a failed accept, for example without free descriptors
 )
 
-// acceptConnections serves the connections that others open, until the transport is
-// closed.
+// acceptConnections serves inbound connections until the transport is closed.
 func (f *Fleet) acceptConnections() {
 	slots := make(chan struct{}, maxInboundConnections)
 	for {
@@ -42,7 +41,7 @@
 	}
 }
 
-// serveConnection answers the one request of a connection.
+// serveConnection reads and answers the single request of a connection.
 func (f *Fleet) serveConnection(conn *net.TCPConn) {
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(connectionTimeout))
@@ -57,8 +56,8 @@
 	f.serveSync(conn, request)
 }
 
-// serveSync answers a synchronization: a view has arrived, the difference goes out, and
-// the requested records arrive.
+// serveSync answers a sync request: it replies to the peer's view with the differing records, then
+// reads the records that the reply requested.
 func (f *Fleet) serveSync(conn *net.TCPConn, request *membership.Message) {
 	f.transport.count(func(stats *Stats) { stats.Exchanges++ })
 	replies := f.handleLocked(membership.Event{Kind: membership.SyncRequested, Message: request})
@@ -70,8 +69,7 @@
 	}
 }
 
-// startSync executes a synchronization that the membership list starts. The mutex is
-// held.
+// startSync starts a synchronization in a goroutine. Callers must hold mu.
 func (f *Fleet) startSync(action *membership.Action) {
 	address := f.transport.override(action.Name, action.Address)
 	request := action.Message
@@ -83,7 +81,7 @@
 	})
 }
 
-// sync returns an error if the synchronization failed before its response arrived.
+// sync performs a synchronization. It returns an error only if no valid response arrived.
 func (f *Fleet) sync(address string, request *membership.Message, exchange uint64) error {
 	conn, err := dial(address)
 	if err != nil {
@@ -99,13 +97,13 @@
 	}
 	replies := f.handleLocked(membership.Event{Kind: membership.SyncAnswered, Message: response, Exchange: exchange})
 	if len(replies) > 0 && len(response.Requested) > 0 {
-		// If it fails the digests still differ, and another synchronization follows.
+		// After a failure the digests still differ, which triggers another synchronization.
 		_ = f.transport.write(conn, replies[0])
 	}
 	return nil
 }
 
-// dial opens a connection with the deadline for all that passes over it.
+// dial opens a connection and sets the deadline for the whole exchange.
 func dial(address string) (net.Conn, error) {
 	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
@@ -115,7 +113,7 @@
 	return conn, nil
 }
 
-// handleLocked is handle for callers that don't hold the mutex.
+// handleLocked locks mu and calls handle.
 func (f *Fleet) handleLocked(event membership.Event) (replies []*membership.Message) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/throttled_logger.go
+++ b/fleet/throttled_logger.go
@@ -6,44 +6,44 @@
 	"time"
 )
 
-// throttleInterval is how often a message is logged at most, where it could be for each
-// frame.
+// throttleInterval is the minimum time between two log lines of the same message, which could
+// otherwise be logged for each frame.
 const throttleInterval = 10 * time.Second
 
-// throttledLogger is a logger that can also limit how often each message is logged.
+// throttledLogger is a logger that can also limit the rate of each message.
 type throttledLogger struct {
 	*slog.Logger
 
 	mu       sync.Mutex           // guards loggedAt
-	loggedAt map[string]time.Time // by message, when it was logged last
+	loggedAt map[string]time.Time // time of the latest log line, by message
 }
 
 func newThrottledLogger(log *slog.Logger) *throttledLogger {
 	return &throttledLogger{Logger: log, loggedAt: map[string]time.Time{}}
 }
 
-// occasionally reports whether a message, or one kind of it, may be logged now.
-func (l *throttledLogger) occasionally(message string) bool {
+// allow reports whether a message, identified by key, may be logged now.
+func (l *throttledLogger) allow(key string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if now.Sub(l.loggedAt[message]) < throttleInterval {
+	if now.Sub(l.loggedAt[key]) < throttleInterval {
 		return false
 	}
-	l.loggedAt[message] = now
+	l.loggedAt[key] = now
 	return true
 }
 
-// warnOccasionally logs a warning, but not too often.
-func (l *throttledLogger) warnOccasionally(message string, args ...any) {
-	if l.occasionally(message) {
+// warnThrottled logs a warning at most once per throttleInterval.
+func (l *throttledLogger) warnThrottled(message string, args ...any) {
+	if l.allow(message) {
 		l.Warn(message, args...)
 	}
 }
 
-// errorOccasionally logs an error, but not too often.
-func (l *throttledLogger) errorOccasionally(message string, args ...any) {
-	if l.occasionally(message) {
+// errorThrottled logs an error at most once per throttleInterval.
+func (l *throttledLogger) errorThrottled(message string, args ...any) {
+	if l.allow(message) {
 		l.Error(message, args...)
 	}
 }
--- a/fleet/transport.go
+++ b/fleet/transport.go
@@ -18,37 +18,37 @@
 )
 
 const (
-	maxListenAttempts = 50 // at ports that the system chooses
+	maxListenAttempts = 50 // with ports chosen by the system
 )
 
-// The names of faults of messages that package codec does not find.
+// Names of message faults that package codec does not detect.
 const (
 	faultFlood   = "flood"
 	faultRollout = "of a rollout, torn"
 )
 
-// Stats count frames and bytes since the start.
+// Stats counts frames and bytes since the start.
 type Stats struct {
 	FramesIn         uint64            `json:"FramesIn"`
 	FramesOut        uint64            `json:"FramesOut"`
 	BytesIn          uint64            `json:"BytesIn"`
 	BytesOut         uint64            `json:"BytesOut"`
-	Exchanges        uint64            `json:"Exchanges"`        // synchronizations that others started
-	ExchangesRefused uint64            `json:"ExchangesRefused"` // connections beyond the bound
-	ExchangeBytes    uint64            `json:"ExchangeBytes"`    // over connections, both ways
-	Invalid          map[string]uint64 `json:"Bad"`              // dropped frames by their fault
+	Exchanges        uint64            `json:"Exchanges"`        // synchronizations started by other replicas
+	ExchangesRefused uint64            `json:"ExchangesRefused"` // inbound connections beyond the limit
+	ExchangeBytes    uint64            `json:"ExchangeBytes"`    // bytes over connections, in both directions
+	Invalid          map[string]uint64 `json:"Bad"`              // dropped frames, by fault
 	Unsent           uint64            `json:"Unsent"`
 }
 
-// transport sends and receives the messages of a fleet, as datagrams and over
-// connections. It is safe for concurrent use.
+// transport sends and receives fleet messages in datagrams and over connections. It is safe for
+// concurrent use.
 type transport struct {
 	log       *throttledLogger
-	overrides map[string]string // addresses by name
+	overrides map[string]string // addresses by replica name
 	udp       *net.UDPConn
 	tcp       *net.TCPListener
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	codec   *codec.Codec
 	stats   Stats
 	sources *sourceCredits
@@ -79,8 +79,8 @@
 	}, nil
 }
 
-// listen opens both sockets at one port. Where the system chooses the port, one that is
-// free for datagrams may be taken for connections: then another is tried.
+// listen opens a UDP and a TCP socket with the same port. If the system chooses the port, a free
+// UDP port may be in use for TCP: listen then tries another.
 func listen(address netip.AddrPort) (udp *net.UDPConn, tcp *net.TCPListener, err error) {
 	for attempts := 0; ; attempts++ {
 		udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
@@ -112,7 +112,7 @@
 	return t.codec.SetKeys(keys)
 }
 
-// statistics returns a copy of the counts.
+// statistics returns a copy of the counters.
 func (t *transport) statistics() Stats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -121,15 +121,14 @@
 	return stats
 }
 
-// count changes the counts.
+// count updates the counters.
 func (t *transport) count(change func(stats *Stats)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	change(&t.stats)
 }
 
-// override returns the address by which this replica reaches another, which advertises
-// address.
+// override returns the configured address of a replica, or else the address it advertises.
 func (t *transport) override(name, address string) string {
 	if own := t.overrides[name]; own != "" {
 		return own
@@ -137,13 +136,13 @@
 	return address
 }
 
-// send sends a datagram. One that can't be sent counts as lost.
+// send sends a message as a datagram. A failure is counted and logged, and the datagram is lost.
 func (t *transport) send(name, address string, message *membership.Message) {
 	address = t.override(name, address)
 	size, err := t.sendDatagram(address, message)
 	if err != nil {
 		t.count(func(stats *Stats) { stats.Unsent++ })
-		t.log.warnOccasionally("fleet datagram can't be sent",
+		t.log.warnThrottled("fleet datagram not sent",
 			"replica", name, "address", address, "bytes", size, "err", err)
 		return
 	}
@@ -153,7 +152,7 @@
 	})
 }
 
-// sendDatagram returns the size of the datagram.
+// sendDatagram encodes and sends a message and returns the size of the datagram.
 func (t *transport) sendDatagram(address string, message *membership.Message) (size int, err error) {
 	frame, err := t.encode(message)
 	if err != nil {
@@ -176,7 +175,7 @@
 	return t.codec.Encode(message)
 }
 
-// readDatagrams hands each valid datagram to receive, until the transport is closed.
+// readDatagrams passes each valid datagram to receive until the transport is closed.
 func (t *transport) readDatagrams(receive func(message *membership.Message, address string)) {
 	buffer := make([]byte, codec.MaxDatagram+1)
 	var backoff socket.Backoff
@@ -185,7 +184,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // the network's answer to something that was sent, or a fault that passes
+		if err != nil { // an ICMP error for a datagram sent earlier, or a temporary error
 			time.Sleep(backoff.Next())
 			continue
 		}
@@ -197,21 +196,21 @@
 	}
 }
 
-// decodeDatagram returns nil for a datagram that is dropped.
+// decodeDatagram returns nil if it drops the datagram.
 func (t *transport) decodeDatagram(frame []byte, from string) *membership.Message {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.stats.FramesIn++
 	t.stats.BytesIn += uint64(len(frame))
-	// Only what may be a member's takes of the rate: strangers must not have members' frames dropped.
+	// Frames that no member can have sent must not use up the credit for members' frames.
 	if err := t.codec.CheckHead(frame, codec.MaxDatagram); err != nil {
 		t.drop(err, from)
 		return nil
 	}
 	if !t.sources.spend(time.Now(), from) {
 		t.stats.Invalid[faultFlood]++
-		t.log.warnOccasionally("more fleet datagrams than are decoded are dropped",
-			"limit", maxStrangerRate, "address", from)
+		t.log.warnThrottled("fleet datagrams dropped: rate limit exceeded",
+			"limit", maxUnverifiedRate, "address", from)
 		return nil
 	}
 	message, err := t.codec.Decode(frame, codec.MaxDatagram)
@@ -223,12 +222,12 @@
 	return message
 }
 
-// drop counts a frame that is dropped. It is never answered. The mutex is held.
+// drop counts and logs a dropped frame, which is never answered. Callers must hold mu.
 func (t *transport) drop(err error, from string) {
 	for _, fault := range codec.Errors {
 		if errors.Is(err, fault) {
 			t.stats.Invalid[fault.Error()]++
-			if t.log.occasionally(fault.Error()) {
+			if t.log.allow(fault.Error()) {
 				t.log.Warn("fleet frame dropped", "address", from, "reason", fault.Error(), "err", err)
 			}
 			return
@@ -236,10 +235,10 @@
 	}
 }
 
-// lengthSize is how many bytes the length of a message takes before it.
+// lengthSize is the number of bytes of the length prefix of a message.
 const lengthSize = 4
 
-// write writes one message to a connection, after its length.
+// write writes one message with its length prefix to a connection.
 func (t *transport) write(w io.Writer, message *membership.Message) error {
 	frame, err := t.encode(message)
 	if err != nil {
@@ -254,7 +253,7 @@
 	return err
 }
 
-// read reads one message of the given kinds from a connection.
+// read reads one message from a connection, which must be of one of the given kinds.
 func (t *transport) read(conn net.Conn, kinds ...membership.MessageKind) (*membership.Message, error) {
 	var length [lengthSize]byte
 	if _, err := io.ReadFull(conn, length[:]); err != nil {
@@ -264,7 +263,7 @@
 	if err := t.admit(size, conn); err != nil {
 		return nil, err
 	}
-	// No more memory is taken than has arrived, whatever length was claimed.
+	// ReadAll allocates memory only for bytes that arrive, whatever length the peer claims.
 	frame, err := io.ReadAll(io.LimitReader(conn, int64(size)))
 	if err != nil || len(frame) < size {
 		return nil, errors.Join(err, io.ErrUnexpectedEOF)
@@ -282,8 +281,7 @@
 	return message, nil
 }
 
-// admit counts the bytes of a message that is announced, and refuses one that is too
-// large.
+// admit counts the bytes of an announced message and rejects a message that is too large.
 func (t *transport) admit(size int, conn net.Conn) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/fleet/transport_test.go
+++ b/fleet/transport_test.go
@@ -29,9 +29,8 @@
 	return &membership.Message{Kind: kind, From: membership.State{Name: "a", Epoch: 1, Status: membership.Alive}}
 }
 
-// Datagrams arrive at the address that overrides the one that the receiver advertises, and
-// are counted at both ends.
-func TestDatagramsAreSentAndReceived(t *testing.T) {
+// A configured address overrides the one that the receiver advertises, and both sides count the datagrams.
+func TestDatagramsUseAddressOverride(t *testing.T) {
 	receiver := newTestTransport(t, nil)
 	sender := newTestTransport(t, map[string]string{"b": receiver.listenAddress().String()})
 	received := make(chan *membership.Message, 1)
@@ -40,7 +39,7 @@
 		defer close(ended)
 		receiver.readDatagrams(func(message *membership.Message, address string) {
 			if address != sender.listenAddress().String() {
-				t.Errorf("it came from %s", address)
+				t.Errorf("got source address %s, want the sender's", address)
 			}
 			received <- message
 		})
@@ -49,18 +48,18 @@
 	select {
 	case message := <-received:
 		if message.Kind != membership.Gossip || message.From.Name != "a" {
-			t.Errorf("%+v", message)
+			t.Errorf("got message %+v, want gossip from a", message)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing arrives")
+		t.Fatal("no datagram received within 10 s")
 	}
 	receiver.close()
 	<-ended
 	if s := sender.statistics(); s.FramesOut != 1 || s.BytesOut == 0 {
-		t.Errorf("sender: %+v", s)
+		t.Errorf("got sender statistics %+v, want 1 frame out", s)
 	}
 	if s := receiver.statistics(); s.FramesIn != 1 || s.BytesIn == 0 {
-		t.Errorf("receiver: %+v", s)
+		t.Errorf("got receiver statistics %+v, want 1 frame in", s)
 	}
 }
 
@@ -78,38 +77,38 @@
 			tr := newTestTransport(t, nil)
 			tr.send("b", tc.address, tc.message)
 			if s := tr.statistics(); s.Unsent != 1 || s.FramesOut != 0 {
-				t.Errorf("%+v", s)
+				t.Errorf("got statistics %+v, want 1 unsent and 0 sent", s)
 			}
 		})
 	}
 }
 
-// Datagrams beyond the rate are dropped unread; with time they are decoded again. These have the version, the fleet and
-// the key of this one, and a code that does not fit.
-func TestFloodOfDatagramsIsDropped(t *testing.T) {
+// Datagrams above the rate limit are dropped without decoding, and decoded again once credit has accumulated. The test
+// sends frames with the version, fleet and key of this fleet and an invalid authentication code.
+func TestDatagramsAboveRateAreDropped(t *testing.T) {
 	tr := newTestTransport(t, nil)
 	forged := frameOf(t, testMessage(membership.Gossip))
 	forged[len(forged)-1] ^= 1
-	tr.sources.allStrangers.available = 1
-	tr.sources.allStrangers.updatedAt = time.Now().Add(time.Hour) // no credit is gained
+	tr.sources.allUnverified.available = 1
+	tr.sources.allUnverified.updatedAt = time.Now().Add(time.Hour) // no credit accumulates
 	for range 3 {
 		tr.decodeDatagram(forged, "127.0.0.1:1")
 	}
 	if s := tr.statistics(); s.FramesIn != 3 || s.Invalid[faultFlood] < 2 {
-		t.Errorf("%+v", s)
+		t.Errorf("got statistics %+v, want 3 frames in and at least 2 dropped by rate", s)
 	}
-	tr.sources.allStrangers.updatedAt = time.Now().Add(-time.Second)
-	tr.sources.allStrangers.available = 0
+	tr.sources.allUnverified.updatedAt = time.Now().Add(-time.Second)
+	tr.sources.allUnverified.available = 0
 	before := tr.statistics().Invalid[codec.ErrAuthentication.Error()]
 	tr.decodeDatagram(forged, "127.0.0.1:1")
 	if after := tr.statistics().Invalid[codec.ErrAuthentication.Error()]; after != before+1 {
-		t.Errorf("%d and then %d are decoded", before, after)
+		t.Errorf("got %d frames decoded before and %d after, want one more", before, after)
 	}
 }
 
-// What shows at its head that it is no frame of this fleet is counted by its fault, and takes nothing from the rate at
-// which members' frames are decoded: whoever knows nothing of the fleet can't have them dropped.
-func TestDatagramsOfStrangersTakeNothingFromTheRate(t *testing.T) {
+// A datagram whose head is not that of a frame of this fleet is counted by its fault and uses none of the credit for
+// decoding. Otherwise a sender without knowledge of the fleet could cause members' frames to be dropped.
+func TestForeignDatagramsUseNoCredit(t *testing.T) {
 	whole := frameOf(t, testMessage(membership.Gossip))
 	changed := func(at int) []byte {
 		frame := bytes.Clone(whole)
@@ -129,22 +128,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			tr := newTestTransport(t, nil)
-			const strangers = 2 * maxStrangerBurst
-			tr.sources.allStrangers = credit{available: 1, updatedAt: time.Now()}
-			for range strangers {
+			const foreign = 2 * maxUnverifiedBurst
+			tr.sources.allUnverified = credit{available: 1, updatedAt: time.Now()}
+			for range foreign {
 				tr.decodeDatagram(tc.frame, "127.0.0.1:1")
 			}
 			if message := tr.decodeDatagram(whole, "127.0.0.1:1"); message == nil {
-				t.Error("a member's frame is dropped")
+				t.Error("member's frame dropped")
 			}
-			if s := tr.statistics(); s.Invalid[tc.fault.Error()] != strangers || s.FramesIn != strangers+1 {
-				t.Errorf("%+v", s)
+			if s := tr.statistics(); s.Invalid[tc.fault.Error()] != foreign || s.FramesIn != foreign+1 {
+				t.Errorf("got statistics %+v, want all foreign frames counted by their fault", s)
 			}
 		})
 	}
 }
 
-// frameOf returns the frame of a message of this fleet.
+// frameOf encodes a message as a frame of this fleet.
 func frameOf(t *testing.T, message *membership.Message) []byte {
 	t.Helper()
 	frame, err := newTestTransport(t, nil).encode(message)
@@ -154,8 +153,8 @@
 	return frame
 }
 
-// What a connection brings is read if it is whole, of an expected kind and within the bound.
-func TestMessagesOfConnections(t *testing.T) {
+// A message from a connection is accepted if it is complete, of an expected kind and within the size limit.
+func TestReadValidatesMessages(t *testing.T) {
 	writer := newTestTransport(t, nil)
 	written := func(kind membership.MessageKind) []byte {
 		var text bytes.Buffer
@@ -167,14 +166,14 @@
 	whole := written(membership.SyncRequest)
 	for name, tc := range map[string]struct {
 		text  []byte
-		want  error // nil if it is read
-		fault error // that is counted, if any
+		want  error // nil if the message is accepted
+		fault error // counted fault, if any
 	}{
 		"whole":            {whole, nil, nil},
 		"another kind":     {written(membership.SyncFinal), codec.ErrMalformed, codec.ErrMalformed},
 		"cut short":        {written(membership.SyncRequest)[:len(whole)-1], io.ErrUnexpectedEOF, nil},
-		"no length":        {[]byte{0, 0}, io.ErrUnexpectedEOF, nil},
-		"beyond the bound": {[]byte{0xff, 0xff, 0xff, 0xff}, codec.ErrLarge, codec.ErrLarge},
+		"truncated length": {[]byte{0, 0}, io.ErrUnexpectedEOF, nil},
+		"too large":        {[]byte{0xff, 0xff, 0xff, 0xff}, codec.ErrLarge, codec.ErrLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tr := newTestTransport(t, nil)
@@ -186,31 +185,31 @@
 			}()
 			message, err := tr.read(local, membership.SyncRequest)
 			if !errors.Is(err, tc.want) {
-				t.Errorf("%v, want %v", err, tc.want)
+				t.Errorf("got error %v, want %v", err, tc.want)
 			}
 			if tc.want == nil && (message == nil || message.Kind != membership.SyncRequest) {
-				t.Errorf("%+v", message)
+				t.Errorf("got message %+v, want a sync request", message)
 			}
 			if tc.fault != nil && tr.statistics().Invalid[tc.fault.Error()] != 1 {
-				t.Errorf("counted: %v", tr.statistics().Invalid)
+				t.Errorf("got fault counts %v, want 1 of the expected fault", tr.statistics().Invalid)
 			}
 		})
 	}
 }
 
-func TestRepeatedMessagesAreLoggedOccasionally(t *testing.T) {
+func TestRepeatedMessagesAreThrottled(t *testing.T) {
 	var text strings.Builder
 	log := newThrottledLogger(slog.New(slog.NewTextHandler(&text, nil)))
 	for i := range 5 {
-		log.warnOccasionally("one", "i", i)
-		log.errorOccasionally("two", "i", i)
+		log.warnThrottled("one", "i", i)
+		log.errorThrottled("two", "i", i)
 	}
 	if lines := strings.Count(text.String(), "\n"); lines != 2 {
-		t.Errorf("%d lines:\n%s", lines, text.String())
+		t.Errorf("got %d log lines, want 2:\n%s", lines, text.String())
 	}
 	log.loggedAt["one"] = time.Now().Add(-2 * throttleInterval)
-	log.warnOccasionally("one")
+	log.warnThrottled("one")
 	if lines := strings.Count(text.String(), "\n"); lines != 3 {
-		t.Errorf("%d lines:\n%s", lines, text.String())
+		t.Errorf("got %d log lines, want 3:\n%s", lines, text.String())
 	}
 }
--- a/fleet/unknown_kind.go
+++ b/fleet/unknown_kind.go
@@ -2,6 +2,6 @@
 
 package fleet
 
-// sendUnknownKind sends nothing: only the build that stands in for a later program sends
-// messages of a kind that level 1 does not know.
+// sendUnknownKind does nothing. Only a build with the tag fleetlater, which simulates a later
+// program, sends messages of a kind that protocol level 1 does not know.
 func (f *Fleet) sendUnknownKind() {}
--- a/fleet/unknown_kind_fleetlater.go
+++ b/fleet/unknown_kind_fleetlater.go
@@ -4,10 +4,10 @@
 
 import "ryerill/fleet/membership"
 
-// unknownKind stands in for a kind of message that a later program adds.
+// unknownKind simulates a message kind added by a later program.
 const unknownKind membership.MessageKind = 200
 
-// sendUnknownKind sends a message of the unknown kind to all members. The mutex is held.
+// sendUnknownKind sends a message of the unknown kind to all members. Callers must hold mu.
 func (f *Fleet) sendUnknownKind() {
 	if f.ended {
 		return
