--- a/internal/overridestore/compatibility_test.go
+++ b/internal/overridestore/compatibility_test.go
@@ -9,12 +9,12 @@
 	"ryerill/override"
 )
 
-// Processes of other versions find the file of a proxy's overrides by its name, and read what stands in it.
-func TestRecordedFileOfAProxy(t *testing.T) {
+// The path and format of the override file stay compatible with other versions of the proxy.
+func TestRecordedOverrideFile(t *testing.T) {
 	dir := t.TempDir()
 	path := Path(dir, "n1", "127.0.0.1:7070")
 	if want := filepath.Join(dir, "ryerill-7663064818632035.word"); path != want {
-		t.Errorf("the file is %s, and was %s", path, want)
+		t.Errorf("got path %s, want %s", path, want)
 	}
 	const recorded = `{"format":"ryerill-word-1","version":3,"out":{"s1":1700000000000001},"back":{"s2":1700000000000002},"drain":0}` + "\n"
 	if err := os.WriteFile(path, []byte(recorded), 0o600); err != nil {
@@ -22,6 +22,6 @@
 	}
 	store := Open(path, slog.New(slog.DiscardHandler), func(override.Set) {})
 	if set := store.Current(); set.Version != 3 || !set.IsDown("s1") || len(set.Restored) != 1 {
-		t.Errorf("read as %+v", set)
+		t.Errorf("got set %+v, want the recorded one", set)
 	}
 }
--- a/internal/overridestore/exhaustion_test.go
+++ b/internal/overridestore/exhaustion_test.go
@@ -20,9 +20,9 @@
 	return func(set override.Set, now time.Duration) (override.Set, error) { return set.TakeDown(id, now) }
 }
 
-// Without a free descriptor the overrides that another process wrote can't be read. They are
-// later: they must not count as read, nor be overwritten unread.
-func TestOverridesWithoutDescriptors(t *testing.T) {
+// Without a free descriptor the store can't read overrides written by another process. It must
+// neither treat them as read nor overwrite them, and read them later.
+func TestUnreadOverridesSurviveDescriptorExhaustion(t *testing.T) {
 	if !exhaustion.Alone(t) {
 		return
 	}
@@ -34,25 +34,24 @@
 	restore := exhaustion.Lower(t, unix.RLIMIT_NOFILE, 0)
 	s.poll()
 	if s.Current().IsDown("a") {
-		t.Fatal("read without a descriptor")
+		t.Fatal("override of another process in force, want it unread without a descriptor")
 	}
 	if err := s.Update(takeDown("b")); err == nil {
-		t.Error("a change without a descriptor counts as persisted")
+		t.Error("update without a descriptor succeeded, want an error")
 	}
 	restore()
 	s.poll()
 	if !s.Current().IsDown("a") || s.Current().IsDown("b") {
-		t.Errorf("with one again: %+v", s.Current())
+		t.Errorf("poll with descriptors: got %+v, want only a down", s.Current())
 	}
 	if err := s.Update(takeDown("b")); err != nil || !s.Current().IsDown("a") {
-		t.Errorf("a change then: %v, %+v", err, s.Current())
+		t.Errorf("update with descriptors: got error %v, set %+v", err, s.Current())
 	}
 }
 
-// If the file can't be written whole the old one stays as it was and the change fails,
-// and once there is space changes succeed again. The limit cuts writes short as a full
-// disk does.
-func TestOverridesOnAFullDisk(t *testing.T) {
+// On a full disk the change fails and the file is unchanged; once there is space, changes
+// succeed again. The file size limit truncates writes like a full disk.
+func TestFullDiskKeepsPreviousOverrides(t *testing.T) {
 	if !exhaustion.Alone(t) {
 		return
 	}
@@ -66,18 +65,18 @@
 		restore := exhaustion.Lower(t, unix.RLIMIT_FSIZE, space)
 		began := time.Now()
 		if err := s.Update(takeDown("b")); err == nil || s.Current().IsDown("b") {
-			t.Errorf("%d bytes: %v, %+v", space, err, s.Current())
+			t.Errorf("%d bytes of space: got error %v, set %+v, want b undone", space, err, s.Current())
 		}
-		if took := time.Since(began); took > 900*time.Millisecond { // an answer is owed in 1 s
-			t.Errorf("%d bytes: answered after %v", space, took)
+		if took := time.Since(began); took > 900*time.Millisecond { // operators get an answer within 1 s
+			t.Errorf("%d bytes of space: update took %v, want at most 900ms", space, took)
 		}
 		again := Open(path, quiet, func(override.Set) {})
 		if !again.Current().IsDown("a") || again.Current().IsDown("b") {
-			t.Errorf("%d bytes: persisted is %+v", space, again.Current())
+			t.Errorf("%d bytes of space: got persisted set %+v, want only a down", space, again.Current())
 		}
 		restore()
 	}
-	// Space that is freed while a change is retried is used.
+	// A change succeeds if space becomes free while it is retried.
 	restore := exhaustion.Lower(t, unix.RLIMIT_FSIZE, 0)
 	tried := make(chan struct{})
 	done := make(chan error, 1)
@@ -94,24 +93,24 @@
 	<-tried
 	restore()
 	if err := <-done; err != nil || !s.Current().IsDown("b") {
-		t.Errorf("with space again: %v, %+v", err, s.Current())
+		t.Errorf("update with freed space: got error %v, set %+v", err, s.Current())
 	}
 	left, _ := filepath.Glob(path + ".*")
-	if len(left) != 1 { // the lock
-		t.Errorf("left beside it: %v", left)
+	if len(left) != 1 { // the lock file
+		t.Errorf("got extra files %v, want only the lock file", left)
 	}
 }
 
-// A slow disk holds up no override: it is in force at once, the answer comes within the
-// second in which it is due, and the next override is in force too.
-func TestOverridesOnASlowDisk(t *testing.T) {
+// On a slow disk each override is in force immediately and answered within 1 s, and does not
+// delay the next one.
+func TestSlowDiskDoesNotDelayOverrides(t *testing.T) {
 	if !exhaustion.Alone(t) {
 		return
 	}
 	path := Path(t.TempDir(), "n1", "127.0.0.1:1")
 	s := Open(path, quiet, func(override.Set) {})
 	stalled := path + atomicfile.TemporarySuffix
-	if err := unix.Mkfifo(stalled, 0o600); err != nil { // to open it waits for a reader
+	if err := unix.Mkfifo(stalled, 0o600); err != nil { // opening it for writing blocks until a reader opens it
 		t.Fatal(err)
 	}
 	for _, id := range []string{"a", "b"} {
@@ -120,18 +119,18 @@
 		go func() { answered <- s.Update(takeDown(id)) }()
 		for !s.Current().IsDown(id) {
 			if time.Since(began) > 300*time.Millisecond {
-				t.Fatalf("%s is not down after %v", id, time.Since(began))
+				t.Fatalf("%s not down after %v", id, time.Since(began))
 			}
 			time.Sleep(time.Millisecond)
 		}
 		if err := <-answered; !errors.Is(err, ErrNotPersisted) || !s.Current().IsDown("a") {
-			t.Errorf("%s: answered %v, %+v", id, err, s.Current())
+			t.Errorf("%s: got error %v, set %+v, want ErrNotPersisted", id, err, s.Current())
 		}
 		if took := time.Since(began); took > 950*time.Millisecond {
-			t.Errorf("%s: answered after %v", id, took)
+			t.Errorf("%s: update took %v, want at most 950ms", id, took)
 		}
 	}
-	// Once the disk goes on both are persisted, or their time is over: nobody is stuck.
+	// When the disk continues, both changes are persisted and the goroutine ends.
 	if f, err := os.Open(stalled); err == nil {
 		defer f.Close()
 	}
@@ -143,7 +142,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("changes are being persisted for ever")
+			t.Fatal("persistPending still running 20 s after the disk continued")
 		}
 	}
 }
--- a/internal/overridestore/faults_test.go
+++ b/internal/overridestore/faults_test.go
@@ -19,7 +19,7 @@
 	"ryerill/override"
 )
 
-// logLines is a log that tests read.
+// logLines collects log output.
 type logLines struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -37,17 +37,17 @@
 	return strings.Count(l.text.String(), message)
 }
 
-// faultyStore is a store whose next calls of one kind fail.
+// faultyStore is a store with injected faults in one kind of call.
 type faultyStore struct {
 	*Store
 	log    logLines
-	faults atomic.Int64 // calls that are still to fail
-	failed atomic.Int64 // calls that have failed
+	faults atomic.Int64 // number of calls still to fail
+	failed atomic.Int64 // number of failed calls
 }
 
-// openFaulty opens a store on path. While faults are due, its calls of a kind ("open", "read", "write", "sync", "rename" or
-// "sync directory") fail with fault, and reads with EIO; a failing write leaves half of the text behind, as a full disk
-// does.
+// openFaulty opens a store on path. While faults is positive, calls of the kind ("open", "read", "write", "sync",
+// "rename" or "sync directory") fail with fault; reads fail with EIO. A failing write writes half of the text, like a
+// full disk.
 func openFaulty(path, kind string, fault syscall.Errno) *faultyStore {
 	s := &faultyStore{}
 	s.Store = Open(path, slog.New(slog.NewTextHandler(&s.log, nil)), func(override.Set) {})
@@ -64,7 +64,7 @@
 			return nil, &fs.PathError{Op: "open", Path: name, Err: fault}
 		}
 		if due("read") {
-			return os.Open("/proc/self/mem") // whose beginning can't be read, with EIO
+			return os.Open("/proc/self/mem") // reads at offset 0 fail with EIO
 		}
 		return os.OpenFile(name, flag, mode)
 	}
@@ -93,11 +93,11 @@
 	return s
 }
 
-// stored is what another process finds in the file.
+// stored returns the set that another process reads from the file.
 func stored(path string) override.Set { return Open(path, quiet, func(override.Set) {}).Current() }
 
-// pathInMemory is a path on a file system in memory, where there is one: its only faults are those of the test, and no
-// other program's writes hold it up.
+// pathInMemory returns a path on an in-memory file system if available, to avoid faults and delays from other programs'
+// writes.
 func pathInMemory(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("/dev/shm", "overrides")
@@ -108,9 +108,9 @@
 	return Path(dir, "n1", "127.0.0.1:1")
 }
 
-// A disk that fails for a moment delays a change, one that fails for longer has it refused. The file holds the state
-// before or after it, never half of one, the log tells of the fault once, and the calls are not repeated without pause.
-func TestOverridesUnderStorageFaults(t *testing.T) {
+// A short disk fault delays a change, a long one makes it fail. The file has the complete state before or after the
+// change, the log reports the fault once, and writes are retried with backoff.
+func TestStorageFaultsDelayOrFailChanges(t *testing.T) {
 	for _, fault := range []syscall.Errno{syscall.ENOSPC, syscall.EIO, syscall.EDQUOT} {
 		for _, kind := range []string{"write", "sync", "rename"} {
 			t.Run(kind+" "+fault.Error(), func(t *testing.T) {
@@ -122,78 +122,78 @@
 
 				s.faults.Store(3)
 				if err := s.Update(takeDown("b")); err != nil || !s.Current().IsDown("b") || !stored(path).IsDown("b") {
-					t.Errorf("after a short fault: %v, %+v", err, stored(path))
+					t.Errorf("short fault: got error %v, stored set %+v, want b down", err, stored(path))
 				}
 
 				s.faults.Store(1 << 30)
 				s.failed.Store(0)
 				if err := s.Update(takeDown("c")); !errors.Is(err, fault) || s.Current().IsDown("c") {
-					t.Errorf("during a long fault: %v, %+v", err, s.Current())
+					t.Errorf("long fault: got error %v, set %+v, want c undone", err, s.Current())
 				}
 				if n := s.failed.Load(); n < 4 || n > 20 {
-					t.Errorf("%d tries during a long fault", n)
+					t.Errorf("got %d attempts during a long fault, want 4 to 20", n)
 				}
 				if set := stored(path); !set.IsDown("a") || !set.IsDown("b") || set.IsDown("c") {
-					t.Errorf("stored during a long fault: %+v", set)
+					t.Errorf("long fault: got stored set %+v, want a and b down", set)
 				}
 
 				s.faults.Store(0)
 				if err := s.Update(takeDown("c")); err != nil || !stored(path).IsDown("c") {
-					t.Errorf("after a long fault: %v, %+v", err, stored(path))
+					t.Errorf("after a long fault: got error %v, stored set %+v, want c down", err, stored(path))
 				}
 				if began, ended := s.log.count("overrides not written"), s.log.count("overrides written again"); began != 2 || ended != 2 {
-					t.Errorf("the log tells of %d faults and %d ends", began, ended)
+					t.Errorf("got %d logged faults and %d recoveries, want 2 of each", began, ended)
 				}
 			})
 		}
 	}
 }
 
-// A change whose caller was told that it is in force stays so, whatever the disk does afterwards, and is written once
-// the disk takes it. Changes after it don't have to wait for that.
-func TestAChangeThatIsInForceIsOwed(t *testing.T) {
+// A change whose caller got ErrNotPersisted stays in force during later disk faults and is written once the disk
+// recovers. It does not delay later changes.
+func TestUnpersistedChangeStaysInForce(t *testing.T) {
 	path := pathInMemory(t)
 	s := openFaulty(path, "rename", syscall.EIO)
 	s.faults.Store(1 << 30)
 	slow := s.calls.file.Write
 	s.calls.file.Write = func(file *os.File, text []byte) (int, error) {
-		if s.failed.Load() == 0 { // the first write outlasts the wait of its caller
+		if s.failed.Load() == 0 { // the first write takes longer than its caller waits
 			time.Sleep(3 * updateTimeout)
 		}
 		return slow(file, text)
 	}
 	if err := s.Update(takeDown("a")); !errors.Is(err, ErrNotPersisted) {
-		t.Fatalf("answered %v", err)
+		t.Fatalf("got error %v, want ErrNotPersisted", err)
 	}
 	for s.failed.Load() < 5 {
 		if !s.Current().IsDown("a") {
-			t.Fatalf("undone after %d failed writes", s.failed.Load())
+			t.Fatalf("change undone after %d failed writes", s.failed.Load())
 		}
 		time.Sleep(time.Millisecond)
 	}
 	if err := s.Update(takeDown("b")); !errors.Is(err, syscall.EIO) || s.Current().IsDown("b") || !s.Current().IsDown("a") {
-		t.Errorf("a second change: %v, %+v", err, s.Current())
+		t.Errorf("second change: got error %v, set %+v, want only a down", err, s.Current())
 	}
 	s.faults.Store(0)
 	for end := time.Now().Add(10 * time.Second); !stored(path).IsDown("a"); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never written")
+			t.Fatal("change not written within 10 s of the recovery")
 		}
 	}
 	if stored(path).IsDown("b") || s.log.count("overrides not written") != 1 {
-		t.Errorf("stored %+v, told %d times", stored(path), s.log.count("overrides not written"))
+		t.Errorf("got stored set %+v, %d logged faults, want only a down, 1 fault", stored(path), s.log.count("overrides not written"))
 	}
 }
 
-// A file that can't be opened or read for a fault of the disk does not count as read, and is not written over: it is
-// read once the fault is over.
-func TestOverridesThatCannotBeReadNow(t *testing.T) {
+// A file that can't be opened or read because of a disk fault is neither treated as read nor overwritten, and is read
+// after the fault.
+func TestUnreadableFileIsKeptAndReadLater(t *testing.T) {
 	for _, kind := range []string{"open", "read"} {
-		t.Run(kind, func(t *testing.T) { failToRead(t, kind) })
+		t.Run(kind, func(t *testing.T) { testUnreadableFile(t, kind) })
 	}
 }
 
-func failToRead(t *testing.T, kind string) {
+func testUnreadableFile(t *testing.T, kind string) {
 	path := Path(t.TempDir(), "n1", "127.0.0.1:1")
 	s, other := openFaulty(path, kind, syscall.EIO), Open(path, quiet, func(override.Set) {})
 	if err := other.Update(takeDown("a")); err != nil {
@@ -204,24 +204,24 @@
 		s.poll()
 	}
 	if err := s.Update(takeDown("b")); !errors.Is(err, errUnreadable) {
-		t.Errorf("a change of what can't be read: %v", err)
+		t.Errorf("update of an unreadable file: got error %v, want errUnreadable", err)
 	}
 	if set := stored(path); !set.IsDown("a") || set.IsDown("b") {
-		t.Errorf("stored: %+v", set)
+		t.Errorf("got stored set %+v, want only a down", set)
 	}
-	if n := s.log.count("override file not readable now"); n != 1 {
-		t.Errorf("the log tells of it %d times", n)
+	if n := s.log.count("override file temporarily unreadable"); n != 1 {
+		t.Errorf("got %d log lines, want 1", n)
 	}
 	s.faults.Store(0)
 	s.poll()
 	if !s.Current().IsDown("a") {
-		t.Error("not read once the fault is over")
+		t.Error("file not read after the fault")
 	}
 }
 
-// A process that is killed in the middle of a write leaves the state before or after it. Neither its lock nor what it
-// has begun to write holds up the next process.
-func TestKilledDuringAWrite(t *testing.T) {
+// A process killed during a write leaves the state before or after the change. Neither its lock nor its partial write
+// blocks the next process.
+func TestKillDuringWriteKeepsCompleteState(t *testing.T) {
 	if point := os.Getenv("RYERILL_KILL_AT"); point != "" {
 		killAt(point, os.Getenv("RYERILL_KILL_PATH"))
 		return
@@ -232,31 +232,31 @@
 			if err := Open(path, quiet, func(override.Set) {}).Update(takeDown("a")); err != nil {
 				t.Fatal(err)
 			}
-			cmd := exec.Command(os.Args[0], "-test.run=^"+"TestKilledDuringAWrite"+"$")
+			cmd := exec.Command(os.Args[0], "-test.run=^"+"TestKillDuringWriteKeepsCompleteState"+"$")
 			cmd.Env = append(os.Environ(), "RYERILL_KILL_AT="+point, "RYERILL_KILL_PATH="+path)
 			output, err := cmd.CombinedOutput()
 			var exit *exec.ExitError
 			if !errors.As(err, &exit) || exit.Sys().(syscall.WaitStatus).Signal() != syscall.SIGKILL {
-				t.Fatalf("ended by %v\n%s", err, output)
+				t.Fatalf("process ended with %v, want SIGKILL\n%s", err, output)
 			}
 			if set := stored(path); !set.IsDown("a") || set.IsDown("b") != isNew {
-				t.Errorf("stored: %+v", set)
+				t.Errorf("after the kill: got stored set %+v", set)
 			}
 			next := Open(path, quiet, func(override.Set) {})
 			if err := next.Update(takeDown("c")); err != nil {
-				t.Errorf("the next change: %v", err)
+				t.Errorf("next change: %v", err)
 			}
 			if set := stored(path); !set.IsDown("a") || !set.IsDown("c") || set.IsDown("b") != isNew {
-				t.Errorf("stored then: %+v", set)
+				t.Errorf("after the next change: got stored set %+v", set)
 			}
-			if left, _ := filepath.Glob(path + ".*"); len(left) != 1 { // the lock
-				t.Errorf("left beside it: %v", left)
+			if left, _ := filepath.Glob(path + ".*"); len(left) != 1 { // the lock file
+				t.Errorf("got extra files %v, want only the lock file", left)
 			}
 		})
 	}
 }
 
-// killAt takes an endpoint down and kills this process at a point of the write.
+// killAt takes an endpoint down and kills this process at the given point of the write.
 func killAt(point, path string) {
 	kill := func() { _ = syscall.Kill(os.Getpid(), syscall.SIGKILL); select {} }
 	s := Open(path, quiet, func(override.Set) {})
@@ -287,8 +287,8 @@
 	_ = s.Update(takeDown("b"))
 }
 
-// While the disk takes nothing, changes wait up to a bound; beyond it they are refused and change nothing.
-func TestChangesThatWaitForTheDiskAreBounded(t *testing.T) {
+// While the disk fails, at most maxPending changes wait. Further changes fail with ErrBusy and have no effect.
+func TestPendingChangesAreBounded(t *testing.T) {
 	s := openFaulty(filepath.Join(t.TempDir(), "overrides"), "write", syscall.ENOSPC)
 	s.faults.Store(1 << 40)
 	defer s.faults.Store(0)
@@ -308,42 +308,42 @@
 		}
 	}
 	if err := takeDown("one more"); !errors.Is(err, ErrBusy) || s.Current().IsDown("one more") {
-		t.Errorf("beyond the bound: %v, down %v", err, s.Current().IsDown("one more"))
+		t.Errorf("change beyond the limit: got error %v, down %v, want ErrBusy, not down", err, s.Current().IsDown("one more"))
 	}
 }
 
-// A change whose file has been replaced, and whose directory can't be synced, is in force: after a loss of power it may
-// be gone, so that it is owed until the disk takes it.
-func TestAChangeWhoseDirectoryIsNotSyncedIsOwed(t *testing.T) {
+// A change stays in force if its file was replaced but the directory could not be synced. The store retries the sync,
+// because a power loss may revert the change.
+func TestChangeWithUnsyncedDirectoryIsRetried(t *testing.T) {
 	path := pathInMemory(t)
 	s := openFaulty(path, "sync directory", syscall.EIO)
 	s.faults.Store(3)
 	if err := s.Update(takeDown("a")); err != nil || !s.Current().IsDown("a") {
-		t.Errorf("after a short fault: %v, %+v", err, s.Current())
+		t.Errorf("short fault: got error %v, set %+v, want a down", err, s.Current())
 	}
 
 	s.faults.Store(1 << 30)
 	s.failed.Store(0)
 	if err := s.Update(takeDown("b")); !errors.Is(err, ErrNotPersisted) || !s.Current().IsDown("b") || !stored(path).IsDown("b") {
-		t.Errorf("during a long fault: %v, %+v, stored %+v", err, s.Current(), stored(path))
+		t.Errorf("long fault: got error %v, set %+v, stored set %+v, want ErrNotPersisted and b down", err, s.Current(), stored(path))
 	}
 	if n := s.failed.Load(); n < 4 || n > 100 {
-		t.Errorf("%d tries during a long fault", n)
+		t.Errorf("got %d attempts during a long fault, want 4 to 100", n)
 	}
 	other := Open(path, quiet, func(override.Set) {})
 	if err := other.Update(takeDown("c")); err != nil {
-		t.Errorf("a change of another process: %v", err)
+		t.Errorf("change by another process: %v", err)
 	}
 
 	s.faults.Store(0)
 	for end := time.Now().Add(10 * time.Second); s.log.count("overrides written again") != 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never synced")
+			t.Fatal("directory not synced within 10 s of the recovery")
 		}
 	}
 	for _, name := range []string{"a", "b", "c"} {
 		if !s.Current().IsDown(name) || !stored(path).IsDown(name) {
-			t.Errorf("%s: in force %+v, stored %+v", name, s.Current(), stored(path))
+			t.Errorf("%s not down: set in force %+v, stored set %+v", name, s.Current(), stored(path))
 		}
 	}
 }
--- a/internal/overridestore/file.go
+++ b/internal/overridestore/file.go
@@ -16,27 +16,27 @@
 	"ryerill/override"
 )
 
-// maxFile bounds the bytes of the file that are read.
+// maxFile is the maximum number of bytes read from the file.
 const maxFile = 1 << 20
 
-// errUnreadable means that the file can't be read now, and may be later: what it holds is unknown.
+// errUnreadable means that reading the file failed temporarily, so that its contents are unknown.
 var errUnreadable = errors.New("the file can't be read now")
 
-// fileMode has the file readable by its owner alone.
+// fileMode restricts access to the owner.
 const fileMode = 0o600
 
-// fileCalls are the calls of the system that storing takes. Tests inject errors in their place.
+// fileCalls are the system calls of a store. Tests replace them to inject errors.
 type fileCalls struct {
 	open func(name string, flag int, mode fs.FileMode) (*os.File, error) // for reading
 	file *atomicfile.Calls                                               // for replacing
 }
 
-// systemCalls are the calls of every store outside of tests.
+// systemCalls returns the real system calls.
 func systemCalls() fileCalls {
 	return fileCalls{open: os.OpenFile, file: atomicfile.SystemCalls()}
 }
 
-// fileVersion identifies one write of a file among others.
+// fileVersion identifies one version of the file, to detect changes.
 type fileVersion struct {
 	inode    uint64
 	size     int64
@@ -51,8 +51,8 @@
 	return version
 }
 
-// Path is the file that the processes of a proxy share, by the proxy's
-// name and the address that it serves at. It is empty if there is no directory.
+// Path returns the path of the file shared by the processes of a proxy, which depends on the
+// proxy's name and listen address. It is empty if dir is empty.
 func Path(dir, name, address string) string {
 	if dir == "" {
 		return ""
@@ -62,8 +62,8 @@
 	return filepath.Join(dir, fmt.Sprintf("ryerill-%016x.word", h.Sum64()))
 }
 
-// lock takes the lock that the processes share, which ends with its holder. After
-// the deadline it fails with [ErrBusy].
+// lock acquires the lock shared by the processes, which the system releases when its holder
+// ends. After the deadline it fails with [ErrBusy].
 func (s *Store) lock(deadline time.Time) (unlock func(), err error) {
 	file, err := os.OpenFile(s.path+".lock", os.O_CREATE|os.O_RDWR|syscall.O_NOFOLLOW, 0o600)
 	if err != nil {
@@ -82,35 +82,34 @@
 	}
 }
 
-// write replaces the file. After an error other than [atomicfile.ErrUnsynced] it is as it was.
+// write replaces the file. After an error other than [atomicfile.ErrUnsynced] the file is unchanged.
 func (s *Store) write(set override.Set) error {
 	return s.calls.file.Replace(s.path, override.Encode(set), fileMode)
 }
 
-// mayPass reports whether an error of opening the file may be over soon: a lack of descriptors, or a fault of the disk
-// under it.
-func mayPass(err error) bool {
+// isTransient reports whether an error of opening the file may be temporary: no free descriptors, or a disk fault.
+func isTransient(err error) bool {
 	return socket.OutOfDescriptors(err) || errors.Is(err, syscall.EIO) || errors.Is(err, syscall.EINTR)
 }
 
-// unreadable returns an [errUnreadable], and logs the first of several in a row.
+// unreadable wraps err in [errUnreadable]. It logs the first of consecutive failures.
 func (s *Store) unreadable(err error) error {
 	if !s.isUnreadable.Swap(true) {
-		s.log.Warn("override file not readable now, retrying", "file", s.path, "err", err)
+		s.log.Warn("override file temporarily unreadable, retrying", "file", s.path, "err", err)
 	}
 	return fmt.Errorf("%w: %w", errUnreadable, err)
 }
 
-// read returns what the file holds, and logs if that is malformed. The error is
-// [errUnreadable] if the file may hold overrides that can't be read now.
+// read returns the overrides in the file and logs failures. The error is [errUnreadable] if a
+// later read may succeed.
 func (s *Store) read() (override.Set, error) {
 	file, err := s.calls.open(s.path, os.O_RDONLY|syscall.O_NOFOLLOW|syscall.O_NONBLOCK, 0)
-	if mayPass(err) {
+	if isTransient(err) {
 		return override.Set{}, s.unreadable(err)
 	}
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
-			s.log.Warn("override file not readable, passed over", "file", s.path, "err", err)
+			s.log.Warn("override file unreadable, ignored", "file", s.path, "err", err)
 		}
 		return override.Set{}, err
 	}
@@ -122,7 +121,7 @@
 	s.isUnreadable.Store(false)
 	set, err := override.Decode(text)
 	if err != nil {
-		s.log.Warn("override file malformed, passed over", "file", s.path, "err", err)
+		s.log.Warn("override file malformed, ignored", "file", s.path, "err", err)
 	}
 	return set, err
 }
--- a/internal/overridestore/store.go
+++ b/internal/overridestore/store.go
@@ -1,5 +1,6 @@
-// Package overridestore persists the operators' overrides in a file that all processes of one
-// proxy share. The file is written beside and renamed, so that no reader meets half of it.
+// Package overridestore persists the operators' overrides in a file shared by all processes of
+// one proxy. Each write goes to a temporary file that is then renamed, so that readers never see
+// a partial file.
 package overridestore
 
 import (
@@ -21,71 +22,69 @@
 )
 
 const (
-	pollInterval  = 100 * time.Millisecond // between checks of the file: what another process writes applies here soon
-	updateTimeout = 400 * time.Millisecond // after which a change that fails to be persisted is undone
+	pollInterval  = 100 * time.Millisecond // between checks of the file for changes by other processes
+	updateTimeout = 400 * time.Millisecond // after this a change that could not be persisted is undone
 	retryInterval = 5 * time.Millisecond   // between attempts to lock the file
 
-	// maxPending bounds the changes that are not persisted yet: a disk may take nothing for long.
+	// maxPending is the maximum number of unpersisted changes, which accumulate while the disk fails.
 	maxPending = 256
 )
 
-// ErrBusy means that another process held the file for too long, or that too many changes are not written yet. Nothing
-// has changed.
+// ErrBusy means that another process locked the file for too long, or that too many changes are pending. Nothing has
+// changed.
 var ErrBusy = errors.New("another change is under way: call again")
 
-// ErrNotPersisted means that the change is not on disk yet. It is in force here, and
-// another process of this proxy may not know of it.
+// ErrNotPersisted means that the change is in force in this process but not on disk yet. Other
+// processes of this proxy may not have it.
 var ErrNotPersisted = errors.New("in force, but not kept yet as the disk is slow: call again")
 
-// ChangeFunc makes the next set of overrides out of the present one. It may be
-// called more than once, on different sets: it must do nothing else. The time is
-// Unix time, the same at each call. After an error the set stays as it is.
+// ChangeFunc returns the set of overrides after a change to the given set. It must have no side
+// effects, since it may be called several times on different sets. now is Unix time, the same in
+// each call. After an error the set is unchanged.
 type ChangeFunc func(set override.Set, now time.Duration) (override.Set, error)
 
-// Store holds the overrides that are in force in this process: those in the file
-// and, on top, changes that are not written to it yet. These are in force at once,
-// since a disk may be slow and an endpoint that is taken down may be restarted soon.
-// Its methods may be called concurrently.
+// Store holds the overrides in force in this process: those in the file plus changes that are
+// not written yet. Changes take effect immediately, because the disk may be slow and an endpoint
+// that is taken down may be restarted soon. Its methods are safe for concurrent use.
 type Store struct {
-	path    string // empty: the overrides last as long as the process
+	path    string // empty: overrides are kept in memory only
 	log     *slog.Logger
 	notify  func(override.Set)
 	current atomic.Pointer[override.Set]
 	calls   fileCalls
 
-	isUnreadable atomic.Bool // the last read failed for a reason that may pass
+	isUnreadable atomic.Bool // the last read failed temporarily
 
 	knownAt  atomic.Pointer[time.Time] // see KnownAt
-	lastRead fileVersion               // used by Watch alone
+	lastRead fileVersion               // used only by Watch
 
-	// Used by persistPending and what it calls alone:
-	failing  bool // its last write failed
-	unsynced bool // the file was replaced last without a sync of its directory
+	// The fields below are used only by the goroutine of persistPending.
+	failing  bool // the last write failed
+	unsynced bool // the directory was not synced after the last replacement of the file
 
 	mu sync.Mutex
-	// The fields below, and changes of current, are guarded by mu.
-	persisted  override.Set // what the file holds, as far as known
-	pending    []*change    // not persisted yet, in the order of their calls
-	persisting bool         // the goroutine of persistPending runs
+	// mu guards the fields below and changes of current.
+	persisted  override.Set // latest known contents of the file
+	pending    []*change    // unpersisted changes, in call order
+	persisting bool         // the goroutine of persistPending is running
 }
 
-// change is a change that is not persisted yet.
+// change is an unpersisted change.
 type change struct {
-	apply    ChangeFunc
-	at       time.Duration // Unix time
-	deadline time.Time     // when it is given up
-	result   chan error    // buffered; receives one value
-	owed     bool          // its caller was told that it is in force: it is not given up any more. Guarded by Store.mu
+	apply     ChangeFunc
+	at        time.Duration // Unix time
+	deadline  time.Time     // when the change is undone
+	result    chan error    // buffered; receives one value
+	committed bool          // the caller knows that it is in force: retried without a deadline; guarded by Store.mu
 }
 
-// Open returns a store with the overrides that the file holds. If the file can't be read
-// that is logged, and the store begins with none: serving comes first. From then on
-// each new set is passed to notify, in order, by [Store.Update] or
-// [Store.Watch]; notify must not block.
+// Open returns a store with the overrides in the file. If the file can't be read, Open logs that
+// and starts with no overrides, so that the proxy can serve. [Store.Update] and [Store.Watch]
+// pass each new set to notify, in order; notify must not block.
 func Open(path string, log *slog.Logger, notify func(override.Set)) *Store {
 	s := &Store{path: path, log: log, notify: notify, calls: systemCalls()}
-	looked := time.Now()
-	s.knownAt.Store(&looked)
+	checkedAt := time.Now()
+	s.knownAt.Store(&checkedAt)
 	if path != "" {
 		if set, err := s.read(); err == nil {
 			s.persisted = set
@@ -96,51 +95,51 @@
 	return s
 }
 
-// KnownAt returns when this process last looked at what the file holds, or began. While notify runs, it is the time
-// before that: what another process has ordered, and notify learns of, is no older.
+// KnownAt returns when this process last checked the file, or the start time before the first check. While notify runs,
+// KnownAt still returns the time of the previous check: a change by another process that notify receives is no older.
 func (s *Store) KnownAt() time.Time { return *s.knownAt.Load() }
 
 // Current returns the overrides in force.
 func (s *Store) Current() override.Set { return *s.current.Load() }
 
-// Update applies a change, at once. When it returns nil the change is persisted too;
-// after [ErrNotPersisted] it is in force and will be persisted once the disk takes it;
-// after any other error nothing has changed.
+// Update applies a change immediately. If it returns nil, the change is also persisted. After
+// [ErrNotPersisted] the change is in force and will be persisted once the disk recovers. After
+// any other error nothing has changed.
 func (s *Store) Update(apply ChangeFunc) error {
 	now := time.Now()
 	c := &change{
 		apply:    apply,
-		at:       time.Duration(now.UnixNano()).Truncate(time.Microsecond), // as precise as the file
+		at:       time.Duration(now.UnixNano()).Truncate(time.Microsecond), // precision of the file
 		deadline: now.Add(updateTimeout),
 		result:   make(chan error, 1),
 	}
 	if err := s.start(c); err != nil || s.path == "" {
 		return err
 	}
-	// The change is given up before this, unless the disk holds up the goroutine that writes.
+	// persistPending undoes the change before this timeout unless the disk blocks its write.
 	timeout := time.NewTimer(2 * updateTimeout)
 	defer timeout.Stop()
 	select {
 	case err := <-c.result:
 		return err
 	case <-timeout.C:
-		return s.owe(c)
+		return s.commitPending(c)
 	}
 }
 
-// owe ends the wait for a change that is not persisted in time. From then on it is persisted however long that takes:
-// its caller learns that it is in force.
-func (s *Store) owe(c *change) error {
+// commitPending ends the wait for a change that was not persisted in time. The caller learns that the change is in
+// force, so the store retries until it is persisted.
+func (s *Store) commitPending(c *change) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !slices.Contains(s.pending, c) {
-		return <-c.result // it has ended in this moment
+		return <-c.result // ended just before mu was locked
 	}
-	c.owed = true
+	c.committed = true
 	return ErrNotPersisted
 }
 
-// start brings a change into force and has it persisted.
+// start applies a change and schedules its write.
 func (s *Store) start(c *change) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,14 +156,14 @@
 		s.pending = append(s.pending, c)
 		if !s.persisting {
 			s.persisting = true
-			go s.persistPending() // ends once nothing is pending
+			go s.persistPending() // ends when no change is pending
 		}
 	}
 	s.setLocked(set)
 	return nil
 }
 
-// setLocked brings a set into force.
+// setLocked puts a set in force and notifies if it has changed. Callers must hold mu.
 func (s *Store) setLocked(set override.Set) {
 	previous := s.Current()
 	if set.Version == previous.Version && set.DrainSince == previous.DrainSince && maps.Equal(set.Down, previous.Down) {
@@ -174,7 +173,7 @@
 	s.notify(set)
 }
 
-// applyAll returns a set with changes on top. A change that fails on it is left out.
+// applyAll returns the set after all changes. It skips changes that fail.
 func applyAll(set override.Set, changes []*change) override.Set {
 	for _, c := range changes {
 		if next, err := c.apply(set, c.at); err == nil {
@@ -184,8 +183,8 @@
 	return set
 }
 
-// persistPending writes changes until none is pending: each is written or, if nobody was told that it is in force,
-// given up. Only a disk that takes nothing keeps it from its end.
+// persistPending writes changes until none is pending. It undoes changes that are not written by their deadline and not
+// committed. It returns unless the disk fails permanently.
 func (s *Store) persistPending() {
 	var backoff socket.Backoff
 	for {
@@ -198,17 +197,17 @@
 		}
 		s.mu.Unlock()
 		set, err := s.persist(batch)
-		s.reportWrite(err) // before those who wait go on
+		s.reportWrite(err) // before finish unblocks the callers
 		s.finish(batch, set, err)
 		if err != nil {
-			time.Sleep(backoff.Next()) // there may be space again soon
+			time.Sleep(backoff.Next()) // a full disk may have space again soon
 		} else {
 			backoff.Reset()
 		}
 	}
 }
 
-// reportWrite logs that writing begins to fail, and that it succeeds again.
+// reportWrite logs the first failed write and the first successful write after failures.
 func (s *Store) reportWrite(err error) {
 	switch {
 	case err != nil && !s.failing:
@@ -219,8 +218,9 @@
 	s.failing = err != nil
 }
 
-// finish ends the changes of a batch that is written, or those whose time is over if
-// it could not be. Those that are in the file, and may be lost with the power, are owed.
+// finish completes the changes of a batch after a successful write, or undoes those past their
+// deadline after a failed one. Changes in a file whose directory is not synced are committed,
+// because a power loss may revert them.
 func (s *Store) finish(batch []*change, set override.Set, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -230,24 +230,24 @@
 		s.persisted = set
 	}
 	for _, c := range batch {
-		c.owed = c.owed || inFile
+		c.committed = c.committed || inFile
 	}
 	var ended []*change
 	s.pending = slices.DeleteFunc(s.pending, func(c *change) bool {
-		if !slices.Contains(batch, c) || err != nil && (c.owed || now.Before(c.deadline)) {
+		if !slices.Contains(batch, c) || err != nil && (c.committed || now.Before(c.deadline)) {
 			return false
 		}
 		ended = append(ended, c)
 		return true
 	})
 	s.setLocked(applyAll(s.persisted, s.pending))
-	for _, c := range ended { // after the set is in force: the callers look at it next
+	for _, c := range ended { // after the set is in force, since callers read it next
 		c.result <- err
 	}
 }
 
-// persist writes the file's set with changes on top, and returns what the file holds then. That is the new set also
-// with an [atomicfile.ErrUnsynced].
+// persist applies the changes to the set in the file, writes the result and returns it. With [atomicfile.ErrUnsynced]
+// the file has the new set too.
 func (s *Store) persist(batch []*change) (override.Set, error) {
 	unlock, err := s.lock(batch[0].deadline)
 	if err != nil {
@@ -257,12 +257,12 @@
 	s.mu.Lock()
 	base := s.persisted
 	s.mu.Unlock()
-	// Without reading first, a change that another process has written would be lost.
-	switch held, err := s.read(); {
+	// Read first: otherwise the write would discard a change by another process.
+	switch stored, err := s.read(); {
 	case errors.Is(err, errUnreadable):
 		return override.Set{}, fmt.Errorf("the overrides can't be read: %w", err)
-	case err == nil && held.Version > base.Version:
-		base = held
+	case err == nil && stored.Version > base.Version:
+		base = stored
 	}
 	set := applyAll(base, batch)
 	if set.Version == base.Version && !s.unsynced {
@@ -276,8 +276,8 @@
 	return set, nil
 }
 
-// Watch takes over what other processes of this proxy write, until ctx ends. It
-// must run once at a time.
+// Watch applies changes written by other processes of this proxy until ctx ends. It must not run
+// more than once at a time.
 func (s *Store) Watch(ctx context.Context) {
 	if s.path == "" {
 		return
@@ -294,20 +294,20 @@
 	}
 }
 
-// poll reads the file if it has changed. If that fails, for lack of a descriptor for
-// example, the next poll retries.
+// poll reads the file if it has changed. After a temporary failure, for example without free
+// descriptors, the next poll retries.
 func (s *Store) poll() {
-	looked := time.Now()
+	checkedAt := time.Now()
 	info, err := os.Lstat(s.path)
 	if err != nil {
 		if errors.Is(err, fs.ErrNotExist) {
-			s.knownAt.Store(&looked)
+			s.knownAt.Store(&checkedAt)
 		}
 		return
 	}
 	version := versionOf(info)
 	if version == s.lastRead {
-		s.knownAt.Store(&looked)
+		s.knownAt.Store(&checkedAt)
 		return
 	}
 	set, err := s.read()
@@ -321,5 +321,5 @@
 		s.persisted = set
 		s.setLocked(applyAll(set, s.pending))
 	}
-	s.knownAt.Store(&looked)
+	s.knownAt.Store(&checkedAt)
 }
