--- a/internal/atomicfile/calls.go
+++ b/internal/atomicfile/calls.go
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// Calls are the calls of the system that a replacement takes. Tests inject errors in their place; nil stands for those
-// of the system.
+// Calls are the system calls of a replacement. Tests replace them to inject errors; a nil *Calls means the real system
+// calls.
 type Calls struct {
 	Open          func(name string, flag int, mode fs.FileMode) (*os.File, error)
 	Write         func(file *os.File, contents []byte) (int, error)
@@ -18,7 +18,7 @@
 	SyncDirectory func(directory *os.File) error
 }
 
-// SystemCalls returns the calls of the system.
+// SystemCalls returns the real system calls.
 func SystemCalls() *Calls {
 	return &Calls{
 		Open:          os.OpenFile,
@@ -36,25 +36,28 @@
 	return c
 }
 
-// refusesSync reports whether an error of a sync means that the file system has no sync of directories.
-func refusesSync(err error) bool {
+// isSyncUnsupported reports whether a sync failed because the file system does not support syncing directories.
+func isSyncUnsupported(err error) bool {
 	return errors.Is(err, syscall.EINVAL) || errors.Is(err, syscall.ENOTSUP)
 }
 
-// passingFaults are errors of opening, reading and writing files that may pass by themselves: the disk or the machine
-// fails or lacks something for a moment.
-var passingFaults = []error{
+// transientErrors are errors of opening, reading and writing files that may disappear without intervention: a temporary
+// fault of the disk or shortage of resources.
+var transientErrors = []error{
 	syscall.EIO, syscall.EINTR, syscall.EAGAIN, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.ENOBUFS,
 	syscall.ESTALE, syscall.ETIMEDOUT, syscall.EBUSY, syscall.ENOLCK,
 }
 
-// fullDisk are errors of writing that pass once there is room again, or another process has done with the file.
-var fullDisk = []error{syscall.ENOSPC, syscall.EDQUOT, ErrBusy, ErrUnsynced}
+// retryableWriteErrors are errors of writing that disappear once there is disk space, another process has finished with
+// the file, or the directory can be synced.
+var retryableWriteErrors = []error{syscall.ENOSPC, syscall.EDQUOT, ErrBusy, ErrUnsynced}
 
-// MayPass reports whether the fault behind an error of a replacement may pass by itself: a disk that is full or fails,
-// a lack of descriptors, another process that replaces the file.
-func MayPass(err error) bool { return isOneOf(err, passingFaults) || isOneOf(err, fullDisk) }
+// MayPass reports whether an error of a replacement may be temporary: a full or failing disk, no free descriptors, or
+// another process that is replacing the file.
+func MayPass(err error) bool {
+	return isAnyOf(err, transientErrors) || isAnyOf(err, retryableWriteErrors)
+}
 
-func isOneOf(err error, all []error) bool {
-	return slices.ContainsFunc(all, func(one error) bool { return errors.Is(err, one) })
+func isAnyOf(err error, targets []error) bool {
+	return slices.ContainsFunc(targets, func(target error) bool { return errors.Is(err, target) })
 }
--- a/internal/atomicfile/lock.go
+++ b/internal/atomicfile/lock.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	lockTimeout  = 400 * time.Millisecond // for which another process may hold up a replacement
+	lockTimeout  = 400 * time.Millisecond // maximum wait for another process's replacement
 	lockInterval = 5 * time.Millisecond   // between attempts
 )
 
-// ErrBusy means that another process was replacing the file for too long. Nothing has changed.
+// ErrBusy means that another process held the lock on the temporary file for too long. Nothing has changed.
 var ErrBusy = errors.New("another process is replacing the file")
 
-// openLocked opens a temporary file, which may be left by a process that was killed, and takes the lock on it. The lock
-// ends with its holder.
+// openLocked opens and locks a temporary file, which a killed process may have left. The system releases the lock when
+// its holder ends.
 func (c *Calls) openLocked(name string, mode fs.FileMode) (*os.File, error) {
 	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockInterval) {
 		file, err := c.Open(name, os.O_CREATE|os.O_WRONLY|syscall.O_NOFOLLOW, mode)
@@ -26,7 +26,7 @@
 			return nil, err
 		}
 		err = syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
-		if err == nil && isAt(file, name) {
+		if err == nil && hasName(file, name) {
 			return file, nil
 		}
 		file.Close()
@@ -39,8 +39,9 @@
 	}
 }
 
-// isAt reports whether a file still has its name: whoever held the lock before may have renamed or removed it.
-func isAt(file *os.File, name string) bool {
+// hasName reports whether an open file still has its name: the previous holder of the lock may have renamed or removed
+// it.
+func hasName(file *os.File, name string) bool {
 	opened, err := file.Stat()
 	if err != nil {
 		return false
--- a/internal/atomicfile/read.go
+++ b/internal/atomicfile/read.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// A file that can't be read for a fault that may pass is read again for so long, at these intervals.
+// Retries of reads that fail with a transient error.
 const (
 	readTimeout  = 3 * time.Second
 	readInterval = 20 * time.Millisecond
 )
 
-// Read reads a whole file. While the disk or the machine fails in a way that may pass, it tries again, for 3 s at most;
-// a file that is missing or not permitted is an error at once.
+// Read reads a whole file. It retries transient errors for at most 3 s; other errors, such as a missing file or missing
+// permission, are returned immediately.
 func Read(path string) ([]byte, error) {
 	for deadline := time.Now().Add(readTimeout); ; time.Sleep(readInterval) {
 		text, err := os.ReadFile(path)
-		if err == nil || !isOneOf(err, passingFaults) || time.Now().After(deadline) {
+		if err == nil || !isAnyOf(err, transientErrors) || time.Now().After(deadline) {
 			return text, err
 		}
 	}
--- a/internal/atomicfile/read_test.go
+++ b/internal/atomicfile/read_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A file that is missing or not permitted is no passing fault: whoever starts with it must not wait.
-func TestReadFailsAtOnceWhereNothingWillPass(t *testing.T) {
+// Permanent errors are returned without retries, so that they do not delay a start.
+func TestReadReturnsPermanentErrorsImmediately(t *testing.T) {
 	began := time.Now()
 	if _, err := Read(filepath.Join(t.TempDir(), "none")); !errors.Is(err, fs.ErrNotExist) {
 		t.Error(err)
@@ -20,22 +20,22 @@
 		t.Error(err)
 	}
 	if took := time.Since(began); took > readTimeout/2 {
-		t.Errorf("took %v", took)
+		t.Errorf("two reads took %v, want at most half of readTimeout", took)
 	}
 }
 
-// What the machine lacks for a moment is held to pass, and a sound file is read whole.
-func TestReadKnowsWhatMayPass(t *testing.T) {
+// Temporary shortages and disk faults are classified as transient, and a readable file is read completely.
+func TestReadClassifiesTransientErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings")
 	if err := os.WriteFile(path, []byte("text"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, fault := range []syscall.Errno{syscall.EMFILE, syscall.EIO, syscall.ESTALE} {
-		if !isOneOf(&fs.PathError{Op: "open", Path: path, Err: fault}, passingFaults) {
-			t.Errorf("%v is not held to pass", fault)
+		if !isAnyOf(&fs.PathError{Op: "open", Path: path, Err: fault}, transientErrors) {
+			t.Errorf("%v not classified as transient", fault)
 		}
 	}
 	if text, err := Read(path); err != nil || string(text) != "text" {
-		t.Errorf("%q, %v", text, err)
+		t.Errorf("got contents %q, error %v, want \"text\"", text, err)
 	}
 }
--- a/internal/atomicfile/replace.go
+++ b/internal/atomicfile/replace.go
@@ -1,5 +1,5 @@
-// Package atomicfile replaces a file as a whole: whoever reads it, also after an error, a kill or a loss of power,
-// finds the contents before or after a replacement and never a part of them.
+// Package atomicfile replaces files atomically: a reader finds the complete contents from before or after a
+// replacement, even after an error, a kill or a power loss.
 package atomicfile
 
 import (
@@ -10,21 +10,21 @@
 	"path/filepath"
 )
 
-// TemporarySuffix is appended to a file's name for what is written beside it. The name is fixed: what a kill leaves
-// behind is overwritten by the next replacement.
+// TemporarySuffix is appended to a file's name to name its temporary file. The name is fixed, so that the next
+// replacement overwrites a temporary file left by a killed process.
 const TemporarySuffix = ".tmp"
 
-// ErrUnsynced means that the file has its new contents, but that its directory could not be synced: after a loss of
-// power the contents before may be back. Another replacement makes up for it.
+// ErrUnsynced means that the file has its new contents, but that its directory could not be synced: a power loss may
+// revert the file to its previous contents. Another successful replacement fixes this.
 var ErrUnsynced = errors.New("replaced, but its directory is not synced")
 
-// Replace replaces the contents of a file, or creates it. A regular file that is replaced keeps its permissions; a new
-// one has those of mode. After an error other than [ErrUnsynced] the file is as it was. Concurrent replacements, by
-// other processes too, follow one another; where one holds up others for too long they fail with [ErrBusy].
+// Replace replaces the contents of a file, or creates it. An existing regular file keeps its permissions; a new file
+// gets those of mode. After an error other than [ErrUnsynced] the file is unchanged. Concurrent replacements, in this
+// or other processes, are serialized; a replacement that waits too long fails with [ErrBusy].
 func (c *Calls) Replace(path string, contents []byte, mode fs.FileMode) error {
 	c = c.orSystem()
 	directory, err := c.Open(filepath.Dir(path), os.O_RDONLY, 0)
-	if err != nil && !errors.Is(err, fs.ErrPermission) { // one that may be written to and not read can't be synced
+	if err != nil && !errors.Is(err, fs.ErrPermission) { // a directory without read permission can't be synced
 		return err
 	}
 	if directory != nil {
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	defer temporary.Close() // it is synced by then; this ends the lock
+	defer temporary.Close() // the contents are synced by then; closing releases the lock
 	if err := c.fill(temporary, contents, permissions(path, mode)); err != nil {
 		return errors.Join(err, os.Remove(temporary.Name()))
 	}
@@ -44,13 +44,13 @@
 	if directory == nil {
 		return nil
 	}
-	if err := c.SyncDirectory(directory); err != nil && !refusesSync(err) {
+	if err := c.SyncDirectory(directory); err != nil && !isSyncUnsupported(err) {
 		return fmt.Errorf("%s: %w: %w", path, ErrUnsynced, err)
 	}
 	return nil
 }
 
-// fill gives a temporary file its contents and has them written to the disk.
+// fill writes and syncs the contents and permissions of a temporary file.
 func (c *Calls) fill(temporary *os.File, contents []byte, mode fs.FileMode) error {
 	if err := temporary.Truncate(0); err != nil {
 		return err
@@ -64,7 +64,7 @@
 	return c.Sync(temporary)
 }
 
-// permissions returns those of the regular file at path, or else of mode.
+// permissions returns the permissions of the regular file at path, or those of mode if there is none.
 func permissions(path string, mode fs.FileMode) fs.FileMode {
 	if existing, err := os.Lstat(path); err == nil && existing.Mode().IsRegular() {
 		return existing.Mode().Perm()
--- a/internal/atomicfile/replace_test.go
+++ b/internal/atomicfile/replace_test.go
@@ -18,7 +18,7 @@
 
 const mode = 0o600
 
-// failing returns the calls of the system, of which one fails with a fault. A write fails after half of the contents.
+// failing returns system calls in which one step fails with a fault. A write fails after half of the contents.
 func failing(step string, fault error) *Calls {
 	calls := SystemCalls()
 	switch step {
@@ -48,16 +48,16 @@
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) || string(text) != want {
-		t.Errorf("the file holds %q, want %q (%v)", text, want, err)
+		t.Errorf("got file contents %q, want %q (error %v)", text, want, err)
 	}
 }
 
-// An error at any step leaves the contents before or, where only the directory could not be synced, those after, and
-// nothing beside them. The next replacement succeeds.
-func TestFaultsAtEachStep(t *testing.T) {
+// After an error at any step the file has its previous contents, or the new ones if only the sync of the directory
+// failed, and no temporary file is left. The next replacement succeeds.
+func TestReplaceHandlesFaultAtEachStep(t *testing.T) {
 	for _, fault := range []syscall.Errno{syscall.ENOSPC, syscall.EIO, syscall.EDQUOT, syscall.EMFILE} {
 		for _, step := range []string{"open directory", "open", "write", "sync", "rename", "sync directory"} {
-			for _, before := range []string{"", "before"} { // "": there is no file yet
+			for _, before := range []string{"", "before"} { // "": no file exists
 				t.Run(fmt.Sprintf("%s %s %q", fault, step, before), func(t *testing.T) {
 					path := filepath.Join(t.TempDir(), "file")
 					if before != "" {
@@ -68,7 +68,7 @@
 					err := failing(step, fault).Replace(path, []byte("the contents after"), mode)
 					unsynced := step == "sync directory"
 					if !errors.Is(err, fault) || errors.Is(err, ErrUnsynced) != unsynced {
-						t.Errorf("%v", err)
+						t.Errorf("got error %v, want the injected fault", err)
 					}
 					want := before
 					if unsynced {
@@ -76,7 +76,7 @@
 					}
 					checkContents(t, path, want)
 					if _, err := os.Lstat(path + TemporarySuffix); !errors.Is(err, fs.ErrNotExist) {
-						t.Errorf("left beside it: %v", err)
+						t.Errorf("temporary file: got error %v, want ErrNotExist", err)
 					}
 					var system *Calls
 					if err := system.Replace(path, []byte("the next"), mode); err != nil {
@@ -89,8 +89,8 @@
 	}
 }
 
-// A file system that has no sync of directories is no fault.
-func TestDirectoriesThatCanNotBeSynced(t *testing.T) {
+// A file system that does not support syncing directories is not an error.
+func TestReplaceAcceptsUnsyncableDirectories(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	for _, calls := range []*Calls{
 		failing("sync directory", syscall.EINVAL), failing("sync directory", syscall.ENOTSUP),
@@ -102,8 +102,8 @@
 	}
 }
 
-// The steps come in the order in which a loss of power between any two leaves one of both contents.
-func TestOrderOfTheSteps(t *testing.T) {
+// The order of the steps ensures that a power loss between any two leaves the old or the new contents.
+func TestReplaceStepOrder(t *testing.T) {
 	var steps []string
 	calls := &Calls{
 		Open:   os.OpenFile,
@@ -117,12 +117,12 @@
 		t.Fatal(err)
 	}
 	if got, want := strings.Join(steps, ", "), "write, sync, rename, sync "+dir; got != want {
-		t.Errorf("%s, want %s", got, want)
+		t.Errorf("got steps %s, want %s", got, want)
 	}
 }
 
-// A file keeps its permissions, whatever those of a temporary file that a kill has left.
-func TestPermissionsAreKept(t *testing.T) {
+// A file keeps its permissions, whatever the permissions of a temporary file left by a killed process.
+func TestReplaceKeepsPermissions(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	for name, permissions := range map[string]fs.FileMode{path: 0o640, path + TemporarySuffix: 0o604} {
 		if err := errors.Join(os.WriteFile(name, []byte(strings.Repeat("long ago", 100)), mode), os.Chmod(name, permissions)); err != nil {
@@ -135,12 +135,12 @@
 	}
 	checkContents(t, path, "new")
 	if info, err := os.Stat(path); err != nil || info.Mode() != 0o640 {
-		t.Errorf("%v, %v", info.Mode(), err)
+		t.Errorf("got mode %v, error %v, want 0640", info.Mode(), err)
 	}
 }
 
-// Whoever replaces a file at the same time follows or gives up: no contents are mixed.
-func TestConcurrentReplacements(t *testing.T) {
+// Concurrent replacements are serialized or fail with ErrBusy, and never mix contents.
+func TestConcurrentReplacementsDoNotMix(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	var writers sync.WaitGroup
 	for writer := range 8 {
@@ -153,7 +153,7 @@
 				}
 				text, err := os.ReadFile(path)
 				if err != nil || len(text) != 10_000*int(text[0]-'a'+1) || bytes.Count(text, text[:1]) != len(text) {
-					t.Errorf("%d bytes, %v", len(text), err)
+					t.Errorf("got %d bytes, error %v, want the contents of one writer", len(text), err)
 				}
 			}
 		})
@@ -161,34 +161,36 @@
 	writers.Wait()
 }
 
-// One that holds up the others for too long, as a stopped process does, has them fail and is not disturbed.
-func TestAReplacementThatHangs(t *testing.T) {
+// A replacement that blocks for too long, like one in a stopped process, makes others fail with ErrBusy and can still
+// complete.
+func TestHangingReplacementMakesOthersFail(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
-	began, goOn, done := make(chan struct{}), make(chan struct{}), make(chan error, 1)
+	began, resume, done := make(chan struct{}), make(chan struct{}), make(chan error, 1)
 	hanging := SystemCalls()
-	hanging.Sync = func(file *os.File) error { close(began); <-goOn; return file.Sync() }
+	hanging.Sync = func(file *os.File) error { close(began); <-resume; return file.Sync() }
 	go func() { done <- hanging.Replace(path, []byte("slow"), mode) }()
 	<-began
 	var calls *Calls
 	if err := calls.Replace(path, []byte("other"), mode); !errors.Is(err, ErrBusy) {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want ErrBusy", err)
 	}
-	close(goOn)
+	close(resume)
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 	checkContents(t, path, "slow")
 }
 
-// killPathVariable names the file in the environment of a process that replaces it until it is killed.
+// killPathVariable is the environment variable with the path of the file that a child process replaces until it is
+// killed.
 const killPathVariable = "RYERILL_REPLACED_FILE"
 
-// numbered are contents whose length and every line tell their number.
+// numbered returns contents that identify n by their length and in each line.
 func numbered(n int) []byte { return bytes.Repeat([]byte(strconv.Itoa(n)+"\n"), 1000+n%500) }
 
-// A process that is killed wherever it stands leaves whole contents, and at most one file beside them, which the next
-// replacement takes over.
-func TestKillsInTheMiddleOfReplacements(t *testing.T) {
+// A process killed at any point leaves complete contents and at most one temporary file, which the next replacement
+// reuses.
+func TestKillsLeaveCompleteContents(t *testing.T) {
 	var calls *Calls
 	if path := os.Getenv(killPathVariable); path != "" {
 		for n := 1; ; n++ {
@@ -219,11 +221,11 @@
 		text, err := os.ReadFile(path)
 		line, _, _ := strings.Cut(string(text), "\n")
 		if n, parse := strconv.Atoi(line); err != nil || parse != nil || n == 0 || !bytes.Equal(text, numbered(n)) {
-			t.Fatalf("kill %d: %d bytes that begin with %q: %v", kill, len(text), line, err)
+			t.Fatalf("kill %d: got %d bytes with first line %q, error %v", kill, len(text), line, err)
 		}
 		entries, err := os.ReadDir(filepath.Dir(path))
 		if err != nil || len(entries) > 2 {
-			t.Fatalf("kill %d: %v, %v", kill, entries, err)
+			t.Fatalf("kill %d: got directory entries %v, error %v, want at most 2 entries", kill, entries, err)
 		}
 		left += len(entries) - 1
 	}
@@ -231,7 +233,7 @@
 		t.Error(err)
 	}
 	if entries, err := os.ReadDir(filepath.Dir(path)); err != nil || len(entries) != 1 {
-		t.Errorf("left in the end: %v, %v", entries, err)
+		t.Errorf("after the last replacement: got directory entries %v, error %v, want 1 entry", entries, err)
 	}
 	t.Logf("%d of 40 kills left a temporary file", left)
 }
