--- a/internal/handover/compatibility_test.go
+++ b/internal/handover/compatibility_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Processes of other versions find each other's files by their names, and read what stands in them.
-func TestRecordedFileOfAProcess(t *testing.T) {
+// The name and format of a process file stay compatible with other versions.
+func TestRecordedProcessFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ryerill-7663064818632035.word")
 	own, err := Register(path, quiet)
 	if err != nil {
@@ -18,13 +18,13 @@
 	own.Publish(Serving, []byte(`{"main":{}}`))
 	files, _ := filepath.Glob(path + "-*")
 	if len(files) != 1 {
-		t.Fatalf("files %v", files)
+		t.Fatalf("got files %v, want one", files)
 	}
 	text, err := os.ReadFile(files[0])
 	if err != nil || string(text) != "serving         {\"main\":{}}\n" {
-		t.Errorf("%q, %v", text, err)
+		t.Errorf("got contents %q, error %v, want the recorded line", text, err)
 	}
 	if states := strings.Join([]string{string(Starting), string(Serving), string(Leaving)}, " "); states != "starting serving leaving" {
-		t.Errorf("states %s", states)
+		t.Errorf("got states %s, want the recorded ones", states)
 	}
 }
--- a/internal/handover/exhaustion_test.go
+++ b/internal/handover/exhaustion_test.go
@@ -13,9 +13,9 @@
 	"ryerill/internal/exhaustion"
 )
 
-// A process publishes what it could not before as soon as it can: once the disk has space again, or
-// its directory is back. Otherwise an upgrade would not find it.
-func TestProcessesAreFoundAgain(t *testing.T) {
+// A process republishes its state once the disk has space again or its directory exists again.
+// Otherwise an upgrade would not find it.
+func TestProcessRepublishesAfterFaults(t *testing.T) {
 	if !exhaustion.Alone(t) {
 		return
 	}
@@ -33,34 +33,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	seen := func(what string, want State) {
+	checkState := func(condition string, want State) {
 		t.Helper()
 		if got := two.Others(); len(got) != 1 || got[0].State != want {
-			t.Errorf("%s: %+v, want %s", what, got, want)
+			t.Errorf("%s: got processes %+v, want state %s", condition, got, want)
 		}
 	}
 	restore := exhaustion.Lower(t, unix.RLIMIT_FSIZE, 0)
 	one.Publish(Serving, nil)
 	one.republish()
-	seen("on a full disk", Starting)
+	checkState("on a full disk", Starting)
 	restore()
 	one.republish()
-	seen("with room again", Serving)
+	checkState("with space again", Serving)
 
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	one.republish() // which can't be
+	one.republish() // fails without the directory
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	two.republish()
 	one.republish()
-	seen("in a new directory", Serving)
+	checkState("in a new directory", Serving)
 	one.Deregister()
 	one.republish()
 	if got := two.Others(); len(got) != 0 {
-		t.Errorf("after its end: %+v", got)
+		t.Errorf("after Deregister: got processes %+v, want none", got)
 	}
 	two.Deregister()
 
@@ -69,7 +69,7 @@
 	}
 	late, err := Register(path, quiet)
 	if err == nil || !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("without a directory: %v", err)
+		t.Errorf("Register without a directory: got error %v, want ErrNotExist", err)
 	}
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
@@ -79,7 +79,7 @@
 	if two, err = Register(path, quiet); err != nil {
 		t.Fatal(err)
 	}
-	seen("who began without a directory", Serving)
+	checkState("registered without a directory", Serving)
 	late.Deregister()
 	two.Deregister()
 }
--- a/internal/handover/registry.go
+++ b/internal/handover/registry.go
@@ -1,7 +1,7 @@
-// Package handover lets the processes of one proxy know of each other, so that at
-// an upgrade one can take over from another. Each process holds a file of its own
-// in a directory that they share; the lock on it ends with the process, whatever
-// ends that. The file states what the process is at and a line of text for the others.
+// Package handover lets the processes of one proxy discover each other, so that one can take
+// over from another during an upgrade. Each process has its own locked file in a shared
+// directory. The system releases the lock when the process ends for any reason. The file
+// contains the state of the process and a line of text for the others.
 package handover
 
 import (
@@ -20,49 +20,49 @@
 	"time"
 )
 
-// State is the stage of its life that a process of a proxy is in.
+// State is the lifecycle state of a process of a proxy.
 type State string
 
 // The states of a process.
 const (
 	Starting State = "starting" // not ready yet
 	Serving  State = "serving"
-	Leaving  State = "leaving" // accepts nothing new
+	Leaving  State = "leaving" // accepts no new work
 )
 
 const (
 	pollInterval = 100 * time.Millisecond // between reads of the other processes' files
-	maxProcesses = 64                     // files that are read
-	maxFile      = 64 << 10               // bytes of a file that are read
-	maxText      = maxFile - 64           // bytes of text: the state precedes it in the same line
+	maxProcesses = 64                     // maximum number of files read
+	maxFile      = 64 << 10               // maximum bytes read from a file
+	maxText      = maxFile - 64           // maximum bytes of text; leaves room for the state in the same line
 )
 
-// lineFormat is a file's only line: the state in a column of fixed width, and the text.
+// lineFormat is the format of a file's only line: the state in a fixed-width column, then the text.
 const lineFormat = "%-16s%s\n"
 
 // Process is another process of a proxy.
 type Process struct {
 	State State
-	Text  string // what it published; it may be torn, or of another version's format
+	Text  string // published text; may be incomplete or in the format of another version
 }
 
-// Registry holds this process's entry among the processes of one proxy. Its
-// methods may be called concurrently.
+// Registry registers this process among the processes of one proxy. Its methods are safe for
+// concurrent use.
 type Registry struct {
-	prefix string // of the processes' files; empty if there is no directory to share
+	prefix string // path prefix of the processes' files; empty without a shared directory
 	log    *slog.Logger
 
 	mu sync.Mutex
-	// The fields below are guarded by mu.
-	file         *os.File // of this process; nil until it could be made
-	line         []byte   // what the file should hold
-	unpublished  bool     // the file doesn't hold the line
+	// mu guards the fields below.
+	file         *os.File // file of this process; nil until created
+	line         []byte   // intended contents of the file
+	unpublished  bool     // line is not written to the file
 	deregistered bool
 }
 
-// Register enters this process among those whose files begin with path. With an empty path
-// there are no others and they never learn of it. After an error the registry can
-// be used all the same: [Registry.Watch] goes on trying to enter the process.
+// Register registers this process among those whose files share the prefix path. With an empty
+// path this process and others do not discover each other. After an error the registry is still
+// usable: [Registry.Watch] retries the registration.
 func Register(path string, log *slog.Logger) (*Registry, error) {
 	if path == "" {
 		return &Registry{log: log}, nil
@@ -78,23 +78,23 @@
 	return r, nil
 }
 
-// createFile makes the file of this process and locks it.
+// createFile creates and locks the file of this process.
 func (r *Registry) createFile() (*os.File, error) {
 	file, err := os.CreateTemp(filepath.Dir(r.prefix), filepath.Base(r.prefix)+"*")
 	if err != nil {
-		return nil, fmt.Errorf("this process can't be made known: %w", err)
+		return nil, fmt.Errorf("register process for handover: %w", err)
 	}
-	// Another process may hold the lock while it reads the file, for a moment at most.
+	// Another process may hold the lock briefly while it reads the file.
 	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX); err != nil {
 		os.Remove(file.Name())
 		file.Close()
-		return nil, fmt.Errorf("this process can't be made known: %w", err)
+		return nil, fmt.Errorf("register process for handover: %w", err)
 	}
 	return file, nil
 }
 
-// Publish publishes the state of this process and a line of text for the others. A
-// text that is too long is left out. What can't be written now [Registry.Watch] writes later.
+// Publish publishes the state of this process and a line of text for the others. It omits text
+// that is too long. If the write fails, [Registry.Watch] retries it.
 func (r *Registry) Publish(state State, text []byte) {
 	if len(text) > maxText {
 		text = nil
@@ -107,8 +107,8 @@
 	}
 }
 
-// writeLocked writes the line, if possible, in one call: a concurrent reader gets the old line,
-// the new one, or one that it can't parse.
+// writeLocked writes the line in one call. A concurrent reader may get the old line, the new line
+// or one that it can't parse. Callers must hold mu.
 func (r *Registry) writeLocked() {
 	_, err := r.file.WriteAt(r.line, 0)
 	if err != nil && !r.unpublished {
@@ -117,7 +117,7 @@
 	r.unpublished = err != nil
 }
 
-// republish writes what could not be written before, and makes the file anew if it is gone.
+// republish retries a failed write, and creates the file again if it is missing.
 func (r *Registry) republish() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -148,7 +148,7 @@
 	return errors.Is(err, fs.ErrNotExist)
 }
 
-// ownPath is the path of this process's file, or empty if there is none.
+// ownPath returns the path of this process's file, or an empty string if there is none.
 func (r *Registry) ownPath() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -158,8 +158,8 @@
 	return r.file.Name()
 }
 
-// Others returns the other processes that are alive. It removes the files of dead
-// ones. Without a file of its own a process sees no others.
+// Others returns the other live processes and removes the files of dead ones. It returns none if
+// this process has no file.
 func (r *Registry) Others() (others []Process) {
 	own := r.ownPath()
 	if own == "" {
@@ -177,7 +177,7 @@
 	return others
 }
 
-// readProcess reads the file of another process, and removes it if that one is dead.
+// readProcess reads the file of another process, and removes the file if that process is dead.
 func (r *Registry) readProcess(path string) (process Process, alive bool) {
 	file, err := os.OpenFile(path, os.O_RDONLY|syscall.O_NOFOLLOW|syscall.O_NONBLOCK, 0)
 	if err != nil {
@@ -188,10 +188,10 @@
 	err = syscall.Flock(int(file.Fd()), syscall.LOCK_SH|syscall.LOCK_NB)
 	switch {
 	case err == nil && len(content) == 0:
-		// About to be locked by the process that has just made it, or left by one that died then.
+		// Its process has just created it and not locked it yet, or died at that point.
 		return Process{}, false
-	case err == nil: // nobody holds it
-		r.log.Info("removed file of ended process", "file", path)
+	case err == nil: // no process holds the lock
+		r.log.Info("removed file of dead process", "file", path)
 		os.Remove(path)
 		return Process{}, false
 	case !errors.Is(err, syscall.EWOULDBLOCK):
@@ -200,7 +200,7 @@
 	return parseLine(string(content)), true
 }
 
-// parseLine reads what a process published. A state that this version doesn't know counts as [Starting].
+// parseLine parses the line of a process. It maps states unknown to this version to [Starting].
 func parseLine(content string) Process {
 	line, _, _ := strings.Cut(content, "\n")
 	state, text, _ := strings.Cut(line, " ")
@@ -211,8 +211,8 @@
 	return process
 }
 
-// Watch reports the other processes, again and again while there are any and
-// once when the last has gone, until ctx ends.
+// Watch reports the other processes until ctx ends: at each poll while there are any, and once
+// after the last one has ended.
 func (r *Registry) Watch(ctx context.Context, report func([]Process)) {
 	if r.prefix == "" {
 		return
@@ -234,7 +234,7 @@
 	}
 }
 
-// Deregister removes the entry of this process for good.
+// Deregister permanently removes this process's file.
 func (r *Registry) Deregister() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/handover/registry_test.go
+++ b/internal/handover/registry_test.go
@@ -10,8 +10,8 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-// Processes see each other while they live, whatever lies in the directory.
-func TestProcessesSeeEachOtherWhileTheyLive(t *testing.T) {
+// Live processes discover each other, whatever other files are in the directory.
+func TestOthersReturnsLiveProcesses(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "proxy")
 	one, err := Register(path, quiet)
 	if err != nil {
@@ -28,20 +28,20 @@
 	}
 	one.Publish(Serving, []byte(`{"limit":60}`))
 	if got := two.Others(); len(got) != 1 || got[0] != (Process{Serving, `{"limit":60}`}) {
-		t.Errorf("the first is seen as %+v", got)
+		t.Errorf("got processes %+v, want the published state and text of the first", got)
 	}
-	two.Publish("dancing", make([]byte, maxFile)) // of another version, and more than is allowed
+	two.Publish("dancing", make([]byte, maxFile)) // state of another version, text too long
 	if got := one.Others(); len(got) != 1 || got[0] != (Process{Starting, ""}) {
-		t.Errorf("the second is seen as %+v", got)
+		t.Errorf("got processes %+v, want the second as starting without text", got)
 	}
 	if _, err := os.Stat(path + "-dead"); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("the file of a dead process: %v", err)
+		t.Errorf("file of a dead process: got error %v, want ErrNotExist", err)
 	}
 	one.Deregister()
 	if got := two.Others(); len(got) != 0 {
-		t.Errorf("after its end: %+v", got)
+		t.Errorf("after Deregister: got processes %+v, want none", got)
 	}
 	if none, err := Register(filepath.Join(t.TempDir(), "missing", "x"), quiet); err == nil || len(none.Others()) != 0 {
-		t.Error("without a directory")
+		t.Error("Register without a directory succeeded or found processes")
 	}
 }
