--- a/fleet/quota/account.go
+++ b/fleet/quota/account.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// account is this replica's part of one limit: the loans of a rate limit, or the balance of an amount limit.
+// account is this replica's state of one limit: the loans of a rate limit, or the balance of an amount limit.
 type account struct {
 	Limit
 	lent     []lentLoan
 	borrowed []borrowedLoan
 
-	balance  float64 // of an amount limit: what may still be spent
-	assigned bool    // an amount limit's balance has been set from its total, or by a grant
+	balance  float64 // amount limits only: units that may still be spent
+	assigned bool    // balance has been set, from the limit's total or by a grant
 
 	demand        demandMeter
 	pending       []pendingRequest
 	nextRequestAt time.Duration
-	retryAt       map[string]time.Duration // by lender that had nothing to lend
+	retryAt       map[string]time.Duration // when to ask a lender again after a denial, by lender
 }
 
 func newAccount(limit Limit, now time.Duration) *account {
@@ -38,14 +38,14 @@
 	return true
 }
 
-// expire drops loans that are over and requests without an answer.
+// expire drops expired loans and requests that have timed out.
 func (a *account) expire(now time.Duration) {
 	a.lent = slices.DeleteFunc(a.lent, func(l lentLoan) bool { return l.debit(now) == 0 })
 	a.borrowed = slices.DeleteFunc(a.borrowed, func(l borrowedLoan) bool { return l.credit(now) == 0 })
 	a.pending = slices.DeleteFunc(a.pending, func(r pendingRequest) bool { return now-r.sentAt >= requestTimeout })
 }
 
-// debit is what all loans to others count for.
+// debit returns the total that is lent to other replicas.
 func (a *account) debit(now time.Duration) float64 {
 	sum := 0.0
 	for i := range a.lent {
@@ -54,7 +54,7 @@
 	return sum
 }
 
-// credit is what all loans from others count for.
+// credit returns the total that is borrowed from other replicas.
 func (a *account) credit(now time.Duration) float64 {
 	sum := 0.0
 	for i := range a.borrowed {
@@ -63,7 +63,7 @@
 	return sum
 }
 
-// findLent returns the loan that was granted for a request, or nil.
+// findLent returns the loan granted for a request, or nil if there is none.
 func (a *account) findLent(request RequestID) *lentLoan {
 	for i := range a.lent {
 		if a.lent[i].request == request {
@@ -77,7 +77,7 @@
 	a.lent = slices.DeleteFunc(a.lent, func(l lentLoan) bool { return l.request == request })
 }
 
-// findBorrowed returns the loan of a lender; its zero value if there is none.
+// findBorrowed returns the loan from a lender, or the zero value if there is none.
 func (a *account) findBorrowed(lender string) borrowedLoan {
 	for _, loan := range a.borrowed {
 		if loan.lender == lender {
@@ -95,7 +95,7 @@
 	return slices.ContainsFunc(a.pending, func(r pendingRequest) bool { return r.renews == seq })
 }
 
-// takePending removes the request that a lender answers, and returns it.
+// takePending removes and returns the pending request seq to a lender.
 func (a *account) takePending(seq uint64, lender string) (pendingRequest, bool) {
 	index := slices.IndexFunc(a.pending, func(r pendingRequest) bool { return r.seq == seq && r.lender == lender })
 	if index < 0 {
@@ -106,20 +106,20 @@
 	return request, true
 }
 
-// demandMeter measures the units that are wanted a second, as a sum that decays.
+// demandMeter measures demand as an exponentially decaying sum of units.
 type demandMeter struct {
 	units     float64
 	updatedAt time.Duration
 }
 
-const demandDecay = time.Second // in which the sum falls to 1/e
+const demandDecay = time.Second // time constant: the sum falls to 1/e in it
 
 func (d *demandMeter) add(now time.Duration, units float64) {
 	d.decay(now)
 	d.units += units
 }
 
-// rate is the demand in units a second.
+// rate returns the demand in units per second.
 func (d *demandMeter) rate(now time.Duration) float64 {
 	d.decay(now)
 	return d.units / demandDecay.Seconds()
--- a/fleet/quota/borrower.go
+++ b/fleet/quota/borrower.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// denialBackoff is how long a lender that had nothing isn't asked again.
+// denialBackoff is the time after a denial in which the lender is not asked again.
 const denialBackoff = Lease / 4
 
-// borrow renews, returns and requests loans of all limits by their demand. Another limit is the first each time, as the
-// budget of bytes may not suffice for all.
+// borrow renews, returns and requests loans of all limits according to demand. The limit to start with rotates, because
+// the byte budget may not suffice for all limits in one tick.
 func (m *Manager) borrow() {
 	m.firstAt = (m.firstAt + 1) % max(len(m.order), 1)
 	names := slices.Concat(m.order[m.firstAt:], m.order[:m.firstAt])
@@ -20,7 +20,7 @@
 	}
 }
 
-// adjustLoans returns loans of one limit that are not needed, and requests what is missing.
+// adjustLoans returns the loans of one limit that are not needed, and requests loans to cover a shortfall.
 func (m *Manager) adjustLoans(account *account) {
 	shortfall := m.shortfall(account)
 	m.returnLoans(account, -shortfall)
@@ -30,7 +30,7 @@
 	}
 }
 
-// shortfall is how much more this replica would use than it may; negative if it may spend more than it would use.
+// shortfall returns the demand, with headroom, less what this replica may spend. It is negative if there is a surplus.
 func (m *Manager) shortfall(account *account) float64 {
 	wanted := min(account.demand.rate(m.now)*demandHeadroom, account.Total)
 	if account.Kind == Amount {
@@ -39,15 +39,15 @@
 	return wanted - m.spendableRate(account)
 }
 
-// renewal is a loan that is due to be renewed.
+// renewal is a borrowed loan that is due for renewal, and the amount to request.
 type renewal struct {
 	account *account
 	loan    *borrowedLoan
 	amount  float64
 }
 
-// renewLoans requests loans of the limits again before they end, those that end first before others. What the budget of
-// bytes does not suffice for is left to the next ticks.
+// renewLoans requests renewals of the loans that are due, in the order of expiry. Renewals that exceed the byte budget
+// wait for the next ticks.
 func (m *Manager) renewLoans(names []string) {
 	var due []renewal
 	for _, name := range names {
@@ -65,7 +65,7 @@
 	}
 }
 
-// appendRenewals appends the loans of one limit that are due to be renewed, as far as they are still needed.
+// appendRenewals appends the loans of one limit that are due for renewal, each with the amount that is still needed.
 func (m *Manager) appendRenewals(due []renewal, account *account) []renewal {
 	shortfall := m.shortfall(account)
 	for i := range account.borrowed {
@@ -74,7 +74,7 @@
 			continue
 		}
 		amount := min(loan.amount, max(shortfall+loan.amount, 0))
-		shortfall += loan.amount - amount // the others are needed the more
+		shortfall += loan.amount - amount // the remaining loans have to cover the difference
 		if amount > 0 {
 			due = append(due, renewal{account: account, loan: loan, amount: amount})
 		}
@@ -82,8 +82,8 @@
 	return due
 }
 
-// returnLoans returns loans of which nothing is needed, the latest first. The credit ends before the lender is
-// notified.
+// returnLoans returns loans that the surplus covers whole, newest first. The credit ends before the lender is notified,
+// so that no amount counts at both replicas.
 func (m *Manager) returnLoans(account *account, surplus float64) {
 	for i := len(account.borrowed) - 1; i >= 0; i-- {
 		loan := account.borrowed[i]
@@ -92,7 +92,7 @@
 		}
 		message := Message{Return: true, Request: m.requestID(loan.seq), Quota: account.Name}
 		if !m.spend(requests, &message) {
-			return // it ends by itself
+			return // the loan expires without a message
 		}
 		surplus -= loan.amount
 		account.borrowed = slices.Delete(account.borrowed, i, i+1)
@@ -100,8 +100,8 @@
 	}
 }
 
-// requestLoans asks several peers at once, chosen at random, each for all that is missing. Each is expected to grant
-// half of what it may lend.
+// requestLoans asks several random peers at once, each for the remaining shortfall. It assumes that each grants half of
+// the maximum that it may lend.
 func (m *Manager) requestLoans(account *account, shortfall float64) {
 	guaranteed := account.Total / float64(m.replicaCount)
 	expectedGrant := MaxLentFraction * guaranteed / 2
@@ -126,8 +126,8 @@
 	}
 }
 
-// request asks a lender for an amount. renews is the request whose loan it replaces, or noRenewal. It reports false if
-// the budget of bytes does not suffice.
+// request asks a lender for an amount. renews is the sequence number of the request whose loan it replaces, or
+// noRenewal. It reports false if the byte budget is exhausted.
 func (m *Manager) request(class messageClass, account *account, lender string, amount float64, renews uint64) bool {
 	if len(account.borrowed) >= maxLoans || !(amount > 0) {
 		return true
@@ -148,7 +148,7 @@
 	return true
 }
 
-// spend takes the bytes of a message from the budget. It reports false if they don't suffice: the message is not sent.
+// spend takes the bytes of a message from the byte budget. If it reports false, the message must not be sent.
 func (m *Manager) spend(class messageClass, message *Message) bool {
 	return m.budget.spend(m.now, class, message.MaxEncodedBytes())
 }
@@ -157,10 +157,10 @@
 	return RequestID{Replica: m.name, Epoch: m.epoch, Seq: seq}
 }
 
-// handleGrant records a grant if it answers a pending request of this process.
+// handleGrant records a grant that answers a pending request of this process, and ignores any other.
 func (m *Manager) handleGrant(grant *Message) {
 	if grant.Request.Replica != m.name || grant.Request.Epoch != m.epoch {
-		m.Stats.Late++ // for a previous process: the lender has counted it, and it is forfeited here
+		m.Stats.Late++ // for a previous process: the lender has debited it, and it is forfeited here
 		return
 	}
 	account := m.accounts[grant.Quota]
@@ -183,7 +183,7 @@
 	}
 }
 
-// deferRequestsTo has a lender not be asked until a time.
+// deferRequestsTo prevents requests to a lender until the given time.
 func (a *account) deferRequestsTo(lender string, until time.Duration) {
 	a.retryAt[lender] = until
 	if len(a.retryAt) > maxLoans {
@@ -191,7 +191,7 @@
 	}
 }
 
-// addBorrowed records the loan that a request was granted, in place of the one that it renews.
+// addBorrowed records the loan granted for a request. It replaces the loan that the request renews.
 func (a *account) addBorrowed(request pendingRequest, amount float64, expiresAt time.Duration) {
 	a.borrowed = slices.DeleteFunc(a.borrowed, func(l borrowedLoan) bool {
 		return request.renews != noRenewal && l.lender == request.lender && l.seq == request.renews
--- a/fleet/quota/budget.go
+++ b/fleet/quota/budget.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// budgetBurst is the time that an unused budget of bytes accumulates for.
+// budgetBurst is the time for which unused budget accumulates.
 const budgetBurst = time.Second
 
-// messageClass is a class of messages that has a part of the budget of bytes for itself.
+// messageClass is a class of messages with a guaranteed part of the byte budget.
 type messageClass int
 
 const (
 	renewals messageClass = iota
-	requests              // for new loans, and returns
+	requests              // requests for new loans, and returns
 	answers
 	messageClasses
 )
 
-// budgetParts are the fractions of the budget that each class has in any case. Answers have as much as what they
-// answer: if all replicas spent all on requests, none would be granted. New loans have a part, so that a limit whose
-// demand has just risen is borrowed of while loans of other limits take all that renewals may.
+// budgetParts are the guaranteed fractions of the budget by class. Answers have as much as renewals and requests
+// together: if replicas spent the whole budget on requests, no request would be granted. New loans have a part of their
+// own, so that a limit whose demand has just risen can borrow while renewals of other limits use up their part.
 var budgetParts = [messageClasses]float64{renewals: 0.25, requests: 0.25, answers: 0.5}
 
-// byteBudget limits the bytes of messages on average. What a class leaves unused is for the other ones. Its zero value
-// limits nothing.
+// byteBudget limits the average bytes per second of messages. The other classes may use what a class leaves unused. The
+// zero value is unlimited.
 type byteBudget struct {
 	perSecond float64
 	available [messageClasses]float64
@@ -40,7 +40,8 @@
 	return budgetParts[class] * b.perSecond * budgetBurst.Seconds()
 }
 
-// refill adds what has accumulated: to each class its part, and what is beyond its burst to the other ones.
+// refill adds the bytes accumulated since the previous call. A class gets its part up to its burst; the excess goes to
+// the other classes.
 func (b *byteBudget) refill(now time.Duration) {
 	added := b.perSecond * (now - b.updatedAt).Seconds()
 	b.updatedAt = now
@@ -58,8 +59,8 @@
 	}
 }
 
-// spend takes the bytes of a message, and reports false if its class has none left. A message may take more than is
-// left: the next one waits the longer.
+// spend takes the bytes of a message, and reports false if its class has none left. A message may overdraw the class:
+// the next message then waits longer.
 func (b *byteBudget) spend(now time.Duration, class messageClass, bytes int) bool {
 	if b.perSecond <= 0 {
 		return true
--- a/fleet/quota/cluster_test.go
+++ b/fleet/quota/cluster_test.go
@@ -12,7 +12,7 @@
 	"ryerill/lab/faultnet"
 )
 
-// cluster is a number of replicas whose clocks run at different rates, on a network in virtual time.
+// cluster simulates replicas with clocks of different rates on a faulty network in virtual time.
 type cluster struct {
 	now      time.Duration
 	replicas []*replica
@@ -84,7 +84,7 @@
 	}
 }
 
-// step advances the time by a span in which each replica has its demand.
+// step advances the time by d, delivers due messages and ticks each replica with its demand.
 func (m *cluster) step(d time.Duration) {
 	m.now += d
 	slices.SortStableFunc(m.inFlight, func(a, b delivery) int { return int(a.at - b.at) })
@@ -103,7 +103,7 @@
 	}
 }
 
-// rates adds up what all may spend a second, those that are suspended as they would if they resumed now.
+// rates returns the sum of the rates of all live replicas. A suspended replica counts with its rate if resumed now.
 func (m *cluster) rates() (sum float64) {
 	for i, t := range m.replicas {
 		if t.up {
@@ -119,7 +119,7 @@
 		for i, t := range m.replicas {
 			text += fmt.Sprintf("\n%s up %v: %+v", replicaName(i), t.up, t.manager.Status(m.clock(i)))
 		}
-		return fmt.Errorf("at %v all together may spend %v of %v%s", m.now, sum, m.limits[0].Total, text)
+		return fmt.Errorf("at %v: got a combined rate of %v, want at most %v%s", m.now, sum, m.limits[0].Total, text)
 	}
 	left := m.spent
 	for _, t := range m.replicas {
@@ -128,28 +128,28 @@
 		}
 	}
 	if left > m.limits[1].Total*(1+1e-6) {
-		return fmt.Errorf("at %v the amount is %v of %v", m.now, left, m.limits[1].Total)
+		return fmt.Errorf("at %v: got a spent and remaining amount of %v, want at most %v", m.now, left, m.limits[1].Total)
 	}
 	return nil
 }
 
-// Over any schedule of losses, duplicates, delays of an hour, partitions, crashes, restarts, suspensions and clocks that
-// drift, all replicas together never may spend more than the total.
+// All replicas together never may spend more than the total, under any schedule of losses, duplicates, delays of an hour,
+// partitions, crashes, restarts, suspensions and clock drift.
 func TestReplicasNeverExceedTheTotal(t *testing.T) {
 	rapid.Check(t, neverExceedTheTotal(faults))
 }
 
-// Nor while most messages can't be sent for lack of bytes.
+// The total also holds while the byte budget prevents most messages.
 func TestReplicasNeverExceedTheTotalWithFewBytes(t *testing.T) {
 	rapid.Check(t, neverExceedTheTotal(append(slices.Clone(faults), "few bytes", "few bytes", "many bytes")))
 }
 
-// Nor while reloads take the tenant out of the settings and put it back.
+// The total also holds while reloads remove a tenant from the settings and add it back.
 func TestReplicasNeverExceedTheTotalThroughReloads(t *testing.T) {
 	rapid.Check(t, neverExceedTheTotal(append(slices.Clone(faults), "reload", "reload")))
 }
 
-// faults are what a schedule may do in a step.
+// faults are the possible steps of a schedule.
 var faults = []string{
 	"want", "want", "want", "spend", "kill", "restart", "stop", "continue", "cut", "one way", "split", "heal",
 	"bad", "old", "good",
@@ -193,7 +193,7 @@
 				m.net.Heal()
 			case "bad":
 				m.net.Usual(faultnet.Link{Drop: 0.3, Duplicate: 0.3, Reorder: 0.5, Delay: 200 * time.Millisecond, Jitter: time.Second})
-			case "old": // what was sent arrives again much later
+			case "old": // duplicates of messages in flight arrive an hour later
 				for _, p := range slices.Clone(m.inFlight) {
 					p.at += time.Hour
 					m.inFlight = append(m.inFlight, p)
@@ -222,8 +222,8 @@
 	}
 }
 
-// A connected fleet with uneven demand grants nearly what one central limit would.
-func TestUnevenDemandIsMet(t *testing.T) {
+// A connected fleet with uneven demand grants nearly as much as one central limit would.
+func TestUnevenDemandNearCentralLimit(t *testing.T) {
 	for _, n := range []int{3, 12, 100} {
 		for _, tc := range []struct {
 			name string
@@ -258,7 +258,7 @@
 						all += m.demand[i]
 					}
 					m.step(100 * time.Millisecond)
-					if step < 100 { // until demand is measured
+					if step < 100 { // demand is not measured yet
 						continue
 					}
 					for i, c := range m.replicas {
@@ -268,10 +268,10 @@
 				}
 				minimum := 0.95
 				if strings.HasPrefix(tc.name, "it moves") {
-					minimum = 0.9 // a move takes a second or two, once in 30 s
+					minimum = 0.9 // loans follow a move of demand in 1 to 2 s, every 30 s
 				}
 				if got := granted / central; got < minimum {
-					t.Errorf("%.3f of what one limit would grant", got)
+					t.Errorf("got a fraction of %.3f of the grants of a central limit", got)
 				} else {
 					t.Logf("%.3f", got)
 				}
--- a/fleet/quota/explore_test.go
+++ b/fleet/quota/explore_test.go
@@ -11,8 +11,8 @@
 	"ryerill/lab/modelcheck"
 )
 
-// lendingModel is two or three replicas under exploration: each message arrives, arrives twice or is lost, each replica
-// crashes and restarts, time passes.
+// lendingModel is a model of two or three replicas for state exploration. Each message arrives once, arrives twice or is
+// lost; each replica may crash and restart; time passes.
 type lendingModel struct {
 	replicas   []*Manager
 	epochs     []uint64
@@ -148,10 +148,10 @@
 		}
 	}
 	if rate > total+1e-6 {
-		return fmt.Errorf("all together may spend %v of %v a second", rate, total)
+		return fmt.Errorf("got a combined rate of %v, want at most %v", rate, total)
 	}
 	if sum > total+1e-6 {
-		return fmt.Errorf("all together may spend %v of %v in all", sum, total)
+		return fmt.Errorf("got a combined amount of %v, want at most %v", sum, total)
 	}
 	return nil
 }
--- a/fleet/quota/nonsense_test.go
+++ b/fleet/quota/invalid_amounts_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Whatever a replica asks for or grants that can't be true is counted and changes nothing.
-func TestNonsenseIsIgnored(t *testing.T) {
+// Messages with impossible amounts are counted as invalid and change nothing.
+func TestInvalidAmountsAreIgnored(t *testing.T) {
 	for _, amount := range []float64{-1, math.NaN(), math.Inf(1), math.Inf(-1), 2 * maxUnits} {
 		for name, message := range map[string]Message{
 			"request": {Request: RequestID{"b", 1, 7}, Quota: "r", Amount: amount},
@@ -20,10 +20,10 @@
 				l.AddDemand(0, "r", 100)
 				l.Tick(0, nil) // its request 1 is pending
 				if answers := l.Handle(0, "b", message, nil); len(answers) > 0 {
-					t.Errorf("answered: %+v", answers)
+					t.Errorf("got answers %+v, want none", answers)
 				}
 				if rate, left := l.Rate(0, "r"), l.Left("s"); rate != 5 || left != 5 || l.Stats.Invalid != 1 {
-					t.Errorf("a rate of %v, %v left, %d counted", rate, left, l.Stats.Invalid)
+					t.Errorf("got rate %v, amount %v, %d invalid messages; want 5, 5, 1", rate, left, l.Stats.Invalid)
 				}
 			})
 		}
@@ -32,16 +32,16 @@
 	for _, units := range []float64{-1, math.NaN(), math.Inf(1), 2 * maxUnits} {
 		b.AddDemand(0, "r", units)
 		if b.Spend(0, "s", units) {
-			t.Errorf("%v units are spent", units)
+			t.Errorf("Spend of %v units succeeded", units)
 		}
 	}
-	if asks := b.Tick(0, nil); len(asks) > 0 {
-		t.Errorf("demand that can't be true is asked for: %+v", asks)
+	if sent := b.Tick(0, nil); len(sent) > 0 {
+		t.Errorf("after impossible demand: got requests %+v, want none", sent)
 	}
 	l.SetLimits(0, []Limit{{"r", Rate, math.NaN()}, {"x", Rate, math.Inf(1)}, {"y", Rate, -1}, {"z", Rate, 0}})
 	for _, name := range []string{"r", "x", "y", "z"} {
 		if rate := l.Rate(0, name); rate != 0 {
-			t.Errorf("%s: a rate of %v", name, rate)
+			t.Errorf("limit %s: got rate %v, want 0", name, rate)
 		}
 	}
 }
--- a/fleet/quota/lender.go
+++ b/fleet/quota/lender.go
@@ -1,7 +1,7 @@
 package quota
 
-// handleRequest answers a request for a loan, with the same answer if it has arrived before. One that can't be answered
-// within the budget of bytes counts as lost on the way.
+// handleRequest answers a request for a loan. A duplicate gets the same answer as the first arrival. A request that
+// can't be answered within the byte budget is dropped, as if the network had lost it.
 func (m *Manager) handleRequest(request *Message) {
 	borrower := request.Request.Replica
 	if borrower == m.name {
@@ -26,7 +26,7 @@
 	renewed := account.findRenewed(request)
 	amount := m.lendable(account, request.Amount, renewed)
 	if amount > 0 {
-		// The debit precedes the answer: it counts whether the answer arrives or not.
+		// The debit is recorded before the answer is sent: it counts even if the answer is lost.
 		m.Stats.Grants++
 		m.lend(account, request.Request, amount, renewed)
 	}
@@ -35,7 +35,7 @@
 	m.send(borrower, grant)
 }
 
-// findRenewed returns the loan that a request asks to renew, or nil.
+// findRenewed returns the loan that a request renews, or nil if it renews none.
 func (a *account) findRenewed(request *Message) *lentLoan {
 	if request.Renews == noRenewal {
 		return nil
@@ -45,7 +45,7 @@
 	return a.findLent(previous)
 }
 
-// lendable is how much of the requested amount is granted. It replaces renewed, unless that is nil.
+// lendable returns how much of the requested amount is granted. The grant replaces the loan renewed, if not nil.
 func (m *Manager) lendable(account *account, requested float64, renewed *lentLoan) float64 {
 	amount := max(min(m.surplus(account, renewed), requested), 0)
 	if amount < minLoanFraction*account.Total/float64(max(m.replicaCount, 1)) {
@@ -54,7 +54,8 @@
 	return amount
 }
 
-// surplus is what this replica doesn't need itself and may lend, disregarding the loan that is to be renewed.
+// surplus returns what this replica may lend beyond its own demand. The loan to be renewed, if not nil, doesn't count
+// as lent.
 func (m *Manager) surplus(account *account, renewed *lentLoan) float64 {
 	if m.replicaCount <= 0 || m.answers.full() || len(account.lent) >= maxLoans {
 		return 0
--- a/fleet/quota/manager.go
+++ b/fleet/quota/manager.go
@@ -1,15 +1,15 @@
 // Package quota divides limits among the replicas of a fleet so that all of them together never spend more than the
-// whole, whichever messages between them are lost, repeated, reordered or late. It is pure: an event and its time go
-// in, actions for the host come out.
+// whole, even if messages between them are lost, repeated, reordered or late. It does no I/O and reads no clock: the
+// host passes in events with their time, and sends the messages that are returned.
 //
 // A rate limit (a tenant's quota, the retry budget) is divided into equal guaranteed shares, one for each replica that
-// may be alive. What a replica doesn't need it lends under a lease. The lender's debit starts when it decides and ends
+// may be alive. A replica lends what it doesn't need under a lease. The lender's debit starts when it decides and ends
 // by its own clock, extended by the greatest clock drift; the borrower's credit counts from when it sent the request.
 // The credit therefore ends before the debit does, however long the messages took and without synchronised clocks. A
 // lost, duplicated or late message can only make a replica spend less.
 //
-// An amount limit (how much a warming endpoint may be sent in all) is transferred permanently: what is granted counts
-// as spent by the lender whether the grant arrives or not.
+// An amount limit (the total that may be sent to a warming endpoint) is transferred permanently: the lender counts a
+// grant as spent even if it does not arrive.
 package quota
 
 import (
@@ -29,53 +29,53 @@
 	// MaxLentFraction is the greatest fraction of its guaranteed share that a replica lends.
 	MaxLentFraction = 0.97
 
-	renewAfterFraction = 0.5 // of a lease, after which the borrower asks for renewal
+	renewAfterFraction = 0.5 // of a lease, after which the borrower requests renewal
 	requestInterval    = 50 * time.Millisecond
 	requestTimeout     = 500 * time.Millisecond
 	maxPendingRequests = 16   // at once, for each limit
-	demandHeadroom     = 1.15 // factor on the measured demand that a replica keeps or asks for, as demand moves
+	demandHeadroom     = 1.15 // factor on measured demand, as demand varies
 	maxLoans           = 4096 // lent, and borrowed, for each limit
-	maxAnswers         = 4096 // requests whose answers are kept
-	maxDelisted        = 1024 // limits that are not listed any more and of which something is lent
-	minLoanFraction    = 0.02 // of a guaranteed share: less isn't worth a message
-	maxUnits           = 1e12 // that one message or observation may name
-	rateTolerance      = 1e-9 // for rounding, in comparisons of rates
+	maxAnswers         = 4096 // answers kept for duplicate requests
+	maxDelisted        = 1024 // removed limits with outstanding loans that are kept
+	minLoanFraction    = 0.02 // of a guaranteed share: smaller loans don't justify a message
+	maxUnits           = 1e12 // in one message or one record of demand
+	rateTolerance      = 1e-9 // for rounding errors in comparisons of rates
 )
 
-// Kind is how a limit is spent.
+// Kind says whether a limit bounds a rate or a total.
 type Kind uint8
 
 // The kinds of limit.
 const (
-	Rate   Kind = iota // units a second
-	Amount             // units in all
+	Rate   Kind = iota // units per second
+	Amount             // units in total
 )
 
-// Limit is one that the replicas share.
+// Limit is a limit that the replicas share.
 type Limit struct {
 	Name  string
 	Kind  Kind
-	Total float64 // of all replicas: units a second, or units
+	Total float64 // of all replicas: units per second for Rate, units for Amount
 }
 
-// Manager is one replica's side of lending. It is not safe for concurrent use.
+// Manager is the lender and borrower of one replica. It is not safe for concurrent use.
 type Manager struct {
 	name      string
 	epoch     uint64 // of this process
 	random    seedrand.Source
 	now       time.Duration
 	startedAt time.Duration
-	restarted bool // without its state: what it had lent is unknown
+	restarted bool // without its state: earlier loans are unknown
 
-	replicaCount int // that the limits are divided by; 0 while this replica has no share
+	replicaCount int // number of guaranteed shares; 0 while this replica has none
 	peers        []string
 
 	accounts map[string]*account
 	order    []string            // names of the accounts, sorted
 	firstAt  int                 // index in order of the account that borrows first at the next tick
-	delisted map[string]*account // of limits that are not listed any more, until their loans end
+	delisted map[string]*account // of removed limits, until their loans expire
 
-	lastSeq uint64 // of the requests that this process sent
+	lastSeq uint64 // of the latest request that this process sent
 	answers answerLog
 	actions []Action
 
@@ -85,8 +85,8 @@
 	Stats Stats
 }
 
-// New returns a replica's side. seed determines which peers are asked first. A replica that restarted without knowing
-// what it had lent withholds as much as it may have lent, until any such loan has expired.
+// New returns the manager of a replica. seed determines the random choice of lenders. A replica that restarted without
+// its loans withholds the most that it may have lent, until every earlier loan has expired.
 func New(name string, epoch, seed uint64, restarted bool, now time.Duration) *Manager {
 	return &Manager{
 		name:      name,
@@ -100,16 +100,16 @@
 	}
 }
 
-// SetByteBudget limits the bytes a second of messages, on average; 0 is no limit. What can't be sent within it is not
-// requested or not answered: a loan that can't be renewed in time ends, and is debited until its lease is over.
+// SetByteBudget limits the average bytes per second of messages; 0 is no limit. Requests and answers beyond the budget
+// are not sent: a loan that can't be renewed in time expires, and its lender debits it until the lease is over.
 func (m *Manager) SetByteBudget(now time.Duration, bytesPerSecond float64) {
 	m.advance(now)
 	m.budget = newByteBudget(bytesPerSecond, m.now)
 }
 
-// SetLimits states which limits there are. Those without a positive, finite total are ignored. One whose kind changes,
-// or that was not listed before, begins anew, but what has been lent of it stays lent until the leases end: the
-// borrower may not have noticed.
+// SetLimits replaces the list of limits. Limits without a positive, finite total are ignored. A limit that is new or
+// changes its kind starts with an empty account, but its loans to others stay debited until their leases end, as the
+// borrower may not have noticed the change.
 func (m *Manager) SetLimits(now time.Duration, limits []Limit) {
 	m.advance(now)
 	m.order = m.order[:0]
@@ -142,8 +142,8 @@
 	}
 }
 
-// delist keeps what has been lent of a limit that is not listed any more. If there is no room for it the replica
-// withholds as much as one that has restarted.
+// delist keeps the loans of a removed limit. If too many are kept already, the replica withholds as much as after a
+// restart.
 func (m *Manager) delist(account *account) {
 	switch {
 	case account.debit(m.now) == 0:
@@ -155,7 +155,7 @@
 	}
 }
 
-// expireDelisted drops what was kept of limits whose last loan has ended.
+// expireDelisted drops removed limits whose last loan has expired.
 func (m *Manager) expireDelisted() {
 	for name, account := range m.delisted {
 		account.expire(m.now)
@@ -165,8 +165,8 @@
 	}
 }
 
-// SetReplicaCount states by how many replicas the limits are divided, 0 while this one has no share, and which peers
-// can be asked for loans.
+// SetReplicaCount sets the number of replicas by which limits are divided, 0 while this replica has no share, and the
+// peers that can be asked for loans.
 func (m *Manager) SetReplicaCount(now time.Duration, replicaCount int, peers []string) {
 	m.advance(now)
 	for _, name := range m.order {
@@ -185,8 +185,8 @@
 	m.peers = peers
 }
 
-// FitsWithin reports whether what this replica has lent fits into its share of a division by replicaCount. Only then
-// may others rely on its share being that small.
+// FitsWithin reports whether this replica's loans to others fit into its share if limits are divided by replicaCount.
+// Only then may other replicas rely on that smaller share.
 func (m *Manager) FitsWithin(now time.Duration, replicaCount int) bool {
 	m.advance(now)
 	for _, name := range m.order {
@@ -196,7 +196,7 @@
 			return false
 		}
 	}
-	for _, account := range m.delisted { // others may still list them
+	for _, account := range m.delisted { // other replicas may still list them
 		share := account.Total / float64(max(replicaCount, 1))
 		if account.debit(m.now) > share+rateTolerance {
 			return false
@@ -205,8 +205,8 @@
 	return true
 }
 
-// Rate is what this replica may spend a second of a rate limit: its share, less what it has lent, and what it has
-// borrowed.
+// Rate returns the units per second of a rate limit that this replica may spend: its share, less loans to others, plus
+// loans from others.
 func (m *Manager) Rate(now time.Duration, name string) float64 {
 	m.advance(now)
 	account := m.accounts[name]
@@ -216,7 +216,7 @@
 	return m.spendableRate(account)
 }
 
-// AddDemand records units that were wanted, whether they were granted or not. Demand decides who lends and who borrows.
+// AddDemand records units that were requested, granted or not. Demand decides which replicas lend and which borrow.
 func (m *Manager) AddDemand(now time.Duration, name string, units float64) {
 	m.advance(now)
 	account := m.accounts[name]
@@ -226,7 +226,7 @@
 	account.demand.add(m.now, units)
 }
 
-// Spend takes units of an amount limit, all or none, and reports whether it did.
+// Spend takes units of an amount limit, all or none, and reports whether it took them.
 func (m *Manager) Spend(now time.Duration, name string, units float64) bool {
 	m.advance(now)
 	account := m.accounts[name]
@@ -236,7 +236,7 @@
 	return account.spend(units)
 }
 
-// Left is what this replica may still spend of an amount limit.
+// Left returns the units of an amount limit that this replica may still spend.
 func (m *Manager) Left(name string) float64 {
 	account := m.accounts[name]
 	if account == nil || account.Kind != Amount {
@@ -245,8 +245,8 @@
 	return account.balance
 }
 
-// Tick expires loans and returns requests for missing units, renewals of loans that end soon and returns of loans that
-// aren't needed, appended to out.
+// Tick expires loans. It appends to out requests for new loans, renewals of loans that expire soon and returns of loans
+// that are not needed.
 func (m *Manager) Tick(now time.Duration, out []Action) []Action {
 	m.advance(now)
 	m.actions = out
@@ -261,7 +261,7 @@
 	return m.takeActions()
 }
 
-// Handle processes a message from a peer and returns the answer, if there is one, appended to out.
+// Handle processes a message from a peer and appends the answer, if any, to out.
 func (m *Manager) Handle(now time.Duration, from string, message Message, out []Action) []Action {
 	m.advance(now)
 	m.actions = out
@@ -290,7 +290,7 @@
 	return actions
 }
 
-// guaranteed is this replica's own share of a rate limit.
+// guaranteed returns this replica's own share of a rate limit.
 func (m *Manager) guaranteed(account *account) float64 {
 	if m.replicaCount <= 0 {
 		return 0
@@ -298,7 +298,7 @@
 	return account.Total / float64(m.replicaCount)
 }
 
-// lent is what this replica has lent of a rate limit, or may have lent before it restarted.
+// lent returns what this replica has lent of a rate limit, or the most that it may have lent before a restart.
 func (m *Manager) lent(account *account) float64 {
 	sum := account.debit(m.now)
 	if m.restarted && m.now-m.startedAt < withMaxDrift(Lease) {
--- a/fleet/quota/manager_test.go
+++ b/fleet/quota/manager_test.go
@@ -18,7 +18,7 @@
 	return make("l", "b", 1), make("b", "l", epoch)
 }
 
-// However long the messages take and clocks drift, a credit ends before its debit does.
+// A credit ends before its debit for any message delay and clock drift.
 func TestCreditEndsBeforeDebit(t *testing.T) {
 	for _, pace := range []float64{1 - MaxClockDrift, 1, 1 + MaxClockDrift} {
 		for _, late := range []time.Duration{0, 100 * time.Millisecond, 490 * time.Millisecond} {
@@ -26,18 +26,18 @@
 			own := func(now time.Duration) time.Duration { return time.Duration(float64(now) * pace) }
 			drifted := func(now time.Duration) time.Duration { return time.Duration(float64(now) * (2 - pace)) }
 			b.AddDemand(own(0), "r", 100)
-			asks := b.Tick(own(0), nil)
-			grants := l.Handle(drifted(0), "b", asks[0].Message, nil)
+			sent := b.Tick(own(0), nil)
+			grants := l.Handle(drifted(0), "b", sent[0].Message, nil)
 			b.Handle(own(late), "l", grants[0].Message, nil)
 			lent := false
 			for now := late; now < 2*Lease; now += time.Millisecond {
 				if sum := b.Rate(own(now), "r") + l.Rate(drifted(now), "r"); sum > 10.0001 {
-					t.Fatalf("pace %v, answer after %v: at %v both may spend %v of 10", pace, late, now, sum)
+					t.Fatalf("pace %v, answer after %v: at %v: got a combined rate of %v, want at most 10", pace, late, now, sum)
 				}
 				lent = lent || b.Rate(own(now), "r") > 5
 			}
 			if !lent {
-				t.Errorf("pace %v, answer after %v: nothing was lent", pace, late)
+				t.Errorf("pace %v, answer after %v: got no loan, want one", pace, late)
 			}
 		}
 	}
@@ -47,22 +47,22 @@
 	l, b := newLenderAndBorrower(1)
 	b.AddDemand(0, "r", 100)
 	b.AddDemand(0, "s", 100)
-	var asks, grants []Action
+	var sent, grants []Action
 	for _, a := range b.Tick(0, nil) {
-		asks = append(asks, a)
+		sent = append(sent, a)
 		grants = l.Handle(0, "b", a.Message, grants)
 	}
 	rate, left := l.Rate(0, "r"), l.Left("s")
-	for _, a := range asks { // arrive again: the same answer, and no other debit
+	for _, a := range sent { // duplicates: the same answer, and no further debit
 		again := l.Handle(time.Second, "b", a.Message, nil)
 		if !slices.ContainsFunc(grants, func(g Action) bool { return g == again[0] }) {
-			t.Errorf("%+v gets another answer: %+v", a.Message, again[0].Message)
+			t.Errorf("duplicate request %+v: got answer %+v, want the first one", a.Message, again[0].Message)
 		}
 	}
 	if l.Rate(time.Second, "r") != rate || l.Left("s") != left {
-		t.Errorf("a request that arrived twice is debited twice: %v, %v", l.Rate(time.Second, "r"), l.Left("s"))
+		t.Errorf("duplicate requests changed the lender: got rate %v, amount %v", l.Rate(time.Second, "r"), l.Left("s"))
 	}
-	// The borrower crashes. Its next process requests with the same numbers; the old grants arrive.
+	// The borrower restarts and reuses sequence numbers in a new epoch; grants to its previous process arrive.
 	_, next := newLenderAndBorrower(2)
 	next.AddDemand(2*time.Second, "r", 100)
 	next.AddDemand(2*time.Second, "s", 100)
@@ -71,33 +71,33 @@
 		next.Handle(2*time.Second, "l", g.Message, nil)
 	}
 	if next.Rate(2*time.Second, "r") > 5.001 || next.Left("s") > 5.001 {
-		t.Errorf("a grant to a previous process counts: %v, %v", next.Rate(2*time.Second, "r"), next.Left("s"))
+		t.Errorf("grants to a previous process counted: got rate %v, amount %v, want at most 5 each", next.Rate(2*time.Second, "r"), next.Left("s"))
 	}
-	for _, g := range append(grants, grants...) { // the first process counts each once
+	for _, g := range append(grants, grants...) { // the first process counts each grant once
 		b.Handle(100*time.Millisecond, "l", g.Message, nil)
 	}
 	if sum := b.Rate(100*time.Millisecond, "r") + l.Rate(100*time.Millisecond, "r"); sum > 10.001 || b.Left("s")+l.Left("s") > 10.001 {
-		t.Errorf("both may spend %v and %v of 10", sum, b.Left("s")+l.Left("s"))
+		t.Errorf("got a combined rate of %v and amount of %v, want at most 10 each", sum, b.Left("s")+l.Left("s"))
 	}
 	for _, bad := range []Message{{Request: RequestID{"b", 1, 99}, Quota: "r", Amount: -5}, {Request: RequestID{"x", 1, 99}, Quota: "r", Amount: 1},
 		{Request: RequestID{"b", 1, 99}, Quota: "nothing", Amount: 1}, {Grant: true, From: "y", Request: RequestID{"l", 1, 1}, Quota: "r", Amount: 1}} {
 		if out := l.Handle(time.Second, "b", bad, nil); len(out) > 0 {
-			t.Errorf("%+v is answered", bad)
+			t.Errorf("invalid message %+v: got an answer, want none", bad)
 		}
 	}
 }
 
-func TestAnUnconfirmedReplicaHasNoShare(t *testing.T) {
+func TestUnconfirmedReplicaHasNoShare(t *testing.T) {
 	a := New("a", 1, 1, false, 0)
 	a.SetLimits(0, []Limit{{"r", Rate, 10}, {"s", Amount, 10}})
 	a.SetReplicaCount(0, 0, []string{"b"})
 	if a.Rate(0, "r") != 0 || a.Left("s") != 0 {
-		t.Error(a.Rate(0, "r"), a.Left("s"))
+		t.Error("got rate and amount", a.Rate(0, "r"), a.Left("s"), "want 0 and 0")
 	}
 }
 
-// A limit that is turned into one of the other kind is spent as that kind, and none of what was agreed on it before counts.
-func TestALimitWhoseKindChangesIsANewOne(t *testing.T) {
+// A limit that changes its kind is spent as the new kind, and starts with an empty account.
+func TestChangeOfKindStartsNewAccount(t *testing.T) {
 	const name = "x"
 	for _, tc := range []struct {
 		name               string
@@ -116,23 +116,24 @@
 			setKind(tc.before)
 			setKind(tc.after)
 			if rate, left := a.Rate(0, name), a.Left(name); rate != tc.wantRate || left != tc.wantLeft {
-				t.Errorf("a rate of %v, %v left; want %v, %v", rate, left, tc.wantRate, tc.wantLeft)
+				t.Errorf("got rate %v, amount %v; want rate %v, amount %v", rate, left, tc.wantRate, tc.wantLeft)
 			}
 			if spent := a.Spend(0, name, tc.wantLeft+1); spent {
-				t.Error("more is spent than its share")
+				t.Error("Spend of more than the share succeeded")
 			}
 			if spent := a.Spend(0, name, 5); spent != (tc.after == Amount) {
-				t.Errorf("spent its share: %v", spent)
+				t.Errorf("Spend of the share: got %v", spent)
 			}
 			setKind(tc.after) // the same limits again
 			if left := a.Left(name); left != 0 {
-				t.Errorf("%v is left after it was spent", left)
+				t.Errorf("after spending the share: got amount %v, want 0", left)
 			}
 		})
 	}
 }
 
-// A rate limit that is an amount for a moment is still lent until its lease ends: the borrower may not have noticed.
+// Loans of a rate limit stay debited until their leases end if the limit is an amount limit meanwhile: the borrower may
+// not have noticed.
 func TestLoansOutlastAChangeOfKind(t *testing.T) {
 	l, b := newLenderAndBorrower(1)
 	b.AddDemand(0, "r", 100)
@@ -142,20 +143,20 @@
 		}
 	}
 	if b.Rate(0, "r") <= 5 {
-		t.Fatalf("nothing is lent: the borrower may spend %v", b.Rate(0, "r"))
+		t.Fatalf("got borrower rate %v, want more than 5", b.Rate(0, "r"))
 	}
 	l.SetLimits(0, []Limit{{"r", Amount, 10}, {"s", Amount, 10}})
 	l.SetLimits(0, []Limit{{"r", Rate, 10}, {"s", Amount, 10}})
 	if sum := l.Rate(0, "r") + b.Rate(0, "r"); sum > 10.0001 {
-		t.Errorf("both may spend %v of 10", sum)
+		t.Errorf("got a combined rate of %v, want at most 10", sum)
 	}
 	if rate := l.Rate(2*Lease, "r"); rate != 5 {
-		t.Errorf("the lender may spend %v once the lease is over, want 5", rate)
+		t.Errorf("after the lease: got lender rate %v, want 5", rate)
 	}
 }
 
-// A limit that isn't listed for a moment, as while a tenant is taken out of the settings and put back, is still lent
-// until its leases end. Meanwhile nobody may rely on a smaller share of this replica, also if it isn't listed any more.
+// Loans of a limit that is removed and added back, as by reloads of the settings, stay debited until their leases end.
+// Meanwhile FitsWithin counts them, also while the limit is not listed.
 func TestLoansOutlastTheRemovalOfTheirLimit(t *testing.T) {
 	l, b := newLenderAndBorrower(1)
 	b.AddDemand(0, "r", 100)
@@ -165,31 +166,31 @@
 		}
 	}
 	if b.Rate(0, "r") <= 5 {
-		t.Fatalf("nothing is lent: the borrower may spend %v", b.Rate(0, "r"))
+		t.Fatalf("got borrower rate %v, want more than 5", b.Rate(0, "r"))
 	}
 	l.SetLimits(0, []Limit{{"s", Amount, 10}})
 	l.Tick(0, nil)
 	if l.Rate(0, "r") != 0 {
-		t.Errorf("%v a second of a limit that is not listed", l.Rate(0, "r"))
+		t.Errorf("removed limit: got rate %v, want 0", l.Rate(0, "r"))
 	}
 	if l.FitsWithin(0, 3) {
-		t.Error("what is lent of the removed limit counts as nothing")
+		t.Error("FitsWithin ignores the loans of the removed limit")
 	}
 	l.SetLimits(0, []Limit{{"r", Rate, 10}, {"s", Amount, 10}})
 	if sum := l.Rate(0, "r") + b.Rate(0, "r"); sum > 10.0001 {
-		t.Errorf("both may spend %v of 10", sum)
+		t.Errorf("got a combined rate of %v, want at most 10", sum)
 	}
 	if rate := l.Rate(2*Lease, "r"); rate != 5 {
-		t.Errorf("the lender may spend %v once the lease is over, want 5", rate)
+		t.Errorf("after the lease: got lender rate %v, want 5", rate)
 	}
 	l.SetLimits(2*Lease, nil)
 	l.Tick(2*Lease, nil)
 	if !l.FitsWithin(2*Lease, 3) || len(l.delisted) > 0 {
-		t.Errorf("the leases are over, and %d limits are kept", len(l.delisted))
+		t.Errorf("after the leases: got %d removed limits kept, want 0 and FitsWithin true", len(l.delisted))
 	}
 }
 
-// Of more removed limits than are kept the loans are withheld as after a restart.
+// Once more limits are removed than are kept, the replica withholds their loans as after a restart.
 func TestLoansOfManyRemovedLimitsAreWithheld(t *testing.T) {
 	l, _ := newLenderAndBorrower(1)
 	for i := range maxDelisted + 1 {
@@ -202,11 +203,11 @@
 	}
 	l.SetLimits(0, []Limit{{"r", Rate, 10}})
 	if len(l.delisted) > maxDelisted {
-		t.Errorf("%d removed limits are kept", len(l.delisted))
+		t.Errorf("got %d removed limits kept, want at most maxDelisted", len(l.delisted))
 	}
 	last := fmt.Sprint("limit", maxDelisted)
 	l.SetLimits(0, []Limit{{last, Rate, 10}})
 	if rate := l.Rate(0, last); rate > 1.0001 {
-		t.Errorf("it may spend %v of its 5, and has lent 4", rate)
+		t.Errorf("got rate %v, want at most 1: the share is 5 and 4 are lent", rate)
 	}
 }
--- a/fleet/quota/message.go
+++ b/fleet/quota/message.go
@@ -6,30 +6,29 @@
 	"time"
 )
 
-// RequestID identifies a request for a loan permanently: it is answered once, however often it arrives.
+// RequestID identifies a request for a loan. It is never reused, so that duplicates get the same answer.
 type RequestID struct {
 	Replica string `json:"Name"` // the borrower
 	Epoch   uint64 `json:"Epoch"`
 	Seq     uint64 `json:"Seq"`
 }
 
-// Message is what replicas send each other: a request for a loan, a grant, or the return of a loan. A grant of 0 is a
-// denial.
+// Message is a request for a loan, a grant, or the return of a loan. A grant of 0 is a denial.
 type Message struct {
 	Grant   bool      `json:"Grant"`
-	Return  bool      `json:"Back"` // of the loan that Request was granted
+	Return  bool      `json:"Back"` // returns the loan granted for Request
 	Request RequestID `json:"Key"`
 	From    string    `json:"From"`  // the lender, in a grant
 	Epoch   uint64    `json:"Epoch"` // of the lender, in a grant
 	Quota   string    `json:"Budget"`
 	Amount  float64   `json:"Amount"`
-	Renews  uint64    `json:"Renews"` // Seq of the request whose loan is to be renewed, or noRenewal
+	Renews  uint64    `json:"Renews"` // Seq of the request whose loan this one renews, or noRenewal
 }
 
 // noRenewal in a request asks for a new loan: sequence numbers start at 1.
 const noRenewal = 0
 
-// valid reports whether a message is well-formed. Nobody requests or grants for another.
+// valid reports whether a message is well-formed and its sender requests or grants in its own name.
 func (m *Message) valid(sender string) bool {
 	if !(m.Amount >= 0) || m.Amount > maxUnits || m.Request.Replica == "" {
 		return false
@@ -40,10 +39,10 @@
 	return m.Request.Replica == sender
 }
 
-// fixedMessageBytes is what a message takes at most when it is encoded alone in a list, without its names and numbers.
+// fixedMessageBytes is the maximum encoded size of a message alone in a list, without its names and numbers.
 const fixedMessageBytes = 78
 
-// MaxEncodedBytes is what the message takes at most when it is encoded as CBOR.
+// MaxEncodedBytes returns the maximum size of the message encoded as CBOR.
 func (m *Message) MaxEncodedBytes() int {
 	size := fixedMessageBytes
 	for _, number := range [...]uint64{m.Request.Epoch, m.Request.Seq, m.Epoch, m.Renews} {
@@ -55,7 +54,7 @@
 	return size
 }
 
-// encodedHeadBytes is what CBOR takes for a number, or for a length.
+// encodedHeadBytes returns the size of a number or length in CBOR.
 func encodedHeadBytes(number uint64) int {
 	switch {
 	case number < 24:
@@ -71,21 +70,21 @@
 	}
 }
 
-// Action is a message that the host is to send.
+// Action is a message for the host to send.
 type Action struct {
 	To      string
 	Message Message
 }
 
-// pendingRequest is one that this replica has sent and that has no answer yet.
+// pendingRequest is a request that this replica has sent and that is not answered yet.
 type pendingRequest struct {
 	seq    uint64
-	renews uint64 // the request whose loan it renews, or noRenewal
+	renews uint64 // seq of the request whose loan it renews, or noRenewal
 	lender string
 	sentAt time.Duration
 }
 
-// answerLog keeps answers, so that a request that arrives again gets the same one.
+// answerLog keeps answers, so that a duplicate request gets the same one.
 type answerLog struct {
 	entries []answer
 }
@@ -112,7 +111,7 @@
 	}
 }
 
-// expire drops answers to requests that are too old to count when they arrive again.
+// expire drops answers to requests that are too old to count if they arrive again.
 func (l *answerLog) expire(now time.Duration) {
 	retention := 2 * withMaxDrift(Lease)
 	l.entries = slices.DeleteFunc(l.entries, func(a answer) bool { return now-a.answeredAt >= retention })
--- a/fleet/quota/partition_test.go
+++ b/fleet/quota/partition_test.go
@@ -7,9 +7,9 @@
 	"ryerill/lab/faultnet"
 )
 
-// Whatever way a fleet is split while quota is lent, all together never may spend more than the whole, each part goes
-// on with the shares of its own once the leases are over, and once healed the busy replica borrows again.
-func TestSplitFleetGoesOnWithItsShares(t *testing.T) {
+// In a partition of any kind while quota is lent, all replicas together never may spend more than the total. Once the
+// leases are over each side has the shares of its own replicas, and after healing the busy replica borrows again.
+func TestPartitionKeepsSharesOfEachSide(t *testing.T) {
 	const replicas, total = 9, 90.0
 	part := func(from, to int) (names []string) {
 		for i := from; i < to; i++ {
@@ -18,9 +18,9 @@
 		return names
 	}
 	for name, tc := range map[string]struct {
-		split func(n *faultnet.Network)
-		reach int  // replicas that the busy one can still borrow from, with itself
-		deaf  bool // it hears nobody and is heard: others grant it what it asks for, and nobody spends that
+		split           func(n *faultnet.Network)
+		reach           int  // replicas on the busy one's side, itself included
+		receivesNothing bool // it sends but receives nothing: peers debit grants that it never gets
 	}{
 		"in halves":     {func(n *faultnet.Network) { n.Split(part(0, 4)) }, 4, false},
 		"three ways":    {func(n *faultnet.Network) { n.Split(part(0, 3), part(3, 6), part(6, 9)) }, 3, false},
@@ -43,34 +43,34 @@
 				return m.replicas[0].manager.Rate(m.clock(0), "quota")
 			}
 			if rate := run(10 * time.Second); rate < m.demand[0] {
-				t.Fatalf("it has borrowed up to %v of %v", rate, m.demand[0])
+				t.Fatalf("before the partition: got rate %v, want %v", rate, m.demand[0])
 			}
 			tc.split(m.net)
 			share := total / replicas
-			if tc.deaf { // once it holds its peers for dead it asks nobody
+			if tc.receivesNothing { // once it considers its peers dead it sends no requests
 				run(2 * Lease)
 				m.replicas[0].manager.SetReplicaCount(m.clock(0), replicas, nil)
 			}
 			rate := run(3 * Lease)
 			if most := share * float64(tc.reach); rate > most*1.0001 || rate < 0.9*most {
-				t.Errorf("in its part it may spend %v, and that has %v", rate, most)
+				t.Errorf("in the partition: got rate %v, want about %v", rate, most)
 			}
 			for i := 1; i < replicas; i++ {
 				if own := m.replicas[i].manager.Rate(m.clock(i), "quota"); i >= tc.reach && own < 0.999*share {
-					t.Errorf("%s may spend %v of its %v", replicaName(i), own, share)
+					t.Errorf("replica %s: got rate %v, want its share of %v", replicaName(i), own, share)
 				}
 			}
 			m.net.Heal()
 			m.replicas[0].manager.SetReplicaCount(m.clock(0), replicas, part(1, replicas))
 			if rate := run(10 * time.Second); rate < m.demand[0] {
-				t.Errorf("once healed it may spend %v of %v", rate, m.demand[0])
+				t.Errorf("after healing: got rate %v, want %v", rate, m.demand[0])
 			}
 		})
 	}
 }
 
-// A hundred replicas join while nearly all of a quota is lent. They get their shares once what is lent fits into the
-// smaller ones, and at no time all together may spend more than the whole.
+// A hundred replicas join while nearly all of a quota is lent. They get their shares once the loans fit into the smaller
+// shares, and at no time may all replicas together spend more than the total.
 func TestReplicasJoinWhileQuotaIsLent(t *testing.T) {
 	const before, joining, total = 12, 100, 1000.0
 	lan := faultnet.Link{Delay: time.Millisecond, Jitter: time.Millisecond}
@@ -89,7 +89,7 @@
 		if i < before {
 			divide(i, before, first)
 		} else {
-			divide(i, 0, nil) // they are not there yet
+			divide(i, 0, nil) // not joined yet
 		}
 	}
 	run := func(d time.Duration, each func()) {
@@ -104,9 +104,9 @@
 	m.demand[0] = 0.8 * total
 	run(10*time.Second, func() {})
 	if rate := m.replicas[0].manager.Rate(m.clock(0), "quota"); rate < m.demand[0] {
-		t.Fatalf("it has borrowed up to %v", rate)
+		t.Fatalf("before the join: got rate %v, want the demand", rate)
 	}
-	for i := range before { // they know of the others and divide among more at once
+	for i := range before { // they learn of the new replicas and divide by the new count at once
 		divide(i, before+joining, all)
 	}
 	waited := time.Duration(0)
@@ -127,10 +127,10 @@
 		}
 	})
 	if !joined || waited == 0 || waited > 2*Lease {
-		t.Errorf("joined %v, after %v", joined, waited)
+		t.Errorf("got joined %v after %v, want true after more than 0 and at most two leases", joined, waited)
 	}
 	run(10*time.Second, func() {})
 	if rate := m.replicas[0].manager.Rate(m.clock(0), "quota"); rate < 0.95*m.demand[0] {
-		t.Errorf("in the end it may spend %v of the %v that it demands", rate, m.demand[0])
+		t.Errorf("after the join: got rate %v, want about the demand of %v", rate, m.demand[0])
 	}
 }
--- a/fleet/quota/status.go
+++ b/fleet/quota/status.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Stats count messages.
+// Stats are counts of messages.
 type Stats struct {
 	Requests   uint64 `json:"Asks"`   // sent
 	Grants     uint64 `json:"Grants"` // of loans, as lender
 	Denials    uint64 `json:"Empty"`  // received
-	Late       uint64 `json:"Late"`   // grants that no longer count
-	Duplicates uint64 `json:"Again"`  // requests that arrived again
+	Late       uint64 `json:"Late"`   // grants that arrived too late to use
+	Duplicates uint64 `json:"Again"`  // requests received more than once
 	Invalid    uint64 `json:"Bad"`
 }
 
-// Status describes one limit at this replica. Guaranteed, Lent, Borrowed, Rate and Demand are in units a second, Left
+// Status describes one limit at this replica. Guaranteed, Lent, Borrowed, Rate and Demand are in units per second, Left
 // is in units.
 type Status struct {
 	Limit
@@ -29,7 +29,7 @@
 	Loans      []Loan // by peer
 }
 
-// Loan describes one loan that was lent or borrowed.
+// Loan describes one loan to or from a peer.
 type Loan struct {
 	Peer      string
 	Lent      bool
@@ -37,7 +37,7 @@
 	ExpiresIn time.Duration
 }
 
-// Status describes all limits, sorted by name.
+// Status returns the status of all limits, sorted by name.
 func (m *Manager) Status(now time.Duration) []Status {
 	m.advance(now)
 	var all []Status
