--- a/fleet/counter/estimate.go
+++ b/fleet/counter/estimate.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	maxRateGrowth = 2.0 // factor by which a rate may have grown since the latest update, in bounds
+	maxRateGrowth = 2.0 // growth of a rate since the latest update that the bounds allow for
 	staleAfter    = 10 * time.Second
 )
 
-// Value is a sum over all replicas and how exact it is.
+// Value is a sum over all replicas, with its accuracy.
 type Value struct {
 	Estimate float64
-	Lower    float64 // bounds of the true value
+	Lower    float64 // Lower and Upper are bounds of the true value
 	Upper    float64
-	Age      time.Duration // of the oldest counts in it
-	Replicas int           // that it covers
-	Stale    bool          // some counts in it are too old to rely on
+	Age      time.Duration // of the oldest counts in the sum
+	Replicas int           // included in the sum
+	Stale    bool          // some counts in the sum are older than staleAfter
 }
 
-// Sum adds up over all replicas what pick returns, a whole number, for the counts of matching keys. A nil match takes
-// all keys. It adds in the order of names, since the bounds are rounded and depend on it.
+// Sum adds up pick(counts) over all replicas and matching keys. pick must return whole numbers; a nil match selects all
+// keys. Senders are added in the order of names, because rounding of the bounds depends on the order.
 func (s *Set) Sum(now time.Duration, match func(Key) bool, pick func(Counts) float64) Value {
 	s.advance(now)
 	total := func(counts map[Key]Counts) float64 {
@@ -46,7 +46,7 @@
 	return value
 }
 
-// add adds the counts of one sender.
+// add adds the counts of one sender and widens the bounds by the growth possible since its update.
 func (v *Value) add(now time.Duration, e *entry, total func(map[Key]Counts) float64) {
 	count := total(e.Counts)
 	age := now - e.validAt
@@ -54,7 +54,7 @@
 	if e.previous != nil && e.validAt > e.previousAt {
 		rate = math.Abs(count-total(e.previous)) / (e.validAt - e.previousAt).Seconds()
 	} else if age > 0 {
-		rate = count // unknown: as much again in a second
+		rate = count // rate unknown: assume that the count doubles in a second
 	}
 	margin := maxRateGrowth * rate * age.Seconds()
 	v.Estimate += count
@@ -65,16 +65,16 @@
 	v.Replicas += max(e.Members, 1)
 }
 
-// Source describes what is known from one sender.
+// Source describes the latest counts of one sender.
 type Source struct {
 	Name    string
-	Zone    string // if set, the counts are sums over Members replicas of it
+	Zone    string // if set, the counts are sums over Members replicas of this zone
 	Members int
 	Age     time.Duration
 	Counts  map[Key]Counts
 }
 
-// Sources describes all senders, this replica among them, sorted by zone and name.
+// Sources returns all senders, this replica included, sorted by zone and name.
 func (s *Set) Sources(now time.Duration) []Source {
 	s.advance(now)
 	all := []Source{{Name: s.name, Members: 1, Counts: s.own}}
--- a/fleet/counter/keys_test.go
+++ b/fleet/counter/keys_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// However many keys a replica counts under, and however often it records them, its totals are exact with itself and with
-// others: those beyond what an update holds are under one common key.
-func TestManyKeysAddUp(t *testing.T) {
+// Totals stay exact, at the replica that counts and at receivers, for any number of keys: an update sums the keys beyond
+// MaxKeys under the overflow key.
+func TestTotalsAreExactBeyondMaxKeys(t *testing.T) {
 	const keys = 3 * MaxKeys
 	a, r := New("a", "z", 1), New("r", "z", 1)
 	want := 0.0
@@ -20,26 +20,26 @@
 			want += float64(round * i)
 		}
 	}
-	for round, from := range []int{100, 100, 0} { // in the end further keys come, which sort before the others
+	for round, from := range []int{100, 100, 0} { // the last round adds keys that sort before the others
 		record(round+1, from, keys)
 		update := a.LocalUpdate(0)
 		if len(update.Counts) > MaxKeys+1 || !r.Merge(0, update) {
-			t.Fatalf("round %d: %d keys, refused or too many", round, len(update.Counts))
+			t.Fatalf("round %d: update of %d keys: got refused or more than MaxKeys+1", round, len(update.Counts))
 		}
 		for name, set := range map[string]*Set{"itself": a, "another": r} {
 			if v := set.Sum(0, nil, arrivals); v.Estimate != want {
-				t.Errorf("round %d: %s counts %v, want %v", round, name, v.Estimate, want)
+				t.Errorf("round %d: %s: got %v arrivals, want %v", round, name, v.Estimate, want)
 			}
 			inFlight := set.Sum(0, nil, func(c Counts) float64 { return float64(c.InFlight) })
 			if inFlight.Estimate != float64((keys-from)/2) {
-				t.Errorf("round %d: %s has %v in flight", round, name, inFlight.Estimate)
+				t.Errorf("round %d: %s: got %v in flight, want half the number of keys", round, name, inFlight.Estimate)
 			}
 		}
 	}
 }
 
-// Keys beyond those that are kept are not counted, and the number of keys stays bounded.
-func TestKeysBeyondTheBoundAreNotCounted(t *testing.T) {
+// Record ignores new keys beyond maxOwnKeys.
+func TestRecordIgnoresKeysBeyondLimit(t *testing.T) {
 	s := New("a", "z", 1)
 	for range 2 {
 		for i := range maxOwnKeys + 10 {
@@ -47,6 +47,6 @@
 		}
 	}
 	if v := s.Sum(0, nil, arrivals); v.Estimate != maxOwnKeys || len(s.own) != maxOwnKeys {
-		t.Errorf("%v, %d keys", v.Estimate, len(s.own))
+		t.Errorf("got estimate %v and %d keys, want maxOwnKeys for both", v.Estimate, len(s.own))
 	}
 }
--- a/fleet/counter/order_test.go
+++ b/fleet/counter/order_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The same updates give the same sum to the last bit, in every run.
-func TestSumsDoNotDependOnTheOrderOfMaps(t *testing.T) {
+// The same updates give a bit-identical sum in every run, independent of map iteration order.
+func TestSumIsIndependentOfMapOrder(t *testing.T) {
 	sum := func() Value {
 		r := New("r", "z", 1)
 		for second := range 2 {
@@ -28,7 +28,7 @@
 	want := sum()
 	for run := range 30 {
 		if got := sum(); got != want {
-			t.Fatalf("run %d: %+v, and before %+v", run, got, want)
+			t.Fatalf("run %d: got %+v, want %+v", run, got, want)
 		}
 	}
 }
--- a/fleet/counter/set.go
+++ b/fleet/counter/set.go
@@ -1,23 +1,24 @@
 // Package counter adds up counts over all replicas. Each replica counts for itself and sends its counts with its epoch
-// and a version; receivers merge them so that order and repetition of messages don't matter. It is pure.
+// and a version; receivers merge them so that the order and duplication of messages don't matter. The package does no
+// I/O and reads no clock.
 //
-// A sum comes with its age, and with the bounds within which the true value lies if no replica's rate has more than
-// doubled since it last sent its counts.
+// A sum carries its age, and bounds that contain the true value unless some replica's rate has more than doubled since
+// its latest update.
 package counter
 
 import "time"
 
-// Bounds of what is kept and sent.
+// Limits of memory and of update size.
 const (
-	MaxKeys    = 64   // of an update; the counts of further ones are under one common key
+	MaxKeys    = 64   // in an update; the counts of further keys are summed under one overflow key
 	MaxMembers = 8192 // replicas whose counts are kept
-	MaxZones   = 256  // whose sums are kept
+	MaxZones   = 256  // zones whose sums are kept
 
-	maxOwnKeys = 4096           // that one replica counts; what it would count under further ones is not counted
-	maxExpired = 4 * MaxMembers // replicas of which an expired epoch is kept
+	maxOwnKeys = 4096           // at one replica; counts of further keys are dropped
+	maxExpired = 4 * MaxMembers // replicas with an expired epoch that is kept
 )
 
-// Set holds one replica's own counts and those that it received. It is not safe for concurrent use.
+// Set holds one replica's own counts and the counts received from others. It is not safe for concurrent use.
 type Set struct {
 	name    string
 	zone    string
@@ -29,9 +30,9 @@
 	replicas updateTable // by name
 	zones    updateTable // by zone
 
-	minEpochs map[string]uint64 // by replica: updates of earlier epochs have expired
+	minEpochs map[string]uint64 // by replica; updates of earlier epochs are ignored
 
-	// Invalid counts updates that can't be true.
+	// Invalid counts refused updates with impossible values.
 	Invalid uint64
 }
 
@@ -54,7 +55,7 @@
 	}
 }
 
-// Record sets what this replica counts under a key.
+// Record sets this replica's counts of a key.
 func (s *Set) Record(now time.Duration, key Key, counts Counts) {
 	s.advance(now)
 	if _, known := s.own[key]; !known && len(s.own) >= maxOwnKeys {
@@ -65,7 +66,7 @@
 	s.own[key] = recorded
 }
 
-// LocalUpdate returns this replica's counts, to be sent to others.
+// LocalUpdate returns an update of this replica's counts to send to others.
 func (s *Set) LocalUpdate(now time.Duration) Update {
 	s.advance(now)
 	s.version++
@@ -74,8 +75,8 @@
 	return update
 }
 
-// ZoneUpdate returns the sum over the named replicas of this replica's zone and itself, to be sent to other zones. One
-// sender for a zone is enough; a receiver of the sum does not see which replica counted what.
+// ZoneUpdate returns an update to send to other zones: the sum over this replica and the named replicas of its zone.
+// One sender per zone is enough; receivers do not see the counts of single replicas.
 func (s *Set) ZoneUpdate(now time.Duration, names []string) Update {
 	s.advance(now)
 	s.version++
@@ -92,7 +93,7 @@
 	return update
 }
 
-// Merge adds an update, and reports whether it was newer than what was known.
+// Merge adds an update, and reports whether it was newer than the one known.
 func (s *Set) Merge(now time.Duration, update Update) bool {
 	s.advance(now)
 	if !update.valid() {
@@ -106,13 +107,13 @@
 		return s.replicas.merge(update.Name, update, s.now-update.age())
 	}
 	if update.Zone == s.zone {
-		return false // the replicas of this zone are known one by one
+		return false // counts of this zone's replicas are kept one by one
 	}
 	return s.zones.merge(update.Zone, update, s.now-update.age())
 }
 
-// Expire drops what a replica counted in epochs up to the one given: it left, or restarted. Later updates of these
-// epochs are ignored.
+// Expire drops the counts of a replica that left or restarted, in all epochs up to the one given. Updates of these
+// epochs that arrive later are ignored.
 func (s *Set) Expire(name string, epoch uint64) {
 	minEpoch := epoch + 1
 	if minEpoch <= s.minEpochs[name] {
@@ -134,7 +135,7 @@
 
 func (s *Set) advance(now time.Duration) { s.now = max(s.now, now) }
 
-// merge adds an update that was valid at a time, and reports whether it was newer than what was known.
+// merge adds an update that was valid at validAt, and reports whether it was newer than the one known.
 func (t *updateTable) merge(key string, update Update, validAt time.Duration) bool {
 	current := t.entries[key]
 	if current == nil {
--- a/fleet/counter/set_test.go
+++ b/fleet/counter/set_test.go
@@ -11,7 +11,7 @@
 
 func arrivals(c Counts) float64 { return float64(c.Arrivals) }
 
-// Updates add up to the same in whatever order they arrive, however often; what has expired never counts again.
+// The sum of updates is independent of their order and repetition; expired counts never count again.
 func TestMergeIsIndependentOfOrderAndRepetition(t *testing.T) {
 	var updates []Update
 	want := 0.0
@@ -33,22 +33,22 @@
 			}
 		}
 		if v := r.Sum(0, nil, arrivals); v.Estimate != want || v.Replicas != 21 {
-			t.Fatalf("seed %d: %+v, want %v", seed, v, want)
+			t.Fatalf("seed %d: got %+v, want an estimate of %v over 21 replicas", seed, v, want)
 		}
 		r.Expire("c3", 1)
 		for _, update := range updates {
 			r.Merge(0, update)
 		}
 		if v := r.Sum(0, nil, arrivals); v.Estimate != want-43 {
-			t.Fatalf("seed %d: who left counts again: %+v", seed, v)
+			t.Fatalf("seed %d: got %+v, want the sum without the expired replica", seed, v)
 		}
 		if !r.Merge(0, Update{Name: "c3", Epoch: 2, Version: 1, Counts: map[Key]Counts{mainPool: {Arrivals: 5}}}) {
-			t.Error("its next process does not count")
+			t.Error("update of the next epoch: got refused, want merged")
 		}
 	}
 }
 
-// With a sum come its age and the bounds in which the true value lies.
+// A sum has the age of its oldest counts, and bounds that contain the true value.
 func TestSumHasAgeAndBounds(t *testing.T) {
 	a, r := New("a", "z", 1), New("r", "z", 1)
 	a.Record(0, mainPool, Counts{Arrivals: 100})
@@ -56,47 +56,47 @@
 	a.Record(time.Second, mainPool, Counts{Arrivals: 200})
 	r.Merge(time.Second, a.LocalUpdate(time.Second))
 	for _, after := range []time.Duration{time.Second, 3 * time.Second, 30 * time.Second} {
-		truth := 200 + 150*(after-time.Second).Seconds() // its rate grows by half
+		truth := 200 + 150*(after-time.Second).Seconds() // the rate has grown by half
 		v := r.Sum(after, nil, arrivals)
 		if v.Estimate != 200 || v.Age != after-time.Second || v.Upper < truth || v.Lower > truth || v.Stale != (after > 20*time.Second) {
-			t.Errorf("after %v: %+v, the truth is %v", after, v, truth)
+			t.Errorf("after %v: got %+v, want bounds that contain %v", after, v, truth)
 		}
 	}
 }
 
-// Invalid updates count for nothing, and the number of keys is bounded.
-func TestInvalidUpdatesAndBounds(t *testing.T) {
+// Invalid updates are refused, and the number of keys in an update is bounded.
+func TestInvalidUpdatesAreRefused(t *testing.T) {
 	r := New("r", "z", 1)
 	for _, update := range []Update{{Epoch: 1}, {Name: "a", Epoch: 1, Counts: map[Key]Counts{mainPool: {InFlight: -4}}}, {Name: "a", Epoch: 1, Counts: map[Key]Counts{mainPool: {Arrivals: 1 << 60}}},
 		{Name: "a", Epoch: 1, AgeMS: -5}, {Name: "r", Epoch: 9, Version: 9}} {
 		if r.Merge(0, update) {
-			t.Errorf("accepted: %+v", update)
+			t.Errorf("invalid update: got accepted, want refused: %+v", update)
 		}
 	}
 	for i := range 3 * MaxKeys {
 		r.Record(0, Key{Tenant: fmt.Sprint(i)}, Counts{Arrivals: 1})
 	}
 	if update := r.LocalUpdate(0); len(update.Counts) > MaxKeys+1 || r.Sum(0, nil, arrivals).Estimate != 3*MaxKeys {
-		t.Errorf("%d keys, %v", len(update.Counts), r.Sum(0, nil, arrivals))
+		t.Errorf("got an update of %d keys and sum %v, want at most MaxKeys+1 keys and all counts", len(update.Counts), r.Sum(0, nil, arrivals))
 	}
 }
 
-// Other zones are known by their sums, from the sender with the younger counts.
-func TestZonesAreSums(t *testing.T) {
+// For each other zone, the set keeps the sum of the sender with the younger counts.
+func TestOtherZonesCountBySum(t *testing.T) {
 	far, second := New("f1", "far", 1), New("f2", "far", 1)
 	far.Record(0, mainPool, Counts{Arrivals: 10})
 	second.Record(0, mainPool, Counts{Arrivals: 20})
 	far.Merge(0, second.LocalUpdate(0))
 	r := New("r", "near", 1)
 	if r.Merge(time.Second, far.ZoneUpdate(time.Second, []string{"f2"})); r.Sum(time.Second, nil, arrivals).Estimate != 30 {
-		t.Error(r.Sum(time.Second, nil, arrivals))
+		t.Error("want an estimate of 30, got", r.Sum(time.Second, nil, arrivals))
 	}
 	old := second.ZoneUpdate(0, nil)
 	old.AgeMS = 60_000
 	if r.Merge(time.Second, old) {
-		t.Error("older counts of the zone hold")
+		t.Error("older zone sum: got merged, want refused")
 	}
 	if v := r.Sum(3*time.Second, nil, arrivals); v.Age < 2*time.Second || v.Replicas != 3 {
-		t.Errorf("%+v", v)
+		t.Errorf("got %+v, want 3 replicas and an age of at least 2 s", v)
 	}
 }
--- a/fleet/counter/update.go
+++ b/fleet/counter/update.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Key names what is counted apart.
+// Key identifies a group of requests with separate counts.
 type Key struct {
 	Pool   string
 	Class  string
 	Tenant string
 }
 
-// compare orders keys.
+// compare orders keys by pool, class and tenant.
 func (k Key) compare(other Key) int {
 	return cmp.Or(
 		cmp.Compare(k.Pool, other.Pool),
@@ -23,10 +23,10 @@
 	)
 }
 
-// overflowKey is where the counts are of those keys that an update has no room for.
+// overflowKey holds the summed counts of the keys that exceed an update's limit.
 var overflowKey = Key{Pool: "(other)"}
 
-// Counts are those of one key. All but InFlight only grow while a process lives.
+// Counts are the counts of one key. All but InFlight only grow during the life of a process.
 type Counts struct {
 	Arrivals uint64
 	Served   uint64
@@ -35,15 +35,14 @@
 	InFlight int64
 }
 
-// Bounds of counts that can be true.
+// Limits of valid counts.
 const (
 	maxCount    = 1 << 56
 	maxInFlight = 1 << 32
 	maxAgeMS    = 1e9
 )
 
-// merge adopts newer counts of the same process. Messages may overtake each other, so counts that only grow never
-// fall.
+// merge adopts newer counts of the same process. Counts that only grow never fall, as messages may arrive out of order.
 func (c *Counts) merge(other Counts) {
 	c.Arrivals = max(c.Arrivals, other.Arrivals)
 	c.Served = max(c.Served, other.Served)
@@ -65,14 +64,14 @@
 		c.InFlight >= 0 && c.InFlight < maxInFlight
 }
 
-// Update is what one replica sends about itself, or about its zone.
+// Update carries the counts of one replica, or the sums of its zone.
 type Update struct {
 	Name    string // of the sender
 	Epoch   uint64 // of the sender's process
 	Version uint64 // grows with each update that the process sends
-	Zone    string // if set, Counts are sums over Members replicas of it
+	Zone    string // if set, Counts are sums over Members replicas of this zone
 	Members int
-	AgeMS   int64 // of the oldest counts in it, in milliseconds, when it was sent
+	AgeMS   int64 // age of the oldest counts when the update was sent, in milliseconds
 	Counts  map[Key]Counts
 }
 
@@ -93,14 +92,14 @@
 	return true
 }
 
-// Keys returns the keys under which the update counts apart, sorted.
+// Keys returns the sorted keys of the update without the overflow key.
 func (u *Update) Keys() []Key {
 	keys := slices.SortedFunc(maps.Keys(u.Counts), Key.compare)
 	return slices.DeleteFunc(keys, func(key Key) bool { return key == overflowKey })
 }
 
-// Combine adds up the counts of all keys but the first ones under the common key. The map of the update is replaced,
-// not changed.
+// Combine sums the counts of all keys but the first keysApart under the overflow key. It replaces the map of the update
+// and leaves the old map unchanged.
 func (u *Update) Combine(keysApart int) {
 	combined := map[Key]Counts{}
 	if sum, counted := u.Counts[overflowKey]; counted {
@@ -118,7 +117,7 @@
 	u.Counts = combined
 }
 
-// addMember adds the counts of one replica to the sums of a zone.
+// addMember adds the counts of one replica to the sums of its zone.
 func (u *Update) addMember(counts map[Key]Counts) {
 	u.Members++
 	for _, key := range slices.SortedFunc(maps.Keys(counts), Key.compare) {
@@ -132,16 +131,16 @@
 	}
 }
 
-// entry is the latest update of a replica or zone, and the counts before it, which give the rate.
+// entry is the latest update of a replica or zone, with the previous counts to compute the rate from.
 type entry struct {
 	Update
-	validAt    time.Duration // when it was received, less its age
+	validAt    time.Duration // time of receipt, less the age of the update
 	previous   map[Key]Counts
 	previousAt time.Duration
 }
 
-// supersededBy reports whether an update that was valid at a time replaces this one. Of two senders for a zone the one
-// with the younger counts holds.
+// supersededBy reports whether an update that was valid at validAt replaces this one. Of two senders for a zone, the
+// younger counts win.
 func (e *entry) supersededBy(update *Update, validAt time.Duration) bool {
 	switch {
 	case e.Name != update.Name:
@@ -167,8 +166,8 @@
 	e.validAt = validAt
 }
 
-// mergeCounts returns the counts of one process from an older and a newer update. A key that the newer one lacks is
-// counted under its common key.
+// mergeCounts merges an older and a newer update of one process. Keys missing from the newer update are dropped: their
+// counts are under its overflow key.
 func mergeCounts(older, newer map[Key]Counts) map[Key]Counts {
 	merged := make(map[Key]Counts, len(newer))
 	for key, counts := range newer {
