--- a/fleet/outlier/clocks_test.go
+++ b/fleet/outlier/clocks_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// With clocks apart by any amount, or set by an hour meanwhile, an ejected endpoint still gets about one probe in a turn
-// from all replicas together: neither none for long nor one from each.
-func TestProbesWithClocksThatDiffer(t *testing.T) {
+// An ejected endpoint gets about one probe per slot from all replicas together even if their clocks differ by any amount
+// or one is set by an hour: never one probe from each replica, and no long time without a probe.
+func TestProbeRateWithClockOffsets(t *testing.T) {
 	const replicas, slots = 30, 3000
 	for name, clock := range map[string]func(rng *rand.Rand) time.Duration{
 		"200 ms apart": func(rng *rand.Rand) time.Duration { return time.Duration(rng.IntN(200)) * time.Millisecond },
@@ -22,7 +22,7 @@
 			}
 			probes, without, longest := 0, 0, 0
 			for slot := range slots {
-				if slot == slots/2 { // one clock is set
+				if slot == slots/2 { // one clock is set by an hour
 					offsets[0] += time.Hour
 				}
 				now := time.Duration(slot)*probeSlot + 10_000*time.Second
@@ -39,28 +39,28 @@
 				longest = max(longest, without)
 			}
 			if probes < slots*8/10 || probes > slots*12/10 {
-				t.Errorf("%d probes in %d turns", probes, slots)
+				t.Errorf("got %d probes in %d slots, want 80%% to 120%% of the slots", probes, slots)
 			}
 			if longest > 15 {
-				t.Errorf("%d turns without a probe", longest)
+				t.Errorf("got %d slots in a row without a probe, want at most 15", longest)
 			}
 		})
 	}
 }
 
-// A restart of an endpoint begins without evidence, also where the evidence on its earlier start arrives late.
-func TestEvidenceOnAnEarlierStartNeverCounts(t *testing.T) {
+// A restarted endpoint starts without evidence, even if evidence on its previous start arrives late.
+func TestEvidenceOnPreviousStartIsIgnored(t *testing.T) {
 	d := New("reader", "z1", 1)
 	pool := newPool(10)
 	for _, reporter := range []string{"a", "b"} {
 		d.Merge(0, against(reporter, "z1", 1, 1), 0)
 	}
 	if len(d.Evaluate(0, pool, 1)) != 1 {
-		t.Fatal("it is not ejected before its restart")
+		t.Fatal("before the restart: got no single ejected endpoint, want one")
 	}
 	pool[0].StartedAt = 8
 	d.Merge(time.Second, against("c", "z1", 1, 1), 0)
 	if ejected := d.Evaluate(time.Second, pool, 1); len(ejected) > 0 {
-		t.Errorf("ejected after its restart: %v", ejected)
+		t.Errorf("after the restart: got verdicts %v, want none", ejected)
 	}
 }
--- a/fleet/outlier/detector.go
+++ b/fleet/outlier/detector.go
@@ -1,6 +1,6 @@
-// Package outlier detects endpoints that fail, from what several replicas have seen of them. Replicas send each other
-// evidence, never conclusions, and each one evaluates the evidence itself: so one faulty replica, or a partitioned
-// zone, can't cause the others to eject an endpoint. It is pure.
+// Package outlier detects failing endpoints from the evidence of several replicas. Replicas send each other evidence,
+// never conclusions, and each replica evaluates the evidence itself: a single faulty replica or a partitioned zone
+// can't make others eject an endpoint. The package does no I/O and reads no clock.
 package outlier
 
 import (
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// Bounds of what is kept and how long it counts.
+// Limits of the evidence that is kept and of its age.
 const (
-	// HalfLife is the time in which the weight of evidence halves: endpoints recover.
+	// HalfLife is the time in which the weight of evidence halves, as endpoints recover.
 	HalfLife = 4 * time.Second
-	// MaxForwardedReporters is the number of reporters on an endpoint beyond which a replica forwards no more evidence.
+	// MaxForwardedReporters is the number of known reporters on an endpoint beyond which evidence is not forwarded.
 	MaxForwardedReporters = 16
 
 	maxEvidenceAge = 6 * HalfLife
-	maxEndpoints   = 16384 // with evidence
-	maxReporters   = 64    // on one endpoint: of more, those with the youngest evidence are kept
+	maxEndpoints   = 16384 // that evidence is kept on
+	maxReporters   = 64    // on one endpoint; the reporters with the youngest evidence are kept
 )
 
-// Endpoint is one of a pool's endpoint list.
+// Endpoint is an endpoint in a pool's endpoint list.
 type Endpoint struct {
 	ID        uint64
-	StartedAt int64 // its start as the list has it: evidence on another start doesn't count
+	StartedAt int64 // start time in the list; evidence on another start doesn't count
 }
 
-// Detector holds one replica's own evidence and what it received. It is not safe for concurrent use.
+// Detector holds one replica's own evidence and the evidence received from others. It is not safe for concurrent use.
 type Detector struct {
 	name    string
 	zone    string
@@ -38,7 +38,7 @@
 	local    map[uint64]*localEvidence // by endpoint
 	received map[uint64]reports        // by endpoint
 
-	// Invalid counts evidence that can't be true.
+	// Invalid counts refused evidence with impossible values.
 	Invalid uint64
 }
 
@@ -47,10 +47,10 @@
 
 type report struct {
 	Evidence
-	validAt time.Duration // when it was received, less its age
+	validAt time.Duration // time of receipt, less the age of the evidence
 }
 
-// remainingAttempts are the attempts that the evidence still counts for.
+// remainingAttempts returns the decayed number of attempts.
 func (r *report) remainingAttempts(now time.Duration) float64 {
 	return r.Attempts * decay(now-r.validAt)
 }
@@ -66,8 +66,7 @@
 	}
 }
 
-// Merge adds evidence of another replica that was valid an age ago, and reports whether it was newer than what was
-// known.
+// Merge adds evidence of another replica with its age, and reports whether it was newer than the evidence known.
 func (d *Detector) Merge(now time.Duration, evidence Evidence, age time.Duration) bool {
 	d.advance(now)
 	if !evidence.valid() || age < 0 {
@@ -88,7 +87,7 @@
 	return all.merge(&report{Evidence: evidence, validAt: d.now - age})
 }
 
-// merge adds a report unless a later one of its reporter is known or it is the oldest of too many.
+// merge adds a report unless a newer one of its reporter is known, or the table is full of younger reports.
 func (r reports) merge(added *report) bool {
 	current := r[added.Reporter]
 	if current != nil && !added.newerThan(&current.Evidence) {
@@ -105,7 +104,7 @@
 	return true
 }
 
-// oldestWith returns the oldest of the reports and another one; of equally old ones the last by name.
+// oldestWith returns the oldest among the reports and added; of equally old ones, the last by name of reporter.
 func (r reports) oldestWith(added *report) *report {
 	oldest := added
 	for _, candidate := range r {
@@ -139,7 +138,7 @@
 	return out
 }
 
-// ReporterCount is the number of replicas whose evidence on an endpoint is known.
+// ReporterCount returns the number of replicas whose evidence on an endpoint is known.
 func (d *Detector) ReporterCount(endpoint uint64) int { return len(d.received[endpoint]) }
 
 // AllEvidence returns the received evidence, sorted by endpoint and reporter.
--- a/fleet/outlier/detector_test.go
+++ b/fleet/outlier/detector_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// against is evidence of a replica whose attempts at an endpoint fail.
+// against returns evidence of a reporter with 9 of 10 attempts at an endpoint failed.
 func against(reporter, zone string, endpoint uint64, version uint64) Evidence {
 	return Evidence{Reporter: reporter, Epoch: 1, Version: version, Zone: zone, Endpoint: endpoint, StartedAt: 7, Attempts: 10, Errors: 9}
 }
@@ -68,11 +68,11 @@
 				ids = append(ids, j.Endpoint)
 			}
 			if tc.want == nil && len(ids) > 3 || tc.want != nil && !slices.Equal(ids, tc.want) || tc.want == nil && tc.name != "never more than a fraction" && len(ids) > 0 {
-				t.Errorf("%v, want %v", ids, tc.want)
+				t.Errorf("got ejected endpoints %v, want %v", ids, tc.want)
 			}
-			// Evidence ages: in the end nothing is ejected.
+			// Evidence expires: nothing stays ejected.
 			if late := detector.Evaluate(maxEvidenceAge+time.Second, newPool(10), tc.zones); len(late) > 0 {
-				t.Errorf("still ejected: %v", late)
+				t.Errorf("after maxEvidenceAge: got verdicts %v, want none", late)
 			}
 		})
 	}
@@ -83,22 +83,22 @@
 	for _, e := range []Evidence{{Reporter: "a", Attempts: -1}, {Reporter: "a", Attempts: math.NaN()}, {Reporter: "a", Attempts: math.Inf(1)}, {Reporter: "a", Attempts: 1, Errors: 5},
 		{Attempts: 1}, {Reporter: "a", Attempts: 1, PeerErrorRate: 7}, {Reporter: "r", Attempts: 1}} {
 		if detector.Merge(0, e, 0) {
-			t.Errorf("accepted: %+v", e)
+			t.Errorf("invalid evidence: got accepted, want refused: %+v", e)
 		}
 	}
 	if detector.Merge(0, against("a", "z1", 1, 1), -time.Second) || detector.Merge(0, against("a", "z1", 1, 1), time.Hour) {
-		t.Error("an impossible or old age is accepted")
+		t.Error("evidence with a negative age or an age of 1 h: got accepted, want refused")
 	}
 	for i := range 10 * maxReporters {
 		detector.Merge(time.Duration(i)*time.Millisecond, against(fmt.Sprint("c", i), "z1", 1, 1), 0)
 	}
 	if n := len(detector.EvidenceAgainst(1)); n > maxReporters {
-		t.Errorf("evidence of %d reporters is kept", n)
+		t.Errorf("got evidence of %d reporters kept, want at most maxReporters", n)
 	}
 }
 
-// A replica publishes evidence on endpoints that look faulty against its others, and once more when they no longer do.
-func TestEvidenceIsPublishedWhereItMatters(t *testing.T) {
+// A replica publishes evidence on endpoints that look faulty compared with its others, and once more after they recover.
+func TestPendingEvidenceOnFaultyAndRecoveredEndpoints(t *testing.T) {
 	detector := New("a", "z1", 1)
 	now := time.Duration(0)
 	record := func(outcome Outcome, endpoint uint64, n int) {
@@ -111,24 +111,24 @@
 	record(Failed, 3, 1)
 	record(Succeeded, 3, 2)
 	if got := detector.PendingEvidence(now); len(got) != 1 || got[0].Endpoint != 2 || got[0].Timeouts < 4.9 {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want evidence of about 5 time-outs on endpoint 2 only", got)
 	}
 	now += 3 * HalfLife
 	record(Succeeded, 2, 20)
 	if got := detector.PendingEvidence(now); len(got) != 1 || got[0].Endpoint != 2 || got[0].Timeouts > 1 {
-		t.Errorf("recovered: %+v", got)
+		t.Errorf("after recovery: got %+v, want evidence of at most 1 time-out on endpoint 2 only", got)
 	}
 	if got := detector.PendingEvidence(now); len(got) != 0 {
-		t.Errorf("published again: %+v", got)
+		t.Errorf("second call: got %+v, want no evidence", got)
 	}
-	detector.RecordOutcome(now, Endpoint{2, 8}, Failed, 0) // another start begins without evidence
+	detector.RecordOutcome(now, Endpoint{2, 8}, Failed, 0) // a new start has no evidence
 	if detector.localFaulty(Endpoint{2, 7}) || detector.local[2].attempts > 1 {
-		t.Error("another start inherits")
+		t.Error("new start has the evidence of the previous start")
 	}
 }
 
-// Probes are divided: one replica at a time, and each of them about as often.
-func TestProbesAreDivided(t *testing.T) {
+// In each slot exactly one replica probes, and each replica gets a fair number of slots.
+func TestOneReplicaProbesPerSlot(t *testing.T) {
 	probes := map[int]int{}
 	for slot := range 3000 {
 		n := 0
@@ -139,12 +139,12 @@
 			}
 		}
 		if n != 1 {
-			t.Fatalf("slot %d: %d replicas probe", slot, n)
+			t.Fatalf("slot %d: got %d probing replicas, want 1", slot, n)
 		}
 	}
 	for self := range 30 {
 		if probes[self] < 50 {
-			t.Errorf("replica %d probes %d times of 3000", self, probes[self])
+			t.Errorf("replica %d: got %d probes in 3000 slots, want at least 50", self, probes[self])
 		}
 	}
 }
--- a/fleet/outlier/evaluate.go
+++ b/fleet/outlier/evaluate.go
@@ -11,28 +11,28 @@
 
 // Parameters of the evaluation.
 const (
-	// MaxEjectedFraction is the greatest fraction of a pool's endpoints that may be ejected by evidence of others.
+	// MaxEjectedFraction is the maximum fraction of a pool's endpoints that shared evidence may eject.
 	MaxEjectedFraction = 0.3
 
-	maxReporterWeight = 2.0             // attempts that one reporter counts for at most: none decides alone
-	minTotalWeight    = 4.0             // attempts that all reporters must count for
-	minReporters      = 2               // that must have evidence against the endpoint
-	minZones          = 2               // that they must be in, unless all are in the reader's zone
-	maxFaultyFraction = 0.34            // of a pool: a reporter to which more looks faulty is faulty itself
-	probeSlot         = 2 * time.Second // in which one replica of all may probe an ejected endpoint
-	minWeight         = 1e-9            // to divide by
+	maxReporterWeight = 2.0             // in attempts: less than minTotalWeight, so that no reporter decides alone
+	minTotalWeight    = 4.0             // in attempts, of all reporters together
+	minReporters      = 2               // with evidence against the endpoint
+	minZones          = 2               // of the reporters, unless all are in the reader's zone
+	maxFaultyFraction = 0.34            // of a pool: a reporter that finds more endpoints faulty is not credible
+	probeSlot         = 2 * time.Second // time in which one replica may probe an ejected endpoint
+	minWeight         = 1e-9            // avoids division by zero
 )
 
-// Verdict names an endpoint that is to be ejected.
+// Verdict is the decision to eject an endpoint, with the reporters that it is based on.
 type Verdict struct {
 	Endpoint  uint64
-	Reporters []string // replicas with evidence against it, sorted
+	Reporters []string // replicas with evidence against the endpoint, sorted
 	Zones     []string // of the reporters, sorted
 }
 
-// Evaluate returns the endpoints of a pool that are to be ejected, those with most evidence first. zones is the number
-// of zones with replicas. What replicas of one zone alone have seen counts in that zone only: a partition between zones
-// looks like faulty endpoints from one side.
+// Evaluate returns the endpoints of a pool to eject, those with the most evidence first. zones is the number of zones
+// with replicas. Evidence from one zone alone counts in that zone only, because a partition between zones makes healthy
+// endpoints look faulty from one side.
 func (d *Detector) Evaluate(now time.Duration, endpoints []Endpoint, zones int) []Verdict {
 	d.advance(now)
 	d.expireReceived()
@@ -66,8 +66,8 @@
 	}
 }
 
-// faultyByReporter counts the endpoints of a pool that look faulty to each reporter, this replica among them. A
-// reporter to which much of the pool looks faulty shows a fault of its own, or one that all endpoints share.
+// faultyByReporter counts the endpoints of a pool that look faulty to each reporter, this replica included. If much of
+// the pool looks faulty to a reporter, the reporter itself is faulty or all endpoints share a fault.
 func (d *Detector) faultyByReporter(endpoints []Endpoint) map[string]int {
 	startedAt := make(map[uint64]int64, len(endpoints))
 	for _, endpoint := range endpoints {
@@ -97,12 +97,12 @@
 type assessment struct {
 	Verdict
 	weight          float64
-	failureRate     float64 // sums of weighted rates
+	failureRate     float64 // this and the following are sums of weighted values
 	peerFailureRate float64
 	relativeLatency float64
 }
 
-// assess sums up the evidence on an endpoint of those reporters that are credible.
+// assess sums up the evidence of credible reporters on an endpoint.
 func (d *Detector) assess(endpoint Endpoint, credible func(reporter string) bool) assessment {
 	sum := assessment{Verdict: Verdict{Endpoint: endpoint.ID}}
 	all := d.received[endpoint.ID]
@@ -124,7 +124,7 @@
 	return sum
 }
 
-// add adds evidence that still counts for a number of attempts.
+// add adds evidence with its decayed number of attempts.
 func (a *assessment) add(evidence *Evidence, attempts float64) {
 	if attempts <= 0 || evidence.Attempts <= 0 {
 		return
@@ -143,7 +143,7 @@
 	}
 }
 
-// isFaulty reports whether the evidence is enough for a reader in a zone, one of a number of zones.
+// isFaulty reports whether the evidence suffices to eject the endpoint, for a reader in readerZone among zones zones.
 func (a *assessment) isFaulty(readerZone string, zones int) bool {
 	if a.weight < minTotalWeight || len(a.Reporters) < minReporters {
 		return false
@@ -156,9 +156,9 @@
 	return exceedsThresholds(a.failureRate/divisor, a.peerFailureRate/divisor, a.relativeLatency/divisor)
 }
 
-// ShouldProbe reports whether this replica, of an index among a number of replicas, may probe an ejected endpoint now.
-// One replica at a time does, so that the probes of all are as many as one replica's. clock is a time that all
-// replicas have about alike; a difference costs a probe.
+// ShouldProbe reports whether the replica with an index among replicaCount replicas may probe an ejected endpoint now.
+// One replica probes at a time, so that probes do not multiply with the fleet. clock is a time on which all
+// replicas agree approximately; a difference costs a probe.
 func ShouldProbe(endpoint uint64, clock time.Duration, index, replicaCount int) bool {
 	slot := uint64(clock / probeSlot)
 	chosen := seedrand.Mix(endpoint^seedrand.Mix(slot)) % uint64(max(replicaCount, 1))
--- a/fleet/outlier/evidence.go
+++ b/fleet/outlier/evidence.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Thresholds from which evidence speaks against an endpoint.
+// Thresholds of evidence against an endpoint.
 const (
 	minAttempts         = 0.9 // of one replica
 	minFailureRate      = 0.5 // fraction of attempts that failed or timed out
-	minPeerFailureRatio = 3.0 // of that to the fraction at the reporter's other endpoints
-	minLatencyRatio     = 3.0 // of the latency to that of the reporter's other endpoints
+	minPeerFailureRatio = 3.0 // ratio of the failure rate to that of the reporter's other endpoints
+	minLatencyRatio     = 3.0 // ratio of the latency to that of the reporter's other endpoints
 )
 
-// Bounds of evidence that can be true.
+// Limits of valid evidence.
 const (
 	maxValue         = 1e9
-	failureTolerance = 1.0001 // for rounding, of failures to attempts
+	failureTolerance = 1.0001 // ratio of failures to attempts that rounding may give
 )
 
-// Evidence is what one replica saw of one endpoint. Attempts, Errors and Timeouts are counts that decay.
+// Evidence is one replica's observations of one endpoint. Attempts, Errors and Timeouts are decaying counts.
 type Evidence struct {
 	Reporter        string  `json:"Reporter"`
 	Epoch           uint64  `json:"Epoch"`   // of the reporter's process
-	Version         uint64  `json:"Version"` // grows with what the process publishes
+	Version         uint64  `json:"Version"` // grows with each publication by the process
 	Zone            string  `json:"Zone"`    // of the reporter
 	Endpoint        uint64  `json:"Server"`
 	StartedAt       int64   `json:"Since"` // start of the endpoint
@@ -43,7 +43,7 @@
 	return e.Reporter != "" && e.Errors+e.Timeouts <= e.Attempts*failureTolerance && e.PeerErrorRate <= 1
 }
 
-// newerThan compares evidence of one reporter.
+// newerThan reports whether e is newer than other evidence of the same reporter.
 func (e *Evidence) newerThan(other *Evidence) bool {
 	if e.Epoch != other.Epoch {
 		return e.Epoch > other.Epoch
@@ -51,7 +51,7 @@
 	return e.Version > other.Version
 }
 
-// isAgainst reports whether evidence that counts for a number of attempts speaks against its endpoint.
+// isAgainst reports whether the evidence, with a decayed number of attempts, exceeds the thresholds.
 func (e *Evidence) isAgainst(attempts float64) bool {
 	if attempts < minAttempts {
 		return false
@@ -64,7 +64,7 @@
 		relativeLatency >= minLatencyRatio
 }
 
-// decay is the fraction of evidence that remains after an age.
+// decay returns the fraction of its weight that evidence of an age retains.
 func decay(age time.Duration) float64 {
 	return math.Exp2(-float64(max(age, 0)) / float64(HalfLife))
 }
--- a/fleet/outlier/local.go
+++ b/fleet/outlier/local.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Parameters of the evidence of this replica.
+// Parameters of this replica's own evidence.
 const (
-	latestFailureWeight = 0.7  // of the latest attempt in the failure rates
-	latestLatencyWeight = 0.2  // of the latest attempt in the relative latency
+	latestFailureWeight = 0.7  // weight of the latest attempt in the failure rates
+	latestLatencyWeight = 0.2  // weight of the latest attempt in the relative latency
 	maxLatencyRatio     = 1e6  // greater ones are ignored
-	negligibleAttempts  = 0.05 // evidence that counts for less is dropped
-	restartAttempts     = 0.01 // with less left the failure rates start anew
-	minRecoveryAttempts = 2.0  // before it is published that an endpoint has recovered
+	negligibleAttempts  = 0.05 // evidence with fewer remaining attempts is dropped
+	restartAttempts     = 0.01 // with fewer remaining attempts the failure rates are reset
+	minRecoveryAttempts = 2.0  // remaining attempts needed to publish a recovery
 	publishInterval     = time.Second
 )
 
@@ -27,20 +27,20 @@
 	TimedOut
 )
 
-// localEvidence is what this replica saw of one endpoint.
+// localEvidence is this replica's observations of one endpoint.
 type localEvidence struct {
 	startedAt       int64   // start of the endpoint
 	attempts        float64 // decays
-	relativeLatency float64 // returns to 1
+	relativeLatency float64 // decays to 1
 	errorRate       float64 // of the latest attempts
 	timeoutRate     float64
 	decayedAt       time.Duration
 	latestAttemptAt time.Duration
 
-	unpublished int // attempts since it was published
+	unpublished int // attempts since the latest publication
 	published   bool
 	publishedAt time.Duration
-	wasAgainst  bool // the endpoint, when it was published
+	wasAgainst  bool // the latest publication was evidence against the endpoint
 }
 
 func (l *localEvidence) decay(now time.Duration) {
@@ -50,15 +50,15 @@
 	l.decayedAt = now
 }
 
-// remainingAttempts are the attempts that the evidence still counts for.
+// remainingAttempts returns the decayed number of attempts.
 func (l *localEvidence) remainingAttempts(now time.Duration) float64 {
 	return l.attempts * decay(now-l.decayedAt)
 }
 
-// failures are the attempts that failed or timed out.
+// failures returns the decayed number of attempts that failed or timed out.
 func (l *localEvidence) failures() float64 { return l.attempts * (l.errorRate + l.timeoutRate) }
 
-// evidence returns it as others see it, without its reporter.
+// evidence returns the observations as Evidence without its reporter and endpoint.
 func (l *localEvidence) evidence() Evidence {
 	return Evidence{
 		Attempts:        l.attempts,
@@ -68,7 +68,7 @@
 	}
 }
 
-// record counts an attempt. The latest ones weigh most: a replica with one attempt a second must not need many.
+// record counts an attempt. The latest attempts weigh most, so that a replica with one attempt per second needs few.
 func (l *localEvidence) record(now time.Duration, outcome Outcome, relativeLatency float64) {
 	failed := 0.0
 	timedOut := 0.0
@@ -92,8 +92,8 @@
 	}
 }
 
-// RecordOutcome counts an attempt of this replica. relativeLatency is the ratio of its latency to the typical one, 0 if
-// it is not known.
+// RecordOutcome counts an attempt of this replica. relativeLatency is the ratio of its latency to the typical latency,
+// or 0 if unknown.
 func (d *Detector) RecordOutcome(now time.Duration, endpoint Endpoint, outcome Outcome, relativeLatency float64) {
 	d.advance(now)
 	local := d.local[endpoint.ID]
@@ -108,8 +108,8 @@
 	local.record(d.now, outcome, relativeLatency)
 }
 
-// PendingEvidence returns what this replica is to send to others: evidence on endpoints that look faulty to it or did
-// when it last published, and on those that others reported, since it may have seen them succeed.
+// PendingEvidence returns the evidence to send to others: on endpoints that look faulty to this replica or did so when
+// it last published, and on endpoints that others reported, since this replica may have seen them succeed.
 func (d *Detector) PendingEvidence(now time.Duration) []Evidence {
 	d.advance(now)
 	endpoints, attempts, failures := d.decayLocal()
@@ -140,8 +140,8 @@
 	return pending
 }
 
-// decayLocal decays this replica's evidence, drops what is negligible, and returns the endpoints that it is on, sorted,
-// and all attempts and failures. They are added in that order: sums of rounded numbers depend on it.
+// decayLocal decays this replica's evidence and drops negligible evidence. It returns the sorted endpoints with
+// evidence and the sums of attempts and failures, added in that order because rounding depends on the order.
 func (d *Detector) decayLocal() (endpoints []uint64, attempts, failures float64) {
 	for _, id := range slices.Sorted(maps.Keys(d.local)) {
 		local := d.local[id]
@@ -157,8 +157,8 @@
 	return endpoints, attempts, failures
 }
 
-// shouldPublish reports whether evidence is to be sent now: at once if it has changed sides, and otherwise seldom, as
-// others need a few reporters and not all evidence that each has.
+// shouldPublish reports whether to send evidence now: at once if it turned against the endpoint or in its favour, and
+// otherwise rarely, as others need a few reporters and not all evidence of each.
 func (d *Detector) shouldPublish(id uint64, local *localEvidence, against bool) bool {
 	if against != local.wasAgainst && (against || local.attempts >= minRecoveryAttempts) {
 		return true
@@ -169,7 +169,7 @@
 	return against || d.reportedFaulty(id) && d.now-local.latestAttemptAt <= publishInterval
 }
 
-// reportedFaulty reports whether others have lately sent evidence against an endpoint.
+// reportedFaulty reports whether others have sent evidence against an endpoint within HalfLife.
 func (d *Detector) reportedFaulty(id uint64) bool {
 	for _, report := range d.received[id] {
 		if d.now-report.validAt < HalfLife && report.isAgainst(report.Attempts) {
@@ -179,7 +179,7 @@
 	return false
 }
 
-// localFaulty reports whether an endpoint looks faulty by this replica's own evidence.
+// localFaulty reports whether this replica's own evidence is against an endpoint.
 func (d *Detector) localFaulty(endpoint Endpoint) bool {
 	local := d.local[endpoint.ID]
 	if local == nil || local.startedAt != endpoint.StartedAt {
--- a/fleet/outlier/order_test.go
+++ b/fleet/outlier/order_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The same attempts give the same evidence to the last bit, in every run.
-func TestEvidenceDoesNotDependOnTheOrderOfMaps(t *testing.T) {
+// The same attempts give bit-identical evidence in every run, independent of map iteration order.
+func TestEvidenceIsIndependentOfMapOrder(t *testing.T) {
 	pending := func() []Evidence {
 		d := New("a", "z1", 1)
 		for id := range uint64(40) {
@@ -24,11 +24,11 @@
 	}
 	want := pending()
 	if len(want) == 0 {
-		t.Fatal("nothing is published")
+		t.Fatal("got no pending evidence, want some")
 	}
 	for run := range 30 {
 		if got := pending(); !slices.Equal(got, want) {
-			t.Fatalf("run %d: %+v, and before %+v", run, got, want)
+			t.Fatalf("run %d: got %+v, want %+v", run, got, want)
 		}
 	}
 }
