--- a/fleet/outlier/clocks_test.go
+++ b/fleet/outlier/clocks_test.go
@@ -39,7 +39,7 @@
 				longest = max(longest, without)
 			}
 			if probes < slots*8/10 || probes > slots*12/10 {
-				t.Errorf("got %d probes in %d slots, want 80%% to 120%% of the slots", probes, slots)
+				t.Errorf("got %d probes in %d slots, want 0.8 to 1.2 per slot", probes, slots)
 			}
 			if longest > 15 {
 				t.Errorf("got %d slots in a row without a probe, want at most 15", longest)
--- a/fleet/statesync/compatibility_test.go
+++ b/fleet/statesync/compatibility_test.go
@@ -11,8 +11,8 @@
 	"ryerill/internal/golden"
 )
 
-// A packet of another program of this fleet is read whole and written back to the letter.
-func TestRecordedPacketIsReadAndWrittenAlike(t *testing.T) {
+// A recorded packet decodes without missing fields and encodes to the same bytes: replicas of other versions use it.
+func TestRecordedPacketRoundTrip(t *testing.T) {
 	text := golden.Recorded(t, "packet.cbor.hex", func() []byte {
 		n, p := 0, new(Packet)
 		golden.Fill(reflect.ValueOf(p).Elem(), &n)
@@ -28,9 +28,9 @@
 		t.Fatal(err)
 	}
 	if missing := golden.Zeros(reflect.ValueOf(p), "packet"); len(missing) > 0 {
-		t.Errorf("not read: %v", missing)
+		t.Errorf("got fields not decoded: %v, want none", missing)
 	}
 	if again, err := cbor.Marshal(p); err != nil || !bytes.Equal(again, want) {
-		t.Errorf("%v\nwritten %x\nwas     %x", err, again, want)
+		t.Errorf("error %v\ngot  %x\nwant %x", err, again, want)
 	}
 }
--- a/fleet/statesync/evidence.go
+++ b/fleet/statesync/evidence.go
@@ -5,8 +5,8 @@
 	"ryerill/fleet/outlier"
 )
 
-// EvidenceOf returns the evidence that an attempt's outcome gives of its endpoint. ok is false if it gives none: the
-// attempt was cancelled or never sent.
+// EvidenceOf converts the outcome of an attempt to evidence on its endpoint. ok is false if the outcome is no evidence:
+// the attempt was cancelled or never sent.
 func EvidenceOf(outcome balancer.Outcome) (evidence outlier.Outcome, ok bool) {
 	switch outcome {
 	case balancer.OK:
--- a/fleet/statesync/many_keys_test.go
+++ b/fleet/statesync/many_keys_test.go
@@ -8,9 +8,9 @@
 	"ryerill/fleet/counter"
 )
 
-// What replicas with many pools and classes count adds up with every other one, of the same zone and of another, although
-// a packet has not room for all keys.
-func TestCountersOfManyKeysAddUpEverywhere(t *testing.T) {
+// Counts of many pools and classes add up at every replica, in the same zone and in others, although the keys don't all
+// fit into one packet.
+func TestCounterTotalsWithMoreKeysThanFitAPacket(t *testing.T) {
 	const keys = 60
 	c := newCluster(t, 4, 2, 0)
 	c.play(20*time.Second, func(i int, s *Syncer) {
@@ -23,10 +23,10 @@
 	for i, s := range c.syncers {
 		v := s.Counters.Sum(c.now, nil, func(c counter.Counts) float64 { return float64(c.Arrivals) })
 		if v.Estimate != want || v.Replicas != len(c.syncers) {
-			t.Errorf("replica %d counts %v arrivals of %v, of %d replicas", i, v.Estimate, want, v.Replicas)
+			t.Errorf("replica %d: got %v arrivals, want %v; sum covers %d replicas", i, v.Estimate, want, v.Replicas)
 		}
 		if v.Lower > want || v.Upper < want {
-			t.Errorf("replica %d: %v is not between %v and %v", i, want, v.Lower, v.Upper)
+			t.Errorf("replica %d: true value %v outside the bounds %v and %v", i, want, v.Lower, v.Upper)
 		}
 	}
 }
--- a/fleet/statesync/packet.go
+++ b/fleet/statesync/packet.go
@@ -12,9 +12,9 @@
 	"ryerill/fleet/quota"
 )
 
-// Bounds of a packet.
+// Limits of a packet.
 const (
-	maxPacketBytes = 900 // of a datagram that are for the packet
+	maxPacketBytes = 900 // of a datagram's payload
 	maxAgeMS       = 1e9
 	maxElements    = 4096 // of an array
 	maxMapPairs    = 64
@@ -27,19 +27,19 @@
 	countsBytes = 34
 
 	commonKeyBytes = countsBytes + 16
-	minItemBytes   = 60 // an item takes at least so much
+	minItemBytes   = 60 // minimum size of any item
 
-	quotaListBytes = 8 // of the packet and of the list, at most
+	quotaListBytes = 8 // maximum overhead of the packet and the list
 )
 
-// Packet is what one replica sends another, encoded as CBOR.
+// Packet is the payload of a datagram between replicas, encoded as CBOR.
 type Packet struct {
 	Quotas   []quota.Message          `cbor:"1,keyasint,omitempty"`
 	Counters []aged[wireCounters]     `cbor:"2,keyasint,omitempty"`
 	Evidence []aged[outlier.Evidence] `cbor:"3,keyasint,omitempty"`
 }
 
-// packQuotas divides messages among as many packets as they need.
+// packQuotas distributes messages over as many packets as needed.
 func packQuotas(messages []quota.Message) (packets []*Packet) {
 	remaining := 0
 	for _, message := range messages {
@@ -55,18 +55,18 @@
 	return packets
 }
 
-// aged is an item with the age that it had when it was sent.
+// aged is an item with its age at the time of sending.
 type aged[T any] struct {
 	AgeMS int64 `cbor:"1,keyasint,omitempty"`
 	Item  T     `cbor:"2,keyasint"`
 }
 
-// age is the item's age; negative if what was received was.
+// age returns the item's age, at most maxAgeMS. It is negative if the received age is.
 func (a *aged[T]) age() time.Duration {
 	return time.Duration(min(max(a.AgeMS, -1), maxAgeMS)) * time.Millisecond
 }
 
-// wireCounters is a counter.Update as it is sent.
+// wireCounters is the wire format of counter.Update.
 type wireCounters struct {
 	Name    string       `cbor:"1,keyasint"`
 	Epoch   uint64       `cbor:"2,keyasint"`
@@ -76,7 +76,7 @@
 	Counts  []wireCounts `cbor:"6,keyasint,omitempty"`
 }
 
-// wireCounts are the counts of one key as they are sent.
+// wireCounts is the wire format of the counts of one key.
 type wireCounts struct {
 	Pool     string `cbor:"1,keyasint,omitempty"`
 	Class    string `cbor:"2,keyasint,omitempty"`
@@ -96,8 +96,8 @@
 	}.DecMode()
 }
 
-// newWireCounters returns an update as it is sent and its estimated size. The counts of keys that don't fit into one
-// packet, the last ones, are under one common key.
+// newWireCounters returns the wire format of an update and its estimated size. The counts of the last keys, which don't
+// fit into one packet, are summed under one overflow key.
 func newWireCounters(update counter.Update) (counters *wireCounters, size int) {
 	counters = &wireCounters{
 		Name:    update.Name,
@@ -128,7 +128,7 @@
 	return counters, size
 }
 
-// keysThatFit returns how many keys of an update, the first ones, fit into a number of bytes beside the common one.
+// keysThatFit returns how many of the first keys of an update fit into a number of bytes, beside the overflow key.
 func keysThatFit(update *counter.Update, bytes int) int {
 	bytes -= commonKeyBytes
 	keys := update.Keys()
@@ -144,7 +144,7 @@
 
 func (w *wireCounts) size() int { return countsBytes + len(w.Pool) + len(w.Class) + len(w.Tenant) }
 
-// update returns the counters as package counter takes them.
+// update converts the counters to a counter.Update.
 func (w *wireCounters) update(ageMS int64) counter.Update {
 	update := counter.Update{
 		Name:    w.Name,
--- a/fleet/statesync/queue.go
+++ b/fleet/statesync/queue.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	maxQueuedItems   = 2048 // beyond it the one that was sent most often is dropped
-	retransmitFactor = 4    // an item is sent so many times for each decimal digit of the number of replicas
+	maxQueuedItems   = 2048 // when full, the last item is dropped: not urgent and sent most often
+	retransmitFactor = 4    // transmissions of an item per decimal digit of the number of replicas
 	decimalBase      = 10
 )
 
-// item is counters or evidence to be sent.
+// item is a queued update of counters or evidence.
 type item struct {
 	key       itemKey
-	validAt   time.Duration // when it was true
-	transmits int           // how often it was sent
+	validAt   time.Duration // time at which the content was valid
+	transmits int           // number of transmissions so far
 	urgent    bool
 	counters  *wireCounters     // nil for evidence
 	evidence  *outlier.Evidence // nil for counters
 	size      int               // estimated, in bytes
 }
 
-// itemKey names what an item is about: a later item replaces an earlier one of the same key.
+// itemKey identifies the subject of an item. A later item replaces an earlier one with the same key.
 type itemKey struct {
 	sender   string // replica that counted or reported
-	zone     string // of the sums, for counters of a zone
+	zone     string // for sums over a zone
 	endpoint uint64 // for evidence
 	evidence bool
 }
@@ -54,8 +54,8 @@
 	}
 }
 
-// concerns reports whether a peer needs an item of a sender in a zone: of another zone its sums are enough, and its own
-// zone the peer knows replica by replica.
+// concerns reports whether a peer needs the item from a sender in senderZone. A peer gets the counters of single
+// replicas of its own zone, and only sums of other zones.
 func (i *item) concerns(peer Peer, senderZone string) bool {
 	switch {
 	case i.counters == nil:
@@ -77,7 +77,7 @@
 	packet.Evidence = append(packet.Evidence, aged[outlier.Evidence]{AgeMS: age, Item: *i.evidence})
 }
 
-// compareItems puts urgent items first, and of these the ones that were sent least often.
+// compareItems orders urgent items first, then items by ascending number of transmissions.
 func compareItems(a, b item) int {
 	if a.urgent != b.urgent {
 		if a.urgent {
@@ -88,14 +88,14 @@
 	return cmp.Compare(a.transmits, b.transmits)
 }
 
-// queue holds items in the order of compareItems until each was sent often enough to reach all.
+// queue holds items, ordered by compareItems, until each was sent often enough to reach all replicas.
 type queue struct {
 	items []item
 }
 
 func (q *queue) empty() bool { return len(q.items) == 0 }
 
-// put adds an item in place of an earlier one of its key, before others that were sent as often.
+// put adds an item, replacing an earlier one with the same key. It goes before items with as many transmissions.
 func (q *queue) put(added item) {
 	q.items = slices.DeleteFunc(q.items, func(i item) bool { return i.key == added.key })
 	if len(q.items) >= maxQueuedItems {
@@ -105,15 +105,15 @@
 	q.items = slices.Insert(q.items, index, added)
 }
 
-// dropCounters drops queued counters of a replica, of epochs up to the one given.
+// dropCounters drops queued counters of a replica from epochs up to the one given.
 func (q *queue) dropCounters(name string, epoch uint64) {
 	q.items = slices.DeleteFunc(q.items, func(i item) bool {
 		return i.counters != nil && i.counters.Name == name && i.counters.Epoch <= epoch
 	})
 }
 
-// pack returns a packet of the first items that concern a peer and fit, or nil if there are none. Items that were sent
-// often enough for a number of peers leave the queue.
+// pack returns a packet of the first items that concern a peer and fit, or nil if there are none. It removes items that
+// were sent often enough for the number of peers.
 func (q *queue) pack(now time.Duration, senderZone string, peer Peer, peers int) *Packet {
 	packet := &Packet{}
 	remaining := maxPacketBytes
--- a/fleet/statesync/quota_budget_test.go
+++ b/fleet/statesync/quota_budget_test.go
@@ -12,13 +12,13 @@
 	"ryerill/fleet/quota"
 )
 
-// However many quotas a replica borrows of, it and those that lend to it send no more a second than their budget, and all
-// together never may spend more than the whole. Where the budget does not suffice for all loans, each quota still has some.
-func TestMessagesAboutQuotasKeepTheirBudget(t *testing.T) {
+// A borrower of many quotas and its lenders stay within the byte budget, and all replicas together never may spend more
+// than the total. If the budget does not suffice for all loans, each quota still gets some.
+func TestQuotaMessagesStayWithinByteBudget(t *testing.T) {
 	const replicas, quotas = 12, 64
 	for _, tc := range []struct {
 		bytesPerSecond int
-		wanted         float64 // of each quota, that the busy replica may spend in the end
+		wanted         float64 // minimum fraction of each quota's total for the busy replica
 	}{{DefaultBytesPerSecond, 0.6}, {400, 1.5 / replicas}} {
 		t.Run(fmt.Sprint(tc.bytesPerSecond), func(t *testing.T) {
 			c := newCluster(t, replicas, 1, tc.bytesPerSecond)
@@ -36,7 +36,7 @@
 						sum += each.Quotas.Rate(c.now, limit.Name)
 					}
 					if sum > limit.Total*(1+1e-9) {
-						t.Errorf("%v, %s: all together may spend %v of %v", c.now, limit.Name, sum, limit.Total)
+						t.Errorf("at %v, quota %s: got a combined rate of %v, want at most %v", c.now, limit.Name, sum, limit.Total)
 					}
 					if c.now >= span/2 {
 						served[k] += s.Quotas.Rate(c.now, limit.Name) / limit.Total / float64(span/2/Interval)
@@ -46,22 +46,21 @@
 			most := float64(tc.bytesPerSecond) * (1.1 + QuotaBudgetFactor*(1+1/span.Seconds()))
 			for i, s := range c.syncers {
 				if rate := float64(s.Stats.BytesOut) / span.Seconds(); rate > most {
-					t.Errorf("replica %d sends %.0f bytes a second, and %.0f are the most", i, rate, most)
+					t.Errorf("replica %d: got %.0f bytes/s sent, want at most %.0f", i, rate, most)
 				}
 			}
 			for k, fraction := range served {
 				if fraction < tc.wanted {
-					t.Errorf("%s: on average it may spend %.3f of the whole, want %.3f", limits[k].Name, fraction, tc.wanted)
+					t.Errorf("quota %s: got an average fraction of %.3f of the total, want at least %.3f", limits[k].Name, fraction, tc.wanted)
 				}
 			}
-			t.Logf("the busy one sends %.0f bytes a second", float64(c.syncers[0].Stats.BytesOut)/span.Seconds())
+			t.Logf("busy replica: %.0f bytes/s sent", float64(c.syncers[0].Stats.BytesOut)/span.Seconds())
 		})
 	}
 }
 
-// The size by which messages are budgeted is the one that they have when each is encoded in a packet of its own, with an
-// amount of most digits.
-func TestSizesOfMessagesAboutQuotas(t *testing.T) {
+// MaxEncodedBytes equals the encoded size of a packet with one message whose amount has the longest encoding.
+func TestMaxEncodedBytesOfQuotaMessages(t *testing.T) {
 	for _, length := range []int{0, 23, 24, 255, 256} {
 		for _, number := range []uint64{0, 23, 24, 255, 256, math.MaxUint16 + 1, math.MaxUint32 + 1, math.MaxUint64} {
 			name := strings.Repeat("x", length)
@@ -71,7 +70,7 @@
 			}
 			encoded, err := cbor.Marshal(Packet{Quotas: []quota.Message{message}})
 			if size := message.MaxEncodedBytes(); err != nil || size != len(encoded) {
-				t.Errorf("names of %d, numbers of %d: it takes %d bytes, and counts as %d (%v)", length, number, len(encoded), size, err)
+				t.Errorf("names of %d bytes, numbers of %d: got %d bytes encoded, want %d (error %v)", length, number, len(encoded), size, err)
 			}
 		}
 	}
--- a/fleet/statesync/quota_packets_test.go
+++ b/fleet/statesync/quota_packets_test.go
@@ -11,12 +11,12 @@
 	"ryerill/fleet/quota"
 )
 
-// However many quotas a replica borrows of at once, each packet fits into a datagram, and it gets what it demands.
-func TestMessagesAboutManyQuotasFitIntoDatagrams(t *testing.T) {
+// A replica that borrows of many quotas at once sends only packets that fit into a datagram, and its demand is granted.
+func TestManyQuotaMessagesFitIntoDatagrams(t *testing.T) {
 	const quotas, demand = 64, 200.0
 	c := newCluster(t, 2, 1, 0)
 	largest := 0
-	c.lost = func(payload []byte) bool { // as the host does with what is too large
+	c.lost = func(payload []byte) bool { // the host drops packets that are too large
 		largest = max(largest, len(payload))
 		return len(payload) > maxPacketBytes
 	}
@@ -29,17 +29,17 @@
 		}
 	})
 	if largest > maxPacketBytes {
-		t.Errorf("a packet has %d bytes, and %d are the most", largest, maxPacketBytes)
+		t.Errorf("got a packet of %d bytes, want at most %d", largest, maxPacketBytes)
 	}
 	for _, limit := range limits {
 		if rate := c.syncers[0].Quotas.Rate(c.now, limit.Name); rate < demand {
-			t.Errorf("%s: it may spend %v a second of the %v that it demands", limit.Name, rate, demand)
+			t.Errorf("quota %s: got rate %v, want at least %v", limit.Name, rate, demand)
 		}
 	}
 }
 
-// The size by which messages are divided among packets is never less than what they take.
-func TestPacketOfTheLargestMessagesFitsIntoADatagram(t *testing.T) {
+// The size estimate that packQuotas uses is never below the encoded size.
+func TestPacketOfLargestMessagesFitsIntoDatagram(t *testing.T) {
 	long := strings.Repeat("x", 64)
 	largest := quota.Message{
 		Grant: true, Return: true, From: long, Quota: long, Amount: math.Pi,
@@ -51,11 +51,11 @@
 	for _, packet := range packQuotas(messages) {
 		payload, err := cbor.Marshal(packet)
 		if err != nil || len(payload) > maxPacketBytes {
-			t.Errorf("%d bytes, %v", len(payload), err)
+			t.Errorf("got a packet of %d bytes and error %v, want at most maxPacketBytes and no error", len(payload), err)
 		}
 		sent += len(packet.Quotas)
 	}
 	if sent != len(messages) {
-		t.Errorf("%d of %d messages are sent", sent, len(messages))
+		t.Errorf("got %d messages in packets, want %d", sent, len(messages))
 	}
 }
--- a/fleet/statesync/starvation_test.go
+++ b/fleet/statesync/starvation_test.go
@@ -10,8 +10,7 @@
 	"ryerill/fleet/quota"
 )
 
-// A replica that borrows of many quotas still tells others what it counts and which endpoint fails, within the byte budget
-// for that.
+// A replica that borrows of many quotas still sends its counters and evidence, within their byte budget.
 func TestQuotasDoNotStarveCountersAndEvidence(t *testing.T) {
 	for _, tc := range []struct{ quotas, replicas int }{{1, 12}, {64, 3}, {64, 12}} {
 		t.Run(fmt.Sprintf("%d quotas, %d replicas", tc.quotas, tc.replicas), func(t *testing.T) {
@@ -37,24 +36,24 @@
 			busy := c.syncers[0]
 			for i, s := range c.syncers[1:] {
 				if s.Outliers.ReporterCount(bad.ID) != 1 {
-					t.Errorf("replica %d has no evidence of the busy one", i+1)
+					t.Errorf("replica %d: got no evidence of the busy replica, want one report", i+1)
 				}
 				v := s.Counters.Sum(c.now, nil, func(c counter.Counts) float64 { return float64(c.Arrivals) })
 				if v.Replicas != tc.replicas || v.Stale {
-					t.Errorf("replica %d: %+v", i+1, v)
+					t.Errorf("replica %d: got %+v, want a sum over all replicas that is not stale", i+1, v)
 				}
 			}
 			for _, limit := range limits {
 				if rate := busy.Quotas.Rate(c.now, limit.Name); rate < limit.Total*0.6 {
-					t.Errorf("%s: it may spend %v of %v", limit.Name, rate, limit.Total)
+					t.Errorf("quota %s: got rate %v, want at least 0.6 of %v", limit.Name, rate, limit.Total)
 				}
 			}
-			t.Logf("the busy one sends %.0f bytes a second", float64(busy.Stats.BytesOut)/span.Seconds())
+			t.Logf("busy replica: %.0f bytes/s sent", float64(busy.Stats.BytesOut)/span.Seconds())
 		})
 	}
 }
 
-// shareQuotas has all replicas share a number of quotas, and returns them.
+// shareQuotas configures the same quotas at all replicas, and returns them.
 func shareQuotas(c *cluster, quotas int) (limits []quota.Limit) {
 	for i := range quotas {
 		name := fmt.Sprintf("a-pool-of-some-name/tenant-%02d", i)
--- a/fleet/statesync/syncer.go
+++ b/fleet/statesync/syncer.go
@@ -1,6 +1,6 @@
-// Package statesync spreads what replicas share (messages about quotas, counters and evidence on endpoints) by
-// anti-entropy within a budget of bytes: new and urgent items go first, and differences rather than whole tables. It is
-// pure: an event and its time go in, packets for the host to send come out.
+// Package statesync spreads the state that replicas share (quota messages, counters and evidence on endpoints) by
+// anti-entropy within a byte budget: urgent and new items go first, and differences are sent rather than whole tables.
+// It does no I/O and reads no clock: the host passes in events with their time, and sends the packets returned.
 package statesync
 
 import (
@@ -19,27 +19,27 @@
 const (
 	// Interval is the time between ticks.
 	Interval = 200 * time.Millisecond
-	// DefaultBytesPerSecond is what a replica sends of counters and evidence at most on average, if its configuration
-	// doesn't say.
+	// DefaultBytesPerSecond is the default limit of the average bytes per second of counters and evidence that a
+	// replica sends.
 	DefaultBytesPerSecond = 1500
-	// QuotaBudgetFactor is how many times as much it sends of messages about quotas at most.
+	// QuotaBudgetFactor is the ratio of the byte budget of quota messages to that of counters and evidence.
 	QuotaBudgetFactor = 16
 
-	fanout                = 3 // peers that are sent queued items at each tick
+	fanout                = 3 // peers that receive queued items at each tick
 	evidenceInterval      = 200 * time.Millisecond
 	minCounterInterval    = time.Second
 	zoneSumInterval       = 2 * time.Second
-	counterBudgetFraction = 0.5 // of the byte budget is for counters, which would take all of it in a large fleet
-	quotaBudgetFraction   = 0.5 // of the byte budget is what messages about quotas take from all others at most
+	counterBudgetFraction = 0.5 // maximum for counters, which would use the whole budget in a large fleet
+	quotaBudgetFraction   = 0.5 // of the byte budget, the maximum that quota messages take
 )
 
-// Config says what a replica shares, and as whom.
+// Config identifies a replica and selects the state that it shares.
 type Config struct {
 	Name           string
 	Zone           string
 	Epoch          uint64 // of this process
 	Seed           uint64 // of the random choice of peers
-	LostState      bool   // this replica restarted and doesn't know what quota it had lent
+	LostState      bool   // this replica restarted without its record of quota lent
 	Quotas         bool   // whether quotas are shared
 	Counters       bool   // whether counters are shared
 	Evidence       bool   // whether evidence on endpoints is shared
@@ -68,7 +68,7 @@
 	Unsent     uint64 `json:"Unsent"` // packets that couldn't be encoded
 }
 
-// Syncer is one replica's side. It is not safe for concurrent use.
+// Syncer synchronizes the shared state of one replica. It is not safe for concurrent use.
 type Syncer struct {
 	// Quotas, Counters and Outliers hold the shared state. The host may use them between calls.
 	Quotas   *quota.Manager
@@ -90,7 +90,7 @@
 	nextEvidenceAt time.Duration
 }
 
-// New returns a replica's side.
+// New returns the Syncer of a replica.
 func New(config Config, now time.Duration) (*Syncer, error) {
 	if config.BytesPerSecond <= 0 {
 		config.BytesPerSecond = DefaultBytesPerSecond
@@ -113,8 +113,7 @@
 	}, nil
 }
 
-// Tick returns the packets that are due to peers. Messages about quotas go to those that they are for, queued items to
-// some peers chosen at random.
+// Tick returns the packets to send to peers. Quota messages go to their receivers, queued items to a few random peers.
 func (s *Syncer) Tick(now time.Duration, peers []Peer) []Outgoing {
 	s.advance(now)
 	s.peers = peers
@@ -166,7 +165,7 @@
 	return out
 }
 
-// ExpireReplica drops what a replica counted in epochs up to the one given, and its evidence: it left, or restarted.
+// ExpireReplica drops the evidence of a replica that left or restarted, and its counts in epochs up to the one given.
 func (s *Syncer) ExpireReplica(name string, epoch uint64) {
 	s.Counters.Expire(name, epoch)
 	s.Outliers.ForgetReporter(name)
@@ -175,7 +174,7 @@
 
 func (s *Syncer) advance(now time.Duration) { s.now = max(s.now, now) }
 
-// quotaMessages returns the messages about quotas that are due, by receiver.
+// quotaMessages returns the quota messages that are due, by receiver.
 func (s *Syncer) quotaMessages() map[string][]quota.Message {
 	messages := map[string][]quota.Message{}
 	if !s.config.Quotas {
@@ -187,8 +186,8 @@
 	return messages
 }
 
-// queueCounters queues this replica's counters, and the sums of its zone if it is the sender for it. In a larger zone
-// the counters go less often: those of all its replicas share the budget.
+// queueCounters queues this replica's counters, and the sums of its zone if it is the zone's sender. The interval grows
+// with the zone, because the counters of all its replicas share the budget.
 func (s *Syncer) queueCounters() {
 	if !s.config.Counters {
 		return
@@ -225,7 +224,7 @@
 	}
 }
 
-// receiveQuotas handles messages about quotas and returns the answers to their sender.
+// receiveQuotas handles quota messages and returns the answers to their sender.
 func (s *Syncer) receiveQuotas(from string, messages []quota.Message) []Outgoing {
 	var answers []quota.Message
 	for _, message := range messages {
@@ -238,17 +237,17 @@
 	return s.sendQuotas(nil, from, answers)
 }
 
-// receiveCounters merges counters, and queues them for others if they are new.
+// receiveCounters merges counters, and queues them for forwarding if they are new.
 func (s *Syncer) receiveCounters(received *aged[wireCounters]) {
 	update := received.Item.update(received.AgeMS)
 	if s.Counters.Merge(s.now, update) {
 		item := newCounterItem(s.now, update)
-		item.transmits = 1 // by its sender
+		item.transmits = 1 // transmission by the sender
 		s.queue.put(item)
 	}
 }
 
-// receiveEvidence merges evidence, and queues it for others if it is new and few reporters are known.
+// receiveEvidence merges evidence, and queues it for forwarding if it is new and few reporters are known.
 func (s *Syncer) receiveEvidence(received *aged[outlier.Evidence]) {
 	evidence := received.Item
 	age := received.age()
@@ -259,11 +258,11 @@
 		return
 	}
 	item := newEvidenceItem(s.now-age, evidence)
-	item.transmits = 1 // by its sender
+	item.transmits = 1 // transmission by the sender
 	s.queue.put(item)
 }
 
-// sendQuotas encodes messages about quotas and appends the packets to out.
+// sendQuotas encodes quota messages and appends the packets to out.
 func (s *Syncer) sendQuotas(out []Outgoing, to string, messages []quota.Message) []Outgoing {
 	for _, packet := range packQuotas(messages) {
 		var size int
@@ -280,7 +279,7 @@
 	return out
 }
 
-// send encodes a packet and appends it to out. It returns the size too.
+// send encodes a packet and appends it to out. It also returns the encoded size.
 func (s *Syncer) send(out []Outgoing, to string, packet *Packet) (all []Outgoing, size int) {
 	payload, err := cbor.Marshal(packet)
 	if err != nil {
@@ -292,16 +291,16 @@
 	return append(out, Outgoing{To: to, Payload: payload}), len(payload)
 }
 
-// byteBudget limits the bytes sent on average. Messages about quotas have a budget of their own, which package quota
-// keeps, and take a part of this one at most: what is queued needs the rest.
+// byteBudget limits the average bytes per second sent. Quota messages have a budget of their own in package quota. They
+// take at most a part of this one, as queued items need the rest.
 type byteBudget struct {
 	perSecond float64
 	available float64
-	forQuotas float64 // of the available bytes, what messages about quotas may take
+	forQuotas float64 // part of available that quota messages may take
 	updatedAt time.Duration
 }
 
-const budgetBurstSeconds = 4 // that unused budget accumulates for
+const budgetBurstSeconds = 4 // time for which unused budget accumulates
 
 func (b *byteBudget) refill(now time.Duration) {
 	added := b.perSecond * (now - b.updatedAt).Seconds()
--- a/fleet/statesync/syncer_test.go
+++ b/fleet/statesync/syncer_test.go
@@ -14,14 +14,14 @@
 	"ryerill/fleet/quota"
 )
 
-// cluster is a number of replicas that send each other packets, a fraction of which is lost.
+// cluster simulates replicas that exchange packets with a fraction of loss.
 type cluster struct {
 	syncers []*Syncer
 	peers   [][]Peer
 	now     time.Duration
 	rng     *rand.Rand
 	loss    float64
-	lost    func(payload []byte) bool // whether a packet is lost in any case; nil is none
+	lost    func(payload []byte) bool // reports whether to drop a packet regardless of loss; may be nil
 }
 
 func newCluster(t testing.TB, n, zones int, budget int) *cluster {
@@ -58,7 +58,7 @@
 	}
 }
 
-// play runs for a time; each is called for every replica before each tick.
+// play runs the cluster for a time d. It calls each for every replica before its tick.
 func (c *cluster) play(d time.Duration, each func(i int, s *Syncer)) {
 	for end := c.now + d; c.now < end; c.now += Interval {
 		for i, s := range c.syncers {
@@ -68,8 +68,8 @@
 	}
 }
 
-// What one replica counts and what several see reaches all, with a fifth of the packets lost, within the byte budget,
-// at any fleet size. Some counts of a large zone take longer: the value says how many replicas it covers.
+// Counters and evidence reach all replicas within the byte budget at any fleet size, with a fifth of the packets lost.
+// Some counts of a large zone take longer: the sum says how many replicas it covers.
 func TestUpdatesReachAllWithinTheByteBudget(t *testing.T) {
 	for _, n := range []int{3, 30, 120} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -90,20 +90,20 @@
 			})
 			for i, s := range c.syncers {
 				if reporters := s.Outliers.ReporterCount(bad.ID); reporters < 2 {
-					t.Errorf("replica %d of %d has evidence of %d on an endpoint that three see hang", i, n, reporters)
+					t.Errorf("replica %d of %d: got evidence of %d reporters on the endpoint that times out, want at least 2 of 3", i, n, reporters)
 				}
 				if v := s.Counters.Sum(c.now, nil, func(c counter.Counts) float64 { return float64(c.Arrivals) }); v.Estimate < float64(95*n) || v.Estimate != float64(100*v.Replicas) {
-					t.Errorf("replica %d of %d counts %v arrivals of %d, of %d replicas", i, n, v.Estimate, 100*n, v.Replicas)
+					t.Errorf("replica %d of %d: got %v arrivals, want about %d; sum covers %d replicas", i, n, v.Estimate, 100*n, v.Replicas)
 				}
 				if rate := float64(s.Stats.BytesOut) / span.Seconds(); rate > 1.1*DefaultBytesPerSecond {
-					t.Errorf("replica %d of %d sends %.0f bytes a second", i, n, rate)
+					t.Errorf("replica %d of %d: got %.0f bytes/s sent, want at most 1.1 times DefaultBytesPerSecond", i, n, rate)
 				}
 			}
 		})
 	}
 }
 
-// What a thousand replicas report on ten thousand endpoints is kept within a bound.
+// The state of a thousand replicas and ten thousand endpoints stays within a memory limit.
 func TestMemoryIsBounded(t *testing.T) {
 	const members, endpoints, maxHeld = 1000, 10_000, 96 << 20
 	heap := func() uint64 {
@@ -138,12 +138,12 @@
 	held := heap() - before
 	t.Logf("%d replicas, %d endpoints with 10 reporters each: %.1f MB", members, endpoints, float64(held)/(1<<20))
 	if held > maxHeld {
-		t.Errorf("%d bytes are held", held)
+		t.Errorf("got %d bytes held, want at most maxHeld", held)
 	}
 	runtime.KeepAlive(s)
 }
 
-// A packet of a later program is read as far as it is known; truncated ones are counted as invalid.
+// Unknown fields of a packet from a later version are ignored; truncated packets are counted as invalid.
 func TestUnknownAndTruncatedPackets(t *testing.T) {
 	c := newCluster(t, 2, 1, 0)
 	c.play(3*time.Second, func(_ int, s *Syncer) {
@@ -155,16 +155,16 @@
 	}
 	s := c.syncers[0]
 	if s.Receive(c.now, "c0001", text); s.Stats.Invalid != 0 {
-		t.Error("a later program's packet counts as invalid")
+		t.Error("packet of a later version: got counted as invalid, want accepted")
 	}
 	if v := s.Counters.Sum(c.now, nil, func(c counter.Counts) float64 { return float64(c.Arrivals) }); v.Estimate != 16 {
-		t.Errorf("%v arrivals, want 16", v.Estimate)
+		t.Errorf("got %v arrivals, want 16", v.Estimate)
 	}
 	for i := range text {
 		s.Receive(c.now, "c0001", text[:i])
 	}
 	if s.Stats.Invalid < uint64(len(text))-2 {
-		t.Errorf("%d of %d truncated packets are counted", s.Stats.Invalid, len(text))
+		t.Errorf("got %d invalid packets, want about %d", s.Stats.Invalid, len(text))
 	}
 }
 
@@ -180,7 +180,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s.Receive(s.now+time.Millisecond, "b", text)
 		if rate := s.Quotas.Rate(s.now, "b"); !(rate >= 0 && rate <= 10) {
-			t.Errorf("rate %v", rate)
+			t.Errorf("got rate %v, want 0 to 10", rate)
 		}
 	})
 }
