--- a/fleet/quota/manager.go
+++ b/fleet/quota/manager.go
@@ -33,7 +33,7 @@
 	requestInterval    = 50 * time.Millisecond
 	requestTimeout     = 500 * time.Millisecond
 	maxPendingRequests = 16   // at once, for each limit
-	demandHeadroom     = 1.15 // factor on measured demand, as demand varies
+	demandHeadroom     = 1.15 // factor on the measured demand that a replica keeps or requests, as demand varies
 	maxLoans           = 4096 // lent, and borrowed, for each limit
 	maxAnswers         = 4096 // answers kept for duplicate requests
 	maxDelisted        = 1024 // removed limits with outstanding loans that are kept
--- a/fleet/statesync/queue.go
+++ b/fleet/statesync/queue.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxQueuedItems   = 2048 // when full, the last item is dropped: not urgent and sent most often
+	maxQueuedItems   = 2048 // when full, the last item in the order of compareItems is dropped
 	retransmitFactor = 4    // transmissions of an item per decimal digit of the number of replicas
 	decimalBase      = 10
 )
