--- a/proxy/activity_test.go
+++ b/proxy/activity_test.go
@@ -62,7 +62,7 @@
 		}
 	}
 	// A client may have read its response just before the end of it is recorded.
-	until(t, "all responses to be recorded", func() bool {
+	waitUntil(t, "all responses to be recorded", func() bool {
 		all := p.poolActivity()
 		return len(all) == 1 && all[0].Responses == clients*requestsPerClient
 	})
--- a/proxy/departed_test.go
+++ b/proxy/clientdeparture_test.go
@@ -16,31 +16,31 @@
 // noAttemptAfter is how long after its client has left an attempt of a request may still begin.
 const noAttemptAfter = 100 * time.Millisecond
 
-// departures are the ways in which clients leave.
-var departures = map[string]func(net.Conn){
+// clientDepartures are the ways in which clients leave.
+var clientDepartures = map[string]func(net.Conn){
 	"closes":        func(c net.Conn) { c.Close() },
 	"resets":        func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
 	"ends its side": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
 }
 
-// behindRequest is what a client may have sent behind its request when it leaves.
-var behindRequest = map[string]string{
+// extraBytes is what a client may have sent behind its request when it leaves.
+var extraBytes = map[string]string{
 	"nothing": "", "a byte": "x", "a request": request("read", 10_000), "5 KiB": strings.Repeat("x", 5<<10),
 }
 
-// noticedAfter is how long a test waits until an attempt is due. Behind bytes the client is asked right before it, else
+// noticeDelay is how long a test waits until an attempt is due. Behind bytes the client is asked right before it, else
 // a read has to notice its end first.
-func noticedAfter(more string) time.Duration {
+func noticeDelay(more string) time.Duration {
 	if more == "" {
 		return noAttemptAfter / 2
 	}
 	return noAttemptAfter / 20
 }
 
-// eachDeparture runs a test for each way to leave and each that was sent before.
-func eachDeparture(t *testing.T, leave func(t *testing.T, depart func(net.Conn), more string)) {
-	for name, depart := range departures {
-		for what, more := range behindRequest {
+// forEachDeparture runs a test for each way to leave and each that was sent before.
+func forEachDeparture(t *testing.T, leave func(t *testing.T, depart func(net.Conn), more string)) {
+	for name, depart := range clientDepartures {
+		for what, more := range extraBytes {
 			t.Run(fmt.Sprint(name, ", ", what, " behind"), func(t *testing.T) {
 				t.Parallel()
 				leave(t, depart, more)
@@ -50,19 +50,19 @@
 }
 
 // An endpoint rejects a request right after its client has left: it is not sent to another one.
-func TestNoFurtherAttemptForAClientThatHasLeft(t *testing.T) {
+func TestRejectedRequestIsNotRetriedForDepartedClient(t *testing.T) {
 	t.Parallel()
 	for _, class := range []string{"read", "pay", "burn"} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
-			eachDeparture(t, func(t *testing.T, depart func(net.Conn), more string) {
-				leaveBeforeARetry(t, class, depart, more)
+			forEachDeparture(t, func(t *testing.T, depart func(net.Conn), more string) {
+				testNoRetryAfterDeparture(t, class, depart, more)
 			})
 		})
 	}
 }
 
-func leaveBeforeARetry(t *testing.T, class string, depart func(net.Conn), more string) {
+func testNoRetryAfterDeparture(t *testing.T, class string, depart func(net.Conn), more string) {
 	var left, last atomic.Int64 // when the client left, and when the endpoints had their last attempt
 	var attempts atomic.Int64
 	reject := make(chan struct{})
@@ -81,16 +81,16 @@
 		cfg.Pools[0].Settings.Balancer.Limits.AllowCancel = false // or the first attempt ends with the client
 	}, x.endpoint("x", 1), y.endpoint("y", 1))
 	c := dial(t, p.Address())
-	if more == behindRequest["a request"] {
+	if more == extraBytes["a request"] {
 		more = strings.Replace(more, "read", "other", 2) // none that is served
 	}
 	_, _ = io.WriteString(c, request(class, 10_000)+more)
-	until(t, "its first attempt", func() bool { return attempts.Load() == 1 })
+	waitUntil(t, "its first attempt", func() bool { return attempts.Load() == 1 })
 	depart(c.Conn)
 	left.Store(time.Now().UnixNano())
-	time.Sleep(noticedAfter(more))
+	time.Sleep(noticeDelay(more))
 	close(reject)
-	until(t, "its end", func() bool { return p.counters.inFlight.Load() == 0 })
+	waitUntil(t, "its end", func() bool { return p.counters.inFlight.Load() == 0 })
 	time.Sleep(noAttemptAfter)
 	if n := attempts.Load(); n != 1 {
 		t.Errorf("%d attempts, the last one %v after the client had left", n, time.Duration(last.Load()-left.Load()))
@@ -98,28 +98,28 @@
 }
 
 // A request that waits for another one of its key is not sent on once its client has left.
-func TestWhoLeavesInTheQueueOfAKeyIsNotSentOn(t *testing.T) {
+func TestQueuedRequestIsNotSentAfterClientLeaves(t *testing.T) {
 	t.Parallel()
-	eachDeparture(t, func(t *testing.T, depart func(net.Conn), more string) {
-		s := newScene(t, "ordered", nil)
-		defer s.end()
+	forEachDeparture(t, func(t *testing.T, depart func(net.Conn), more string) {
+		s := newStageTest(t, "ordered", nil)
+		defer s.close()
 		first := dial(t, s.p.Address())
-		_, _ = io.WriteString(first, s.text("hang", "&k=1"))
-		s.await()
-		s.write(s.text("serve", "&k=1") + more)
-		until(t, "two accepted", func() bool { return s.p.counters.inFlight.Load() == 2 })
+		_, _ = io.WriteString(first, s.requestText("hang", "&k=1"))
+		s.awaitArrival()
+		s.write(s.requestText("serve", "&k=1") + more)
+		waitUntil(t, "two accepted", func() bool { return s.p.counters.inFlight.Load() == 2 })
 		depart(s.c.Conn)
-		time.Sleep(noticedAfter(more))
-		s.free() // the first is answered, and the second's turn comes
+		time.Sleep(noticeDelay(more))
+		s.releaseEndpoints() // the first is answered, and the second's turn comes
 		if resp, err := http.ReadResponse(first.r, nil); err != nil || resp.StatusCode != http.StatusOK {
 			t.Errorf("the first was answered %v, %v", resp, err)
 		}
-		until(t, "the end of both", func() bool { return s.p.counters.inFlight.Load() == 0 })
+		waitUntil(t, "the end of both", func() bool { return s.p.counters.inFlight.Load() == 0 })
 		time.Sleep(noAttemptAfter / 2)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if len(s.ledger) != 1 {
-			t.Errorf("sent on after its client had left: %v", s.ledger)
+		if len(s.received) != 1 {
+			t.Errorf("sent on after its client had left: %v", s.received)
 		}
 	})
 }
--- a/proxy/clock_test.go
+++ b/proxy/clock_test.go
@@ -28,7 +28,7 @@
 var steps = []time.Duration{time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second}
 
 // The decisions' clock goes on evenly when the wall clock steps: no timer, window or wait of the Balancer's sees it.
-func TestClockGoesOnEvenlyWhenTheWallClockSteps(t *testing.T) {
+func TestClockIgnoresWallClockSteps(t *testing.T) {
 	for _, step := range steps {
 		c := clock{takenBeforeStep(t, time.Now(), step)}
 		started := time.Duration(c.start.UnixNano())
@@ -46,7 +46,7 @@
 
 // A drain that was ordered before the wall clock stepped back, or at a process whose clock is ahead, begins now, and
 // from then on it runs on monotonic time. One from before a step forward counts as long under way.
-func TestDrainStartAcrossAStep(t *testing.T) {
+func TestDrainStartAcrossWallClockStep(t *testing.T) {
 	for _, tc := range []struct{ ordered, want time.Duration }{ // ago
 		{0, 0}, {-time.Hour, 0}, {-3 * time.Second, 0}, {time.Second, time.Second}, {time.Hour, time.Hour},
 	} {
@@ -90,7 +90,7 @@
 
 // An endpoint that has started, by the clock of the machine that states it, only later than it is here counts as just
 // started: the doubt never makes it warm.
-func TestStartAheadOfTheClockIsCold(t *testing.T) {
+func TestEndpointStartInFutureIsCold(t *testing.T) {
 	justStarted := sentTo(0)
 	for _, ahead := range []time.Duration{time.Second, 3 * time.Second, time.Hour} {
 		if sent := sentTo(-ahead); sent > justStarted {
--- a/proxy/departures_test.go
+++ b/proxy/connectdeparture_test.go
@@ -15,12 +15,12 @@
 	"ryerill/discovery"
 )
 
-// leavesAfter is how long after its client has left a request may still be sent on.
-const leavesAfter = 300 * time.Millisecond
+// cancelBound is how long after its client has left a request may still be sent on.
+const cancelBound = 300 * time.Millisecond
 
 // acceptStalled accepts the connections in the stalled listener's queue and those that
 // come then. It returns the bytes that arrive on each.
-func (s *scene) acceptStalled() <-chan string {
+func (s *stageTest) acceptStalled() <-chan string {
 	got := make(chan string, 64)
 	go func() {
 		for {
@@ -42,7 +42,7 @@
 
 // A client that leaves while its request waits for its first attempt: the request is
 // not sent on, whether or not what runs may be cancelled, and all that it held is free.
-func TestWhoLeavesWhileItWaitsIsNotSentOn(t *testing.T) {
+func TestConnectingRequestIsNotSentAfterClientLeaves(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
 	t.Run("all", func(t *testing.T) {
 		for name, leave := range map[string]func(net.Conn){
@@ -55,7 +55,7 @@
 					for _, class := range []string{"read", "burn"} {
 						t.Run(fmt.Sprint(name, ", cancel ", cancel, ", ", more, " more, ", class), func(t *testing.T) {
 							t.Parallel()
-							leaveWaiting(t, class, leave, cancel, more)
+							testDepartureWhileConnecting(t, class, leave, cancel, more)
 						})
 					}
 				}
@@ -67,18 +67,18 @@
 	}
 }
 
-func leaveWaiting(t *testing.T, class string, leave func(net.Conn), cancel bool, more int) {
-	s := newScene(t, class, func(cfg *config.Config) {
+func testDepartureWhileConnecting(t *testing.T, class string, leave func(net.Conn), cancel bool, more int) {
+	s := newStageTest(t, class, func(cfg *config.Config) {
 		l := &cfg.Pools[0].Settings.Balancer.Limits
 		l.AllowCancel, l.ConnectTimeout = cancel, testTimeout
 	})
 	s.stallDials()
-	s.write(s.text("serve", "") + strings.Repeat("x", more))
-	until(t, "an attempt in flight", func() bool { return s.inFlight() == 1 })
+	s.write(s.requestText("serve", "") + strings.Repeat("x", more))
+	waitUntil(t, "an attempt in flight", func() bool { return s.inFlight() == 1 })
 	left := time.Now()
 	leave(s.c.Conn)
-	until(t, "its end", func() bool { return s.inFlight() == 0 })
-	if took := time.Since(left); took > leavesAfter {
+	waitUntil(t, "its end", func() bool { return s.inFlight() == 0 })
+	if took := time.Since(left); took > cancelBound {
 		t.Errorf("it could be sent on for %v", took)
 	}
 	received := s.acceptStalled()
@@ -94,23 +94,23 @@
 	s.c.Close()
 	s.awaitReleased(s.core(), 1)
 	s.checkRules()
-	s.end()
+	s.close()
 }
 
 // A client that leaves between an attempt's end and the next causes no other attempt: the response of
 // the first and the client's end come in both orders.
-func TestWhoLeavesBeforeARepeat(t *testing.T) {
+func TestBrokenAttemptIsNotRetriedAfterClientLeaves(t *testing.T) {
 	for _, class := range []string{"read", "pay"} {
 		for _, leavesFirst := range []bool{true, false} {
 			t.Run(fmt.Sprint(class, ", leaves first ", leavesFirst), func(t *testing.T) {
-				s := newScene(t, class, func(cfg *config.Config) { cfg.Pools[0].Settings.Balancer.Limits.AllowCancel = false })
-				defer s.end()
-				s.write(s.text("hang", ""))
-				s.await()
+				s := newStageTest(t, class, func(cfg *config.Config) { cfg.Pools[0].Settings.Balancer.Limits.AllowCancel = false })
+				defer s.close()
+				s.write(s.requestText("hang", ""))
+				s.awaitArrival()
 				c := s.core()
 				if leavesFirst {
 					s.c.Close()
-					until(t, "it has left", func() bool { return s.p.counters.inFlight.Load() == 0 })
+					waitUntil(t, "it has left", func() bool { return s.p.counters.inFlight.Load() == 0 })
 				}
 				for _, b := range s.peers {
 					b.Close() // no other attempt can be made
@@ -119,7 +119,7 @@
 					b.CloseAll() // and this one ends
 				}
 				if !leavesFirst {
-					if got := s.answer(); got == http.StatusOK {
+					if got := s.readStatus(); got == http.StatusOK {
 						t.Errorf("answered %d", got)
 					}
 					s.c.Close()
@@ -127,7 +127,7 @@
 				s.awaitReleased(c, 1)
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				for id, all := range s.ledger {
+				for id, all := range s.received {
 					if len(all) != 1 {
 						t.Errorf("%s went out %d times", id, len(all))
 					}
@@ -139,13 +139,13 @@
 
 // An address may pass to another endpoint while an attempt is connecting to it, at once or
 // after its endpoint was gone for a while: the attempt is not made there, but elsewhere.
-func TestAnAddressThatPassesOnDuringADial(t *testing.T) {
+func TestAddressReassignedDuringDial(t *testing.T) {
 	for i, class := range []string{"read", "pay", "burn", "read", "burn"} {
 		gone := i >= 3
 		t.Run(fmt.Sprint(class, ", gone ", gone), func(t *testing.T) {
 			t.Parallel()
-			s := newScene(t, class, func(cfg *config.Config) { cfg.Pools[0].Settings.Balancer.Limits.ConnectTimeout = testTimeout })
-			defer s.end()
+			s := newStageTest(t, class, func(cfg *config.Config) { cfg.Pools[0].Settings.Balancer.Limits.ConnectTimeout = testTimeout })
+			defer s.close()
 			var list []discovery.Endpoint
 			for i, name := range []string{"s1", "s2", "t1", "cold"} {
 				list = append(list, s.peers[i].endpoint(name, []int{1, 1, 2, 1}[i]))
@@ -156,14 +156,14 @@
 				e.Address = s.stalled.Addr().String()
 				c.EndpointsListed(discovery.EndpointList{Index: 1, Endpoints: []discovery.Endpoint{e}})
 			}
-			s.write(s.text("serve", ""))
-			until(t, "an attempt in flight", func() bool { return s.inFlight() == 1 })
+			s.write(s.requestText("serve", ""))
+			waitUntil(t, "an attempt in flight", func() bool { return s.inFlight() == 1 })
 			if gone {
 				c.EndpointsListed(discovery.EndpointList{Index: 2, Snapshot: true})
 			}
 			c.EndpointsListed(discovery.EndpointList{Index: 3, Snapshot: true, Endpoints: list})
 			received := s.acceptStalled() // the one that has the address now
-			if got := s.answer(); got != http.StatusOK {
+			if got := s.readStatus(); got != http.StatusOK {
 				t.Errorf("answered %d", got)
 			}
 			select {
--- a/proxy/decisions_test.go
+++ b/proxy/decisions_test.go
@@ -10,7 +10,7 @@
 
 // Events that arise while the queue is worked off are decided after those before them, by the
 // caller that began.
-func TestEventsAreDecidedInTheirOrder(t *testing.T) {
+func TestEventsAreHandledInOrder(t *testing.T) {
 	loop := decisionLoop{log: slog.New(slog.DiscardHandler), clock: clock{time.Now()}, balancer: balancer.New(balancer.Config{}, 1)}
 	if !loop.push(balancer.Event{Kind: balancer.TimerFired, Token: 1}) {
 		t.Fatal("the first caller is not to work the queue off")
--- a/proxy/drainscale_test.go
+++ b/proxy/drainscale_test.go
@@ -47,11 +47,11 @@
 	// before happens before the proxies start, which know the list as it was before that.
 	before func(*endpointRegistry)
 	// play has endpoints withdrawn, and does what else happens.
-	play func(s *drainScene)
+	play func(s *drainRun)
 }
 
-// drainScene is a scenario that is being played.
-type drainScene struct {
+// drainRun is a scenario that is being played.
+type drainRun struct {
 	t        *testing.T
 	scenario drainScenario
 	farm     *endpointFarm
@@ -67,10 +67,10 @@
 // Endpoints that drain or are gone get nothing new after the grace, however many are listed and whatever the discovery
 // service does to the list that tells of them.
 func TestDrainGraceWithThousandsOfEndpoints(t *testing.T) {
-	drainQuarter := func(s *drainScene) { s.registry.change(discovery.Terminating, everyNth(4)...) }
-	removeQuarter := func(s *drainScene) { s.registry.change(discovery.Gone, everyNth(4)...) }
-	resetWatches := func(s *drainScene) { s.each((*listService).resetAll) }
-	silenceWatches := func(s *drainScene) { s.each((*listService).silenceAll) }
+	drainQuarter := func(s *drainRun) { s.registry.change(discovery.Terminating, everyNth(4)...) }
+	removeQuarter := func(s *drainRun) { s.registry.change(discovery.Gone, everyNth(4)...) }
+	resetWatches := func(s *drainRun) { s.each((*listService).resetAll) }
+	silenceWatches := func(s *drainRun) { s.each((*listService).silenceAll) }
 	goDown := func(services []*listService) {
 		for _, service := range services {
 			service.goDown()
@@ -82,27 +82,27 @@
 	playDrainScenarios(t, []drainScenario{
 		{name: "asked, in force", play: drainQuarter},
 		{name: "pushed, in force", pushed: true, play: removeQuarter},
-		{name: "asked, whole list takes 2 s after a reset", faults: inPieces(100 * time.Millisecond), play: func(s *drainScene) {
+		{name: "asked, whole list takes 2 s after a reset", faults: inPieces(100 * time.Millisecond), play: func(s *drainRun) {
 			resetWatches(s)
 			drainQuarter(s)
 		}},
-		{name: "pushed, whole list takes 0.5 s after a reset", pushed: true, faults: inPieces(25 * time.Millisecond), play: func(s *drainScene) {
+		{name: "pushed, whole list takes 0.5 s after a reset", pushed: true, faults: inPieces(25 * time.Millisecond), play: func(s *drainRun) {
 			resetWatches(s)
 			drainQuarter(s)
 		}},
-		{name: "asked, whole list leaves out what drains", faults: listFaults{wholeFirst: true, omitDraining: true, pieces: 20, piecePause: 100 * time.Millisecond}, play: func(s *drainScene) {
+		{name: "asked, whole list leaves out what drains", faults: listFaults{wholeFirst: true, omitDraining: true, pieces: 20, piecePause: 100 * time.Millisecond}, play: func(s *drainRun) {
 			drainQuarter(s)
 			resetWatches(s)
 		}},
-		{name: "asked, watches fall silent", play: func(s *drainScene) {
+		{name: "asked, watches fall silent", play: func(s *drainRun) {
 			silenceWatches(s)
 			drainQuarter(s)
 		}},
-		{name: "pushed, watches fall silent", pushed: true, faults: inPieces(10 * time.Millisecond), play: func(s *drainScene) {
+		{name: "pushed, watches fall silent", pushed: true, faults: inPieces(10 * time.Millisecond), play: func(s *drainRun) {
 			drainQuarter(s)
 			resetWatches(s)
 		}},
-		{name: "asked, crowded, reset between two calls of a watch", play: func(s *drainScene) {
+		{name: "asked, crowded, reset between two calls of a watch", play: func(s *drainRun) {
 			s.awaitWatches()
 			s.each(func(service *listService) {
 				service.setFaults(func(f *listFaults) { f.crowded = true; f.resetBetween = true })
@@ -111,34 +111,34 @@
 			time.Sleep(resetDelay / 3)
 			drainQuarter(s)
 		}},
-		{name: "asked, crowded after a reset", play: func(s *drainScene) {
+		{name: "asked, crowded after a reset", play: func(s *drainRun) {
 			s.each(func(service *listService) {
 				service.setFaults(func(f *listFaults) { f.rejected = 3; f.rejectionDelay = 30 * time.Millisecond })
 				service.resetAll()
 			})
 			drainQuarter(s)
 		}},
-		{name: "asked, down and back", faults: inPieces(100 * time.Millisecond), play: func(s *drainScene) {
+		{name: "asked, down and back", faults: inPieces(100 * time.Millisecond), play: func(s *drainRun) {
 			s.each((*listService).goDown)
 			time.Sleep(3 * time.Second)
 			drainQuarter(s)
 			s.each((*listService).comeBack)
 		}},
-		{name: "pushed, down and back", pushed: true, faults: inPieces(10 * time.Millisecond), play: func(s *drainScene) {
+		{name: "pushed, down and back", pushed: true, faults: inPieces(10 * time.Millisecond), play: func(s *drainRun) {
 			s.each((*listService).goDown)
 			time.Sleep(3 * time.Second)
 			removeQuarter(s)
 			s.each((*listService).comeBack)
 		}},
-		{name: "asked, moved", faults: inPieces(100 * time.Millisecond), play: func(s *drainScene) {
+		{name: "asked, moved", faults: inPieces(100 * time.Millisecond), play: func(s *drainRun) {
 			s.moveServices(s.scenario.faults)
 			drainQuarter(s)
 		}},
-		{name: "pushed, moved", pushed: true, faults: inPieces(25 * time.Millisecond), play: func(s *drainScene) {
+		{name: "pushed, moved", pushed: true, faults: inPieces(25 * time.Millisecond), play: func(s *drainRun) {
 			s.moveServices(s.scenario.faults)
 			drainQuarter(s)
 		}},
-		{name: "asked, moved to a crowded service", play: func(s *drainScene) {
+		{name: "asked, moved to a crowded service", play: func(s *drainRun) {
 			s.awaitWatches()
 			before := s.moveServices(listFaults{crowded: true, letsIn: 1, rejectionDelay: 15 * time.Millisecond})
 			time.Sleep(time.Second)
@@ -146,18 +146,18 @@
 			time.Sleep(500 * time.Millisecond)
 			drainQuarter(s)
 		}},
-		{name: "asked, a crowded service at another address", play: func(s *drainScene) {
+		{name: "asked, a crowded service at another address", play: func(s *drainRun) {
 			s.awaitWatches()
 			before := s.moveServices(listFaults{crowded: true, goesOn: true, rejectionDelay: 15 * time.Millisecond})
 			time.Sleep(2500 * time.Millisecond) // until each call that was out has been answered
 			goDown(before)
 			drainQuarter(s)
 		}},
-		{name: "asked, whole list takes 4 s after a reset", faults: inPieces(200 * time.Millisecond), play: func(s *drainScene) {
+		{name: "asked, whole list takes 4 s after a reset", faults: inPieces(200 * time.Millisecond), play: func(s *drainRun) {
 			resetWatches(s)
 			drainQuarter(s)
 		}},
-		{name: "asked, new settings while the service is down", play: func(s *drainScene) {
+		{name: "asked, new settings while the service is down", play: func(s *drainRun) {
 			drainQuarter(s)
 			time.Sleep(2 * time.Second)
 			s.each((*listService).goDown)
@@ -165,18 +165,18 @@
 		}},
 		{name: "asked, new settings before the first answer of a crowded service", faults: listFaults{
 			wholeFirst: true, pieces: 20, piecePause: 100 * time.Millisecond, crowded: true, letsIn: 1,
-		}, play: func(s *drainScene) {
+		}, play: func(s *drainRun) {
 			drainQuarter(s)
 			s.awaitCalls()
 			s.changeSettings(func(*config.Config) {})
 		}},
-		{name: "asked, a pool renamed while the service is down", play: func(s *drainScene) {
+		{name: "asked, a pool renamed while the service is down", play: func(s *drainRun) {
 			drainQuarter(s)
 			time.Sleep(2 * time.Second)
 			s.each((*listService).goDown)
 			s.changeSettings(renamePool)
 		}},
-		{name: "asked, a pool renamed while the service is crowded", play: func(s *drainScene) {
+		{name: "asked, a pool renamed while the service is crowded", play: func(s *drainRun) {
 			s.awaitWatches()
 			s.each(func(service *listService) {
 				service.setFaults(func(f *listFaults) { f.crowded = true })
@@ -185,7 +185,7 @@
 			time.Sleep(500 * time.Millisecond)
 			drainQuarter(s)
 		}},
-		{name: "pushed, new settings while the service is slow", pushed: true, play: func(s *drainScene) {
+		{name: "pushed, new settings while the service is slow", pushed: true, play: func(s *drainRun) {
 			drainQuarter(s)
 			time.Sleep(2 * time.Second)
 			s.each(func(service *listService) {
@@ -193,18 +193,18 @@
 			})
 			s.changeSettings(func(*config.Config) {})
 		}},
-		{name: "asked, then pushed", faults: inPieces(25 * time.Millisecond), play: func(s *drainScene) {
+		{name: "asked, then pushed", faults: inPieces(25 * time.Millisecond), play: func(s *drainRun) {
 			s.awaitWatches()
 			s.turnToAgents()
 			drainQuarter(s)
 		}},
-		{name: "asked, a wholly new pool", faults: inPieces(100 * time.Millisecond), play: func(s *drainScene) {
+		{name: "asked, a wholly new pool", faults: inPieces(100 * time.Millisecond), play: func(s *drainRun) {
 			s.awaitWatches()
 			drainQuarter(s)
 			time.Sleep(time.Second)
 			s.replacePools(false)
 		}},
-		{name: "pushed, a wholly new pool", pushed: true, faults: inPieces(25 * time.Millisecond), play: func(s *drainScene) {
+		{name: "pushed, a wholly new pool", pushed: true, faults: inPieces(25 * time.Millisecond), play: func(s *drainRun) {
 			s.awaitWatches()
 			drainQuarter(s)
 			time.Sleep(time.Second)
@@ -213,8 +213,8 @@
 		{name: "pushed, withdrawn before the start", pushed: true, faults: inPieces(25 * time.Millisecond), before: func(registry *endpointRegistry) {
 			registry.change(discovery.Terminating, everyNth(4)...)
 			time.Sleep(2 * time.Second)
-		}, play: func(*drainScene) {}},
-		{name: "asked, one after another", play: func(s *drainScene) {
+		}, play: func(*drainRun) {}},
+		{name: "asked, one after another", play: func(s *drainRun) {
 			for _, endpoint := range everyNth(4) {
 				s.registry.change(discovery.Terminating, endpoint)
 				time.Sleep(time.Millisecond)
@@ -231,7 +231,7 @@
 		for i, scenario := range scenarios {
 			t.Run(scenario.name, func(t *testing.T) {
 				t.Parallel()
-				s := newDrainScene(t, scenario, farm)
+				s := newDrainRun(t, scenario, farm)
 				stopClients := s.startClients(fmt.Sprint(i))
 				s.awaitReady()
 				time.Sleep(settlingPause)
@@ -244,8 +244,8 @@
 	})
 }
 
-func newDrainScene(t *testing.T, scenario drainScenario, farm *endpointFarm) *drainScene {
-	s := &drainScene{t: t, scenario: scenario, farm: farm, registry: newEndpointRegistry(farm), statuses: make(map[int]int)}
+func newDrainRun(t *testing.T, scenario drainScenario, farm *endpointFarm) *drainRun {
+	s := &drainRun{t: t, scenario: scenario, farm: farm, registry: newEndpointRegistry(farm), statuses: make(map[int]int)}
 	known := s.registry.whole(false)
 	if scenario.before != nil {
 		scenario.before(s.registry)
@@ -274,7 +274,7 @@
 }
 
 // awaitReady waits until all proxies serve.
-func (s *drainScene) awaitReady() {
+func (s *drainRun) awaitReady() {
 	s.t.Helper()
 	for _, proxy := range s.proxies {
 		for deadline := time.Now().Add(testTimeout); proxy.Readiness() != nil; time.Sleep(10 * time.Millisecond) {
@@ -286,7 +286,7 @@
 }
 
 // awaitWatches waits until all proxies' watches have been answered once.
-func (s *drainScene) awaitWatches() {
+func (s *drainRun) awaitWatches() {
 	s.t.Helper()
 	for _, service := range s.services {
 		for deadline := time.Now().Add(testTimeout); service.answerCount() == 0; time.Sleep(10 * time.Millisecond) {
@@ -298,7 +298,7 @@
 }
 
 // awaitCalls waits until all proxies have called their service.
-func (s *drainScene) awaitCalls() {
+func (s *drainRun) awaitCalls() {
 	s.t.Helper()
 	for _, service := range s.services {
 		for deadline := time.Now().Add(testTimeout); service.callCount() == 0; time.Sleep(time.Millisecond) {
@@ -310,7 +310,7 @@
 }
 
 // each does something to each list service.
-func (s *drainScene) each(do func(*listService)) {
+func (s *drainRun) each(do func(*listService)) {
 	for _, service := range s.services {
 		do(service)
 	}
@@ -328,12 +328,12 @@
 
 // moveServices has a reload move each proxy to another list service of the same registry, with faults of its own. It
 // returns those before.
-func (s *drainScene) moveServices(faults listFaults) (before []*listService) {
+func (s *drainRun) moveServices(faults listFaults) (before []*listService) {
 	return s.replaceServices(faults, s.scenario.pushed, func(*config.Config) {})
 }
 
 // turnToAgents has a reload turn each proxy from a service that is asked to an agent.
-func (s *drainScene) turnToAgents() {
+func (s *drainRun) turnToAgents() {
 	s.replaceServices(s.scenario.faults, true, func(cfg *config.Config) {
 		cfg.Pools[0].Settings.PushedDiscovery = true
 		cfg.Pools[0].Settings.Balancer.Subscribe = false
@@ -341,13 +341,13 @@
 }
 
 // replacePools has a reload replace each proxy's pool by one of another name at another service, which follows none.
-func (s *drainScene) replacePools(pushed bool) {
+func (s *drainRun) replacePools(pushed bool) {
 	s.replaceServices(s.scenario.faults, pushed, renamePool)
 }
 
 // replaceServices has a reload give each proxy another list service of the same registry and a further change. It
 // returns the services before.
-func (s *drainScene) replaceServices(
+func (s *drainRun) replaceServices(
 	faults listFaults, pushed bool, change func(*config.Config),
 ) (before []*listService) {
 	before = slices.Clone(s.services)
@@ -377,7 +377,7 @@
 
 // changeSettings has a reload bring a setting into force with which a pool can't go on, and a further change: a new pool
 // takes its place.
-func (s *drainScene) changeSettings(change func(*config.Config)) {
+func (s *drainRun) changeSettings(change func(*config.Config)) {
 	for i, proxy := range s.proxies {
 		cfg := s.configs[i]
 		cfg.Pools = slices.Clone(cfg.Pools)
@@ -392,7 +392,7 @@
 }
 
 // startClients has each proxy sent requests until stop is called, which waits for the last response.
-func (s *drainScene) startClients(scenario string) (stop func()) {
+func (s *drainRun) startClients(scenario string) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var clients sync.WaitGroup
 	for i, proxy := range s.proxies {
@@ -407,7 +407,7 @@
 }
 
 // sendRequests sends one request after another on one connection.
-func (s *drainScene) sendRequests(ctx context.Context, address, path string) {
+func (s *drainRun) sendRequests(ctx context.Context, address, path string) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		s.t.Error(err)
@@ -433,7 +433,7 @@
 }
 
 // check compares what arrived at the endpoints with what the list services told, and wants nothing after the grace.
-func (s *drainScene) check(scenario string) {
+func (s *drainRun) check(scenario string) {
 	withdrawn := s.registry.withdrawn()
 	breaks, requests := 0, 0
 	var worst time.Duration
--- a/proxy/drainsoak_test.go
+++ b/proxy/drainsoak_test.go
@@ -23,7 +23,7 @@
 
 // Endpoints that drain or are gone get nothing new after the grace, whatever is drawn to happen to discovery meanwhile.
 // The name of a scenario is its seed.
-func TestDrainGraceUnderDrawnFaults(t *testing.T) {
+func TestDrainGraceWithRandomFaults(t *testing.T) {
 	first, err := strconv.ParseUint(os.Getenv(envDrainSeed), 10, 64)
 	if err != nil {
 		first = 1
@@ -50,31 +50,31 @@
 		pieces:       1 + random.IntN(20),
 		piecePause:   time.Duration(random.IntN(15)) * time.Millisecond, // an agent's list takes 0.3 s at most
 	}
-	events := []func(*drainScene){
-		func(s *drainScene) { s.each((*listService).resetAll) },
-		func(s *drainScene) {
+	events := []func(*drainRun){
+		func(s *drainRun) { s.each((*listService).resetAll) },
+		func(s *drainRun) {
 			s.each((*listService).goDown)
 			time.Sleep(500 * time.Millisecond)
 			s.each((*listService).comeBack)
 		},
-		func(s *drainScene) {
+		func(s *drainRun) {
 			s.each(func(service *listService) {
 				service.setFaults(func(f *listFaults) { f.rejected = 3 })
 				service.resetAll()
 			})
 		},
-		func(s *drainScene) { s.moveServices(s.scenario.faults) },
-		func(s *drainScene) { s.changeSettings(func(*config.Config) {}) },
+		func(s *drainRun) { s.moveServices(s.scenario.faults) },
+		func(s *drainRun) { s.changeSettings(func(*config.Config) {}) },
 	}
 	if !pushed { // an agent's silence has rules of its own, which the account of a list service lacks
 		faults.piecePause *= 5
-		events = append(events, func(s *drainScene) { s.each((*listService).silenceAll) })
+		events = append(events, func(s *drainRun) { s.each((*listService).silenceAll) })
 	}
 	return drainScenario{
 		name:   fmt.Sprint("seed ", seed),
 		pushed: pushed,
 		faults: faults,
-		play: func(s *drainScene) {
+		play: func(s *drainRun) {
 			for part := range drawnEvents {
 				events[random.IntN(len(events))](s)
 				s.withdrawPart(random, part)
@@ -85,7 +85,7 @@
 }
 
 // withdrawPart has one of so many parts of the endpoints drain or go, as the events of a drawn scenario are counted.
-func (s *drainScene) withdrawPart(random *rand.Rand, part int) {
+func (s *drainRun) withdrawPart(random *rand.Rand, part int) {
 	var endpoints []int
 	for i := part; i < scaleEndpoints; i += 2 * drawnEvents {
 		endpoints = append(endpoints, i)
--- a/proxy/endpoints_test.go
+++ b/proxy/endpoints_test.go
@@ -13,7 +13,7 @@
 
 // New endpoints come under new ids all day, in lists of changes: those
 // that are gone are forgotten, or the proxy would grow until it is killed.
-func TestEndpointsThatAreGoneAreForgotten(t *testing.T) {
+func TestGoneEndpointsAreForgotten(t *testing.T) {
 	t.Parallel()
 	c := &core{log: slog.New(slog.DiscardHandler), decisions: decisionLoop{balancer: balancer.New(balancer.Config{}, 1)},
 		connections: upstream.NewPool(&(&poolResources{}).sockets, time.Second, time.Second, nil), endpoints: newEndpointTable()}
--- a/proxy/trouble_test.go
+++ b/proxy/failures_test.go
@@ -17,8 +17,8 @@
 	"ryerill/discovery"
 )
 
-// atOnce bounds an answer that waits for nothing, on a busy machine.
-const atOnce = time.Second
+// promptBound bounds an answer that waits for nothing, on a busy machine.
+const promptBound = time.Second
 
 // response is what a client got: the status, 0 for none, -1 for a response that is torn.
 type response struct {
@@ -26,8 +26,8 @@
 	took   time.Duration
 }
 
-// tryOnce sends a request on a new connection and returns what came of it.
-func tryOnce(address, text string) response {
+// sendOnce sends a request on a new connection and returns what came of it.
+func sendOnce(address, text string) response {
 	began := time.Now()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -46,8 +46,8 @@
 	return response{resp.StatusCode, time.Since(began)}
 }
 
-// resetting is an endpoint that resets each connection as soon as it is there.
-func resetting(t *testing.T) *backend {
+// newResettingBackend is an endpoint that resets each connection as soon as it is there.
+func newResettingBackend(t *testing.T) *backend {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -67,16 +67,16 @@
 	return &backend{Listener: l}
 }
 
-// refusing is an endpoint at whose address nobody listens.
-func refusing(t *testing.T) *backend {
+// newRefusingBackend is an endpoint at whose address nobody listens.
+func newRefusingBackend(t *testing.T) *backend {
 	t.Helper()
 	b := newBackend(t, responds(okay))
 	b.Close()
 	return b
 }
 
-// firstAnswers are what the first endpoint does with a request, and whether that says that it surely did not run.
-var firstAnswers = map[string]struct {
+// firstAttempts are what the first endpoint does with a request, and whether that says that it surely did not run.
+var firstAttempts = map[string]struct {
 	behave   func(net.Conn, *http.Request)
 	neverRan bool
 }{
@@ -90,17 +90,17 @@
 // more often than its class allows, and once an endpoint serves again all are served.
 func TestRetriesThatFailAtOnce(t *testing.T) {
 	t.Parallel()
-	for first, answer := range firstAnswers {
-		for retry, others := range map[string]func(*testing.T) *backend{"refused": refusing, "reset": resetting} {
+	for first, answer := range firstAttempts {
+		for retry, others := range map[string]func(*testing.T) *backend{"refused": newRefusingBackend, "reset": newResettingBackend} {
 			for _, class := range []string{"read", "pay", "burn"} {
 				t.Run(fmt.Sprintf("%s, retry %s, %s", first, retry, class), func(t *testing.T) {
 					t.Parallel()
 					x, y, z := newBackend(t, answer.behave), others(t), others(t)
-					p := run(t, managed(""), x.endpoint("x", 1), y.endpoint("y", 1), z.endpoint("z", 1))
+					p := run(t, withManagement(""), x.endpoint("x", 1), y.endpoint("y", 1), z.endpoint("z", 1))
 					const requests = 20
 					for range requests {
-						got := tryOnce(p.Address(), request(class, 2000))
-						if !slices.Contains(failures, got.status) || got.took > atOnce {
+						got := sendOnce(p.Address(), request(class, 2000))
+						if !slices.Contains(failures, got.status) || got.took > promptBound {
 							t.Fatalf("answered %d after %v", got.status, got.took)
 						}
 					}
@@ -110,7 +110,7 @@
 					checkAllEnded(t, p, class, requests)
 					p.activePools()[0].EndpointsListed(discovery.EndpointList{Index: 2, Snapshot: true,
 						Endpoints: []discovery.Endpoint{newBackend(t, responds(okay)).endpoint("w", 1)}})
-					if got := tryOnce(p.Address(), request(class, 10_000)); got.status != http.StatusOK {
+					if got := sendOnce(p.Address(), request(class, 10_000)); got.status != http.StatusOK {
 						t.Errorf("then answered %d", got.status)
 					}
 				})
@@ -122,7 +122,7 @@
 // checkAllEnded checks that so many requests of a class have ended, each once, and that nothing of them is left.
 func checkAllEnded(t *testing.T, p *Proxy, class string, want int64) {
 	t.Helper()
-	until(t, "the end of all", func() bool { return statsOf(t, p).InFlight == 0 })
+	waitUntil(t, "the end of all", func() bool { return statsOf(t, p).InFlight == 0 })
 	counted := p.Stats().Requests[class]
 	if total := counted.Served + counted.Shed + counted.Failed; total != want {
 		t.Errorf("%d requests are recorded as ended, %d did: %+v", total, want, counted)
@@ -133,13 +133,13 @@
 func TestRetriesThatFailAtOnceDuringReloads(t *testing.T) {
 	t.Parallel()
 	slow := newDiscoveryServer(t) // which no list ever leaves
-	decline := firstAnswers["declines"].behave
-	x, y, z := newBackend(t, decline), refusing(t), newBackend(t, responds(okay))
+	decline := firstAttempts["declines"].behave
+	x, y, z := newBackend(t, decline), newRefusingBackend(t), newBackend(t, responds(okay))
 	p := run(t, func(cfg *config.Config) {
-		managed(t.TempDir())(cfg)
+		withManagement(t.TempDir())(cfg)
 		cfg.Pools[0].Discovery = slow.Listener.Addr().String()
 	}, x.endpoint("x", 1), y.endpoint("y", 1), z.endpoint("z", 1))
-	until(t, "ready", func() bool { return p.Readiness() == nil })
+	waitUntil(t, "ready", func() bool { return p.Readiness() == nil })
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	var answered atomic.Int64
@@ -151,7 +151,7 @@
 					return
 				default:
 				}
-				got := tryOnce(p.Address(), request("burn", 10_000))
+				got := sendOnce(p.Address(), request("burn", 10_000))
 				if got.status != http.StatusOK {
 					t.Errorf("answered %d after %v", got.status, got.took)
 					return
@@ -182,14 +182,14 @@
 
 // After a quiet time, in which one endpoint has gone, another has closed and a third has reset its idle connections, and
 // discovery has not answered, the first requests, all at once, are served as ever.
-func TestTroubleAfterAQuietTime(t *testing.T) {
+func TestBurstAfterIdlePeriod(t *testing.T) {
 	t.Parallel()
 	const together = 12 // requests, so that each endpoint has idle connections
 	slowly := func(c net.Conn, _ *http.Request) { time.Sleep(50 * time.Millisecond); io.WriteString(c, okay) }
 	gone, closing, reset := newBackend(t, slowly), newBackend(t, slowly), newBackend(t, slowly)
 	slow := newDiscoveryServer(t)
 	p := run(t, func(cfg *config.Config) {
-		managed("")(cfg)
+		withManagement("")(cfg)
 		cfg.Pools[0].Discovery = slow.Listener.Addr().String()
 	}, gone.endpoint("gone", 1), closing.endpoint("closing", 1), reset.endpoint("reset", 1))
 	burst := func(when string) {
@@ -197,7 +197,7 @@
 		for i := range together {
 			class := []string{"read", "pay", "burn"}[i%3]
 			all.Go(func() {
-				if got := tryOnce(p.Address(), request(class, 10_000)); got.status != http.StatusOK {
+				if got := sendOnce(p.Address(), request(class, 10_000)); got.status != http.StatusOK {
 					t.Errorf("%s: %s answered %d after %v", when, class, got.status, got.took)
 				}
 			})
@@ -231,14 +231,14 @@
 
 // Endpoints that hang through a whole shutdown: each client has its answer before the process is killed, also one whose
 // request comes during it; and the process ends by itself.
-func TestEndpointsThatHangThroughAShutdown(t *testing.T) {
+func TestShutdownWithHangingEndpoints(t *testing.T) {
 	t.Parallel()
 	const killed = 3700 * time.Millisecond // after the longest deadline that counts, and the grace
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
-	hang := raw(t, func(net.Conn, *bufio.Reader, *http.Request) { <-release }) // and never reads on
+	hang := newRawBackend(t, func(net.Conn, *bufio.Reader, *http.Request) { <-release }) // and never reads on
 	p, stop := runUntil(t, nil, hang.endpoint("hang", 1))
-	until(t, "ready", func() bool { return p.Readiness() == nil })
+	waitUntil(t, "ready", func() bool { return p.Readiness() == nil })
 	body := strings.Repeat("y", 48<<20) // more than the sockets on the way hold
 	head, _, _ := strings.Cut(request("burn", 15_000), "Content-Length")
 	upload := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body), body)
@@ -246,7 +246,7 @@
 	var stopped atomic.Int64
 	ask := func(what, text string) {
 		clients.Go(func() {
-			got := tryOnce(p.Address(), text)
+			got := sendOnce(p.Address(), text)
 			ended := time.Duration(time.Now().UnixNano() - stopped.Load())
 			if !slices.Contains(failures, got.status) || ended > killed {
 				t.Errorf("%s: got %d, %v after the signal", what, got.status, ended)
@@ -257,7 +257,7 @@
 		ask(class, request(class, 15_000))
 	}
 	ask("an upload that nobody takes", upload)
-	until(t, "all at the endpoint", func() bool { return hang.requests.Load() == 4 })
+	waitUntil(t, "all at the endpoint", func() bool { return hang.requests.Load() == 4 })
 	stopped.Store(time.Now().UnixNano())
 	over := make(chan struct{})
 	go func() { stop(); close(over) }()
--- a/proxy/faults_test.go
+++ b/proxy/faults_test.go
@@ -16,7 +16,7 @@
 
 // The time that an endpoint is told is what the client has left when the attempt is written: for the first and for a
 // repeat.
-func TestTimeLeftIsToldAnewToEachAttempt(t *testing.T) {
+func TestEachAttemptGetsRemainingTime(t *testing.T) {
 	t.Parallel()
 	const (
 		waits = 5 * time.Second
@@ -54,7 +54,7 @@
 }
 
 // A request that streams is told what its client waits for from its last byte on, not the time that its upload may take.
-func TestTimeLeftOfAStreamedRequest(t *testing.T) {
+func TestStreamedRequestGetsRemainingTime(t *testing.T) {
 	t.Parallel()
 	const waits = 5 * time.Second
 	told := make(chan string, 1)
--- a/proxy/fleet_test.go
+++ b/proxy/fleet_test.go
@@ -10,7 +10,7 @@
 )
 
 // A process that waits for the fleet's address serves on without a fleet if a reload takes the fleet away meanwhile.
-func TestFleetRemovedWhileItsAddressIsAwaited(t *testing.T) {
+func TestFleetRemovedWhileWaitingForAddress(t *testing.T) {
 	held, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/proxy/hash_test.go
+++ b/proxy/hash_test.go
@@ -6,7 +6,7 @@
 )
 
 // Ids of endpoints are the same in every version of the proxy, since the replicas of a pool rank endpoints by them.
-func TestHashesAreThoseOfFNV(t *testing.T) {
+func TestHashesMatchFNV(t *testing.T) {
 	t.Parallel()
 	for _, text := range []string{"", "a", "endpoint-00001", "127.0.0.1:7070", "zone \xff\x00 é"} {
 		want32, want64 := fnv.New32a(), fnv.New64a()
--- a/proxy/spoiltlist_test.go
+++ b/proxy/invalidlist_test.go
@@ -34,7 +34,7 @@
 // An answer that is no list, or not a whole one, leaves the last list in force but for the endpoints that entries of it
 // withdraw which are valid by themselves: nothing is added, and what it leaves out stays. It is logged once in a row with
 // its cause, and the service is asked again soon: the next good list is in force.
-func TestSpoiltListLeavesTheLastInForce(t *testing.T) {
+func TestInvalidListKeepsLastList(t *testing.T) {
 	const (
 		endpoints     = 40
 		withdrawn     = endpoints / 2 // by the spoilt list, which leaves out the others
--- a/proxy/listreport_test.go
+++ b/proxy/listreport_test.go
@@ -12,7 +12,7 @@
 
 // What a list changes is logged at once with its version, and counted in the report; of many lists soon after one
 // another there is one more line, with the sum.
-func TestChangesOfTheListAreLoggedAndReported(t *testing.T) {
+func TestListChangesAreLoggedAndReported(t *testing.T) {
 	t.Parallel()
 	c, list := newListCore(t, 20)
 	log := new(strings.Builder)
--- a/proxy/management_test.go
+++ b/proxy/management_test.go
@@ -16,28 +16,28 @@
 	"ryerill/config"
 )
 
-// managed opens the management endpoint, with the overrides persisted in a directory.
-func managed(dir string) func(*config.Config) {
+// withManagement opens the management endpoint, with the overrides persisted in a directory.
+func withManagement(dir string) func(*config.Config) {
 	return func(c *config.Config) { c.Admin, c.SharedDir = "127.0.0.1:0", dir }
 }
 
-// manage sends one request to the management endpoint and returns the status and the body.
-func manage(t *testing.T, p *Proxy, method, path, body string) (int, string) {
+// callManagement sends one request to the management endpoint and returns the status and the body.
+func callManagement(t *testing.T, p *Proxy, method, path, body string) (int, string) {
 	t.Helper()
 	return dial(t, p.AdminAddress()).ask(fmt.Sprintf("%s /ops/%s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body))
 }
 
 func statsOf(t *testing.T, p *Proxy) (s admin.Stats) {
 	t.Helper()
-	_, text := manage(t, p, "GET", "stats", "")
+	_, text := callManagement(t, p, "GET", "stats", "")
 	if err := json.Unmarshal([]byte(text), &s); err != nil {
 		t.Fatalf("%v in %s", err, text)
 	}
 	return s
 }
 
-// until looks again and again whether something has come true.
-func until(t *testing.T, what string, come func() bool) {
+// waitUntil looks again and again whether something has come true.
+func waitUntil(t *testing.T, what string, come func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !come(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -48,7 +48,7 @@
 
 // The counters agree with what scripted endpoints and clients saw: served,
 // shed, failed, retried, abandoned, torn and malformed requests.
-func TestCountersAgreeWithALedger(t *testing.T) {
+func TestCountersMatchObservedRequests(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
 	tried := map[string]int{}
@@ -72,7 +72,7 @@
 		}
 	}
 	a, b := newBackend(t, behave), newBackend(t, behave)
-	p := run(t, managed(""), a.endpoint("a", 1), b.endpoint("b", 1))
+	p := run(t, withManagement(""), a.endpoint("a", 1), b.endpoint("b", 1))
 	with := func(class, mode string) string {
 		return strings.Replace(request(class, 15000), "Req-Owner: nobody", "X-Mode: "+mode, 1)
 	}
@@ -112,7 +112,7 @@
 	}
 	mu.Unlock()
 	// An endpoint may see an attempt a moment before it is counted.
-	until(t, "all attempts are counted", func() bool { return statsOf(t, p).Attempts == attempts })
+	waitUntil(t, "all attempts are counted", func() bool { return statsOf(t, p).Attempts == attempts })
 	s := statsOf(t, p)
 	if got := fmt.Sprint(s.Requests); got != fmt.Sprint(want) {
 		t.Errorf("calls %s, want %v", got, want)
@@ -121,30 +121,30 @@
 		t.Errorf("%+v, and endpoints saw %d attempts", s, attempts)
 	}
 	waiting.Close()
-	until(t, "a request whose client left has ended", func() bool { return statsOf(t, p).InFlight == 0 })
+	waitUntil(t, "a request whose client left has ended", func() bool { return statsOf(t, p).InFlight == 0 })
 	close(hold)
 }
 
 // An endpoint that is down gets nothing, whatever the list says in between, until it is
 // restored; and not even a new process of the proxy sends to it.
-func TestTakenDownHoldsAgainstTheList(t *testing.T) {
+func TestTakenDownOverridesList(t *testing.T) {
 	t.Parallel()
 	a, b := newBackend(t, responds(okay)), newBackend(t, responds(okay))
 	g, dir := newDiscoveryServer(t), t.TempDir()
 	directed := func(c *config.Config) {
-		managed(dir)(c)
+		withManagement(dir)(c)
 		c.Pools[0].Discovery = g.Listener.Addr().String()
 	}
 	p := run(t, directed, a.endpoint("a", 1), b.endpoint("b", 1))
 	for range 2 {
-		if status, text := manage(t, p, "POST", "backends/down", "a"); status != 200 {
+		if status, text := callManagement(t, p, "POST", "backends/down", "a"); status != 200 {
 			t.Fatal(status, text)
 		}
 	}
-	if status, text := manage(t, p, "POST", "backends/down", "nobody"); status != 404 || !strings.Contains(text, "directory's list") {
+	if status, text := callManagement(t, p, "POST", "backends/down", "nobody"); status != 404 || !strings.Contains(text, "directory's list") {
 		t.Error(status, text)
 	}
-	if status, _ := manage(t, p, "POST", "backends/up", "nobody"); status != 404 {
+	if status, _ := callManagement(t, p, "POST", "backends/up", "nobody"); status != 404 {
 		t.Error(status)
 	}
 	back, terminating, restarted := a.endpoint("a", 1), a.endpoint("a", 1), a.endpoint("a", 1)
@@ -166,8 +166,8 @@
 	if s := statsOf(t, p); s.EndpointsListed != 2 || s.EndpointsDown != 1 {
 		t.Errorf("%+v", s)
 	}
-	second := run(t, managed(dir), a.endpoint("a", 1), b.endpoint("b", 1))
-	until(t, "the second process listens, though its directory is silent", func() bool { return second.Address() != "" })
+	second := run(t, withManagement(dir), a.endpoint("a", 1), b.endpoint("b", 1))
+	waitUntil(t, "the second process listens, though its directory is silent", func() bool { return second.Address() != "" })
 	for range 10 {
 		dial(t, second.Address()).ask(request("read", 15000))
 	}
@@ -175,10 +175,10 @@
 		t.Errorf("%d requests at an endpoint that is down", got)
 	}
 	// Restored at one process, it is restored at both, and counts as just started.
-	if status, _ := manage(t, second, "POST", "backends/up", "a"); status != 200 {
+	if status, _ := callManagement(t, second, "POST", "backends/up", "a"); status != 200 {
 		t.Error(status)
 	}
-	until(t, "requests at the restored endpoint", func() bool {
+	waitUntil(t, "requests at the restored endpoint", func() bool {
 		dial(t, p.Address()).ask(request("read", 15000))
 		return a.requests.Load() > before
 	})
@@ -191,7 +191,7 @@
 }
 
 // A drain makes the proxy unready, closes idle connections, answers what was accepted, and can be stopped.
-func TestOperatorsDrain(t *testing.T) {
+func TestOperatorDrain(t *testing.T) {
 	t.Parallel()
 	hold, held := make(chan struct{}), make(chan struct{}, 1)
 	b := newBackend(t, func(c net.Conn, r *http.Request) {
@@ -201,7 +201,7 @@
 		}
 		io.WriteString(c, okay)
 	})
-	p := run(t, managed(t.TempDir()), b.endpoint("b", 1))
+	p := run(t, withManagement(t.TempDir()), b.endpoint("b", 1))
 	ready := func() int { return dial(t, p.Address()).send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").StatusCode }
 	idle, busy, silent := dial(t, p.Address()), dial(t, p.Address()), dial(t, p.Address())
 	idle.ask(request("read", 15000))
@@ -209,11 +209,11 @@
 	await(t, held, "the request that is held")
 	began := time.Now()
 	for range 2 { // twice is once
-		if status, _ := manage(t, p, "POST", "drain/start", ""); status != 200 {
+		if status, _ := callManagement(t, p, "POST", "drain/start", ""); status != 200 {
 			t.Fatal(status)
 		}
 	}
-	if status, _ := manage(t, p, "GET", "readiness", ""); status != 503 || ready() != 503 {
+	if status, _ := callManagement(t, p, "GET", "readiness", ""); status != 503 || ready() != 503 {
 		t.Errorf("while it drains: %d", status)
 	}
 	for _, c := range []*client{idle, silent} {
@@ -228,11 +228,11 @@
 	if resp := busy.send(""); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("what was accepted: %d, close %v", resp.StatusCode, resp.Close)
 	}
-	until(t, "late requests are rejected", func() bool {
+	waitUntil(t, "late requests are rejected", func() bool {
 		resp := dial(t, p.Address()).send(request("read", 15000))
 		return resp.StatusCode == 503 && resp.Close
 	})
-	if status, _ := manage(t, p, "POST", "drain/stop", ""); status != 200 || ready() != 200 {
+	if status, _ := callManagement(t, p, "POST", "drain/stop", ""); status != 200 || ready() != 200 {
 		t.Errorf("after the drain: %d", status)
 	}
 	again := dial(t, p.Address())
@@ -244,14 +244,14 @@
 }
 
 // An order succeeds only if it is persisted: where it can't be, nothing changes.
-func TestOrdersThatCannotBePersistedFail(t *testing.T) {
+func TestUnpersistedOrdersFail(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, responds(okay))
-	p := run(t, managed(filepath.Join(t.TempDir(), "missing")), b.endpoint("b", 1))
-	if status, text := manage(t, p, "POST", "backends/down", "b"); status != 503 || !strings.Contains(text, "kept") {
+	p := run(t, withManagement(filepath.Join(t.TempDir(), "missing")), b.endpoint("b", 1))
+	if status, text := callManagement(t, p, "POST", "backends/down", "b"); status != 503 || !strings.Contains(text, "kept") {
 		t.Error(status, text)
 	}
-	if status, _ := manage(t, p, "GET", "readiness", ""); status != 200 {
+	if status, _ := callManagement(t, p, "GET", "readiness", ""); status != 200 {
 		t.Error(status)
 	}
 	if s := statsOf(t, p); s.EndpointsDown != 0 {
@@ -265,7 +265,7 @@
 	hold := make(chan struct{})
 	defer close(hold)
 	b := newBackend(t, func(c net.Conn, _ *http.Request) { <-hold; io.WriteString(c, okay) })
-	p := run(t, func(c *config.Config) { managed("")(c); c.Limits.Sockets = 128 }, b.endpoint("b", 1))
+	p := run(t, func(c *config.Config) { withManagement("")(c); c.Limits.Sockets = 128 }, b.endpoint("b", 1))
 	var all []*client
 	for range 200 {
 		c := dial(t, p.Address())
@@ -274,7 +274,7 @@
 	}
 	for range 20 {
 		began := time.Now()
-		status, _ := manage(t, p, "GET", "readiness", "")
+		status, _ := callManagement(t, p, "GET", "readiness", "")
 		if took := time.Since(began); status != 200 || took > time.Second {
 			t.Errorf("answered %d in %v", status, took)
 		}
@@ -289,20 +289,20 @@
 	t.Parallel()
 	a, b := newBackend(t, responds(okay)), newBackend(t, responds(okay))
 	file := func(drain string) string {
-		return "mgmt: 127.0.0.1:0\nlisteners: [{name: main, address: '127.0.0.1:0'}]\n" + classes +
+		return "mgmt: 127.0.0.1:0\nlisteners: [{name: main, address: '127.0.0.1:0'}]\n" + classesYAML +
 			"routes:\n  - {name: a, path: /read/a, pool: a, class: read}\n  - {name: b, path: /read/b, pool: b, class: read}\npools:\n" +
-			poolOf("a", a, drain) + poolOf("b", b, "")
+			poolYAML("a", a, drain) + poolYAML("b", b, "")
 	}
-	p, _ := pooled(t, file(""))
+	p, _ := runConfig(t, file(""))
 	for _, path := range []string{"/read/a", "/read/b"} {
 		if status, _ := dial(t, p.Address()).ask(get("x", path, "Req-Kind: read\r\n")); status != 200 {
 			t.Errorf("%s: %d", path, status)
 		}
 	}
-	if status, _ := manage(t, p, "POST", "backends/down", "a-1"); status != 200 {
+	if status, _ := callManagement(t, p, "POST", "backends/down", "a-1"); status != 200 {
 		t.Error(status)
 	}
-	next := parsed(t, file(", zone: z, zones: [z]")) // another pool in its place
+	next := parseConfig(t, file(", zone: z, zones: [z]")) // another pool in its place
 	if err := p.Reload(next); err != nil {
 		t.Fatal(err)
 	}
@@ -310,11 +310,11 @@
 	if status, _ := dial(t, p.Address()).ask(get("x", "/read/a", "Req-Kind: read\r\n")); status != 503 || a.requests.Load() != before {
 		t.Errorf("taken down, after a reload: %d", status)
 	}
-	if status, _ := manage(t, p, "POST", "backends/up", "a-1"); status != 200 {
+	if status, _ := callManagement(t, p, "POST", "backends/up", "a-1"); status != 200 {
 		t.Error(status)
 	}
 	shed := int64(1)
-	until(t, "requests at the restored endpoint, which warms up", func() bool {
+	waitUntil(t, "requests at the restored endpoint, which warms up", func() bool {
 		status, _ := dial(t, p.Address()).ask(get("x", "/read/a", "Req-Kind: read\r\n"))
 		shed += int64(status-200) / 303
 		return status == 200
--- a/proxy/overridestep_test.go
+++ b/proxy/overrideclockstep_test.go
@@ -14,7 +14,7 @@
 
 // An endpoint that is restored after a step of the wall clock counts as started at the order, by the clock of the
 // decisions, and goes on counting so: it warms up, neither never nor for longer.
-func TestRestoredAcrossAStep(t *testing.T) {
+func TestRestoredAcrossWallClockStep(t *testing.T) {
 	for _, step := range steps {
 		p := &Proxy{log: slog.New(slog.DiscardHandler), clock: clock{takenBeforeStep(t, time.Now(), step)}}
 		wall := time.Duration(time.Now().UnixNano())
@@ -51,7 +51,7 @@
 }
 
 // A listener that opens after a step of the wall clock finds the drain as far as the others do.
-func TestDrainStartStaysAcrossAStep(t *testing.T) {
+func TestDrainStartKeptAcrossWallClockStep(t *testing.T) {
 	const before = 2 * time.Second // the step
 	for _, step := range steps {
 		ordered := time.Duration(time.Now().Add(-before - step).UnixNano()) // as the wall clock has it now
@@ -73,8 +73,8 @@
 	}
 }
 
-// orderAcrossAStep has another process of a proxy order a change, after which the wall clock steps.
-func orderAcrossAStep(t *testing.T, path string, step time.Duration, order overridestore.ChangeFunc) {
+// orderBeforeStep has another process of a proxy order a change, after which the wall clock steps.
+func orderBeforeStep(t *testing.T, path string, step time.Duration, order overridestore.ChangeFunc) {
 	t.Helper()
 	other := overridestore.Open(path, slog.New(slog.DiscardHandler), func(override.Set) {})
 	err := other.Update(func(set override.Set, now time.Duration) (override.Set, error) { return order(set, now-step) })
@@ -87,8 +87,8 @@
 	return set.StartDrain(now), nil
 }
 
-// processOf is a process of a proxy that begins and has read the overrides.
-func processOf(path string) *Proxy {
+// newProcess is a process of a proxy that begins and has read the overrides.
+func newProcess(path string) *Proxy {
 	p := &Proxy{log: slog.New(slog.DiscardHandler), clock: clock{time.Now()}}
 	p.openOverrides(path)
 	return p
@@ -96,17 +96,17 @@
 
 // A drain that another process has ordered is no older than what this one saw of the file before: neither does a step
 // of the wall clock between the order and here have all its phases at once, nor does it begin later than it is seen.
-func TestDrainOfAnotherProcessAcrossAStep(t *testing.T) {
+func TestOtherProcessDrainAcrossWallClockStep(t *testing.T) {
 	for _, step := range append(steps, 0) {
 		path := filepath.Join(t.TempDir(), "overrides")
-		p := processOf(path)
+		p := newProcess(path)
 		ctx, cancel := context.WithCancel(t.Context())
 		watching := make(chan struct{})
 		go func() { defer close(watching); p.store.Watch(ctx) }()
 		began := time.Now()
-		until(t, "the file is looked at", func() bool { return p.store.KnownAt().After(began) })
-		orderAcrossAStep(t, path, step, startDrain)
-		until(t, "the drain is seen", func() bool { return p.store.Current().DrainSince != 0 })
+		waitUntil(t, "the file is looked at", func() bool { return p.store.KnownAt().After(began) })
+		orderBeforeStep(t, path, step, startDrain)
+		waitUntil(t, "the drain is seen", func() bool { return p.store.Current().DrainSince != 0 })
 		p.mu.Lock()
 		start := p.drainStartLocked()
 		p.mu.Unlock()
@@ -120,15 +120,15 @@
 
 // What a process finds at its start is of the past: a step back between the order and the restart neither has a drain
 // begin later, nor a restored endpoint start later, than they are found.
-func TestOrdersFoundAtARestartAcrossAStep(t *testing.T) {
+func TestOrdersFoundAtRestartAcrossWallClockStep(t *testing.T) {
 	for _, step := range append(steps, 0) {
 		path := filepath.Join(t.TempDir(), "overrides")
-		orderAcrossAStep(t, path, step, startDrain)
-		orderAcrossAStep(t, path, step, func(set override.Set, now time.Duration) (override.Set, error) {
+		orderBeforeStep(t, path, step, startDrain)
+		orderBeforeStep(t, path, step, func(set override.Set, now time.Duration) (override.Set, error) {
 			set, err := set.TakeDown("a", now)
 			return set.Restore("a", now), err
 		})
-		p := processOf(path)
+		p := newProcess(path)
 		stated := p.storedOverrides.Restored["a"]
 		counted := p.overrides.Restored["a"]
 		if counted > p.clock.now() || counted > stated {
--- a/proxy/pools_test.go
+++ b/proxy/pools_test.go
@@ -17,10 +17,10 @@
 	"ryerill/config"
 )
 
-// pooled runs a proxy by a configuration in YAML.
-func pooled(t *testing.T, text string) (p *Proxy, end func()) {
+// runConfig runs a proxy by a configuration in YAML.
+func runConfig(t *testing.T, text string) (p *Proxy, end func()) {
 	t.Helper()
-	p, err := New(parsed(t, text), WithLogger(slog.New(slog.DiscardHandler)))
+	p, err := New(parseConfig(t, text), WithLogger(slog.New(slog.DiscardHandler)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 	return p, end
 }
 
-func parsed(t *testing.T, text string) config.Config {
+func parseConfig(t *testing.T, text string) config.Config {
 	t.Helper()
 	cfg, _, err := config.ParseFile("test.yaml", []byte(text), func(string) string { return "" })
 	if err != nil {
@@ -53,14 +53,14 @@
 	return cfg
 }
 
-const classes = `
+const classesYAML = `
 classes:
   - {name: read, deadline: 20s, effect: safe}
   - {name: pay, deadline: 20s, effect: keyed, memory: 10s}
 `
 
-// poolOf writes a pool of one endpoint.
-func poolOf(name string, b *backend, more string) string {
+// poolYAML writes a pool of one endpoint.
+func poolYAML(name string, b *backend, more string) string {
 	return fmt.Sprintf("  - {name: %s, limits: {connect_timeout: 5s}, providers: [{name: %s-1, address: %q}]%s}\n", name, name, b.Addr().String(), more)
 }
 
@@ -78,16 +78,16 @@
 	return fmt.Sprintf("GET %s HTTP/1.1\r\nHost: %s\r\nReq-Id: p%d\r\nReq-Deadline-Ms: 15000\r\n%s\r\n", target, host, serial.Add(1), class)
 }
 
-func TestRoutesLeadToPools(t *testing.T) {
+func TestRoutesSelectPools(t *testing.T) {
 	t.Parallel()
 	a, b := newBackend(t, respondsWithTarget("a")), newBackend(t, respondsWithTarget("b"))
-	p, _ := pooled(t, "listeners: [{name: main, address: '127.0.0.1:0'}]\n"+classes+`
+	p, _ := runConfig(t, "listeners: [{name: main, address: '127.0.0.1:0'}]\n"+classesYAML+`
 routes:
   - {name: shops, host: app.svc, path: /shops/*, pool: a, rewrite: /v2, class: read}
   - {name: stated, host: app.svc, classes: [read], pool: a}
   - {name: other, host: "*.svc", path: /read/*, pool: b}
 pools:
-`+poolOf("a", a, "")+poolOf("b", b, ""))
+`+poolYAML("a", a, "")+poolYAML("b", b, ""))
 	for _, tc := range []struct {
 		text   string
 		status int
@@ -119,9 +119,9 @@
 		respondsWithTarget("slow")(c, r)
 	})
 	b := newBackend(t, respondsWithTarget("b"))
-	head := "listeners: [{name: main, address: '127.0.0.1:0'}]\n" + classes
-	with := head + "routes: [{path: /read/a, pool: a, name: ra}, {path: /read/b, pool: b, name: rb}]\npools:\n" + poolOf("a", slow, "") + poolOf("b", b, "")
-	p, _ := pooled(t, with)
+	head := "listeners: [{name: main, address: '127.0.0.1:0'}]\n" + classesYAML
+	with := head + "routes: [{path: /read/a, pool: a, name: ra}, {path: /read/b, pool: b, name: rb}]\npools:\n" + poolYAML("a", slow, "") + poolYAML("b", b, "")
+	p, _ := runConfig(t, with)
 	c := dial(t, p.Address())
 	if _, err := io.WriteString(c, get("x", "/read/a", "")); err != nil {
 		t.Fatal(err)
@@ -133,9 +133,9 @@
 		return p.pools.active[name]
 	}
 	before, going := core("b"), core("a")
-	without := head + "routes: [{path: /read/b, pool: b, name: rb}]\npools:\n" + poolOf("b", b, ", limits: {attempts: 5}")
+	without := head + "routes: [{path: /read/b, pool: b, name: rb}]\npools:\n" + poolYAML("b", b, ", limits: {attempts: 5}")
 	without = strings.Replace(without, "limits: {connect_timeout: 5s}, ", "", 1)
-	if err := p.Reload(parsed(t, without)); err != nil {
+	if err := p.Reload(parseConfig(t, without)); err != nil {
 		t.Fatal(err)
 	}
 	if status, _ := dial(t, p.Address()).ask(get("x", "/read/a", "")); status != 404 {
@@ -159,7 +159,7 @@
 	}
 	await(t, going.requests.drained, "the pool that is gone has drained")
 	// Other classes make it another pool.
-	if err := p.Reload(parsed(t, strings.Replace(without, "deadline: 20s, effect: safe", "deadline: 19s, effect: safe", 1))); err != nil {
+	if err := p.Reload(parseConfig(t, strings.Replace(without, "deadline: 20s, effect: safe", "deadline: 19s, effect: safe", 1))); err != nil {
 		t.Fatal(err)
 	}
 	if core("b") == before {
@@ -175,13 +175,13 @@
 func TestFailedReloadIsRolledBack(t *testing.T) {
 	t.Parallel()
 	a, b := newBackend(t, respondsWithTarget("a")), newBackend(t, respondsWithTarget("b"))
-	head := "listeners: [{name: main, address: '127.0.0.1:0'}]\n" + classes
-	p, _ := pooled(t, head+"routes: [{path: /read/*, pool: a, name: ra}]\npools:\n"+poolOf("a", a, ", guarantee: {sockets: 4}"))
+	head := "listeners: [{name: main, address: '127.0.0.1:0'}]\n" + classesYAML
+	p, _ := runConfig(t, head+"routes: [{path: /read/*, pool: a, name: ra}]\npools:\n"+poolYAML("a", a, ", guarantee: {sockets: 4}"))
 	p.resources.mu.Lock()
 	before := p.resources.claims
 	p.resources.mu.Unlock()
 	old := p.activePools()[0]
-	next := parsed(t, head+"routes: [{path: /read/*, pool: b, name: rb}]\npools:\n"+poolOf("b", b, ", guarantee: {sockets: 4}"))
+	next := parseConfig(t, head+"routes: [{path: /read/*, pool: b, name: rb}]\npools:\n"+poolYAML("b", b, ", guarantee: {sockets: 4}"))
 	next.Listeners = append(next.Listeners, config.Listener{Name: "more", Address: "127.0.0.1:0"})
 	next.Routes = append(next.Routes, next.Routes[0]) // two routes alike can't be used
 	if err := p.Reload(next); err == nil {
@@ -211,10 +211,10 @@
 	}
 	defer taken.Close()
 	file := func(listeners string) string {
-		return "listeners: [" + listeners + "]\n" + classes + "routes: [{pool: b}]\npools:\n" + poolOf("b", b, "")
+		return "listeners: [" + listeners + "]\n" + classesYAML + "routes: [{pool: b}]\npools:\n" + poolYAML("b", b, "")
 	}
-	p, _ := pooled(t, file("{name: one, address: '127.0.0.1:0'}"))
-	if err := p.Reload(parsed(t, file("{name: one, address: '127.0.0.1:0'}, {name: two, address: '"+taken.Addr().String()+"'}"))); err == nil || !strings.Contains(err.Error(), "listener two") {
+	p, _ := runConfig(t, file("{name: one, address: '127.0.0.1:0'}"))
+	if err := p.Reload(parseConfig(t, file("{name: one, address: '127.0.0.1:0'}, {name: two, address: '"+taken.Addr().String()+"'}"))); err == nil || !strings.Contains(err.Error(), "listener two") {
 		t.Errorf("an address that is taken: %v", err)
 	}
 	if status, _ := dial(t, p.Address()).ask(get("x", "/read/1", "")); status != 200 {
@@ -225,7 +225,7 @@
 		t.Fatal(status)
 	}
 	old := p.Address()
-	if err := p.Reload(parsed(t, file("{name: two, address: '127.0.0.1:0'}"))); err != nil {
+	if err := p.Reload(parseConfig(t, file("{name: two, address: '127.0.0.1:0'}"))); err != nil {
 		t.Fatal(err)
 	}
 	if p.Address() == old || p.AddressOf("two") != p.Address() || p.AddressOf("one") != "" {
@@ -246,17 +246,17 @@
 	a, b := newBackend(t, respondsWithTarget("a")), newBackend(t, respondsWithTarget("b"))
 	defer a.Close()
 	defer b.Close()
-	head := "listeners: [{name: main, address: '127.0.0.1:0'}]\n" + classes
+	head := "listeners: [{name: main, address: '127.0.0.1:0'}]\n" + classesYAML
 	forms := []config.Config{}
 	for _, text := range []string{
-		head + "routes: [{path: /read/a, pool: a, name: ra}, {path: /read/b, pool: b, name: rb}]\npools:\n" + poolOf("a", a, "") + poolOf("b", b, ""),
-		head + "routes: [{path: /read/*, pool: b, name: rb}]\npools:\n" + poolOf("b", b, ""),
-		head + "routes: [{path: /read/a, pool: b, name: ra}, {path: /read/b, pool: a, name: rb}]\npools:\n" + poolOf("b", a, "") + poolOf("a", b, ", weight: 3"),
-		strings.Replace(head, "20s", "18s", 1) + "routes: [{path: /read/*, pool: c, name: rc}]\npools:\n" + poolOf("c", a, ""),
+		head + "routes: [{path: /read/a, pool: a, name: ra}, {path: /read/b, pool: b, name: rb}]\npools:\n" + poolYAML("a", a, "") + poolYAML("b", b, ""),
+		head + "routes: [{path: /read/*, pool: b, name: rb}]\npools:\n" + poolYAML("b", b, ""),
+		head + "routes: [{path: /read/a, pool: b, name: ra}, {path: /read/b, pool: a, name: rb}]\npools:\n" + poolYAML("b", a, "") + poolYAML("a", b, ", weight: 3"),
+		strings.Replace(head, "20s", "18s", 1) + "routes: [{path: /read/*, pool: c, name: rc}]\npools:\n" + poolYAML("c", a, ""),
 	} {
-		forms = append(forms, parsed(t, text))
+		forms = append(forms, parseConfig(t, text))
 	}
-	p, end := pooled(t, head+"routes: [{path: /read/*, pool: b, name: rb}]\npools:\n"+poolOf("b", b, ""))
+	p, end := runConfig(t, head+"routes: [{path: /read/*, pool: b, name: rb}]\npools:\n"+poolYAML("b", b, ""))
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	var served, shed atomic.Int64
@@ -315,17 +315,17 @@
 }
 
 // A pool whose endpoints hang uses all that it may, and not what another is guaranteed.
-func TestAPoolThatHangsHoldsNoOthers(t *testing.T) {
+func TestHangingPoolLeavesOthersTheirGuarantee(t *testing.T) {
 	t.Parallel()
 	hold := make(chan struct{})
 	hangs := newBackend(t, func(net.Conn, *http.Request) { <-hold })
 	t.Cleanup(func() { close(hold) })
 	calm := newBackend(t, respondsWithTarget("calm"))
-	p, _ := pooled(t, "machine: {sockets: 96}\nlisteners: [{name: main, address: '127.0.0.1:0'}]\n"+classes+`
+	p, _ := runConfig(t, "machine: {sockets: 96}\nlisteners: [{name: main, address: '127.0.0.1:0'}]\n"+classesYAML+`
 routes: [{name: h, path: /read/hang, pool: hangs}, {name: c, path: /read/calm, pool: calm}]
 pools:
-`+strings.Replace(poolOf("hangs", hangs, ", copies: 1, guarantee: {sockets: 4}"), "[{", "["+manyEndpoints(hangs, 40)+"{", 1)+
-		poolOf("calm", calm, ", guarantee: {sockets: 4}"))
+`+strings.Replace(poolYAML("hangs", hangs, ", copies: 1, guarantee: {sockets: 4}"), "[{", "["+manyEndpoints(hangs, 40)+"{", 1)+
+		poolYAML("calm", calm, ", guarantee: {sockets: 4}"))
 	for range 24 { // all of the clients' connections but a few
 		c := dial(t, p.Address())
 		if _, err := io.WriteString(c, get("x", "/read/hang", "")); err != nil {
@@ -355,7 +355,7 @@
 
 // A pool whose discovery is silent and one whose endpoints send 60 KiB responses as fast as
 // they can don't disturb a calm one.
-func TestPoolsStandApart(t *testing.T) {
+func TestPoolsAreIsolated(t *testing.T) {
 	t.Parallel()
 	mute, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -364,10 +364,10 @@
 	defer mute.Close()
 	big := "HTTP/1.1 200 OK\r\nContent-Length: 61440\r\n\r\n" + strings.Repeat("x", 60<<10)
 	large, calm, lost := newBackend(t, responds(big)), newBackend(t, respondsWithTarget("calm")), newBackend(t, respondsWithTarget("lost"))
-	p, _ := pooled(t, "listeners: [{name: main, address: '127.0.0.1:0'}]\n"+classes+`
+	p, _ := runConfig(t, "listeners: [{name: main, address: '127.0.0.1:0'}]\n"+classesYAML+`
 routes: [{name: l, path: /read/large, pool: large}, {name: c, path: /read/calm, pool: calm}, {name: s, path: /read/lost, pool: lost}]
 pools:
-`+poolOf("large", large, "")+poolOf("calm", calm, "")+poolOf("lost", lost, fmt.Sprintf(", directory: %q", mute.Addr())))
+`+poolYAML("large", large, "")+poolYAML("calm", calm, "")+poolYAML("lost", lost, fmt.Sprintf(", directory: %q", mute.Addr())))
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	for range 4 {
@@ -406,7 +406,7 @@
 	b := newBackend(t, respondsWithTarget("b"))
 	write := func(n int) string {
 		var s strings.Builder
-		s.WriteString("machine: {memory_mb: 192, sockets: 1024}\nlisteners: [{name: main, address: '127.0.0.1:0'}]\n" + classes + "routes:\n")
+		s.WriteString("machine: {memory_mb: 192, sockets: 1024}\nlisteners: [{name: main, address: '127.0.0.1:0'}]\n" + classesYAML + "routes:\n")
 		for i := range n {
 			fmt.Fprintf(&s, "  - {name: r%d, path: /read/%d, pool: p%d}\n", i, i, i)
 		}
@@ -416,7 +416,7 @@
 		}
 		return s.String()
 	}
-	p, _ := pooled(t, write(500))
+	p, _ := runConfig(t, write(500))
 	c := dial(t, p.Address())
 	for i := 0; i < 500; i += 7 {
 		if status, body := c.ask(get("x", fmt.Sprintf("/read/%d", i), "")); status != 200 {
@@ -439,7 +439,7 @@
 			defer l.Close()
 			go http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "fine") }))
 			var s strings.Builder
-			s.WriteString("machine: {sockets: 4096}\nlisteners: [{name: main, address: '127.0.0.1:0'}]\n" + classes + "routes:\n")
+			s.WriteString("machine: {sockets: 4096}\nlisteners: [{name: main, address: '127.0.0.1:0'}]\n" + classesYAML + "routes:\n")
 			for i := range n {
 				fmt.Fprintf(&s, "  - {name: r%d, path: /read/%d, pool: p%d}\n", i, i, i)
 			}
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -18,7 +18,7 @@
 // Rule 1, and the table of outcomes: whatever an endpoint does, there is one
 // response, and 200 only for a whole one. An unsafe class shows which outcomes
 // were recorded as never executed: they alone may be shed.
-func TestEveryRequestIsAnsweredByItsOutcome(t *testing.T) {
+func TestResponseMatchesOutcome(t *testing.T) {
 	t.Parallel()
 	big := strings.Repeat("x", 64<<10)
 	for _, tc := range []struct {
@@ -88,7 +88,7 @@
 
 // A core whose decision code panics, here for want of a Balancer, still
 // answers what it accepts.
-func TestPanicOfDecisionsIsAnswered(t *testing.T) {
+func TestDecisionPanicIsAnswered(t *testing.T) {
 	t.Parallel()
 	log := slog.New(slog.DiscardHandler)
 	c := &core{log: log, decisions: decisionLoop{log: log}, requests: newRequestTable(), resources: &poolResources{},
@@ -248,7 +248,7 @@
 // Rule 4: an endpoint that has just started gets little. This shows that since_ms
 // and the Balancer's time share their scale, or all starts would seem recent,
 // or long ago.
-func TestEndpointThatWarmsUpGetsLittle(t *testing.T) {
+func TestWarmingEndpointGetsFewRequests(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		age         time.Duration
@@ -267,7 +267,7 @@
 	}
 }
 
-func TestClientThatLeavesEndsItsAttempt(t *testing.T) {
+func TestClientLeavingCancelsAttempt(t *testing.T) {
 	t.Parallel()
 	sent := make(chan struct{}, 1)
 	b := newBackend(t, func(net.Conn, *http.Request) { sent <- struct{}{} })
@@ -278,7 +278,7 @@
 	await(t, b.ended, "an end of the attempt")
 }
 
-func TestDiscoveryThatIsDownOrSendsGarbage(t *testing.T) {
+func TestDiscoveryDownOrInvalid(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, responds(okay))
 	for _, answer := range []string{"", "{", `{"index":9,"snapshot":true}`,
@@ -305,7 +305,7 @@
 	}
 }
 
-func TestMalformedRequestsGet4xxAndAClosedConnection(t *testing.T) {
+func TestMalformedRequestsGet4xxAndClose(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, responds(okay))
 	address := start(t, nil, b.endpoint("s1", 1))
@@ -345,7 +345,7 @@
 
 // An id names one open request: another with the same id is rejected, and
 // the first is not disturbed. Once it is answered the id is free.
-func TestAnOpenIDIsNotAcceptedTwice(t *testing.T) {
+func TestDuplicateOpenIDIsRejected(t *testing.T) {
 	t.Parallel()
 	hold, sent := make(chan struct{}), make(chan struct{}, 8)
 	b := newBackend(t, func(c net.Conn, _ *http.Request) { sent <- struct{}{}; <-hold; io.WriteString(c, okay) })
@@ -368,7 +368,7 @@
 
 // At the limit on sockets an idle connection is closed for a new one; if none is idle, a
 // new client is rejected.
-func TestClientsStayUnderTheLimit(t *testing.T) {
+func TestClientConnectionLimit(t *testing.T) {
 	t.Parallel()
 	hold, sent := make(chan struct{}), make(chan struct{}, 64)
 	defer close(hold)
--- a/proxy/sendguard_test.go
+++ b/proxy/sendguard_test.go
@@ -9,7 +9,7 @@
 
 // Guards against sends to withdrawn endpoints that nobody notices: one later than the grace is counted and logged once,
 // whether it is a first attempt or a retry; none within the grace is.
-func TestSendsAfterTheGraceAreCounted(t *testing.T) {
+func TestSendsAfterGraceAreCounted(t *testing.T) {
 	const grace = time.Second
 	log := new(lockedBuffer)
 	check := graceCheck{log: slog.New(slog.NewTextHandler(log, nil))}
--- a/proxy/stages_test.go
+++ b/proxy/stages_test.go
@@ -19,39 +19,39 @@
 	"ryerill/discovery"
 )
 
-// seen is a request that an endpoint received whole.
-type seen struct {
+// receivedRequest is a request that an endpoint received whole.
+type receivedRequest struct {
 	endpoint string
 	at       time.Time
 }
 
-// scene is one proxy before two endpoints of one group, one of another, and one
+// stageTest is one proxy before two endpoints of one group, one of another, and one
 // that is cold, and one request that is brought to a stage there.
-type scene struct {
-	t       *testing.T
-	p       *Proxy
-	stop    func()
-	c       *client
-	class   string
-	ms      int // the client waits so long
-	arrived chan string
-	release chan struct{} // endpoints that hang go on
-	free    func()        // lets endpoints go on
-	stalled net.Listener  // accepts no connection
+type stageTest struct {
+	t                *testing.T
+	p                *Proxy
+	stop             func()
+	c                *client
+	class            string
+	deadlineMS       int // the client waits so long
+	arrived          chan string
+	release          chan struct{} // endpoints that hang go on
+	releaseEndpoints func()        // lets endpoints go on
+	stalled          net.Listener  // accepts no connection
 
-	mu     sync.Mutex
-	ledger map[string][]seen    // by Req-Id
-	down   map[string]time.Time // by name: when an endpoint was taken down
-	peers  []*backend
+	mu       sync.Mutex
+	received map[string][]receivedRequest // by Req-Id
+	down     map[string]time.Time         // by name: when an endpoint was taken down
+	peers    []*backend
 }
 
 // behave is what an endpoint does with a request, by the request's query.
-func (s *scene) behave(name string) func(net.Conn, *http.Request) {
+func (s *stageTest) behave(name string) func(net.Conn, *http.Request) {
 	return func(c net.Conn, r *http.Request) {
 		id := r.Header.Get("Req-Id")
 		s.mu.Lock()
-		s.ledger[id] = append(s.ledger[id], seen{name, time.Now()})
-		first, release := len(s.ledger[id]) == 1, s.release
+		s.received[id] = append(s.received[id], receivedRequest{name, time.Now()})
+		first, release := len(s.received[id]) == 1, s.release
 		s.mu.Unlock()
 		const long = 1 << 20
 		text := okay
@@ -71,10 +71,10 @@
 	}
 }
 
-func newScene(t *testing.T, class string, change func(*config.Config)) *scene {
-	s := &scene{t: t, class: class, ms: 15_000, arrived: make(chan string, 64), release: make(chan struct{}),
-		ledger: map[string][]seen{}, down: map[string]time.Time{}}
-	s.free = sync.OnceFunc(func() { close(s.release) })
+func newStageTest(t *testing.T, class string, change func(*config.Config)) *stageTest {
+	s := &stageTest{t: t, class: class, deadlineMS: 15_000, arrived: make(chan string, 64), release: make(chan struct{}),
+		received: map[string][]receivedRequest{}, down: map[string]time.Time{}}
+	s.releaseEndpoints = sync.OnceFunc(func() { close(s.release) })
 	var known []discovery.Endpoint
 	for i, name := range []string{"s1", "s2", "t1", "cold"} {
 		b := newBackend(t, s.behave(name))
@@ -86,7 +86,7 @@
 		known = append(known, e)
 	}
 	s.p, s.stop = runUntil(t, func(cfg *config.Config) {
-		managed(t.TempDir())(cfg)
+		withManagement(t.TempDir())(cfg)
 		b := &cfg.Pools[0].Settings.Balancer
 		b.Limits.ConnectTimeout = 400 * time.Millisecond
 		b.Classes = append(b.Classes, b.Classes[0])
@@ -95,13 +95,13 @@
 			change(cfg)
 		}
 	}, known...)
-	until(t, "ready", func() bool { return s.p.Readiness() == nil })
+	waitUntil(t, "ready", func() bool { return s.p.Readiness() == nil })
 	s.c = dial(t, s.p.Address())
 	return s
 }
 
-// end ends the proxy and all that stands round it.
-func (s *scene) end() {
+// close ends the proxy and all that stands round it.
+func (s *stageTest) close() {
 	s.stop()
 	for _, b := range s.peers {
 		b.CloseAll()
@@ -111,14 +111,14 @@
 	}
 }
 
-func (s *scene) core() *core {
+func (s *stageTest) core() *core {
 	s.p.mu.Lock()
 	defer s.p.mu.Unlock()
 	return s.p.pools.active["main"]
 }
 
 // inFlight is how many attempts the Balancer counts.
-func (s *scene) inFlight() int {
+func (s *stageTest) inFlight() int {
 	c := s.core()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,24 +126,24 @@
 	return n
 }
 
-// text is a request to which the endpoints respond in some way.
-func (s *scene) text(how, more string) string {
-	text := request(s.class, s.ms)
+// requestText is a request to which the endpoints respond in some way.
+func (s *stageTest) requestText(how, more string) string {
+	text := request(s.class, s.deadlineMS)
 	if s.class == "ordered" {
-		text = strings.Replace(request("read", s.ms), "read", "ordered", 2)
+		text = strings.Replace(request("read", s.deadlineMS), "read", "ordered", 2)
 	}
 	return strings.Replace(text, "?q=%20x", "?how="+how+more, 1)
 }
 
-func (s *scene) write(text string) {
+func (s *stageTest) write(text string) {
 	s.t.Helper()
 	if _, err := io.WriteString(s.c, text); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-// await waits until a request is at an endpoint that delays its response.
-func (s *scene) await() {
+// awaitArrival waits until a request is at an endpoint that delays its response.
+func (s *stageTest) awaitArrival() {
 	s.t.Helper()
 	select {
 	case <-s.arrived:
@@ -154,54 +154,54 @@
 
 // stage is one that a request can be in.
 type stage struct {
-	name    string
-	classes []string
-	reach   func(*scene)
-	rest    func(*scene) // what is still to come from the client; nil is nothing
-	taken   bool         // accepted: a result is owed
-	lost    bool         // without a fault it fails
-	begun   bool         // the response has begun
+	name              string
+	classes           []string
+	reach             func(*stageTest)
+	sendRest          func(*stageTest) // what is still to come from the client; nil is nothing
+	accepted          bool             // accepted: a result is owed
+	failsWithoutFault bool             // without a fault it fails
+	responseStarted   bool             // the response has begun
 }
 
 const uploadSize = 256 << 10
 
 var stages = []stage{
 	{name: "head half read", classes: []string{"read", "pay"},
-		reach: func(s *scene) { s.write(s.text("serve", "")[:40]) },
-		rest: func(s *scene) {
-			s.write(s.text("serve", "")[40:])
+		reach: func(s *stageTest) { s.write(s.requestText("serve", "")[:40]) },
+		sendRest: func(s *stageTest) {
+			s.write(s.requestText("serve", "")[40:])
 		}},
 	{name: "body half read", classes: []string{"pay"},
-		reach: func(s *scene) {
-			text := s.text("serve", "")
+		reach: func(s *stageTest) {
+			text := s.requestText("serve", "")
 			s.write(text[:len(text)-2])
 		},
-		rest: func(s *scene) { s.write("lo") }},
-	{name: "queued by key", classes: []string{"ordered"}, taken: true,
-		reach: func(s *scene) {
-			first, ms := dial(s.t, s.p.Address()), s.ms
-			s.ms = 15_000
-			if _, err := io.WriteString(first, s.text("hang", "&k=1")); err != nil {
+		sendRest: func(s *stageTest) { s.write("lo") }},
+	{name: "queued by key", classes: []string{"ordered"}, accepted: true,
+		reach: func(s *stageTest) {
+			first, ms := dial(s.t, s.p.Address()), s.deadlineMS
+			s.deadlineMS = 15_000
+			if _, err := io.WriteString(first, s.requestText("hang", "&k=1")); err != nil {
 				s.t.Fatal(err)
 			}
-			s.await()
-			s.ms = ms
-			s.write(s.text("serve", "&k=1"))
-			until(s.t, "two accepted", func() bool { // or the second is shed, as it would have to wait too long
+			s.awaitArrival()
+			s.deadlineMS = ms
+			s.write(s.requestText("serve", "&k=1"))
+			waitUntil(s.t, "two accepted", func() bool { // or the second is shed, as it would have to wait too long
 				return s.p.counters.inFlight.Load() == 2 || s.p.Stats().Requests["ordered"].Shed > 0
 			})
 		}},
-	{name: "connecting", classes: []string{"read", "burn"}, taken: true, lost: true,
-		reach: func(s *scene) {
+	{name: "connecting", classes: []string{"read", "burn"}, accepted: true, failsWithoutFault: true,
+		reach: func(s *stageTest) {
 			s.stallDials()
-			s.write(s.text("serve", ""))
-			until(s.t, "an attempt in flight", func() bool { return s.inFlight() == 1 })
+			s.write(s.requestText("serve", ""))
+			waitUntil(s.t, "an attempt in flight", func() bool { return s.inFlight() == 1 })
 		}},
-	{name: "request half written", classes: []string{"burn"}, taken: false,
-		reach: func(s *scene) {
-			text := strings.Replace(s.text("serve", ""), "Content-Length: 5\r\n\r\nhello", fmt.Sprintf("Content-Length: %d\r\n\r\n", uploadSize), 1)
+	{name: "request half written", classes: []string{"burn"}, accepted: false,
+		reach: func(s *stageTest) {
+			text := strings.Replace(s.requestText("serve", ""), "Content-Length: 5\r\n\r\nhello", fmt.Sprintf("Content-Length: %d\r\n\r\n", uploadSize), 1)
 			s.write(text + strings.Repeat("y", uploadSize/2))
-			until(s.t, "its beginning at the endpoint", func() bool {
+			waitUntil(s.t, "its beginning at the endpoint", func() bool {
 				c := s.core()
 				c.mu.Lock()
 				defer c.mu.Unlock()
@@ -211,15 +211,15 @@
 				return false
 			})
 		},
-		rest: func(s *scene) { s.write(strings.Repeat("y", uploadSize/2)) }},
-	{name: "sent and waiting", classes: []string{"read", "pay", "burn"}, taken: true,
-		reach: func(s *scene) { s.write(s.text("hang", "")); s.await() }},
-	{name: "retried", classes: []string{"read", "pay"}, taken: true,
-		reach: func(s *scene) { s.write(s.text("again", "")); s.await() }},
-	{name: "response half passed on", classes: []string{"read", "burn"}, taken: true, begun: true,
-		reach: func(s *scene) {
-			s.write(s.text("half", ""))
-			s.await()
+		sendRest: func(s *stageTest) { s.write(strings.Repeat("y", uploadSize/2)) }},
+	{name: "sent and waiting", classes: []string{"read", "pay", "burn"}, accepted: true,
+		reach: func(s *stageTest) { s.write(s.requestText("hang", "")); s.awaitArrival() }},
+	{name: "retried", classes: []string{"read", "pay"}, accepted: true,
+		reach: func(s *stageTest) { s.write(s.requestText("again", "")); s.awaitArrival() }},
+	{name: "response half passed on", classes: []string{"read", "burn"}, accepted: true, responseStarted: true,
+		reach: func(s *stageTest) {
+			s.write(s.requestText("half", ""))
+			s.awaitArrival()
 			if _, err := s.c.r.Peek(1); err != nil {
 				s.t.Fatal(err)
 			}
@@ -228,7 +228,7 @@
 
 // stallDials gives all endpoints an address at which no connection is established: the
 // listener's queue is full and it doesn't accept.
-func (s *scene) stallDials() {
+func (s *stageTest) stallDials() {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err == nil {
 		err = syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
@@ -261,16 +261,16 @@
 // fault is one that a request meets in a stage. What the client gets then is one of
 // the statuses; 0 is nothing, -1 a response that shows that it is torn.
 type fault struct {
-	name  string
-	apply func(*scene, *stage)
-	wants func(*stage, string) []int
+	name         string
+	apply        func(*stageTest, *stage)
+	wantStatuses func(*stage, string) []int
 }
 
 var (
 	failures = []int{http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout}
-	// goesOn is the result of a request that the fault does not concern.
-	goesOn = func(st *stage, _ string) []int {
-		if st.lost {
+	// unaffected is the result of a request that the fault does not concern.
+	unaffected = func(st *stage, _ string) []int {
+		if st.failsWithoutFault {
 			return failures
 		}
 		return []int{http.StatusOK}
@@ -278,40 +278,40 @@
 )
 
 var faults = []fault{
-	{"nothing", func(*scene, *stage) {}, goesOn},
+	{"nothing", func(*stageTest, *stage) {}, unaffected},
 	{"client leaves",
-		func(s *scene, st *stage) {
+		func(s *stageTest, st *stage) {
 			before := s.p.counters.inFlight.Load()
 			s.c.Close()
-			if st.taken && !st.begun { // its end is recorded with its attempt still in flight
-				until(s.t, "it is recorded", func() bool { return s.p.counters.inFlight.Load() < before })
+			if st.accepted && !st.responseStarted { // its end is recorded with its attempt still in flight
+				waitUntil(s.t, "it is recorded", func() bool { return s.p.counters.inFlight.Load() < before })
 			}
 		},
 		func(*stage, string) []int { return []int{0, -1} }},
 	{"time is over", nil, // see below: the deadline is stated with the request
 		func(st *stage, _ string) []int {
 			switch {
-			case st.begun: // what has begun goes on
+			case st.responseStarted: // what has begun goes on
 				return []int{http.StatusOK}
-			case !st.taken: // by its own pace: what has half arrived was never sent whole
+			case !st.accepted: // by its own pace: what has half arrived was never sent whole
 				return []int{http.StatusRequestTimeout, http.StatusServiceUnavailable}
 			}
 			return failures
 		}},
 	{"endpoint breaks off",
-		func(s *scene, _ *stage) {
+		func(s *stageTest, _ *stage) {
 			for _, b := range s.peers {
 				b.CloseAll()
 			}
 		},
 		func(st *stage, _ string) []int {
-			if st.begun {
+			if st.responseStarted {
 				return []int{-1}
 			}
 			return failures
 		}},
 	{"endpoint taken down",
-		func(s *scene, _ *stage) {
+		func(s *stageTest, _ *stage) {
 			for _, name := range []string{"s1", "s2", "t1", "cold"} {
 				if err := s.p.TakeDown(name); err != nil {
 					s.t.Error(err)
@@ -320,19 +320,19 @@
 			}
 		},
 		func(st *stage, class string) []int {
-			if !st.taken && st.name != "request half written" || st.name == "queued by key" {
+			if !st.accepted && st.name != "request half written" || st.name == "queued by key" {
 				return failures // no endpoint is left to send it to
 			}
-			return goesOn(st, class)
+			return unaffected(st, class)
 		}},
 	{"drain",
-		func(s *scene, _ *stage) {
+		func(s *stageTest, _ *stage) {
 			if err := s.p.StartDrain(); err != nil {
 				s.t.Error(err)
 			}
-		}, goesOn},
+		}, unaffected},
 	{"reload with another pool",
-		func(s *scene, _ *stage) {
+		func(s *stageTest, _ *stage) {
 			s.p.mu.Lock()
 			cfg := s.p.cfg
 			s.p.mu.Unlock()
@@ -344,17 +344,17 @@
 			if err := s.p.Reload(cfg); err != nil || s.core() == before {
 				s.t.Error("the pool was not replaced", err)
 			}
-		}, goesOn},
+		}, unaffected},
 	{"SIGTERM",
-		func(s *scene, _ *stage) {
+		func(s *stageTest, _ *stage) {
 			go s.stop()
-			until(s.t, "the end", func() bool { return s.p.Readiness() != nil })
+			waitUntil(s.t, "the end", func() bool { return s.p.Readiness() != nil })
 		},
-		goesOn},
+		unaffected},
 }
 
-// answer reads what the client gets: its status, 0 for nothing, -1 for torn.
-func (s *scene) answer() int {
+// readStatus reads what the client gets: its status, 0 for nothing, -1 for torn.
+func (s *stageTest) readStatus() int {
 	resp, err := http.ReadResponse(s.c.r, nil)
 	if err != nil {
 		return 0
@@ -370,11 +370,11 @@
 
 // checkRules checks what the endpoints have seen against the rules on retries, on
 // drains and on endpoints that warm up.
-func (s *scene) checkRules() {
+func (s *stageTest) checkRules() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	cold := 0
-	for id, all := range s.ledger {
+	for id, all := range s.received {
 		cells := map[string]bool{}
 		for _, one := range all {
 			cells[one.endpoint[:1]] = true
@@ -396,7 +396,7 @@
 }
 
 // awaitReleased waits until all that requests hold is released: slots, ids, budgets, timers.
-func (s *scene) awaitReleased(c *core, ended int64) {
+func (s *stageTest) awaitReleased(c *core, ended int64) {
 	s.t.Helper()
 	now := s.core()
 	held := func() string {
@@ -441,41 +441,41 @@
 	for i := range stages {
 		for j := range faults {
 			for _, class := range stages[i].classes {
-				t.Run(stages[i].name+"/"+faults[j].name+"/"+class, func(t *testing.T) { meet(t, &stages[i], &faults[j], class) })
+				t.Run(stages[i].name+"/"+faults[j].name+"/"+class, func(t *testing.T) { testFaultAtStage(t, &stages[i], &faults[j], class) })
 			}
 		}
 	}
 }
 
-func meet(t *testing.T, st *stage, f *fault, class string) {
+func testFaultAtStage(t *testing.T, st *stage, f *fault, class string) {
 	before := descriptors(t)
 	leaks := goleak.IgnoreCurrent()
-	s := newScene(t, class, nil)
+	s := newStageTest(t, class, nil)
 	began := time.Now()
-	if f.apply == nil && st.taken {
-		s.ms = 1000 // less would be shed at once
+	if f.apply == nil && st.accepted {
+		s.deadlineMS = 1000 // less would be shed at once
 	}
 	st.reach(s)
 	pool := s.core()
 	var got int
 	if f.apply != nil {
 		f.apply(s, st)
-		if st.rest != nil && f.name != "client leaves" {
-			st.rest(s)
+		if st.sendRest != nil && f.name != "client leaves" {
+			st.sendRest(s)
 		}
 		if f.name != "endpoint breaks off" {
-			s.free()
+			s.releaseEndpoints()
 		}
-	} else if st.begun {
-		until(t, "the deadline has passed", func() bool { return time.Since(began) > 1200*time.Millisecond })
-		s.free()
+	} else if st.responseStarted {
+		waitUntil(t, "the deadline has passed", func() bool { return time.Since(began) > 1200*time.Millisecond })
+		s.releaseEndpoints()
 	}
-	got = s.answer()
+	got = s.readStatus()
 	if took := time.Since(began); f.apply == nil && took > 8*time.Second {
 		t.Errorf("answered after %v", took)
 	}
-	s.free()
-	if wants := f.wants(st, class); !slices.Contains(wants, got) {
+	s.releaseEndpoints()
+	if wants := f.wantStatuses(st, class); !slices.Contains(wants, got) {
 		t.Errorf("the client got %d, want one of %v", got, wants)
 	}
 	s.c.Close()
@@ -483,7 +483,7 @@
 	if st.name == "queued by key" {
 		ended++
 	}
-	if !st.taken && f.name == "client leaves" && st.name != "request half written" {
+	if !st.accepted && f.name == "client leaves" && st.name != "request half written" {
 		ended = 0 // it was none yet
 	} else if st.name == "head half read" && got == http.StatusRequestTimeout {
 		ended = 0 // nobody knows of which class
@@ -495,36 +495,36 @@
 			t.Error(err)
 		}
 	}
-	s.end()
+	s.close()
 	if err := goleak.Find(leaks); err != nil {
 		t.Error(err)
 	}
-	until(t, "descriptors back where they were", func() bool { return descriptors(t) <= before+3 }) // of the stalled listener's queue
+	waitUntil(t, "descriptors back where they were", func() bool { return descriptors(t) <= before+3 }) // of the stalled listener's queue
 }
 
 // Whatever comes at the same moment, each attempt's end is recorded once.
-func TestRacesAtAnAttemptsEnd(t *testing.T) {
+func TestRacesAtAttemptEnd(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
 	const rounds, warm = 25, 100
 	for _, tc := range []struct {
 		name  string
 		ms    int
 		how   string
-		other func(s *scene) // beside the answer
+		other func(s *stageTest) // beside the answer
 	}{
-		{"cancel against answer", 15_000, "hang", func(s *scene) { s.c.Close() }},
+		{"cancel against answer", 15_000, "hang", func(s *stageTest) { s.c.Close() }},
 		{"time-out against answer", 100, "hang", nil},
-		{"cancel against time-out", 100, "hang", func(s *scene) { s.c.Close() }},
-		{"time-out against connect", 1, "serve", func(*scene) {}},
-		{"endpoint down against answer", 15_000, "hang", func(s *scene) { s.p.TakeDown("s1"); s.p.Restore("s1") }},
+		{"cancel against time-out", 100, "hang", func(s *stageTest) { s.c.Close() }},
+		{"time-out against connect", 1, "serve", func(*stageTest) {}},
+		{"endpoint down against answer", 15_000, "hang", func(s *stageTest) { s.p.TakeDown("s1"); s.p.Restore("s1") }},
 	} {
-		s := newScene(t, "read", nil)
+		s := newStageTest(t, "read", nil)
 		pool := s.core()
 		for range warm { // so that short deadlines are not shed at once
-			s.write(s.text("serve", ""))
-			s.answer()
+			s.write(s.requestText("serve", ""))
+			s.readStatus()
 		}
-		s.ms = tc.ms
+		s.deadlineMS = tc.ms
 		for range rounds {
 			s.c = dial(t, s.p.Address())
 			began := time.Now()
@@ -532,7 +532,7 @@
 			s.release = make(chan struct{})
 			release := s.release
 			s.mu.Unlock()
-			s.write(s.text(tc.how, ""))
+			s.write(s.requestText(tc.how, ""))
 			if tc.how == "hang" {
 				select {
 				case <-s.arrived:
@@ -548,12 +548,12 @@
 				both.Go(func() { tc.other(s) })
 			}
 			both.Wait()
-			s.answer()
+			s.readStatus()
 			s.c.Close()
 		}
 		s.awaitReleased(pool, rounds+warm)
 		s.checkRules()
-		s.end()
+		s.close()
 	}
 	if err := goleak.Find(leaks); err != nil {
 		t.Error(err)
@@ -562,13 +562,13 @@
 
 // Bodies may take so much memory and no more. A request beyond it is shed at once with
 // Retry-After, those without a body go on, and with memory free again all is as before.
-func TestBodiesRunOutAndComeBack(t *testing.T) {
+func TestBodyMemoryExhaustedAndFreed(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
-	s := newScene(t, "pay", func(cfg *config.Config) { cfg.Limits.Memory = 1 << 20 }) // a quarter of it for bodies
+	s := newStageTest(t, "pay", func(cfg *config.Config) { cfg.Limits.Memory = 1 << 20 }) // a quarter of it for bodies
 	const size, fit = 60 << 10, 4
 	body := fmt.Sprintf("Content-Length: %d\r\n\r\n%s", size, strings.Repeat("z", size))
 	large := func(how string) string {
-		return strings.Replace(s.text(how, ""), "Content-Length: 5\r\n\r\nhello", body, 1)
+		return strings.Replace(s.requestText(how, ""), "Content-Length: 5\r\n\r\nhello", body, 1)
 	}
 	ended := int64(0)
 	for range 3 {
@@ -578,7 +578,7 @@
 			if _, err := io.WriteString(c, large("hang")); err != nil {
 				t.Fatal(err)
 			}
-			s.await()
+			s.awaitArrival()
 			held = append(held, c)
 		}
 		began := time.Now()
@@ -593,7 +593,7 @@
 			t.Errorf("/ready: %d", code)
 		}
 		s.class = "read"
-		if code, _ := dial(t, s.p.Address()).ask(s.text("serve", "")); code != http.StatusOK {
+		if code, _ := dial(t, s.p.Address()).ask(s.requestText("serve", "")); code != http.StatusOK {
 			t.Errorf("a request without a body: %d", code)
 		}
 		s.class = "pay"
@@ -608,7 +608,7 @@
 		s.release = make(chan struct{})
 		s.mu.Unlock()
 		ended += fit + 2
-		until(t, "memory free again", func() bool { return s.core().resources.bodies.used.Load() == 0 })
+		waitUntil(t, "memory free again", func() bool { return s.core().resources.bodies.used.Load() == 0 })
 		if code, _ := dial(t, s.p.Address()).ask(large("serve")); code != http.StatusOK {
 			t.Errorf("with memory free again: %d", code)
 		}
@@ -616,7 +616,7 @@
 	}
 	s.awaitReleased(s.core(), ended)
 	s.checkRules()
-	s.end()
+	s.close()
 	if err := goleak.Find(leaks); err != nil {
 		t.Error(err)
 	}
@@ -624,15 +624,15 @@
 
 // A client that leaves while its attempt waits for a connection ends the wait, not
 // only the attempt: its slot and descriptor are free long before the dial's own end.
-func TestCancelEndsTheDial(t *testing.T) {
-	s := newScene(t, "read", func(cfg *config.Config) { cfg.Pools[0].Settings.Balancer.Limits.ConnectTimeout = testTimeout })
-	defer s.end()
+func TestCancelEndsDial(t *testing.T) {
+	s := newStageTest(t, "read", func(cfg *config.Config) { cfg.Pools[0].Settings.Balancer.Limits.ConnectTimeout = testTimeout })
+	defer s.close()
 	s.stallDials()
-	s.write(s.text("serve", ""))
-	until(t, "an attempt in flight", func() bool { return s.inFlight() == 1 })
+	s.write(s.requestText("serve", ""))
+	waitUntil(t, "an attempt in flight", func() bool { return s.inFlight() == 1 })
 	began := time.Now()
 	s.c.Close()
-	until(t, "its end", func() bool { return s.inFlight() == 0 })
+	waitUntil(t, "its end", func() bool { return s.inFlight() == 0 })
 	if took := time.Since(began); took > testTimeout/2 {
 		t.Errorf("the dial ended after %v", took)
 	}
--- a/proxy/stream_test.go
+++ b/proxy/stream_test.go
@@ -27,13 +27,13 @@
 	return b
 }
 
-const long = 3 << 20
+const longBodySize = 3 << 20
 
 // A long response passes through as it comes, whatever delimits it: its beginning
 // arrives before the endpoint has sent the rest.
-func TestLongAnswersPassThrough(t *testing.T) {
+func TestLongResponsesAreStreamed(t *testing.T) {
 	t.Parallel()
-	body := pattern(long)
+	body := pattern(longBodySize)
 	chunks := func(w io.Writer, b []byte) {
 		for len(b) > 0 {
 			n := min(len(b), 70_001)
@@ -47,7 +47,7 @@
 		end        string
 		close      bool
 	}{
-		{"a length", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", long), func(w io.Writer, b []byte) { w.Write(b) }, "", false},
+		{"a length", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", longBodySize), func(w io.Writer, b []byte) { w.Write(b) }, "", false},
 		{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", chunks, "0\r\nX-Sum: 1\r\n\r\n", false},
 		{"its end", "HTTP/1.1 200 OK\r\n\r\n", func(w io.Writer, b []byte) { w.Write(b) }, "", true},
 		{"its end, before 1.1", "HTTP/1.0 200 OK\r\n\r\n", func(w io.Writer, b []byte) { w.Write(b) }, "", true},
@@ -90,7 +90,7 @@
 }
 
 // A long response that breaks off is never taken for a whole one, and counts as failed.
-func TestBrokenLongAnswersShow(t *testing.T) {
+func TestTruncatedLongResponsesAreDetected(t *testing.T) {
 	t.Parallel()
 	body := string(pattern(200_000))
 	for _, tc := range []struct{ name, text, version string }{
@@ -99,7 +99,7 @@
 		{"chunks, to 1.0", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\n", len(body), body), "1.0"},
 	} {
 		b := newBackend(t, respondsAndCloses(tc.text))
-		p := run(t, managed(""), b.endpoint("s1", 1))
+		p := run(t, withManagement(""), b.endpoint("s1", 1))
 		resp := dial(t, p.Address()).send(strings.Replace(request("burn", 15000), "HTTP/1.1", "HTTP/"+tc.version, 1))
 		got, err := io.ReadAll(resp.Body)
 		if err == nil || len(got) > len(body) {
@@ -108,7 +108,7 @@
 		if tc.version == "1.0" && !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("%s: ended with %v", tc.name, err)
 		}
-		until(t, "it counts as failed", func() bool { s := statsOf(t, p); return s.Requests["burn"].Failed == 1 && s.InFlight == 0 })
+		waitUntil(t, "it counts as failed", func() bool { s := statsOf(t, p); return s.Requests["burn"].Failed == 1 && s.InFlight == 0 })
 	}
 }
 
@@ -125,8 +125,8 @@
 
 func (plain) Close() error { return nil }
 
-// raw is an endpoint whose behaviour reads the body from the connection itself.
-func raw(t *testing.T, behave func(c net.Conn, r *bufio.Reader, req *http.Request)) *backend {
+// newRawBackend is an endpoint whose behaviour reads the body from the connection itself.
+func newRawBackend(t *testing.T, behave func(c net.Conn, r *bufio.Reader, req *http.Request)) *backend {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -159,12 +159,12 @@
 
 // A long request passes through as it comes and arrives as it was; its time
 // begins with its last byte, so that a slow client doesn't spend the endpoint's.
-func TestLongRequestsPassThrough(t *testing.T) {
+func TestLongRequestsAreStreamed(t *testing.T) {
 	t.Parallel()
-	body := pattern(long)
+	body := pattern(longBodySize)
 	for _, chunked := range []bool{false, true} {
 		begun := make(chan struct{})
-		b := raw(t, func(c net.Conn, _ *bufio.Reader, req *http.Request) {
+		b := newRawBackend(t, func(c net.Conn, _ *bufio.Reader, req *http.Request) {
 			part := make([]byte, 64<<10)
 			if _, err := io.ReadFull(req.Body, part); err != nil {
 				return
@@ -175,9 +175,9 @@
 				io.WriteString(c, okay)
 			}
 		})
-		p := run(t, managed(""), b.endpoint("s1", 1))
+		p := run(t, withManagement(""), b.endpoint("s1", 1))
 		c := dial(t, p.Address())
-		head, frame := upload(long, chunked)
+		head, frame := upload(longBodySize, chunked)
 		io.WriteString(c, head)
 		w := frame(c)
 		w.Write(body[:100_000])
@@ -204,7 +204,7 @@
 
 // A long request can't be retried: it is sent once, is answered by
 // what is known of it, and an early response ends its upload.
-func TestLongRequestsGoOutOnce(t *testing.T) {
+func TestLongRequestsAreSentOnce(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name   string
@@ -231,8 +231,8 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			one, two := raw(t, tc.behave), raw(t, tc.behave)
-			p := run(t, managed(""), one.endpoint("s1", 1), two.endpoint("s2", 1))
+			one, two := newRawBackend(t, tc.behave), newRawBackend(t, tc.behave)
+			p := run(t, withManagement(""), one.endpoint("s1", 1), two.endpoint("s2", 1))
 			c := dial(t, p.Address())
 			const size = 60 << 20 // more than all sockets on the way hold
 			head, _ := upload(size, false)
@@ -256,18 +256,18 @@
 
 // A client that leaves in the middle of its request is no failure of the
 // endpoint's, and one that stops sending gets a response.
-func TestTornUploads(t *testing.T) {
+func TestInterruptedUploads(t *testing.T) {
 	t.Parallel()
-	b := raw(t, func(c net.Conn, _ *bufio.Reader, req *http.Request) { io.Copy(io.Discard, req.Body) })
-	p := run(t, managed(""), b.endpoint("s1", 1))
+	b := newRawBackend(t, func(c net.Conn, _ *bufio.Reader, req *http.Request) { io.Copy(io.Discard, req.Body) })
+	p := run(t, withManagement(""), b.endpoint("s1", 1))
 	for range 20 {
 		c := dial(t, p.Address())
-		head, _ := upload(long, false)
+		head, _ := upload(longBodySize, false)
 		io.WriteString(c, head)
 		c.Write(make([]byte, 200_000))
 		c.Close()
 	}
-	until(t, "all have ended", func() bool {
+	waitUntil(t, "all have ended", func() bool {
 		core := p.activePools()[0]
 		core.mu.Lock()
 		defer core.mu.Unlock()
@@ -277,7 +277,7 @@
 		t.Errorf("%+v", s)
 	}
 	slow := dial(t, p.Address())
-	head, _ := upload(long, true)
+	head, _ := upload(longBodySize, true)
 	io.WriteString(slow, head+"1\r\nx\r\n")
 	if status, _ := slow.ask(""); status != 408 {
 		t.Errorf("one that stops is answered %d", status)
@@ -286,11 +286,11 @@
 
 // A client that doesn't read delays no other: the proxy stops reading from
 // its endpoint, and others are served.
-func TestSlowReadersHoldUpNobody(t *testing.T) {
+func TestSlowReadersDoNotDelayOthers(t *testing.T) {
 	t.Parallel()
 	const size = 64 << 20 // more than all sockets on the way hold
 	var wrote = make(chan int, 8)
-	b := raw(t, func(c net.Conn, _ *bufio.Reader, req *http.Request) {
+	b := newRawBackend(t, func(c net.Conn, _ *bufio.Reader, req *http.Request) {
 		io.Copy(io.Discard, req.Body)
 		if req.Header.Get("X-Mode") == "" {
 			io.WriteString(c, okay)
