--- a/proxy/failures_test.go
+++ b/proxy/failures_test.go
@@ -17,16 +17,16 @@
 	"ryerill/discovery"
 )
 
-// promptBound bounds an answer that waits for nothing, on a busy machine.
+// promptBound limits the time of a response that needs no wait, on a busy machine.
 const promptBound = time.Second
 
-// response is what a client got: the status, 0 for none, -1 for a response that is torn.
+// response is the result at a client. status is 0 for no response, -1 for a truncated one.
 type response struct {
 	status int
 	took   time.Duration
 }
 
-// sendOnce sends a request on a new connection and returns what came of it.
+// sendOnce sends a request on a new connection and returns the result.
 func sendOnce(address, text string) response {
 	began := time.Now()
 	c, err := net.Dial("tcp", address)
@@ -35,7 +35,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(began.Add(testTimeout))
-	go io.WriteString(c, text) // a long one may not be taken
+	go io.WriteString(c, text) // the proxy may not read all of a long request
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return response{0, time.Since(began)}
@@ -46,7 +46,7 @@
 	return response{resp.StatusCode, time.Since(began)}
 }
 
-// newResettingBackend is an endpoint that resets each connection as soon as it is there.
+// newResettingBackend returns an endpoint that resets each connection on accept.
 func newResettingBackend(t *testing.T) *backend {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -67,7 +67,7 @@
 	return &backend{Listener: l}
 }
 
-// newRefusingBackend is an endpoint at whose address nobody listens.
+// newRefusingBackend returns an endpoint whose address refuses connections.
 func newRefusingBackend(t *testing.T) *backend {
 	t.Helper()
 	b := newBackend(t, responds(okay))
@@ -75,7 +75,7 @@
 	return b
 }
 
-// firstAttempts are what the first endpoint does with a request, and whether that says that it surely did not run.
+// firstAttempts are behaviours of the first endpoint. neverRan is true if the request certainly was not executed.
 var firstAttempts = map[string]struct {
 	behave   func(net.Conn, *http.Request)
 	neverRan bool
@@ -86,8 +86,8 @@
 	"resets":   {func(c net.Conn, _ *http.Request) { c.(*net.TCPConn).SetLinger(0); c.Close() }, false},
 }
 
-// Every attempt fails, and each further one at once, over and over: each request has its one answer at once, none runs
-// more often than its class allows, and once an endpoint serves again all are served.
+// If the first attempt fails and each retry fails at once, a request gets one prompt response and is not executed more
+// often than its class allows. Requests are served as soon as an endpoint works again.
 func TestRetriesThatFailAtOnce(t *testing.T) {
 	t.Parallel()
 	for first, answer := range firstAttempts {
@@ -101,17 +101,17 @@
 					for range requests {
 						got := sendOnce(p.Address(), request(class, 2000))
 						if !slices.Contains(failures, got.status) || got.took > promptBound {
-							t.Fatalf("answered %d after %v", got.status, got.took)
+							t.Fatalf("got status %d after %v, want one of 502, 503, 504 at once", got.status, got.took)
 						}
 					}
 					if n := x.requests.Load(); n > requests {
-						t.Errorf("the one endpoint had %d requests of %d", n, requests)
+						t.Errorf("got %d requests at the first endpoint, want at most %d", n, requests)
 					}
 					checkAllEnded(t, p, class, requests)
 					p.activePools()[0].EndpointsListed(discovery.EndpointList{Index: 2, Snapshot: true,
 						Endpoints: []discovery.Endpoint{newBackend(t, responds(okay)).endpoint("w", 1)}})
 					if got := sendOnce(p.Address(), request(class, 10_000)); got.status != http.StatusOK {
-						t.Errorf("then answered %d", got.status)
+						t.Errorf("with a working endpoint: got status %d, want 200", got.status)
 					}
 				})
 			}
@@ -119,20 +119,20 @@
 	}
 }
 
-// checkAllEnded checks that so many requests of a class have ended, each once, and that nothing of them is left.
+// checkAllEnded waits until no request is in flight and checks that want requests of a class are recorded as ended.
 func checkAllEnded(t *testing.T, p *Proxy, class string, want int64) {
 	t.Helper()
-	waitUntil(t, "the end of all", func() bool { return statsOf(t, p).InFlight == 0 })
+	waitUntil(t, "all requests to end", func() bool { return statsOf(t, p).InFlight == 0 })
 	counted := p.Stats().Requests[class]
 	if total := counted.Served + counted.Shed + counted.Failed; total != want {
-		t.Errorf("%d requests are recorded as ended, %d did: %+v", total, want, counted)
+		t.Errorf("got %d requests recorded as ended, want %d: %+v", total, want, counted)
 	}
 }
 
-// The same with configurations in a row, and a discovery service that hangs: no request is lost to any of it.
+// Requests whose first attempts fail at once are all served during a series of reloads while discovery hangs.
 func TestRetriesThatFailAtOnceDuringReloads(t *testing.T) {
 	t.Parallel()
-	slow := newDiscoveryServer(t) // which no list ever leaves
+	slow := newDiscoveryServer(t) // never sends a list
 	decline := firstAttempts["declines"].behave
 	x, y, z := newBackend(t, decline), newRefusingBackend(t), newBackend(t, responds(okay))
 	p := run(t, func(cfg *config.Config) {
@@ -153,7 +153,7 @@
 				}
 				got := sendOnce(p.Address(), request("burn", 10_000))
 				if got.status != http.StatusOK {
-					t.Errorf("answered %d after %v", got.status, got.took)
+					t.Errorf("got status %d after %v, want 200", got.status, got.took)
 					return
 				}
 				answered.Add(1)
@@ -176,15 +176,15 @@
 	close(stop)
 	clients.Wait()
 	if answered.Load() < 10 {
-		t.Errorf("only %d requests were made", answered.Load())
+		t.Errorf("got %d served requests, want at least 10", answered.Load())
 	}
 }
 
-// After a quiet time, in which one endpoint has gone, another has closed and a third has reset its idle connections, and
-// discovery has not answered, the first requests, all at once, are served as ever.
+// A burst after an idle period is served although meanwhile one endpoint has stopped, another has closed and a third has
+// reset its idle connections, and discovery has not responded.
 func TestBurstAfterIdlePeriod(t *testing.T) {
 	t.Parallel()
-	const together = 12 // requests, so that each endpoint has idle connections
+	const together = 12 // concurrent requests, enough to leave idle connections at each endpoint
 	slowly := func(c net.Conn, _ *http.Request) { time.Sleep(50 * time.Millisecond); io.WriteString(c, okay) }
 	gone, closing, reset := newBackend(t, slowly), newBackend(t, slowly), newBackend(t, slowly)
 	slow := newDiscoveryServer(t)
@@ -198,7 +198,7 @@
 			class := []string{"read", "pay", "burn"}[i%3]
 			all.Go(func() {
 				if got := sendOnce(p.Address(), request(class, 10_000)); got.status != http.StatusOK {
-					t.Errorf("%s: %s answered %d after %v", when, class, got.status, got.took)
+					t.Errorf("%s: class %s got status %d after %v, want 200", when, class, got.status, got.took)
 				}
 			})
 		}
@@ -213,10 +213,10 @@
 	reset.closeIdle(true)
 	time.Sleep(600 * time.Millisecond)
 	burst("after")
-	burst("then")
+	burst("second burst after")
 }
 
-// closeIdle closes or resets the endpoint's connections.
+// closeIdle closes or resets all connections of the endpoint.
 func (b *backend) closeIdle(reset bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -229,14 +229,14 @@
 	b.all = nil
 }
 
-// Endpoints that hang through a whole shutdown: each client has its answer before the process is killed, also one whose
-// request comes during it; and the process ends by itself.
+// If endpoints hang during a shutdown, each client gets a response before the process would be killed, including one
+// that sends its request during the shutdown, and the process ends by itself.
 func TestShutdownWithHangingEndpoints(t *testing.T) {
 	t.Parallel()
-	const killed = 3700 * time.Millisecond // after the longest deadline that counts, and the grace
+	const killed = 3700 * time.Millisecond // the longest deadline that applies plus the grace
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
-	hang := newRawBackend(t, func(net.Conn, *bufio.Reader, *http.Request) { <-release }) // and never reads on
+	hang := newRawBackend(t, func(net.Conn, *bufio.Reader, *http.Request) { <-release }) // does not read the body
 	p, stop := runUntil(t, nil, hang.endpoint("hang", 1))
 	waitUntil(t, "ready", func() bool { return p.Readiness() == nil })
 	body := strings.Repeat("y", 48<<20) // more than the sockets on the way hold
@@ -249,23 +249,23 @@
 			got := sendOnce(p.Address(), text)
 			ended := time.Duration(time.Now().UnixNano() - stopped.Load())
 			if !slices.Contains(failures, got.status) || ended > killed {
-				t.Errorf("%s: got %d, %v after the signal", what, got.status, ended)
+				t.Errorf("%s: got status %d %v after the signal, want one of 502, 503, 504 in time", what, got.status, ended)
 			}
 		})
 	}
 	for _, class := range []string{"read", "pay", "burn"} {
 		ask(class, request(class, 15_000))
 	}
-	ask("an upload that nobody takes", upload)
-	waitUntil(t, "all at the endpoint", func() bool { return hang.requests.Load() == 4 })
+	ask("upload that the endpoint does not read", upload)
+	waitUntil(t, "all requests at the endpoint", func() bool { return hang.requests.Load() == 4 })
 	stopped.Store(time.Now().UnixNano())
 	over := make(chan struct{})
 	go func() { stop(); close(over) }()
 	time.Sleep(300 * time.Millisecond)
-	ask("during it", request("read", 15_000))
-	await(t, over, "the end")
+	ask("request during shutdown", request("read", 15_000))
+	await(t, over, "the end of the shutdown")
 	if took := time.Duration(time.Now().UnixNano() - stopped.Load()); took > killed {
-		t.Errorf("ended %v after the signal, killed after %v", took, killed)
+		t.Errorf("shutdown took %v, want at most %v", took, killed)
 	}
 	clients.Wait()
 }
--- a/proxy/stages_test.go
+++ b/proxy/stages_test.go
@@ -19,24 +19,24 @@
 	"ryerill/discovery"
 )
 
-// receivedRequest is a request that an endpoint received whole.
+// receivedRequest is one complete request that an endpoint received.
 type receivedRequest struct {
 	endpoint string
 	at       time.Time
 }
 
-// stageTest is one proxy before two endpoints of one group, one of another, and one
-// that is cold, and one request that is brought to a stage there.
+// stageTest runs a proxy with two endpoints in one group, one in another and one cold
+// endpoint, and takes one request to a stage.
 type stageTest struct {
 	t                *testing.T
 	p                *Proxy
 	stop             func()
 	c                *client
 	class            string
-	deadlineMS       int // the client waits so long
+	deadlineMS       int // deadline of the request
 	arrived          chan string
-	release          chan struct{} // endpoints that hang go on
-	releaseEndpoints func()        // lets endpoints go on
+	release          chan struct{} // closed to let hanging endpoints respond
+	releaseEndpoints func()        // closes release
 	stalled          net.Listener  // accepts no connection
 
 	mu       sync.Mutex
@@ -45,7 +45,7 @@
 	peers    []*backend
 }
 
-// behave is what an endpoint does with a request, by the request's query.
+// behave returns the behaviour of an endpoint, which the "how" query of a request selects.
 func (s *stageTest) behave(name string) func(net.Conn, *http.Request) {
 	return func(c net.Conn, r *http.Request) {
 		id := r.Header.Get("Req-Id")
@@ -100,7 +100,7 @@
 	return s
 }
 
-// close ends the proxy and all that stands round it.
+// close stops the proxy, the endpoints and the stalled listener.
 func (s *stageTest) close() {
 	s.stop()
 	for _, b := range s.peers {
@@ -117,7 +117,7 @@
 	return s.p.pools.active["main"]
 }
 
-// inFlight is how many attempts the Balancer counts.
+// inFlight returns the number of attempts that the Balancer counts as in flight.
 func (s *stageTest) inFlight() int {
 	c := s.core()
 	c.mu.Lock()
@@ -126,7 +126,7 @@
 	return n
 }
 
-// requestText is a request to which the endpoints respond in some way.
+// requestText returns a request whose query selects how the endpoints respond.
 func (s *stageTest) requestText(how, more string) string {
 	text := request(s.class, s.deadlineMS)
 	if s.class == "ordered" {
@@ -142,25 +142,25 @@
 	}
 }
 
-// awaitArrival waits until a request is at an endpoint that delays its response.
+// awaitArrival waits until an endpoint that delays its response has a request.
 func (s *stageTest) awaitArrival() {
 	s.t.Helper()
 	select {
 	case <-s.arrived:
 	case <-time.After(testTimeout):
-		s.t.Fatal("no endpoint gets the request")
+		s.t.Fatal("no endpoint received the request")
 	}
 }
 
-// stage is one that a request can be in.
+// stage is a point in the processing of a request at which a fault is applied.
 type stage struct {
 	name              string
 	classes           []string
 	reach             func(*stageTest)
-	sendRest          func(*stageTest) // what is still to come from the client; nil is nothing
-	accepted          bool             // accepted: a result is owed
-	failsWithoutFault bool             // without a fault it fails
-	responseStarted   bool             // the response has begun
+	sendRest          func(*stageTest) // sends the remainder of the request; nil if there is none
+	accepted          bool             // the proxy has accepted the request and owes a result
+	failsWithoutFault bool             // the request fails even without a fault
+	responseStarted   bool             // the client has received part of the response
 }
 
 const uploadSize = 256 << 10
@@ -187,7 +187,7 @@
 			s.awaitArrival()
 			s.deadlineMS = ms
 			s.write(s.requestText("serve", "&k=1"))
-			waitUntil(s.t, "two accepted", func() bool { // or the second is shed, as it would have to wait too long
+			waitUntil(s.t, "two requests accepted", func() bool { // or the second is shed because its wait would be too long
 				return s.p.counters.inFlight.Load() == 2 || s.p.Stats().Requests["ordered"].Shed > 0
 			})
 		}},
@@ -201,7 +201,7 @@
 		reach: func(s *stageTest) {
 			text := strings.Replace(s.requestText("serve", ""), "Content-Length: 5\r\n\r\nhello", fmt.Sprintf("Content-Length: %d\r\n\r\n", uploadSize), 1)
 			s.write(text + strings.Repeat("y", uploadSize/2))
-			waitUntil(s.t, "its beginning at the endpoint", func() bool {
+			waitUntil(s.t, "the start of the request at the endpoint", func() bool {
 				c := s.core()
 				c.mu.Lock()
 				defer c.mu.Unlock()
@@ -226,8 +226,8 @@
 		}},
 }
 
-// stallDials gives all endpoints an address at which no connection is established: the
-// listener's queue is full and it doesn't accept.
+// stallDials gives all endpoints the address of a listener that establishes no connection:
+// its queue is full and it does not accept.
 func (s *stageTest) stallDials() {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err == nil {
@@ -258,8 +258,8 @@
 	}
 }
 
-// fault is one that a request meets in a stage. What the client gets then is one of
-// the statuses; 0 is nothing, -1 a response that shows that it is torn.
+// fault is applied to a request at a stage. wantStatuses returns the acceptable results at
+// the client: HTTP statuses, 0 for no response, -1 for a response that is visibly truncated.
 type fault struct {
 	name         string
 	apply        func(*stageTest, *stage)
@@ -268,7 +268,7 @@
 
 var (
 	failures = []int{http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout}
-	// unaffected is the result of a request that the fault does not concern.
+	// unaffected returns the result of a request that the fault does not affect.
 	unaffected = func(st *stage, _ string) []int {
 		if st.failsWithoutFault {
 			return failures
@@ -283,17 +283,17 @@
 		func(s *stageTest, st *stage) {
 			before := s.p.counters.inFlight.Load()
 			s.c.Close()
-			if st.accepted && !st.responseStarted { // its end is recorded with its attempt still in flight
-				waitUntil(s.t, "it is recorded", func() bool { return s.p.counters.inFlight.Load() < before })
+			if st.accepted && !st.responseStarted { // the end of the request is recorded while its attempt is still in flight
+				waitUntil(s.t, "the end of the request to be recorded", func() bool { return s.p.counters.inFlight.Load() < before })
 			}
 		},
 		func(*stage, string) []int { return []int{0, -1} }},
-	{"time is over", nil, // see below: the deadline is stated with the request
+	{"time is over", nil, // the request itself carries the deadline, see testFaultAtStage
 		func(st *stage, _ string) []int {
 			switch {
-			case st.responseStarted: // what has begun goes on
+			case st.responseStarted: // a response that has begun continues
 				return []int{http.StatusOK}
-			case !st.accepted: // by its own pace: what has half arrived was never sent whole
+			case !st.accepted: // the read times out: the proxy has only part of the request
 				return []int{http.StatusRequestTimeout, http.StatusServiceUnavailable}
 			}
 			return failures
@@ -321,7 +321,7 @@
 		},
 		func(st *stage, class string) []int {
 			if !st.accepted && st.name != "request half written" || st.name == "queued by key" {
-				return failures // no endpoint is left to send it to
+				return failures // no endpoint is left
 			}
 			return unaffected(st, class)
 		}},
@@ -342,18 +342,18 @@
 			b.Classes[0].PriorityWeight++
 			before := s.core()
 			if err := s.p.Reload(cfg); err != nil || s.core() == before {
-				s.t.Error("the pool was not replaced", err)
+				s.t.Error("reload did not replace the pool:", err)
 			}
 		}, unaffected},
 	{"SIGTERM",
 		func(s *stageTest, _ *stage) {
 			go s.stop()
-			waitUntil(s.t, "the end", func() bool { return s.p.Readiness() != nil })
+			waitUntil(s.t, "shutdown to begin", func() bool { return s.p.Readiness() != nil })
 		},
 		unaffected},
 }
 
-// readStatus reads what the client gets: its status, 0 for nothing, -1 for torn.
+// readStatus reads the response and returns its status, 0 for no response, -1 for a truncated one.
 func (s *stageTest) readStatus() int {
 	resp, err := http.ReadResponse(s.c.r, nil)
 	if err != nil {
@@ -363,13 +363,13 @@
 		return -1
 	}
 	if s.c.r.Buffered() > 0 {
-		s.t.Error("more follows the one answer")
+		s.t.Error("data follows the response")
 	}
 	return resp.StatusCode
 }
 
-// checkRules checks what the endpoints have seen against the rules on retries, on
-// drains and on endpoints that warm up.
+// checkRules checks the requests at the endpoints against the rules on retries, drains
+// and warm-up.
 func (s *stageTest) checkRules() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -383,24 +383,24 @@
 				cells["s"], cells["c"] = true, false
 			}
 			if at, is := s.down[one.endpoint]; is && one.at.Sub(at) > time.Second {
-				s.t.Errorf("%s went to %s %v after it was taken down", id, one.endpoint, one.at.Sub(at))
+				s.t.Errorf("request %s was sent to %s %v after the endpoint was taken down, want at most 1s", id, one.endpoint, one.at.Sub(at))
 			}
 		}
 		if s.class == "burn" && len(all) > 1 || len(all) > 3 || s.class == "pay" && cells["s"] && cells["t"] {
-			s.t.Errorf("%s of class %s went to %v", id, s.class, all)
+			s.t.Errorf("request %s of class %s was sent to %v, against the retry rules", id, s.class, all)
 		}
 	}
 	if cold > 1 {
-		s.t.Errorf("%d requests to an endpoint that has just started", cold)
+		s.t.Errorf("got %d requests at the cold endpoint, want at most 1", cold)
 	}
 }
 
-// awaitReleased waits until all that requests hold is released: slots, ids, budgets, timers.
+// awaitReleased waits until requests hold no slots, ids, budgets or sockets, and checks how many have ended.
 func (s *stageTest) awaitReleased(c *core, ended int64) {
 	s.t.Helper()
 	now := s.core()
 	held := func() string {
-		now.connections.TrimIdle(1 << 20) // its idle connections and those of a pool that was replaced
+		now.connections.TrimIdle(1 << 20) // the idle connections of the active pool; those of a replaced pool follow
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		_, inFlight := c.decisions.balancer.Concurrency()
@@ -415,14 +415,14 @@
 		time.Sleep(time.Millisecond)
 	}
 	if left != none {
-		s.t.Errorf("left over: %s", left)
+		s.t.Errorf("not released: %s", left)
 	}
 	total := int64(0)
 	for _, calls := range s.p.Stats().Requests {
 		total += calls.Served + calls.Shed + calls.Failed
 	}
 	if total != ended {
-		s.t.Errorf("%d requests are recorded as ended, %d did", total, ended)
+		s.t.Errorf("got %d requests recorded as ended, want %d", total, ended)
 	}
 }
 
@@ -435,8 +435,8 @@
 	return len(all)
 }
 
-// Each fault at each stage: one final result in time, no retry against its class,
-// nothing to an endpoint that is down, and nothing left over.
+// Each fault at each stage yields one final result in time, no retry that the class forbids,
+// no request to an endpoint that is down, and no leaked resource.
 func TestFaultsAtStages(t *testing.T) {
 	for i := range stages {
 		for j := range faults {
@@ -453,7 +453,7 @@
 	s := newStageTest(t, class, nil)
 	began := time.Now()
 	if f.apply == nil && st.accepted {
-		s.deadlineMS = 1000 // less would be shed at once
+		s.deadlineMS = 1000 // a shorter deadline would be shed at once
 	}
 	st.reach(s)
 	pool := s.core()
@@ -467,16 +467,16 @@
 			s.releaseEndpoints()
 		}
 	} else if st.responseStarted {
-		waitUntil(t, "the deadline has passed", func() bool { return time.Since(began) > 1200*time.Millisecond })
+		waitUntil(t, "the deadline to pass", func() bool { return time.Since(began) > 1200*time.Millisecond })
 		s.releaseEndpoints()
 	}
 	got = s.readStatus()
 	if took := time.Since(began); f.apply == nil && took > 8*time.Second {
-		t.Errorf("answered after %v", took)
+		t.Errorf("response took %v", took)
 	}
 	s.releaseEndpoints()
 	if wants := f.wantStatuses(st, class); !slices.Contains(wants, got) {
-		t.Errorf("the client got %d, want one of %v", got, wants)
+		t.Errorf("got status %d, want one of %v", got, wants)
 	}
 	s.c.Close()
 	ended := int64(1)
@@ -484,9 +484,9 @@
 		ended++
 	}
 	if !st.accepted && f.name == "client leaves" && st.name != "request half written" {
-		ended = 0 // it was none yet
+		ended = 0 // the proxy has not accepted a request
 	} else if st.name == "head half read" && got == http.StatusRequestTimeout {
-		ended = 0 // nobody knows of which class
+		ended = 0 // the class is unknown
 	}
 	s.awaitReleased(pool, ended)
 	s.checkRules()
@@ -499,10 +499,10 @@
 	if err := goleak.Find(leaks); err != nil {
 		t.Error(err)
 	}
-	waitUntil(t, "descriptors back where they were", func() bool { return descriptors(t) <= before+3 }) // of the stalled listener's queue
+	waitUntil(t, "descriptors to be closed", func() bool { return descriptors(t) <= before+3 }) // 3 for the stalled listener's queue
 }
 
-// Whatever comes at the same moment, each attempt's end is recorded once.
+// The end of each attempt is recorded once, even if two events end it at the same moment.
 func TestRacesAtAttemptEnd(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
 	const rounds, warm = 25, 100
@@ -510,7 +510,7 @@
 		name  string
 		ms    int
 		how   string
-		other func(s *stageTest) // beside the answer
+		other func(s *stageTest) // runs concurrently with the response
 	}{
 		{"cancel against answer", 15_000, "hang", func(s *stageTest) { s.c.Close() }},
 		{"time-out against answer", 100, "hang", nil},
@@ -520,7 +520,7 @@
 	} {
 		s := newStageTest(t, "read", nil)
 		pool := s.core()
-		for range warm { // so that short deadlines are not shed at once
+		for range warm { // without warm-up requests short deadlines would be shed at once
 			s.write(s.requestText("serve", ""))
 			s.readStatus()
 		}
@@ -539,7 +539,7 @@
 				case <-time.After(time.Duration(tc.ms) * time.Millisecond): // shed, or timed out before it was sent
 				}
 			}
-			if tc.ms == 100 { // both come as the time is over
+			if tc.ms == 100 { // both events coincide with the deadline
 				time.Sleep(time.Until(began.Add(100 * time.Millisecond)))
 			}
 			var both sync.WaitGroup
@@ -560,8 +560,8 @@
 	}
 }
 
-// Bodies may take so much memory and no more. A request beyond it is shed at once with
-// Retry-After, those without a body go on, and with memory free again all is as before.
+// Request bodies use at most their memory budget. A request beyond it is shed at once with
+// Retry-After, requests without a body are served, and freed memory is usable again.
 func TestBodyMemoryExhaustedAndFreed(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
 	s := newStageTest(t, "pay", func(cfg *config.Config) { cfg.Limits.Memory = 1 << 20 }) // a quarter of it for bodies
@@ -584,23 +584,23 @@
 		began := time.Now()
 		resp := dial(t, s.p.Address()).send(large("serve"))
 		if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
-			t.Errorf("beyond the memory: %s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
+			t.Errorf("over the memory budget: got status %s, Retry-After %q; want 503 with Retry-After", resp.Status, resp.Header.Get("Retry-After"))
 		}
 		if took := time.Since(began); took > 2*time.Second {
-			t.Errorf("answered after %v", took)
+			t.Errorf("response took %v", took)
 		}
 		if code, _ := dial(t, s.p.Address()).ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"); code != http.StatusOK {
-			t.Errorf("/ready: %d", code)
+			t.Errorf("/ready: got status %d, want 200", code)
 		}
 		s.class = "read"
 		if code, _ := dial(t, s.p.Address()).ask(s.requestText("serve", "")); code != http.StatusOK {
-			t.Errorf("a request without a body: %d", code)
+			t.Errorf("request without a body: got status %d, want 200", code)
 		}
 		s.class = "pay"
 		close(s.release)
 		for _, c := range held {
 			if resp, err := http.ReadResponse(c.r, nil); err != nil || resp.StatusCode != http.StatusOK {
-				t.Errorf("what was accepted: %v, %v", resp, err)
+				t.Errorf("accepted request: got response %v, error %v; want 200", resp, err)
 			}
 			c.Close()
 		}
@@ -608,9 +608,9 @@
 		s.release = make(chan struct{})
 		s.mu.Unlock()
 		ended += fit + 2
-		waitUntil(t, "memory free again", func() bool { return s.core().resources.bodies.used.Load() == 0 })
+		waitUntil(t, "body memory to be freed", func() bool { return s.core().resources.bodies.used.Load() == 0 })
 		if code, _ := dial(t, s.p.Address()).ask(large("serve")); code != http.StatusOK {
-			t.Errorf("with memory free again: %d", code)
+			t.Errorf("after memory was freed: got status %d, want 200", code)
 		}
 		ended++
 	}
@@ -622,8 +622,8 @@
 	}
 }
 
-// A client that leaves while its attempt waits for a connection ends the wait, not
-// only the attempt: its slot and descriptor are free long before the dial's own end.
+// A client that leaves while its attempt is connecting cancels the dial as well as the
+// attempt: slot and descriptor are released long before the dial would time out.
 func TestCancelEndsDial(t *testing.T) {
 	s := newStageTest(t, "read", func(cfg *config.Config) { cfg.Pools[0].Settings.Balancer.Limits.ConnectTimeout = testTimeout })
 	defer s.close()
@@ -632,9 +632,9 @@
 	waitUntil(t, "an attempt in flight", func() bool { return s.inFlight() == 1 })
 	began := time.Now()
 	s.c.Close()
-	waitUntil(t, "its end", func() bool { return s.inFlight() == 0 })
+	waitUntil(t, "the end of the attempt", func() bool { return s.inFlight() == 0 })
 	if took := time.Since(began); took > testTimeout/2 {
-		t.Errorf("the dial ended after %v", took)
+		t.Errorf("dial ended %v after the client left", took)
 	}
 	s.awaitReleased(s.core(), 1)
 }
