--- a/proxy/drainscale_test.go
+++ b/proxy/drainscale_test.go
@@ -18,39 +18,39 @@
 )
 
 const (
-	scaleEndpoints = 3200 // the most that a deployment has
+	scaleEndpoints = 3200 // the largest deployment
 	scaleProxies   = 3
 
-	// drainGrace is how long after it was told a proxy may send to what drains or is gone. A proxy that is held up
-	// between reading its clock and writing by holdUp has to keep it all the same.
+	// drainGrace is how long a proxy may send to a withdrawn endpoint after it has learnt of the change. It must hold
+	// even if the proxy is delayed by holdUp between reading its clock and writing.
 	drainGrace = time.Second
 	holdUp     = 150 * time.Millisecond
 
-	// sendsAfterChange is how long requests go on after the last change: as long as a proxy may not know of it, the grace
-	// and a while.
+	// sendsAfterChange is how long clients send requests after the last change: the longest time until a proxy must know
+	// of it, the grace and a margin.
 	sendsAfterChange = unseenChangeKnown + drainGrace + 2*time.Second
 
-	// moveKnown is when what an agent has counts as told after a reload that has moved the proxy to it.
+	// moveKnown is the delay after a reload moves a proxy to an agent until the proxy must know the agent's list.
 	moveKnown = 4 * time.Second
 
-	scaleSockets  = 200                   // of each proxy; the endpoints' ends are in the same process
+	scaleSockets  = 200                   // of each proxy; the endpoints' sockets are in the same process
 	scaleClients  = 4                     // of each proxy
 	clientPause   = 20 * time.Millisecond // between a client's requests
 	settlingPause = 300 * time.Millisecond
 )
 
-// drainScenario is some proxies before thousands of endpoints, of which many leave.
+// drainScenario describes proxies with thousands of endpoints, many of which are withdrawn.
 type drainScenario struct {
 	name   string
 	pushed bool
-	faults listFaults // of each list service from the start
-	// before happens before the proxies start, which know the list as it was before that.
+	faults listFaults // initial faults of each list service
+	// before runs before the proxies start. Their known list is the one before it ran.
 	before func(*endpointRegistry)
-	// play has endpoints withdrawn, and does what else happens.
+	// play withdraws endpoints and causes the faults of the scenario.
 	play func(s *drainRun)
 }
 
-// drainRun is a scenario that is being played.
+// drainRun is a running scenario.
 type drainRun struct {
 	t        *testing.T
 	scenario drainScenario
@@ -64,8 +64,8 @@
 	statuses map[int]int // of the responses
 }
 
-// Endpoints that drain or are gone get nothing new after the grace, however many are listed and whatever the discovery
-// service does to the list that tells of them.
+// Draining and gone endpoints get no new requests after the grace, with thousands of endpoints listed and with faults of
+// the discovery service that delivers the list.
 func TestDrainGraceWithThousandsOfEndpoints(t *testing.T) {
 	drainQuarter := func(s *drainRun) { s.registry.change(discovery.Terminating, everyNth(4)...) }
 	removeQuarter := func(s *drainRun) { s.registry.change(discovery.Gone, everyNth(4)...) }
@@ -107,7 +107,7 @@
 			s.each(func(service *listService) {
 				service.setFaults(func(f *listFaults) { f.crowded = true; f.resetBetween = true })
 			})
-			s.registry.change(discovery.Terminating, 1) // each watch is answered
+			s.registry.change(discovery.Terminating, 1) // the service responds to each watch
 			time.Sleep(resetDelay / 3)
 			drainQuarter(s)
 		}},
@@ -149,7 +149,7 @@
 		{name: "asked, a crowded service at another address", play: func(s *drainRun) {
 			s.awaitWatches()
 			before := s.moveServices(listFaults{crowded: true, goesOn: true, rejectionDelay: 15 * time.Millisecond})
-			time.Sleep(2500 * time.Millisecond) // until each call that was out has been answered
+			time.Sleep(2500 * time.Millisecond) // until the service has responded to each outstanding call
 			goDown(before)
 			drainQuarter(s)
 		}},
@@ -195,7 +195,7 @@
 		}},
 		{name: "asked, then pushed", faults: inPieces(25 * time.Millisecond), play: func(s *drainRun) {
 			s.awaitWatches()
-			s.turnToAgents()
+			s.switchToAgents()
 			drainQuarter(s)
 		}},
 		{name: "asked, a wholly new pool", faults: inPieces(100 * time.Millisecond), play: func(s *drainRun) {
@@ -223,7 +223,7 @@
 	})
 }
 
-// playDrainScenarios plays scenarios side by side before the same endpoints.
+// playDrainScenarios runs scenarios in parallel with the same endpoints.
 func playDrainScenarios(t *testing.T, scenarios []drainScenario) {
 	t.Helper()
 	farm := newEndpointFarm(t, scaleEndpoints)
@@ -273,7 +273,7 @@
 	return s
 }
 
-// awaitReady waits until all proxies serve.
+// awaitReady waits until all proxies are ready.
 func (s *drainRun) awaitReady() {
 	s.t.Helper()
 	for _, proxy := range s.proxies {
@@ -285,13 +285,13 @@
 	}
 }
 
-// awaitWatches waits until all proxies' watches have been answered once.
+// awaitWatches waits until each list service has sent a response to its proxy.
 func (s *drainRun) awaitWatches() {
 	s.t.Helper()
 	for _, service := range s.services {
 		for deadline := time.Now().Add(testTimeout); service.answerCount() == 0; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(deadline) {
-				s.t.Fatal("a proxy does not watch its list")
+				s.t.Fatal("a proxy did not watch its list")
 			}
 		}
 	}
@@ -303,13 +303,13 @@
 	for _, service := range s.services {
 		for deadline := time.Now().Add(testTimeout); service.callCount() == 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
-				s.t.Fatal("a proxy does not call its service")
+				s.t.Fatal("a proxy did not call its list service")
 			}
 		}
 	}
 }
 
-// each does something to each list service.
+// each calls do for each list service.
 func (s *drainRun) each(do func(*listService)) {
 	for _, service := range s.services {
 		do(service)
@@ -326,27 +326,27 @@
 	return endpoints
 }
 
-// moveServices has a reload move each proxy to another list service of the same registry, with faults of its own. It
-// returns those before.
+// moveServices reloads each proxy with another list service of the same registry that has the given faults. It returns
+// the previous services.
 func (s *drainRun) moveServices(faults listFaults) (before []*listService) {
 	return s.replaceServices(faults, s.scenario.pushed, func(*config.Config) {})
 }
 
-// turnToAgents has a reload turn each proxy from a service that is asked to an agent.
-func (s *drainRun) turnToAgents() {
+// switchToAgents reloads each proxy to receive its list from an agent instead of polling a service.
+func (s *drainRun) switchToAgents() {
 	s.replaceServices(s.scenario.faults, true, func(cfg *config.Config) {
 		cfg.Pools[0].Settings.PushedDiscovery = true
 		cfg.Pools[0].Settings.Balancer.Subscribe = false
 	})
 }
 
-// replacePools has a reload replace each proxy's pool by one of another name at another service, which follows none.
+// replacePools reloads each proxy with a pool of another name at another list service.
 func (s *drainRun) replacePools(pushed bool) {
 	s.replaceServices(s.scenario.faults, pushed, renamePool)
 }
 
-// replaceServices has a reload give each proxy another list service of the same registry and a further change. It
-// returns the services before.
+// replaceServices reloads each proxy with another list service of the same registry and a further change. It returns
+// the previous services.
 func (s *drainRun) replaceServices(
 	faults listFaults, pushed bool, change func(*config.Config),
 ) (before []*listService) {
@@ -369,14 +369,13 @@
 	return before
 }
 
-// renamePool gives the pool another name.
 func renamePool(cfg *config.Config) {
 	cfg.Pools[0].Name = "renamed"
 	cfg.Routes[0].Pool = "renamed"
 }
 
-// changeSettings has a reload bring a setting into force with which a pool can't go on, and a further change: a new pool
-// takes its place.
+// changeSettings reloads each proxy with a further change and a setting that a pool cannot take over: a new pool replaces
+// the old one.
 func (s *drainRun) changeSettings(change func(*config.Config)) {
 	for i, proxy := range s.proxies {
 		cfg := s.configs[i]
@@ -391,7 +390,7 @@
 	}
 }
 
-// startClients has each proxy sent requests until stop is called, which waits for the last response.
+// startClients sends requests to each proxy until stop is called. stop waits for the last response.
 func (s *drainRun) startClients(scenario string) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var clients sync.WaitGroup
@@ -432,7 +431,8 @@
 	}
 }
 
-// check compares what arrived at the endpoints with what the list services told, and wants nothing after the grace.
+// check fails the test if a withdrawn endpoint got a request later than the grace after its proxy had to know of the
+// withdrawal.
 func (s *drainRun) check(scenario string) {
 	withdrawn := s.registry.withdrawn()
 	breaks, requests := 0, 0
@@ -448,18 +448,18 @@
 			if late > 0 {
 				breaks++
 				worst = max(worst, late)
-				s.t.Logf("proxy %d, endpoint %d: told %v after the change, sent %v after it", i, arrived.endpoint,
+				s.t.Logf("proxy %d, endpoint %d: change known after %v, request received after %v", i, arrived.endpoint,
 					service.told(change).Sub(change.changedAt), arrived.at.Sub(change.changedAt))
 				if breaks == 1 {
-					s.t.Logf("its services, from the change on: %s", service.exchanges(change.changedAt))
+					s.t.Logf("exchanges of its list services, relative to the change: %s", service.exchanges(change.changedAt))
 				}
 			}
 		}
 	}
 	if breaks > 0 {
-		s.t.Errorf("%d of %d requests went to withdrawn endpoints after the grace, up to %v late", breaks, requests, worst)
+		s.t.Errorf("%d of %d requests reached withdrawn endpoints after the grace, up to %v late; want none", breaks, requests, worst)
 	}
 	if s.statuses[http.StatusOK] < requests*9/10 || requests == 0 {
-		s.t.Errorf("%d requests arrived, answered %v", requests, s.statuses)
+		s.t.Errorf("%d requests reached endpoints, statuses %v; want some, and 200 for at least 90%% of them", requests, s.statuses)
 	}
 }
--- a/proxy/drainsoak_test.go
+++ b/proxy/drainsoak_test.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	drawnScenarios = 4 // without RYERILL_SLOW
+	defaultScenarios = 4 // without RYERILL_SLOW
 	slowScenarios  = 32
-	drawnEvents    = 6 // of each scenario
+	eventsPerScenario    = 6 // of each scenario
 
-	// envDrainSeed states the seed of the first drawn scenario, to play one again.
+	// envDrainSeed sets the seed of the first scenario, to reproduce a failure.
 	envDrainSeed = "RYERILL_DRAIN_SEED"
 )
 
-// Endpoints that drain or are gone get nothing new after the grace, whatever is drawn to happen to discovery meanwhile.
-// The name of a scenario is its seed.
+// Draining and gone endpoints get no new requests after the grace while random faults of discovery occur. The name of a
+// scenario is its seed.
 func TestDrainGraceWithRandomFaults(t *testing.T) {
 	first, err := strconv.ParseUint(os.Getenv(envDrainSeed), 10, 64)
 	if err != nil {
 		first = 1
 	}
-	count := drawnScenarios
+	count := defaultScenarios
 	if os.Getenv("RYERILL_SLOW") != "" {
 		count = slowScenarios
 	}
 	var scenarios []drainScenario
 	for i := range uint64(count) {
-		scenarios = append(scenarios, drawScenario(first+i))
+		scenarios = append(scenarios, randomScenario(first+i))
 	}
 	playDrainScenarios(t, scenarios)
 }
 
-// drawScenario draws what happens from a seed.
-func drawScenario(seed uint64) drainScenario {
+// randomScenario returns the scenario of a seed.
+func randomScenario(seed uint64) drainScenario {
 	random := rand.New(rand.NewPCG(seed, 0))
 	pushed := random.IntN(2) == 0
 	faults := listFaults{
@@ -66,7 +66,7 @@
 		func(s *drainRun) { s.moveServices(s.scenario.faults) },
 		func(s *drainRun) { s.changeSettings(func(*config.Config) {}) },
 	}
-	if !pushed { // an agent's silence has rules of its own, which the account of a list service lacks
+	if !pushed { // listService does not model the rules for a silent agent
 		faults.piecePause *= 5
 		events = append(events, func(s *drainRun) { s.each((*listService).silenceAll) })
 	}
@@ -75,7 +75,7 @@
 		pushed: pushed,
 		faults: faults,
 		play: func(s *drainRun) {
-			for part := range drawnEvents {
+			for part := range eventsPerScenario {
 				events[random.IntN(len(events))](s)
 				s.withdrawPart(random, part)
 				time.Sleep(time.Duration(random.IntN(1200)) * time.Millisecond)
@@ -84,10 +84,10 @@
 	}
 }
 
-// withdrawPart has one of so many parts of the endpoints drain or go, as the events of a drawn scenario are counted.
+// withdrawPart sets one part of the endpoints, by the number of the event, to draining or gone.
 func (s *drainRun) withdrawPart(random *rand.Rand, part int) {
 	var endpoints []int
-	for i := part; i < scaleEndpoints; i += 2 * drawnEvents {
+	for i := part; i < scaleEndpoints; i += 2 * eventsPerScenario {
 		endpoints = append(endpoints, i)
 	}
 	status := discovery.Terminating
--- a/proxy/pools_test.go
+++ b/proxy/pools_test.go
@@ -17,7 +17,7 @@
 	"ryerill/config"
 )
 
-// runConfig runs a proxy by a configuration in YAML.
+// runConfig runs a proxy with a YAML configuration.
 func runConfig(t *testing.T, text string) (p *Proxy, end func()) {
 	t.Helper()
 	p, err := New(parseConfig(t, text), WithLogger(slog.New(slog.DiscardHandler)))
@@ -27,7 +27,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	over := make(chan error)
 	go func() { over <- p.Run(ctx) }()
-	// Its first response shows that it runs: a reload needs that.
+	// Wait for the first response: a reload needs a running proxy.
 	if resp := dial(t, p.Address()).send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"); resp.StatusCode != 200 {
 		t.Fatal(resp.Status)
 	}
@@ -59,12 +59,12 @@
   - {name: pay, deadline: 20s, effect: keyed, memory: 10s}
 `
 
-// poolYAML writes a pool of one endpoint.
+// poolYAML returns the YAML of a pool with one endpoint.
 func poolYAML(name string, b *backend, more string) string {
 	return fmt.Sprintf("  - {name: %s, limits: {connect_timeout: 5s}, providers: [{name: %s-1, address: %q}]%s}\n", name, name, b.Addr().String(), more)
 }
 
-// respondsWithTarget answers with a name and the target that arrived.
+// respondsWithTarget responds with a name and the received request target.
 func respondsWithTarget(name string) func(net.Conn, *http.Request) {
 	return func(c net.Conn, r *http.Request) {
 		text := name + " " + r.RequestURI
@@ -103,13 +103,13 @@
 		{get("app.svc", "/shops/7", "Req-Kind: unheard\r\n"), 404, ""},
 	} {
 		if status, body := dial(t, p.Address()).ask(tc.text); status != tc.status || status == 200 && body != tc.body {
-			t.Errorf("%q: %d %q, want %d %q", tc.text, status, body, tc.status, tc.body)
+			t.Errorf("%q: got %d %q, want %d %q", tc.text, status, body, tc.status, tc.body)
 		}
 	}
 }
 
-// A request ends in the pool that it met at its start, and a pool that a reload removes
-// finishes its requests; one that it leaves alone goes on with all that it has learnt.
+// A request stays in the pool in which it started. A pool that a reload removes finishes its
+// requests; a pool that keeps its classes continues with its learnt state.
 func TestReloadOfPools(t *testing.T) {
 	t.Parallel()
 	arrived, release := make(chan struct{}, 8), make(chan struct{})
@@ -126,7 +126,7 @@
 	if _, err := io.WriteString(c, get("x", "/read/a", "")); err != nil {
 		t.Fatal(err)
 	}
-	await(t, arrived, "the request at its endpoint")
+	await(t, arrived, "the request at the endpoint")
 	core := func(name string) *core {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -139,39 +139,39 @@
 		t.Fatal(err)
 	}
 	if status, _ := dial(t, p.Address()).ask(get("x", "/read/a", "")); status != 404 {
-		t.Errorf("a pool that is gone answered %d", status)
+		t.Errorf("route of the removed pool: got status %d, want 404", status)
 	}
 	if status, body := dial(t, p.Address()).ask(get("x", "/read/b", "")); status != 200 || body != "b /read/b" {
-		t.Errorf("the other answered %d %q", status, body)
+		t.Errorf("remaining pool: got %d %q, want 200 with its target", status, body)
 	}
 	if core("b") != before {
-		t.Error("a pool of which only limits changed was replaced")
+		t.Error("pool was replaced although only its limits changed")
 	}
 	select {
 	case <-going.requests.drained:
-		t.Error("the pool ended with a request open")
+		t.Error("removed pool drained with a request open")
 	default:
 	}
 	close(release)
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil || resp.StatusCode != 200 {
-		t.Fatalf("the request that was open at the reload: %v, %v", resp, err)
+		t.Fatalf("request open during the reload: got response %v, error %v; want 200", resp, err)
 	}
-	await(t, going.requests.drained, "the pool that is gone has drained")
-	// Other classes make it another pool.
+	await(t, going.requests.drained, "the removed pool to drain")
+	// A change of classes replaces the pool.
 	if err := p.Reload(parseConfig(t, strings.Replace(without, "deadline: 20s, effect: safe", "deadline: 19s, effect: safe", 1))); err != nil {
 		t.Fatal(err)
 	}
 	if core("b") == before {
-		t.Error("a pool with other classes goes on as it was")
+		t.Error("pool was not replaced although its classes changed")
 	}
 	if status, _ := dial(t, p.Address()).ask(get("x", "/read/b", "")); status != 200 {
-		t.Errorf("after it was replaced: %d", status)
+		t.Errorf("after the pool was replaced: got status %d, want 200", status)
 	}
 }
 
-// A reload that fails after its pools were created and had their claims takes all of that back:
-// the old pools serve on, and hold what they held.
+// A reload that fails after it has created pools and claimed their resources is rolled back:
+// the old pools continue to serve and keep their claims.
 func TestFailedReloadIsRolledBack(t *testing.T) {
 	t.Parallel()
 	a, b := newBackend(t, respondsWithTarget("a")), newBackend(t, respondsWithTarget("b"))
@@ -183,22 +183,22 @@
 	old := p.activePools()[0]
 	next := parseConfig(t, head+"routes: [{path: /read/*, pool: b, name: rb}]\npools:\n"+poolYAML("b", b, ", guarantee: {sockets: 4}"))
 	next.Listeners = append(next.Listeners, config.Listener{Name: "more", Address: "127.0.0.1:0"})
-	next.Routes = append(next.Routes, next.Routes[0]) // two routes alike can't be used
+	next.Routes = append(next.Routes, next.Routes[0]) // duplicate routes are invalid
 	if err := p.Reload(next); err == nil {
-		t.Fatal("routes that can't be used were taken over")
+		t.Fatal("Reload accepted duplicate routes")
 	}
 	if now := p.activePools(); len(now) != 1 || now[0] != old || p.AddressOf("more") != "" {
-		t.Errorf("%d pools, the additional listener at %q", len(now), p.AddressOf("more"))
+		t.Errorf("after the failed reload: got %d pools and additional listener at %q, want the old pool and no listener", len(now), p.AddressOf("more"))
 	}
 	if status, body := dial(t, p.Address()).ask(get("x", "/read/7", "")); status != 200 || body != "a /read/7" {
-		t.Errorf("afterwards: %d %q", status, body)
+		t.Errorf("after the failed reload: got %d %q, want 200 with the target", status, body)
 	}
 	p.resources.rebalance()
 	p.resources.mu.Lock()
 	defer p.resources.mu.Unlock()
 	r := p.resources
 	if len(r.claims) != len(before) || r.claims[0].Name != "a" || len(r.draining) != 0 || !r.singlePool {
-		t.Errorf("claims of %d pools, %d leaving, alone %v", len(r.claims), len(r.draining), r.singlePool)
+		t.Errorf("got claims of %d pools, %d draining, singlePool %v; want the claims of pool a alone", len(r.claims), len(r.draining), r.singlePool)
 	}
 }
 
@@ -215,10 +215,10 @@
 	}
 	p, _ := runConfig(t, file("{name: one, address: '127.0.0.1:0'}"))
 	if err := p.Reload(parseConfig(t, file("{name: one, address: '127.0.0.1:0'}, {name: two, address: '"+taken.Addr().String()+"'}"))); err == nil || !strings.Contains(err.Error(), "listener two") {
-		t.Errorf("an address that is taken: %v", err)
+		t.Errorf("address in use: got error %v, want one that names listener two", err)
 	}
 	if status, _ := dial(t, p.Address()).ask(get("x", "/read/1", "")); status != 200 {
-		t.Errorf("after a reload that failed: %d", status)
+		t.Errorf("after a failed reload: got status %d, want 200", status)
 	}
 	kept := dial(t, p.Address())
 	if status, _ := kept.ask(get("x", "/read/1", "")); status != 200 {
@@ -229,18 +229,18 @@
 		t.Fatal(err)
 	}
 	if p.Address() == old || p.AddressOf("two") != p.Address() || p.AddressOf("one") != "" {
-		t.Fatalf("listens at %s, before %s", p.Address(), old)
+		t.Fatalf("proxy listens at %s, previously %s; want only listener two", p.Address(), old)
 	}
-	// A connection that has asked before is served on.
+	// A client connection of the removed listener is still served.
 	if status, _ := kept.ask(get("x", "/read/1", "")); status != 200 {
-		t.Errorf("a kept connection: %d", status)
+		t.Errorf("kept connection: got status %d, want 200", status)
 	}
 	if status, _ := dial(t, p.Address()).ask(get("x", "/read/1", "")); status != 200 {
-		t.Errorf("the new listener: %d", status)
+		t.Errorf("new listener: got status %d, want 200", status)
 	}
 }
 
-// A hundred reloads under load: nothing is lost, and nothing is left over.
+// A hundred reloads under load lose no request and leak no resource.
 func TestReloadStorm(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	a, b := newBackend(t, respondsWithTarget("a")), newBackend(t, respondsWithTarget("b"))
@@ -277,7 +277,7 @@
 				}
 				resp, err := http.ReadResponse(c.r, nil)
 				if err != nil {
-					t.Errorf("lost: %v", err)
+					t.Errorf("no response: %v", err)
 					return
 				}
 				io.Copy(io.Discard, resp.Body)
@@ -287,7 +287,7 @@
 				case 503:
 					shed.Add(1)
 				default:
-					t.Errorf("answered %s", resp.Status)
+					t.Errorf("got status %s, want 200 or 503", resp.Status)
 				}
 			}
 		}()
@@ -300,7 +300,7 @@
 	close(stop)
 	clients.Wait()
 	if served.Load() == 0 || shed.Load() > served.Load()/2 {
-		t.Errorf("%d served, %d shed", served.Load(), shed.Load())
+		t.Errorf("got %d requests served, %d shed; want some served and at most half as many shed", served.Load(), shed.Load())
 	}
 	end()
 	a.CloseAll()
@@ -308,13 +308,13 @@
 	for name, r := range p.resources.pools {
 		for k := range resourceKinds {
 			if n := resourceKinds[k].budget(r).used.Load(); n != 0 {
-				t.Errorf("pool %s still uses %d of kind %d", name, n, k)
+				t.Errorf("pool %s uses %d of resource kind %d after the end, want 0", name, n, k)
 			}
 		}
 	}
 }
 
-// A pool whose endpoints hang uses all that it may, and not what another is guaranteed.
+// A pool whose endpoints hang does not use the resources that another pool is guaranteed.
 func TestHangingPoolLeavesOthersTheirGuarantee(t *testing.T) {
 	t.Parallel()
 	hold := make(chan struct{})
@@ -326,7 +326,7 @@
 pools:
 `+strings.Replace(poolYAML("hangs", hangs, ", copies: 1, guarantee: {sockets: 4}"), "[{", "["+manyEndpoints(hangs, 40)+"{", 1)+
 		poolYAML("calm", calm, ", guarantee: {sockets: 4}"))
-	for range 24 { // all of the clients' connections but a few
+	for range 24 { // nearly all client connections
 		c := dial(t, p.Address())
 		if _, err := io.WriteString(c, get("x", "/read/hang", "")); err != nil {
 			t.Fatal(err)
@@ -334,14 +334,14 @@
 	}
 	for range 20 {
 		if status, body := dial(t, p.Address()).ask(get("x", "/read/calm", "")); status != 200 || body != "calm /read/calm" {
-			t.Fatalf("the calm pool answered %d %q", status, body)
+			t.Fatalf("calm pool: got %d %q, want 200 with its target", status, body)
 		}
 	}
 	p.mu.Lock()
 	r := p.pools.active["hangs"].resources
 	p.mu.Unlock()
 	if total := p.resources.total.Sockets; r.sockets.used.Load() > int64(total-4) {
-		t.Errorf("the hanging pool holds %d sockets of %d, 4 are another's", r.sockets.used.Load(), total)
+		t.Errorf("hanging pool holds %d of %d sockets, want at least 4 left for the other pool", r.sockets.used.Load(), total)
 	}
 }
 
@@ -353,8 +353,8 @@
 	return s.String()
 }
 
-// A pool whose discovery is silent and one whose endpoints send 60 KiB responses as fast as
-// they can don't disturb a calm one.
+// A pool with silent discovery and a pool whose endpoints send 60 KiB responses as fast as they
+// can do not disturb another pool.
 func TestPoolsAreIsolated(t *testing.T) {
 	t.Parallel()
 	mute, err := net.Listen("tcp", "127.0.0.1:0")
@@ -381,7 +381,7 @@
 					return
 				default:
 					if status, body := c.ask(get("x", "/read/large", "")); status == 200 && len(body) != 60<<10 {
-						t.Errorf("%d bytes", len(body))
+						t.Errorf("got body of %d bytes, want 61440", len(body))
 					}
 				}
 			}
@@ -389,9 +389,9 @@
 	}
 	c := dial(t, p.Address())
 	for range 200 {
-		for _, name := range []string{"calm", "lost"} { // the endpoints known of a pool whose discovery is silent hold
+		for _, name := range []string{"calm", "lost"} { // a pool with silent discovery keeps its known endpoints
 			if status, body := c.ask(get("x", "/read/"+name, "")); status != 200 || body != name+" /read/"+name {
-				t.Fatalf("%s: %d %q", name, status, body)
+				t.Fatalf("pool %s: got %d %q, want 200 with its target", name, status, body)
 			}
 		}
 	}
@@ -399,8 +399,8 @@
 	clients.Wait()
 }
 
-// Five hundred pools of ten endpoints start and serve within 192 MB and 1,024
-// descriptors; what does not fit the configuration rejects.
+// Five hundred pools of ten endpoints start and serve within 192 MB and 1,024 descriptors.
+// The configuration rejects 600 pools.
 func TestManyPools(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, respondsWithTarget("b"))
@@ -420,15 +420,15 @@
 	c := dial(t, p.Address())
 	for i := 0; i < 500; i += 7 {
 		if status, body := c.ask(get("x", fmt.Sprintf("/read/%d", i), "")); status != 200 {
-			t.Fatalf("pool %d answered %d %q", i, status, body)
+			t.Fatalf("pool %d: got %d %q, want status 200", i, status, body)
 		}
 	}
 	if _, _, err := config.ParseFile("many.yaml", []byte(write(600)), func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "machine.sockets") {
-		t.Errorf("600 pools in 1,024 descriptors: %v", err)
+		t.Errorf("600 pools in 1,024 descriptors: got error %v, want one that names machine.sockets", err)
 	}
 }
 
-// BenchmarkPools shows what it costs to route among many pools: compare 1 with 100.
+// BenchmarkPools measures the cost of routing among many pools: compare 1 with 100.
 func BenchmarkPools(b *testing.B) {
 	for _, n := range []int{1, 100} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/proxy/stream_test.go
+++ b/proxy/stream_test.go
@@ -19,7 +19,7 @@
 	"ryerill/config"
 )
 
-// pattern is a body of so many bytes of which no part is like another.
+// pattern returns n fixed pseudo-random bytes, in which no part repeats.
 func pattern(n int) []byte {
 	b := make([]byte, n)
 	r := rand.NewChaCha8(sha256.Sum256([]byte{1}))
@@ -29,8 +29,8 @@
 
 const longBodySize = 3 << 20
 
-// A long response passes through as it comes, whatever delimits it: its beginning
-// arrives before the endpoint has sent the rest.
+// A long response is streamed with every kind of framing: the client receives its
+// beginning before the endpoint has sent the rest.
 func TestLongResponsesAreStreamed(t *testing.T) {
 	t.Parallel()
 	body := pattern(longBodySize)
@@ -76,11 +76,11 @@
 					close(seen)
 					rest, err := io.ReadAll(resp.Body)
 					if err != nil || !bytes.Equal(append(part, rest...), body) || resp.StatusCode != 200 {
-						t.Errorf("%d and %d bytes, %v", len(part), len(rest), err)
+						t.Errorf("got %d and %d bytes, error %v; want the whole body with status 200", len(part), len(rest), err)
 					}
-					if version == "1.1" { // and the connection goes on
+					if version == "1.1" { // the connection is reusable
 						if status, _ := c.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
-							t.Error(status)
+							t.Errorf("next request: got status %d, want 200", status)
 						}
 					}
 				})
@@ -89,7 +89,7 @@
 	}
 }
 
-// A long response that breaks off is never taken for a whole one, and counts as failed.
+// A truncated long response is recognizable as such at the client and counts as failed.
 func TestTruncatedLongResponsesAreDetected(t *testing.T) {
 	t.Parallel()
 	body := string(pattern(200_000))
@@ -103,16 +103,16 @@
 		resp := dial(t, p.Address()).send(strings.Replace(request("burn", 15000), "HTTP/1.1", "HTTP/"+tc.version, 1))
 		got, err := io.ReadAll(resp.Body)
 		if err == nil || len(got) > len(body) {
-			t.Errorf("%s: %d bytes, %v", tc.name, len(got), err)
+			t.Errorf("%s: got %d bytes, error %v; want an error", tc.name, len(got), err)
 		}
 		if tc.version == "1.0" && !errors.Is(err, syscall.ECONNRESET) {
-			t.Errorf("%s: ended with %v", tc.name, err)
+			t.Errorf("%s: got error %v, want a connection reset", tc.name, err)
 		}
-		waitUntil(t, "it counts as failed", func() bool { s := statsOf(t, p); return s.Requests["burn"].Failed == 1 && s.InFlight == 0 })
+		waitUntil(t, "the request to count as failed", func() bool { s := statsOf(t, p); return s.Requests["burn"].Failed == 1 && s.InFlight == 0 })
 	}
 }
 
-// upload writes a request with a long body, in one of both framings.
+// upload returns the head of a request with a long body, and the writer for its framing.
 func upload(size int, chunked bool) (head string, frame func(io.Writer) io.WriteCloser) {
 	head = fmt.Sprintf("POST /pay/7 HTTP/1.1\r\nHost: x\r\nReq-Id: u%016x\r\nReq-Kind: pay\r\nIdempotency-Key: k\r\n", rand.Uint64())
 	if chunked {
@@ -125,7 +125,7 @@
 
 func (plain) Close() error { return nil }
 
-// newRawBackend is an endpoint whose behaviour reads the body from the connection itself.
+// newRawBackend returns an endpoint whose behaviour reads the body from the connection.
 func newRawBackend(t *testing.T, behave func(c net.Conn, r *bufio.Reader, req *http.Request)) *backend {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -157,8 +157,8 @@
 	return b
 }
 
-// A long request passes through as it comes and arrives as it was; its time
-// begins with its last byte, so that a slow client doesn't spend the endpoint's.
+// A long request is streamed unchanged. Its deadline starts at its last byte, so
+// that a slow client does not use up the endpoint's time.
 func TestLongRequestsAreStreamed(t *testing.T) {
 	t.Parallel()
 	body := pattern(longBodySize)
@@ -181,9 +181,9 @@
 		io.WriteString(c, head)
 		w := frame(c)
 		w.Write(body[:100_000])
-		await(t, begun, "the endpoint has the beginning")
+		await(t, begun, "the beginning of the request at the endpoint")
 		if s := statsOf(t, p); s.Attempts != 0 || s.InFlight != 0 {
-			t.Errorf("before its last byte: %+v", s)
+			t.Errorf("before the last byte: got %+v, want no attempt and none in flight", s)
 		}
 		w.Write(body[100_000:])
 		w.Close()
@@ -191,19 +191,19 @@
 			io.WriteString(c, "X-Sum: 1\r\n\r\n")
 		}
 		if status, text := c.ask(""); status != 200 || text != "fine" {
-			t.Errorf("chunked %v: answered %d %q", chunked, status, text)
+			t.Errorf("chunked %v: got %d %q, want 200 \"fine\"", chunked, status, text)
 		}
 		if status, _ := c.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
-			t.Errorf("afterwards: %d", status)
+			t.Errorf("next request: got status %d, want 200", status)
 		}
 		if s := statsOf(t, p); s.Attempts != 1 || s.InFlight != 0 || s.Requests["pay"].Served != 1 {
-			t.Errorf("then: %+v", s)
+			t.Errorf("after the request: got %+v, want 1 attempt, none in flight, 1 served", s)
 		}
 	}
 }
 
-// A long request can't be retried: it is sent once, is answered by
-// what is known of it, and an early response ends its upload.
+// A long request cannot be retried: it is sent once, its status states
+// whether it may have run, and an early response ends its upload.
 func TestLongRequestsAreSentOnce(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -214,13 +214,13 @@
 		{"the endpoint breaks in the middle", func(c net.Conn, _ *bufio.Reader, req *http.Request) {
 			io.ReadFull(req.Body, make([]byte, 1<<20))
 			c.Close()
-		}, 503}, // its last byte was never sent
+		}, 503}, // the last byte was not sent
 		{"declined in the middle", func(c net.Conn, _ *bufio.Reader, req *http.Request) {
 			io.ReadFull(req.Body, make([]byte, 1<<20))
 			io.WriteString(c, "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
 			io.Copy(io.Discard, req.Body)
 		}, 503},
-		{"an error behind it", func(c net.Conn, _ *bufio.Reader, req *http.Request) {
+		{"error after the whole body", func(c net.Conn, _ *bufio.Reader, req *http.Request) {
 			io.Copy(io.Discard, req.Body)
 			io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
 		}, 502},
@@ -234,7 +234,7 @@
 			one, two := newRawBackend(t, tc.behave), newRawBackend(t, tc.behave)
 			p := run(t, withManagement(""), one.endpoint("s1", 1), two.endpoint("s2", 1))
 			c := dial(t, p.Address())
-			const size = 60 << 20 // more than all sockets on the way hold
+			const size = 60 << 20 // more than the socket buffers on the path hold
 			head, _ := upload(size, false)
 			go func() { // after an early response writing may fail
 				io.WriteString(c, head)
@@ -242,20 +242,20 @@
 			}()
 			resp := c.send("")
 			if resp.StatusCode != tc.want || resp.Close != (tc.want == 503) {
-				t.Errorf("answered %d, close %v", resp.StatusCode, resp.Close)
+				t.Errorf("got status %d, close %v", resp.StatusCode, resp.Close)
 			}
 			if n := one.requests.Load() + two.requests.Load(); n != 1 {
-				t.Errorf("sent %d times", n)
+				t.Errorf("request was sent %d times, want once", n)
 			}
 			if s := statsOf(t, p); s.InFlight != 0 {
-				t.Errorf("%+v", s)
+				t.Errorf("got stats %+v, want nothing in flight", s)
 			}
 		})
 	}
 }
 
-// A client that leaves in the middle of its request is no failure of the
-// endpoint's, and one that stops sending gets a response.
+// A client that leaves in the middle of its request does not count as a failure
+// of the endpoint, and one that stops sending gets status 408.
 func TestInterruptedUploads(t *testing.T) {
 	t.Parallel()
 	b := newRawBackend(t, func(c net.Conn, _ *bufio.Reader, req *http.Request) { io.Copy(io.Discard, req.Body) })
@@ -267,28 +267,28 @@
 		c.Write(make([]byte, 200_000))
 		c.Close()
 	}
-	waitUntil(t, "all have ended", func() bool {
+	waitUntil(t, "all requests to end", func() bool {
 		core := p.activePools()[0]
 		core.mu.Lock()
 		defer core.mu.Unlock()
 		return len(core.requests.open) == 0
 	})
 	if s := statsOf(t, p); s.EndpointsDown != 0 || s.InFlight != 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("got stats %+v, want nothing in flight", s)
 	}
 	slow := dial(t, p.Address())
 	head, _ := upload(longBodySize, true)
 	io.WriteString(slow, head+"1\r\nx\r\n")
 	if status, _ := slow.ask(""); status != 408 {
-		t.Errorf("one that stops is answered %d", status)
+		t.Errorf("client that stops sending: got status %d, want 408", status)
 	}
 }
 
-// A client that doesn't read delays no other: the proxy stops reading from
-// its endpoint, and others are served.
+// A client that does not read does not delay others: the proxy stops reading
+// from its endpoint and serves the others.
 func TestSlowReadersDoNotDelayOthers(t *testing.T) {
 	t.Parallel()
-	const size = 64 << 20 // more than all sockets on the way hold
+	const size = 64 << 20 // more than the socket buffers on the path hold
 	var wrote = make(chan int, 8)
 	b := newRawBackend(t, func(c net.Conn, _ *bufio.Reader, req *http.Request) {
 		io.Copy(io.Discard, req.Body)
@@ -309,12 +309,12 @@
 	}
 	for range 20 {
 		if status, _ := dial(t, address).ask(request("read", 15000)); status != 200 {
-			t.Errorf("others are answered %d", status)
+			t.Errorf("other client: got status %d, want 200", status)
 		}
 	}
 	for range cap(wrote) {
 		if n := <-wrote; n >= size {
-			t.Error("the whole answer was taken from the endpoint, though nobody reads it")
+			t.Error("proxy read the whole response from the endpoint although the client does not read")
 		}
 	}
 }
