--- a/proxy/clock_test.go
+++ b/proxy/clock_test.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// sentTo returns how many of 100 requests, 20 a second, are sent to the one endpoint of a list. It started some time ago
+// sentRequests returns how many of 100 requests, 20 a second, are sent to the one endpoint of a list. It started some time ago
 // by the clock of the machine that states it.
-func sentTo(startedAgo time.Duration) (sent int) {
+func sentRequests(startedAgo time.Duration) (sent int) {
 	now := 500_000 * time.Hour // Unix time
 	b := balancer.New(balancer.Config{
 		Classes:      []balancer.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}},
@@ -91,13 +91,13 @@
 // An endpoint that has started, by the clock of the machine that states it, only later than it is here counts as just
 // started: the doubt never makes it warm.
 func TestEndpointStartInFutureIsCold(t *testing.T) {
-	justStarted := sentTo(0)
+	justStarted := sentRequests(0)
 	for _, ahead := range []time.Duration{time.Second, 3 * time.Second, time.Hour} {
-		if sent := sentTo(-ahead); sent > justStarted {
+		if sent := sentRequests(-ahead); sent > justStarted {
 			t.Errorf("%v ahead: %d requests sent, %d to one just started", ahead, sent, justStarted)
 		}
 	}
-	if warm := sentTo(time.Hour); warm != 100 {
+	if warm := sentRequests(time.Hour); warm != 100 {
 		t.Errorf("%d of 100 requests sent to a warm endpoint", warm)
 	}
 }
--- a/proxy/drainscale_test.go
+++ b/proxy/drainscale_test.go
@@ -80,9 +80,9 @@
 		return listFaults{wholeFirst: true, indented: true, pieces: 20, piecePause: pause}
 	}
 	playDrainScenarios(t, []drainScenario{
-		{name: "asked, in force", play: drainQuarter},
+		{name: "polled, in force", play: drainQuarter},
 		{name: "pushed, in force", pushed: true, play: removeQuarter},
-		{name: "asked, whole list takes 2 s after a reset", faults: inPieces(100 * time.Millisecond), play: func(s *drainRun) {
+		{name: "polled, whole list takes 2 s after a reset", faults: inPieces(100 * time.Millisecond), play: func(s *drainRun) {
 			resetWatches(s)
 			drainQuarter(s)
 		}},
@@ -90,11 +90,11 @@
 			resetWatches(s)
 			drainQuarter(s)
 		}},
-		{name: "asked, whole list leaves out what drains", faults: listFaults{wholeFirst: true, omitDraining: true, pieces: 20, piecePause: 100 * time.Millisecond}, play: func(s *drainRun) {
+		{name: "polled, whole list leaves out what drains", faults: listFaults{wholeFirst: true, omitDraining: true, pieces: 20, piecePause: 100 * time.Millisecond}, play: func(s *drainRun) {
 			drainQuarter(s)
 			resetWatches(s)
 		}},
-		{name: "asked, watches fall silent", play: func(s *drainRun) {
+		{name: "polled, watches fall silent", play: func(s *drainRun) {
 			silenceWatches(s)
 			drainQuarter(s)
 		}},
@@ -102,23 +102,23 @@
 			drainQuarter(s)
 			resetWatches(s)
 		}},
-		{name: "asked, crowded, reset between two calls of a watch", play: func(s *drainRun) {
+		{name: "polled, overloaded, reset between two calls of a watch", play: func(s *drainRun) {
 			s.awaitWatches()
 			s.each(func(service *listService) {
-				service.setFaults(func(f *listFaults) { f.crowded = true; f.resetBetween = true })
+				service.setFaults(func(f *listFaults) { f.overloaded = true; f.resetBetween = true })
 			})
 			s.registry.change(discovery.Terminating, 1) // the service responds to each watch
 			time.Sleep(resetDelay / 3)
 			drainQuarter(s)
 		}},
-		{name: "asked, crowded after a reset", play: func(s *drainRun) {
+		{name: "polled, overloaded after a reset", play: func(s *drainRun) {
 			s.each(func(service *listService) {
 				service.setFaults(func(f *listFaults) { f.rejected = 3; f.rejectionDelay = 30 * time.Millisecond })
 				service.resetAll()
 			})
 			drainQuarter(s)
 		}},
-		{name: "asked, down and back", faults: inPieces(100 * time.Millisecond), play: func(s *drainRun) {
+		{name: "polled, down and back", faults: inPieces(100 * time.Millisecond), play: func(s *drainRun) {
 			s.each((*listService).goDown)
 			time.Sleep(3 * time.Second)
 			drainQuarter(s)
@@ -130,7 +130,7 @@
 			removeQuarter(s)
 			s.each((*listService).comeBack)
 		}},
-		{name: "asked, moved", faults: inPieces(100 * time.Millisecond), play: func(s *drainRun) {
+		{name: "polled, moved", faults: inPieces(100 * time.Millisecond), play: func(s *drainRun) {
 			s.moveServices(s.scenario.faults)
 			drainQuarter(s)
 		}},
@@ -138,48 +138,48 @@
 			s.moveServices(s.scenario.faults)
 			drainQuarter(s)
 		}},
-		{name: "asked, moved to a crowded service", play: func(s *drainRun) {
+		{name: "polled, moved to a overloaded service", play: func(s *drainRun) {
 			s.awaitWatches()
-			before := s.moveServices(listFaults{crowded: true, letsIn: 1, rejectionDelay: 15 * time.Millisecond})
+			before := s.moveServices(listFaults{overloaded: true, admittedFirst: 1, rejectionDelay: 15 * time.Millisecond})
 			time.Sleep(time.Second)
 			goDown(before)
 			time.Sleep(500 * time.Millisecond)
 			drainQuarter(s)
 		}},
-		{name: "asked, a crowded service at another address", play: func(s *drainRun) {
+		{name: "polled, a overloaded service at another address", play: func(s *drainRun) {
 			s.awaitWatches()
-			before := s.moveServices(listFaults{crowded: true, goesOn: true, rejectionDelay: 15 * time.Millisecond})
+			before := s.moveServices(listFaults{overloaded: true, continuesWatches: true, rejectionDelay: 15 * time.Millisecond})
 			time.Sleep(2500 * time.Millisecond) // until the service has responded to each outstanding call
 			goDown(before)
 			drainQuarter(s)
 		}},
-		{name: "asked, whole list takes 4 s after a reset", faults: inPieces(200 * time.Millisecond), play: func(s *drainRun) {
+		{name: "polled, whole list takes 4 s after a reset", faults: inPieces(200 * time.Millisecond), play: func(s *drainRun) {
 			resetWatches(s)
 			drainQuarter(s)
 		}},
-		{name: "asked, new settings while the service is down", play: func(s *drainRun) {
+		{name: "polled, new settings while the service is down", play: func(s *drainRun) {
 			drainQuarter(s)
 			time.Sleep(2 * time.Second)
 			s.each((*listService).goDown)
 			s.changeSettings(func(*config.Config) {})
 		}},
-		{name: "asked, new settings before the first answer of a crowded service", faults: listFaults{
-			wholeFirst: true, pieces: 20, piecePause: 100 * time.Millisecond, crowded: true, letsIn: 1,
+		{name: "polled, new settings before the first answer of a overloaded service", faults: listFaults{
+			wholeFirst: true, pieces: 20, piecePause: 100 * time.Millisecond, overloaded: true, admittedFirst: 1,
 		}, play: func(s *drainRun) {
 			drainQuarter(s)
 			s.awaitCalls()
 			s.changeSettings(func(*config.Config) {})
 		}},
-		{name: "asked, a pool renamed while the service is down", play: func(s *drainRun) {
+		{name: "polled, a pool renamed while the service is down", play: func(s *drainRun) {
 			drainQuarter(s)
 			time.Sleep(2 * time.Second)
 			s.each((*listService).goDown)
 			s.changeSettings(renamePool)
 		}},
-		{name: "asked, a pool renamed while the service is crowded", play: func(s *drainRun) {
+		{name: "polled, a pool renamed while the service is overloaded", play: func(s *drainRun) {
 			s.awaitWatches()
 			s.each(func(service *listService) {
-				service.setFaults(func(f *listFaults) { f.crowded = true })
+				service.setFaults(func(f *listFaults) { f.overloaded = true })
 			})
 			s.changeSettings(renamePool)
 			time.Sleep(500 * time.Millisecond)
@@ -193,12 +193,12 @@
 			})
 			s.changeSettings(func(*config.Config) {})
 		}},
-		{name: "asked, then pushed", faults: inPieces(25 * time.Millisecond), play: func(s *drainRun) {
+		{name: "polled, then pushed", faults: inPieces(25 * time.Millisecond), play: func(s *drainRun) {
 			s.awaitWatches()
 			s.switchToAgents()
 			drainQuarter(s)
 		}},
-		{name: "asked, a wholly new pool", faults: inPieces(100 * time.Millisecond), play: func(s *drainRun) {
+		{name: "polled, a wholly new pool", faults: inPieces(100 * time.Millisecond), play: func(s *drainRun) {
 			s.awaitWatches()
 			drainQuarter(s)
 			time.Sleep(time.Second)
@@ -214,7 +214,7 @@
 			registry.change(discovery.Terminating, everyNth(4)...)
 			time.Sleep(2 * time.Second)
 		}, play: func(*drainRun) {}},
-		{name: "asked, one after another", play: func(s *drainRun) {
+		{name: "polled, one after another", play: func(s *drainRun) {
 			for _, endpoint := range everyNth(4) {
 				s.registry.change(discovery.Terminating, endpoint)
 				time.Sleep(time.Millisecond)
@@ -444,12 +444,12 @@
 			if !bound {
 				continue
 			}
-			late := arrived.at.Sub(service.told(change)) - (drainGrace - holdUp)
+			late := arrived.at.Sub(service.knownAt(change)) - (drainGrace - holdUp)
 			if late > 0 {
 				breaks++
 				worst = max(worst, late)
 				s.t.Logf("proxy %d, endpoint %d: change known after %v, request received after %v", i, arrived.endpoint,
-					service.told(change).Sub(change.changedAt), arrived.at.Sub(change.changedAt))
+					service.knownAt(change).Sub(change.changedAt), arrived.at.Sub(change.changedAt))
 				if breaks == 1 {
 					s.t.Logf("exchanges of its list services, relative to the change: %s", service.exchanges(change.changedAt))
 				}
--- a/proxy/drainsoak_test.go
+++ b/proxy/drainsoak_test.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	defaultScenarios = 4 // without RYERILL_SLOW
-	slowScenarios  = 32
-	eventsPerScenario    = 6 // of each scenario
+	defaultScenarios  = 4 // without RYERILL_SLOW
+	slowScenarios     = 32
+	eventsPerScenario = 6 // of each scenario
 
 	// envDrainSeed sets the seed of the first scenario, to reproduce a failure.
 	envDrainSeed = "RYERILL_DRAIN_SEED"
--- a/proxy/endpointregistry_test.go
+++ b/proxy/endpointregistry_test.go
@@ -15,8 +15,8 @@
 	"ryerill/discovery"
 )
 
-// endpointFarm is thousands of endpoints in this process, each a listener of its own. Scenarios share it: the path of a request ends in
-// the scenario and the number of the proxy that it was sent to.
+// endpointFarm runs thousands of endpoints in this process, each with its own listener. Scenarios share it: the path of a
+// request ends in the scenario and the number of the receiving proxy.
 type endpointFarm struct {
 	listeners []net.Listener
 
@@ -24,7 +24,7 @@
 	arrivals map[string][]arrival // by the path of the request
 }
 
-// arrival is the first byte of a request at an endpoint.
+// arrival records the first byte of a request at an endpoint.
 type arrival struct {
 	endpoint int
 	at       time.Time
@@ -63,7 +63,7 @@
 	}
 }
 
-// serve answers each request at once and records when its first byte came.
+// serve responds to each request at once and records when its first byte arrived.
 func (f *endpointFarm) serve(endpoint int, c net.Conn) {
 	defer c.Close()
 	reader := bufio.NewReaderSize(c, 512)
@@ -85,20 +85,20 @@
 	}
 }
 
-// arrivalsOf returns the requests that came by one proxy of a scenario.
+// arrivalsOf returns the requests that arrived through one proxy of a scenario.
 func (f *endpointFarm) arrivalsOf(requestPath string) []arrival {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.arrivals[requestPath])
 }
 
-// requestPath is the path of the requests that a proxy of a scenario is sent.
+// requestPath returns the path of requests to one proxy of a scenario.
 func requestPath(scenario string, proxy int) string {
 	return path.Join("/read", scenario, strconv.Itoa(proxy))
 }
 
-// endpointRegistry is the list that discovery services tell of: the endpoints of a farm, with the version and the time
-// of each one's last change.
+// endpointRegistry is the endpoint list that discovery services send: the endpoints of a farm, each with the version and
+// time of its last change.
 type endpointRegistry struct {
 	mu      sync.Mutex
 	version uint64
@@ -127,7 +127,7 @@
 	return r
 }
 
-// change gives some endpoints another status, in one version of the list.
+// change sets the status of some endpoints in one new version of the list.
 func (r *endpointRegistry) change(status string, endpoints ...int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -140,7 +140,7 @@
 	}
 }
 
-// skipTo has the next change be one of the version after this.
+// skipTo sets the current version, so that the next change gets the version after it.
 func (r *endpointRegistry) skipTo(version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,7 +153,7 @@
 	return r.version
 }
 
-// whole returns the whole list. omitDraining leaves out what is not ready, as some services do.
+// whole returns the whole list. omitDraining omits endpoints that are not ready, as some services do.
 func (r *endpointRegistry) whole(omitDraining bool) discovery.EndpointList {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -181,7 +181,7 @@
 	return list
 }
 
-// withdrawn returns the endpoints that are not ready any more, with the version and the time of that change.
+// withdrawn returns the endpoints that are no longer ready, with the version and time of the change.
 func (r *endpointRegistry) withdrawn() map[int]registeredEndpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/proxy/harness_test.go
+++ b/proxy/harness_test.go
@@ -23,15 +23,15 @@
 	"ryerill/route"
 )
 
-const testTimeout = 20 * time.Second // no test waits so long unless it fails
+const testTimeout = 20 * time.Second // reached only by failing tests
 
-// backend is an endpoint that does with each request what a test says.
+// backend is an endpoint whose behaviour a test defines.
 type backend struct {
 	net.Listener
 	mu              sync.Mutex
 	all             []net.Conn
 	requests, conns atomic.Int64
-	ended           chan struct{} // a connection was closed by the proxy
+	ended           chan struct{} // receives when the proxy closes a connection
 }
 
 func newBackend(t *testing.T, behave func(net.Conn, *http.Request)) *backend {
@@ -60,7 +60,7 @@
 					if err != nil {
 						select {
 						case b.ended <- struct{}{}:
-						default: // no test counts so many
+						default: // tests need no more than the buffer holds
 						}
 						return
 					}
@@ -75,7 +75,7 @@
 	return b
 }
 
-// CloseAll ends the endpoint with its connections.
+// CloseAll closes the listener and all connections.
 func (b *backend) CloseAll() {
 	b.Close()
 	b.mu.Lock()
@@ -99,19 +99,19 @@
 
 const okay = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine"
 
-const typed = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-Hop: 1\r\nConnection: x-hop\r\nContent-Length: 0\r\n\r\n"
+const typedResponse = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-Hop: 1\r\nConnection: x-hop\r\nContent-Length: 0\r\n\r\n"
 
-// discoveryServer is a discovery service whose lists a test hands out one by one.
+// discoveryServer is a discovery service whose test publishes each list.
 type discoveryServer struct {
 	*httptest.Server
-	lists chan string
-	asked chan string // the query of each call
+	lists   chan string
+	queries chan string // the query of each call
 }
 
 func newDiscoveryServer(t *testing.T) *discoveryServer {
-	g := &discoveryServer{lists: make(chan string), asked: make(chan string, 64)}
+	g := &discoveryServer{lists: make(chan string), queries: make(chan string, 64)}
 	g.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		g.asked <- r.URL.RawQuery
+		g.queries <- r.URL.RawQuery
 		select {
 		case text := <-g.lists:
 			io.WriteString(w, text)
@@ -127,7 +127,7 @@
 	select {
 	case g.lists <- list:
 	case <-time.After(testTimeout):
-		t.Fatal("the directory is not asked")
+		t.Fatal("no call to the discovery service")
 	}
 }
 
@@ -135,12 +135,12 @@
 	t.Helper()
 	for {
 		select {
-		case q := <-g.asked:
+		case q := <-g.queries:
 			if strings.Contains(q, query) {
 				return
 			}
 		case <-time.After(testTimeout):
-			t.Fatalf("the directory is not asked for %q", query)
+			t.Fatalf("no call to the discovery service with query %q", query)
 		}
 	}
 }
@@ -154,13 +154,13 @@
 	return string(text)
 }
 
-// start runs a proxy that knows some endpoints and returns its address.
+// start runs a proxy with known endpoints and returns its address.
 func start(t *testing.T, change func(*config.Config), known ...discovery.Endpoint) string {
 	t.Helper()
 	return run(t, change, known...).Address()
 }
 
-// run runs a proxy that knows some endpoints.
+// run runs a proxy with known endpoints until the end of the test.
 // Classes: read is safe, pay is keyed within a cell, burn is unsafe.
 func run(t *testing.T, change func(*config.Config), known ...discovery.Endpoint) *Proxy {
 	t.Helper()
@@ -169,14 +169,14 @@
 	return p
 }
 
-// runUntil does so until stop is called, which may be more than once and
-// returns when Run has.
+// runUntil runs a proxy with known endpoints until stop is called. stop returns
+// after Run and may be called repeatedly.
 func runUntil(t *testing.T, change func(*config.Config), known ...discovery.Endpoint) (p *Proxy, stop func()) {
 	t.Helper()
 	return runLogging(t, slog.New(slog.DiscardHandler), change, known...)
 }
 
-// runLogging does so with a log.
+// runLogging is runUntil with a log.
 func runLogging(t *testing.T, log *slog.Logger, change func(*config.Config), known ...discovery.Endpoint) (p *Proxy, stop func()) {
 	t.Helper()
 	class := func(name string, e balancer.Effect) balancer.Class {
@@ -206,7 +206,7 @@
 	go func() { over <- p.Run(ctx) }()
 	return p, sync.OnceFunc(func() {
 		if end(); <-over != nil {
-			t.Error("the proxy failed")
+			t.Error("Run returned an error")
 		}
 	})
 }
@@ -253,7 +253,7 @@
 	return resp.StatusCode, string(body)
 }
 
-// request returns a request of a class as its effect asks for it.
+// request returns a valid request of a class: GET for read, POST with an idempotency key otherwise.
 func request(class string, ms int) string {
 	method, rest := "POST", "Idempotency-Key: k1\r\nContent-Length: 5\r\n\r\nhello"
 	if class == "read" {
@@ -268,6 +268,6 @@
 	select {
 	case <-c:
 	case <-time.After(testTimeout):
-		t.Fatal("never: " + what)
+		t.Fatal("timed out waiting for: " + what)
 	}
 }
--- a/proxy/invalidlist_test.go
+++ b/proxy/invalidlist_test.go
@@ -89,7 +89,7 @@
 			t.Parallel()
 			registry := newEndpointRegistry(farm)
 			service := newListService(t, registry, tc.pushed)
-			service.setFaults(func(f *listFaults) { f.spoilt = tc.text; f.wholeFirst = true })
+			service.setFaults(func(f *listFaults) { f.invalidText = tc.text; f.wholeFirst = true })
 			log := new(lockedBuffer)
 			proxy, stop := runLogging(t, slog.New(slog.NewTextHandler(log, nil)), func(cfg *config.Config) {
 				pool := &cfg.Pools[0]
@@ -119,7 +119,7 @@
 			}
 			registry.skipTo(spoiltVersion)
 			registry.change(discovery.Terminating, everyNthOf(endpoints, 2)...)
-			service.setFaults(func(f *listFaults) { f.spoilt = "" })
+			service.setFaults(func(f *listFaults) { f.invalidText = "" })
 			deadline := time.Now().Add(3 * time.Second)
 			for !strings.Contains(log.String(), "endpoint list received again") {
 				if time.Now().After(deadline) {
--- a/proxy/listservice_test.go
+++ b/proxy/listservice_test.go
@@ -16,62 +16,61 @@
 )
 
 const (
-	// unseenChangeKnown is when a change counts as known to a proxy at the latest, after the service had it and could be
-	// reached.
+	// unseenChangeKnown is the longest time until a proxy must know a change that its reachable service has.
 	unseenChangeKnown = 6 * time.Second
-	// watchGap is how long a watch goes on after an answer without a further call.
+	// watchGap is how long a watch counts as open after a response without a further call.
 	watchGap = 200 * time.Millisecond
 
-	// resetDelay is when a connection is reset between two calls of a watch, after the first one's answer.
+	// resetDelay is the delay between a watch response and the reset of its connection before the next call.
 	resetDelay = 30 * time.Millisecond
 
-	connectionsOfService = 64 // bounds the bookkeeping of one service, not its clients
+	connectionsOfService = 64 // initial map size, not a limit on clients
 )
 
-// listFaults is how a list service treats its callers.
+// listFaults are the faults of a list service.
 type listFaults struct {
-	pieces         int           // an answer of a whole list comes in so many; 0 is one
-	piecePause     time.Duration // between them
-	indented       bool
-	wholeFirst     bool // the first answer on a connection is the whole list
-	omitDraining   bool // a whole list leaves out what is not ready
-	crowded        bool // calls that continue no watch are answered with 503, but for some
-	letsIn         int  // which are let in at first
-	goesOn         bool // after a move it is the same service at another address
-	rejected       int  // so many further calls are answered with 503
-	rejectionDelay time.Duration
-	unreachable    bool   // connections are reset at once
-	resetBetween   bool   // the next answer to a watch is followed by a reset in place of the next call
-	spoilt         string // further answers have this text in place of a list; empty is none
+	pieces           int           // number of writes for a whole list; 0 means 1
+	piecePause       time.Duration // between them
+	indented         bool
+	wholeFirst       bool // the first response on a connection is the whole list
+	omitDraining     bool // a whole list omits endpoints that are not ready
+	overloaded       bool // calls that continue no watch get 503, except the first ones
+	admittedFirst    int  // number of calls admitted before overload applies
+	continuesWatches bool // after a move: the same service at another address
+	rejected         int  // number of further calls that get 503
+	rejectionDelay   time.Duration
+	unreachable      bool   // connections are reset at once
+	resetBetween     bool   // reset the connection after the next watch response
+	invalidText      string // sent instead of lists unless empty
 }
 
-// listService is a discovery service for one proxy. It keeps its own account of what the proxy has been told.
+// listService is a discovery service for one proxy. It records which list versions it has sent to the proxy.
 type listService struct {
 	net.Listener
 	registry *endpointRegistry
-	pushed   bool // an agent: what it has counts as told
+	pushed   bool // an agent: its proxy must know its list at once
 
-	before     *listService // that of the proxy before; nil is none
-	replacedAt time.Time    // when this one took its place
+	before     *listService // the proxy's previous service; nil if none
+	replacedAt time.Time    // when this service replaced it
 
 	mu          sync.Mutex
 	faults      listFaults
 	open        map[*net.TCPConn]*serviceConnection
-	answers     []listAnswer // written whole
+	answers     []listAnswer // completely written
 	calls       []time.Time
-	letIn       int       // calls that continued no watch
-	watchedAt   time.Time // when a watch was answered last
-	reachableAt time.Time // since when it can be reached; zero is from before the proxy's start
-	silentAt    time.Time // when all watches fell silent last: none goes on from an answer before that
+	admitted    int       // calls that continued no watch, while overloaded
+	watchedAt   time.Time // time of the last watch response
+	reachableAt time.Time // when it became reachable; zero means before the proxy's start
+	silentAt    time.Time // when all watches last fell silent: responses before then continue no watch
 }
 
-// serviceConnection is the state of a connection of the proxy.
+// serviceConnection is the state of a connection from the proxy.
 type serviceConnection struct {
-	answered bool // a call on it was answered
-	silent   bool // it is never written to again
+	answered bool // a call on it has been processed
+	silent   bool // nothing is written to it any more
 }
 
-// listAnswer is an answer that was written whole.
+// listAnswer is a completely written response.
 type listAnswer struct {
 	version uint64
 	at      time.Time
@@ -118,7 +117,7 @@
 	conn.Close()
 }
 
-// resetAll resets all connections, and with them the open watches.
+// resetAll resets all connections, including open watches.
 func (s *listService) resetAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +126,7 @@
 	}
 }
 
-// silenceAll lets all open watches fall silent.
+// silenceAll stops all writes to open connections.
 func (s *listService) silenceAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,7 +136,7 @@
 	s.silentAt = time.Now()
 }
 
-// goDown makes the service unreachable, comeBack ends that.
+// goDown makes the service unreachable until comeBack.
 func (s *listService) goDown() {
 	s.setFaults(func(f *listFaults) { f.unreachable = true })
 	s.resetAll()
@@ -162,7 +161,7 @@
 	change(&s.faults)
 }
 
-// follow has the service take the place of another one, now.
+// follow records that this service now replaces another one.
 func (s *listService) follow(before *listService) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,9 +172,10 @@
 	}
 }
 
-// lastWatchAnswerLocked returns when a watch was answered last, also at the service's address before.
+// lastWatchAnswerLocked returns the time of the last watch response, including those from the service's previous
+// address. Callers must hold s.mu.
 func (s *listService) lastWatchAnswerLocked() time.Time {
-	if s.before == nil || !s.faults.goesOn {
+	if s.before == nil || !s.faults.continuesWatches {
 		return s.watchedAt
 	}
 	s.before.mu.Lock()
@@ -186,19 +186,19 @@
 	return s.watchedAt
 }
 
-// isWatch reports whether a call is one of a watch.
+// isWatch reports whether a call belongs to a watch.
 func isWatch(request *http.Request) bool { return request.URL.Query().Has("since") }
 
-// rejects records a call, and reports whether it is to be answered with 503.
+// rejects records a call and reports whether it gets 503.
 func (s *listService) rejects(request *http.Request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	s.calls = append(s.calls, now)
 	continues := isWatch(request) && now.Sub(s.lastWatchAnswerLocked()) < watchGap
-	if s.faults.crowded && !continues {
-		s.letIn++
-		if s.letIn > s.faults.letsIn {
+	if s.faults.overloaded && !continues {
+		s.admitted++
+		if s.admitted > s.faults.admittedFirst {
 			return true
 		}
 	}
@@ -241,10 +241,10 @@
 		}
 		list := s.answer(request, state)
 		if s.isSilent(state) {
-			io.Copy(io.Discard, conn) // until the proxy gives it up
+			io.Copy(io.Discard, conn) // until the proxy closes the connection
 			return
 		}
-		s.recordWatchAnswer(request) // before the write too: the next call may follow it at once, on another connection
+		s.recordWatchAnswer(request) // also before the write: the next call may arrive at once on another connection
 		if s.write(conn, list) != nil {
 			return
 		}
@@ -257,7 +257,7 @@
 	}
 }
 
-// resetsAfter reports whether the connection is to be reset before the call after this one.
+// resetsAfter reports whether the connection is reset after the response to this call.
 func (s *listService) resetsAfter(request *http.Request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -268,7 +268,7 @@
 	return true
 }
 
-// recordWatchAnswer records the time of an answer if that is one to a watch.
+// recordWatchAnswer records the time of a response to a watch.
 func (s *listService) recordWatchAnswer(request *http.Request) {
 	if !isWatch(request) {
 		return
@@ -284,7 +284,7 @@
 	return state.silent
 }
 
-// answer returns the answer to a call, after the wait that the call asks for.
+// answer returns the list for a call, after up to the wait that the call requests.
 func (s *listService) answer(request *http.Request, state *serviceConnection) discovery.EndpointList {
 	query := request.URL.Query()
 	since, err := strconv.ParseUint(query.Get("since"), 10, 64)
@@ -302,7 +302,7 @@
 	return s.registry.changesSince(since)
 }
 
-// write writes a list as the faults want it, and accounts for it once it is written whole.
+// write writes a list with the current faults and records it once it is completely written.
 func (s *listService) write(conn *net.TCPConn, list discovery.EndpointList) error {
 	faults := s.currentFaults()
 	text, err := json.Marshal(list)
@@ -312,8 +312,8 @@
 	if err != nil {
 		return err
 	}
-	if faults.spoilt != "" {
-		text = []byte(faults.spoilt)
+	if faults.invalidText != "" {
+		text = []byte(faults.invalidText)
 	}
 	if _, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(text)); err != nil {
 		return err
@@ -333,7 +333,7 @@
 			time.Sleep(faults.piecePause)
 		}
 	}
-	if faults.spoilt != "" {
+	if faults.invalidText != "" {
 		return nil
 	}
 	s.mu.Lock()
@@ -342,20 +342,20 @@
 	return nil
 }
 
-// told returns when a change counts as known to the proxy: also one that the service before has told of.
-func (s *listService) told(change registeredEndpoint) time.Time {
-	told := s.toldHere(change)
+// knownAt returns when the proxy must know a change, from this service or a previous one.
+func (s *listService) knownAt(change registeredEndpoint) time.Time {
+	told := s.knownHereAt(change)
 	if s.before == nil || !change.changedAt.Before(s.replacedAt) {
 		return told
 	}
-	if before := s.before.told(change); before.Before(told) {
+	if before := s.before.knownAt(change); before.Before(told) {
 		return before
 	}
 	return told
 }
 
-// toldHere returns when a change counts as known to the proxy by this service alone.
-func (s *listService) toldHere(change registeredEndpoint) time.Time {
+// knownHereAt returns when the proxy must know a change from this service alone.
+func (s *listService) knownHereAt(change registeredEndpoint) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	had := change.changedAt
@@ -370,7 +370,7 @@
 		if answer.version >= change.version && answer.at.Before(told) {
 			told = answer.at
 		}
-		// What changes between two calls of a watch is known at once.
+		// A change between two calls of a watch counts as known at once.
 		between := !change.changedAt.Before(answer.at) && change.changedAt.Before(s.gapEndLocked(answer.at))
 		if between && change.changedAt.Before(told) && answer.at.After(s.silentAt) {
 			told = change.changedAt
@@ -379,7 +379,7 @@
 	return told
 }
 
-// gapEndLocked returns the end of the time between an answer and the next call, in which a watch goes on.
+// gapEndLocked returns the end of the gap between a response and the next call of a watch. Callers must hold s.mu.
 func (s *listService) gapEndLocked(answeredAt time.Time) time.Time {
 	end := answeredAt.Add(watchGap)
 	for _, call := range s.calls {
@@ -390,7 +390,7 @@
 	return end
 }
 
-// exchanges states the calls and answers after a time, as spans from it, also of the services before.
+// exchanges formats the calls and responses of this and the previous services, relative to a time.
 func (s *listService) exchanges(after time.Time) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/proxy/management_test.go
+++ b/proxy/management_test.go
@@ -16,12 +16,12 @@
 	"ryerill/config"
 )
 
-// withManagement opens the management endpoint, with the overrides persisted in a directory.
+// withManagement enables the management endpoint and persists overrides in dir.
 func withManagement(dir string) func(*config.Config) {
 	return func(c *config.Config) { c.Admin, c.SharedDir = "127.0.0.1:0", dir }
 }
 
-// callManagement sends one request to the management endpoint and returns the status and the body.
+// callManagement sends one request to the management endpoint and returns status and body.
 func callManagement(t *testing.T, p *Proxy, method, path, body string) (int, string) {
 	t.Helper()
 	return dial(t, p.AdminAddress()).ask(fmt.Sprintf("%s /ops/%s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body))
@@ -36,18 +36,18 @@
 	return s
 }
 
-// waitUntil looks again and again whether something has come true.
+// waitUntil polls until a condition holds.
 func waitUntil(t *testing.T, what string, come func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !come(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never: " + what)
+			t.Fatal("timed out waiting for: " + what)
 		}
 	}
 }
 
-// The counters agree with what scripted endpoints and clients saw: served,
-// shed, failed, retried, abandoned, torn and malformed requests.
+// The counters match the requests that scripted endpoints and clients observed:
+// served, shed, failed, retried, abandoned, truncated and malformed ones.
 func TestCountersMatchObservedRequests(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
@@ -88,7 +88,7 @@
 			want[step.class] = admin.RequestCounts{Served: w.Served + step.add.Served, Shed: w.Shed + step.add.Shed, Failed: w.Failed + step.add.Failed}
 		}
 	}
-	// What is rejected before it is a request counts by its class, and what breaks off or names no known class not at all.
+	// Invalid requests count by class. Truncated requests and those of unknown classes do not count.
 	if status, _ := dial(t, p.Address()).ask("POST /read HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\nReq-Kind: read\r\nContent-Length: 0\r\n\r\n"); status != 405 {
 		t.Error(status)
 	}
@@ -100,33 +100,33 @@
 	io.WriteString(torn, request("pay", 15000)[:60])
 	torn.Close()
 	if s := statsOf(t, p); s.InFlight != 0 {
-		t.Errorf("%d in flight", s.InFlight)
+		t.Errorf("got %d requests in flight, want 0", s.InFlight)
 	}
 	waiting := dial(t, p.Address())
 	io.WriteString(waiting, with("burn", "hold"))
-	await(t, held, "the request that is held")
+	await(t, held, "the held request at the endpoint")
 	mu.Lock()
 	attempts := int64(0)
 	for _, n := range tried {
 		attempts += int64(n)
 	}
 	mu.Unlock()
-	// An endpoint may see an attempt a moment before it is counted.
-	waitUntil(t, "all attempts are counted", func() bool { return statsOf(t, p).Attempts == attempts })
+	// An attempt may reach an endpoint shortly before it is counted.
+	waitUntil(t, "all attempts to be counted", func() bool { return statsOf(t, p).Attempts == attempts })
 	s := statsOf(t, p)
 	if got := fmt.Sprint(s.Requests); got != fmt.Sprint(want) {
-		t.Errorf("calls %s, want %v", got, want)
+		t.Errorf("got request counts %s, want %v", got, want)
 	}
 	if s.Attempts != attempts || s.InFlight != 1 || s.EndpointsListed != 2 {
-		t.Errorf("%+v, and endpoints saw %d attempts", s, attempts)
+		t.Errorf("got stats %+v, want %d attempts, 1 in flight and 2 endpoints listed", s, attempts)
 	}
 	waiting.Close()
-	waitUntil(t, "a request whose client left has ended", func() bool { return statsOf(t, p).InFlight == 0 })
+	waitUntil(t, "the end of the request whose client left", func() bool { return statsOf(t, p).InFlight == 0 })
 	close(hold)
 }
 
-// An endpoint that is down gets nothing, whatever the list says in between, until it is
-// restored; and not even a new process of the proxy sends to it.
+// An endpoint that an operator has taken down gets no requests until it is restored, whatever
+// lists arrive, not even from a new process of the proxy.
 func TestTakenDownOverridesList(t *testing.T) {
 	t.Parallel()
 	a, b := newBackend(t, responds(okay)), newBackend(t, responds(okay))
@@ -156,10 +156,10 @@
 	for i, list := range []string{encode(t, 2, false, back), encode(t, 3, false, terminating), encode(t, 4, false, back),
 		encode(t, 5, false, gone), encode(t, 6, false, restarted), encode(t, 7, true, b.endpoint("b", 1)), encode(t, 8, true, back, b.endpoint("b", 1))} {
 		g.publish(t, list)
-		g.await(t, fmt.Sprintf("since=%d", i+2)) // it has been applied
+		g.await(t, fmt.Sprintf("since=%d", i+2)) // the list has been applied
 		for range 10 {
 			if status, _ := dial(t, p.Address()).ask(request("read", 15000)); status != 200 {
-				t.Errorf("list %d: answered %d", i+2, status)
+				t.Errorf("list %d: got status %d, want 200", i+2, status)
 			}
 		}
 	}
@@ -167,14 +167,14 @@
 		t.Errorf("%+v", s)
 	}
 	second := run(t, withManagement(dir), a.endpoint("a", 1), b.endpoint("b", 1))
-	waitUntil(t, "the second process listens, though its directory is silent", func() bool { return second.Address() != "" })
+	waitUntil(t, "the second process to listen although its discovery is silent", func() bool { return second.Address() != "" })
 	for range 10 {
 		dial(t, second.Address()).ask(request("read", 15000))
 	}
 	if got := a.requests.Load() - before; got != 0 {
-		t.Errorf("%d requests at an endpoint that is down", got)
+		t.Errorf("got %d requests at an endpoint that is down, want 0", got)
 	}
-	// Restored at one process, it is restored at both, and counts as just started.
+	// A restore at one process applies to both, and the endpoint counts as just started.
 	if status, _ := callManagement(t, second, "POST", "backends/up", "a"); status != 200 {
 		t.Error(status)
 	}
@@ -186,11 +186,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t2 := c.endpoints.byID[endpointID("a")]; t2.current.StartedAt <= t2.listed.StartedAt || t2.current.State != 1 {
-		t.Errorf("restored as %+v", t2.current)
+		t.Errorf("got restored endpoint %+v, want it just started and ready", t2.current)
 	}
 }
 
-// A drain makes the proxy unready, closes idle connections, answers what was accepted, and can be stopped.
+// A drain makes the proxy unready, closes idle connections, responds to accepted requests and can be stopped.
 func TestOperatorDrain(t *testing.T) {
 	t.Parallel()
 	hold, held := make(chan struct{}), make(chan struct{}, 1)
@@ -206,44 +206,44 @@
 	idle, busy, silent := dial(t, p.Address()), dial(t, p.Address()), dial(t, p.Address())
 	idle.ask(request("read", 15000))
 	io.WriteString(busy, request("burn", 15000))
-	await(t, held, "the request that is held")
+	await(t, held, "the held request at the endpoint")
 	began := time.Now()
-	for range 2 { // twice is once
+	for range 2 { // the repeated order has no effect
 		if status, _ := callManagement(t, p, "POST", "drain/start", ""); status != 200 {
 			t.Fatal(status)
 		}
 	}
 	if status, _ := callManagement(t, p, "GET", "readiness", ""); status != 503 || ready() != 503 {
-		t.Errorf("while it drains: %d", status)
+		t.Errorf("during the drain: got readiness status %d, want 503", status)
 	}
 	for _, c := range []*client{idle, silent} {
 		if _, err := c.r.ReadByte(); err != io.EOF {
-			t.Errorf("a connection without a request ends with %v", err)
+			t.Errorf("connection without a request: got %v, want EOF", err)
 		}
 	}
 	if took := time.Since(began); took > 4*time.Second {
-		t.Errorf("idle connections went after %v", took)
+		t.Errorf("idle connections were closed after %v, want at most 4s", took)
 	}
 	close(hold)
 	if resp := busy.send(""); resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("what was accepted: %d, close %v", resp.StatusCode, resp.Close)
+		t.Errorf("accepted request: got status %d, close %v; want 200 and close", resp.StatusCode, resp.Close)
 	}
-	waitUntil(t, "late requests are rejected", func() bool {
+	waitUntil(t, "late requests to be rejected", func() bool {
 		resp := dial(t, p.Address()).send(request("read", 15000))
 		return resp.StatusCode == 503 && resp.Close
 	})
 	if status, _ := callManagement(t, p, "POST", "drain/stop", ""); status != 200 || ready() != 200 {
-		t.Errorf("after the drain: %d", status)
+		t.Errorf("after the drain: got status %d, want 200", status)
 	}
 	again := dial(t, p.Address())
-	for range 2 { // over one connection, which is kept again
+	for range 2 { // over one connection, which is kept open
 		if status, _ := again.ask(request("read", 15000)); status != 200 {
-			t.Errorf("after the drain: %d", status)
+			t.Errorf("after the drain: got status %d, want 200", status)
 		}
 	}
 }
 
-// An order succeeds only if it is persisted: where it can't be, nothing changes.
+// An order that cannot be persisted fails and changes nothing.
 func TestUnpersistedOrdersFail(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, responds(okay))
@@ -259,7 +259,7 @@
 	}
 }
 
-// Clients may use up all that they are allowed: the management endpoint still answers in time.
+// The management endpoint responds in time while clients use all connections that they are allowed.
 func TestManagementEndpointWhileClientsHoldAllConnections(t *testing.T) {
 	t.Parallel()
 	hold := make(chan struct{})
@@ -276,7 +276,7 @@
 		began := time.Now()
 		status, _ := callManagement(t, p, "GET", "readiness", "")
 		if took := time.Since(began); status != 200 || took > time.Second {
-			t.Errorf("answered %d in %v", status, took)
+			t.Errorf("got status %d in %v, want 200 within 1s", status, took)
 		}
 	}
 	for _, c := range all {
@@ -284,7 +284,7 @@
 	}
 }
 
-// The counters go on over a reload, and pools that share a class count together.
+// The counters continue across a reload, and pools that share a class are counted together.
 func TestCountersOverAReload(t *testing.T) {
 	t.Parallel()
 	a, b := newBackend(t, responds(okay)), newBackend(t, responds(okay))
@@ -296,36 +296,36 @@
 	p, _ := runConfig(t, file(""))
 	for _, path := range []string{"/read/a", "/read/b"} {
 		if status, _ := dial(t, p.Address()).ask(get("x", path, "Req-Kind: read\r\n")); status != 200 {
-			t.Errorf("%s: %d", path, status)
+			t.Errorf("%s: got status %d, want 200", path, status)
 		}
 	}
 	if status, _ := callManagement(t, p, "POST", "backends/down", "a-1"); status != 200 {
 		t.Error(status)
 	}
-	next := parseConfig(t, file(", zone: z, zones: [z]")) // another pool in its place
+	next := parseConfig(t, file(", zone: z, zones: [z]")) // replaces the pool
 	if err := p.Reload(next); err != nil {
 		t.Fatal(err)
 	}
 	before := a.requests.Load()
 	if status, _ := dial(t, p.Address()).ask(get("x", "/read/a", "Req-Kind: read\r\n")); status != 503 || a.requests.Load() != before {
-		t.Errorf("taken down, after a reload: %d", status)
+		t.Errorf("endpoint down, after a reload: got status %d, want 503 and no request sent", status)
 	}
 	if status, _ := callManagement(t, p, "POST", "backends/up", "a-1"); status != 200 {
 		t.Error(status)
 	}
 	shed := int64(1)
-	waitUntil(t, "requests at the restored endpoint, which warms up", func() bool {
+	waitUntil(t, "requests at the restored endpoint during its warm-up", func() bool {
 		status, _ := dial(t, p.Address()).ask(get("x", "/read/a", "Req-Kind: read\r\n"))
 		shed += int64(status-200) / 303
 		return status == 200
 	})
-	next.Listeners = []config.Listener{{Name: "other", Address: p.AdminAddress()}} // in use already
+	next.Listeners = []config.Listener{{Name: "other", Address: p.AdminAddress()}} // already in use
 	if err := p.Reload(next); err == nil {
-		t.Error("a listener at the management endpoint's address was taken over")
+		t.Error("Reload accepted a listener at the address of the management endpoint")
 	}
 	s := statsOf(t, p)
 	if c := s.Requests["read"]; c.Served != 3 || c.Shed != shed || c.Failed != 0 || s.Attempts != 3 || s.EndpointsListed != 2 ||
 		s.ReloadsOK != 1 || s.ReloadsFailed != 1 {
-		t.Errorf("%d shed, %+v", shed, s)
+		t.Errorf("got other counters than wanted with %d shed: %+v", shed, s)
 	}
 }
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -113,7 +113,7 @@
 func TestWhatPassesUnchanged(t *testing.T) {
 	t.Parallel()
 	got := make(chan *http.Request, 1)
-	b := newBackend(t, func(c net.Conn, r *http.Request) { got <- r; io.WriteString(c, typed) })
+	b := newBackend(t, func(c net.Conn, r *http.Request) { got <- r; io.WriteString(c, typedResponse) })
 	c := dial(t, start(t, nil, b.endpoint("s1", 1)))
 	sent := request("pay", 9000)
 	if resp := c.send(sent); resp.Header.Get("Content-Type") != "text/plain" || resp.Header.Get("X-Hop") != "" {
--- a/proxy/stream_test.go
+++ b/proxy/stream_test.go
@@ -274,7 +274,7 @@
 		return len(core.requests.open) == 0
 	})
 	if s := statsOf(t, p); s.EndpointsDown != 0 || s.InFlight != 0 {
-		t.Errorf("got stats %+v, want nothing in flight", s)
+		t.Errorf("got stats %+v, want no endpoint down and nothing in flight", s)
 	}
 	slow := dial(t, p.Address())
 	head, _ := upload(longBodySize, true)
