--- a/proxy/clock_test.go
+++ b/proxy/clock_test.go
@@ -24,12 +24,12 @@
 	return taken
 }
 
-// steps are steps of the wall clock that must not matter.
-var steps = []time.Duration{time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second}
+// clockSteps are steps of the wall clock that must not matter.
+var clockSteps = []time.Duration{time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second}
 
 // The decisions' clock goes on evenly when the wall clock steps: no timer, window or wait of the Balancer's sees it.
 func TestClockIgnoresWallClockSteps(t *testing.T) {
-	for _, step := range steps {
+	for _, step := range clockSteps {
 		c := clock{takenBeforeStep(t, time.Now(), step)}
 		started := time.Duration(c.start.UnixNano())
 		first := c.now()
--- a/proxy/connectdeparture_test.go
+++ b/proxy/connectdeparture_test.go
@@ -15,11 +15,11 @@
 	"ryerill/discovery"
 )
 
-// cancelBound is how long after its client has left a request may still be sent on.
+// cancelBound is how long after its client has left a request may still be sent.
 const cancelBound = 300 * time.Millisecond
 
-// acceptStalled accepts the connections in the stalled listener's queue and those that
-// come then. It returns the bytes that arrive on each.
+// acceptStalled accepts the connections in the stalled listener's queue and later ones.
+// The channel receives the first bytes of each.
 func (s *stageTest) acceptStalled() <-chan string {
 	got := make(chan string, 64)
 	go func() {
@@ -40,8 +40,8 @@
 	return got
 }
 
-// A client that leaves while its request waits for its first attempt: the request is
-// not sent on, whether or not what runs may be cancelled, and all that it held is free.
+// If a client leaves while the first attempt of its request is connecting, the request is
+// not sent, whether or not running attempts may be cancelled, and its resources are released.
 func TestConnectingRequestIsNotSentAfterClientLeaves(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
 	t.Run("all", func(t *testing.T) {
@@ -51,7 +51,7 @@
 			"ends its side": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
 		} {
 			for _, cancel := range []bool{true, false} {
-				for _, more := range []int{0, 5 << 10} { // bytes behind the request
+				for _, more := range []int{0, 5 << 10} { // bytes after the request
 					for _, class := range []string{"read", "burn"} {
 						t.Run(fmt.Sprint(name, ", cancel ", cancel, ", ", more, " more, ", class), func(t *testing.T) {
 							t.Parallel()
@@ -77,9 +77,9 @@
 	waitUntil(t, "an attempt in flight", func() bool { return s.inFlight() == 1 })
 	left := time.Now()
 	leave(s.c.Conn)
-	waitUntil(t, "its end", func() bool { return s.inFlight() == 0 })
+	waitUntil(t, "the end of the attempt", func() bool { return s.inFlight() == 0 })
 	if took := time.Since(left); took > cancelBound {
-		t.Errorf("it could be sent on for %v", took)
+		t.Errorf("request could be sent for %v after its client left", took)
 	}
 	received := s.acceptStalled()
 	after, err := net.Dial("tcp", s.stalled.Addr().String())
@@ -88,7 +88,7 @@
 	}
 	io.WriteString(after, "after")
 	if first := <-received; first != "after" {
-		t.Errorf("sent on: %q", first)
+		t.Errorf("got %q at the endpoint, want \"after\" only", first)
 	}
 	after.Close()
 	s.c.Close()
@@ -97,8 +97,8 @@
 	s.close()
 }
 
-// A client that leaves between an attempt's end and the next causes no other attempt: the response of
-// the first and the client's end come in both orders.
+// A request gets no further attempt if its client leaves at the end of an attempt. Both orders of the
+// attempt's end and the client's end are tested.
 func TestBrokenAttemptIsNotRetriedAfterClientLeaves(t *testing.T) {
 	for _, class := range []string{"read", "pay"} {
 		for _, leavesFirst := range []bool{true, false} {
@@ -110,17 +110,17 @@
 				c := s.core()
 				if leavesFirst {
 					s.c.Close()
-					waitUntil(t, "it has left", func() bool { return s.p.counters.inFlight.Load() == 0 })
+					waitUntil(t, "the proxy to notice that the client left", func() bool { return s.p.counters.inFlight.Load() == 0 })
 				}
 				for _, b := range s.peers {
-					b.Close() // no other attempt can be made
+					b.Close() // no other attempt can connect
 				}
 				for _, b := range s.peers {
-					b.CloseAll() // and this one ends
+					b.CloseAll() // the current attempt ends
 				}
 				if !leavesFirst {
 					if got := s.readStatus(); got == http.StatusOK {
-						t.Errorf("answered %d", got)
+						t.Errorf("got status %d, want a failure", got)
 					}
 					s.c.Close()
 				}
@@ -129,7 +129,7 @@
 				defer s.mu.Unlock()
 				for id, all := range s.received {
 					if len(all) != 1 {
-						t.Errorf("%s went out %d times", id, len(all))
+						t.Errorf("request %s was sent %d times, want once", id, len(all))
 					}
 				}
 			})
@@ -137,8 +137,8 @@
 	}
 }
 
-// An address may pass to another endpoint while an attempt is connecting to it, at once or
-// after its endpoint was gone for a while: the attempt is not made there, but elsewhere.
+// If the address of an endpoint is reassigned while an attempt is connecting to it, directly or
+// after the endpoint was gone, the request goes to another address than the reassigned one.
 func TestAddressReassignedDuringDial(t *testing.T) {
 	for i, class := range []string{"read", "pay", "burn", "read", "burn"} {
 		gone := i >= 3
@@ -152,7 +152,7 @@
 			}
 			s.stallDials()
 			c := s.core()
-			for _, e := range list { // as a list would have stated it
+			for _, e := range list { // lists state the stalled address
 				e.Address = s.stalled.Addr().String()
 				c.EndpointsListed(discovery.EndpointList{Index: 1, Endpoints: []discovery.Endpoint{e}})
 			}
@@ -162,13 +162,13 @@
 				c.EndpointsListed(discovery.EndpointList{Index: 2, Snapshot: true})
 			}
 			c.EndpointsListed(discovery.EndpointList{Index: 3, Snapshot: true, Endpoints: list})
-			received := s.acceptStalled() // the one that has the address now
+			received := s.acceptStalled() // now the address of another endpoint
 			if got := s.readStatus(); got != http.StatusOK {
-				t.Errorf("answered %d", got)
+				t.Errorf("got status %d, want 200", got)
 			}
 			select {
 			case text := <-received:
-				t.Errorf("sent to the endpoint that has the address now: %q", text)
+				t.Errorf("got %q at the reassigned address, want nothing", text)
 			default:
 			}
 			s.c.Close()
--- a/proxy/endpoints_test.go
+++ b/proxy/endpoints_test.go
@@ -32,7 +32,7 @@
 // Names beyond the bound are forgotten all at once. That is work for all that are
 // listed, so it must be rare however many these are: each entry of a list of 7,000
 // once cost it.
-func TestManyNamesAreRarelyForgotten(t *testing.T) {
+func TestNameEvictionIsRare(t *testing.T) {
 	endpoints := newEndpointTable()
 	forgotten := 0
 	const listed = 7000
--- a/proxy/invalidlist_test.go
+++ b/proxy/invalidlist_test.go
@@ -13,7 +13,7 @@
 	"ryerill/discovery"
 )
 
-// lockedBuffer is a log that a test reads while it is written.
+// lockedBuffer is a log buffer that a test can read concurrently with writes.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -31,21 +31,21 @@
 	return b.text.String()
 }
 
-// An answer that is no list, or not a whole one, leaves the last list in force but for the endpoints that entries of it
-// withdraw which are valid by themselves: nothing is added, and what it leaves out stays. It is logged once in a row with
-// its cause, and the service is asked again soon: the next good list is in force.
+// An invalid or truncated list does not replace the last list. Its valid entries only withdraw endpoints: none are added,
+// and omitted endpoints stay. Consecutive invalid lists are logged once with the cause, and the proxy polls again soon
+// and applies the next valid list.
 func TestInvalidListKeepsLastList(t *testing.T) {
 	const (
 		endpoints     = 40
-		withdrawn     = endpoints / 2 // by the spoilt list, which leaves out the others
-		spoiltVersion = 9
+		withdrawn     = endpoints / 2 // by the invalid list, which omits the others
+		invalidVersion = 9
 	)
 	farm := newEndpointFarm(t, endpoints)
-	// spoil returns the text of a whole list in which half of the endpoints drain, an unknown one is ready and the rest is
-	// left out, changed.
-	spoil := func(change func(*discovery.EndpointList)) string {
+	// invalidList returns the text of a whole list after a change. In the list half of the endpoints drain, an unknown one
+	// is ready and the others are omitted.
+	invalidList := func(change func(*discovery.EndpointList)) string {
 		list := newEndpointRegistry(farm).whole(false)
-		list.Index = spoiltVersion
+		list.Index = invalidVersion
 		unknown := list.Endpoints[0]
 		unknown.Name = "unknown"
 		list.Endpoints = append([]discovery.Endpoint{unknown}, list.Endpoints[:withdrawn]...)
@@ -59,30 +59,30 @@
 		}
 		return string(text)
 	}
-	// spoilLast has one more entry behind the others, changed.
-	spoilLast := func(change func(*discovery.Endpoint)) string {
-		return spoil(func(l *discovery.EndpointList) {
+	// invalidEntry appends one entry after a change to it.
+	invalidEntry := func(change func(*discovery.Endpoint)) string {
+		return invalidList(func(l *discovery.EndpointList) {
 			last := l.Endpoints[0]
 			change(&last)
 			l.Endpoints = append(l.Endpoints, last)
 		})
 	}
-	unchanged := spoil(func(*discovery.EndpointList) {})
+	unchanged := invalidList(func(*discovery.EndpointList) {})
 	const tooMuch = 41 << 20 // bytes
 	for _, tc := range []struct {
 		name, text string
 		pushed     bool
-		ready      int // with the last list
+		ready      int // number of ready endpoints while the last list applies
 	}{
 		{"no JSON", "<html>" + unchanged, false, endpoints},
 		{"cut off in an entry", unchanged[:len(unchanged)-60], false, endpoints - withdrawn + 1},
 		{"cut off behind all entries", unchanged[:len(unchanged)-1], false, endpoints - withdrawn},
 		{"too large", unchanged + strings.Repeat(" ", tooMuch), false, endpoints - withdrawn},
 		{"two lists", unchanged + unchanged, false, endpoints - withdrawn},
-		{"changes of an earlier version", spoil(func(l *discovery.EndpointList) { l.Index, l.Snapshot = 0, false }), false, endpoints},
-		{"an entry without a name", spoilLast(func(e *discovery.Endpoint) { e.Name = "" }), false, endpoints - withdrawn},
-		{"an entry of no address", spoilLast(func(e *discovery.Endpoint) { e.Address = "nowhere" }), false, endpoints - withdrawn},
-		{"an entry of an unknown status", spoilLast(func(e *discovery.Endpoint) { e.Status = "Odd" }), true, endpoints - withdrawn},
+		{"changes of an earlier version", invalidList(func(l *discovery.EndpointList) { l.Index, l.Snapshot = 0, false }), false, endpoints},
+		{"an entry without a name", invalidEntry(func(e *discovery.Endpoint) { e.Name = "" }), false, endpoints - withdrawn},
+		{"an entry of no address", invalidEntry(func(e *discovery.Endpoint) { e.Address = "nowhere" }), false, endpoints - withdrawn},
+		{"an entry of an unknown status", invalidEntry(func(e *discovery.Endpoint) { e.Status = "Odd" }), true, endpoints - withdrawn},
 		{"cut off, pushed", unchanged[:len(unchanged)-60], true, endpoints - withdrawn + 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -103,32 +103,32 @@
 			const notReceived = "endpoint list not received"
 			for deadline := time.Now().Add(testTimeout); !strings.Contains(log.String(), notReceived); {
 				if time.Now().After(deadline) {
-					t.Fatal("nothing is logged")
+					t.Fatal("the invalid list is not logged")
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
-			time.Sleep(1500 * time.Millisecond) // for more calls
+			time.Sleep(1500 * time.Millisecond) // time for more calls
 			if status, _ := dial(t, proxy.Address()).ask(request("read", 4000)); status != 200 {
-				t.Errorf("with the last list: answered %d", status)
+				t.Errorf("with the last list: got status %d, want 200", status)
 			}
 			if ready := readyEndpoints(proxy); ready != tc.ready {
-				t.Errorf("with the last list: %d endpoints are ready, want %d", ready, tc.ready)
+				t.Errorf("with the last list: got %d ready endpoints, want %d", ready, tc.ready)
 			}
 			if lines := strings.Count(log.String(), notReceived); lines != 1 {
-				t.Errorf("logged %d times:\n%s", lines, log.String())
+				t.Errorf("got %d log lines, want 1:\n%s", lines, log.String())
 			}
-			registry.skipTo(spoiltVersion)
+			registry.skipTo(invalidVersion)
 			registry.change(discovery.Terminating, everyNthOf(endpoints, 2)...)
 			service.setFaults(func(f *listFaults) { f.invalidText = "" })
 			deadline := time.Now().Add(3 * time.Second)
 			for !strings.Contains(log.String(), "endpoint list received again") {
 				if time.Now().After(deadline) {
-					t.Fatalf("the next list is not in force:\n%s", log.String())
+					t.Fatalf("next list not applied within 3s:\n%s", log.String())
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
 			if ready := readyEndpoints(proxy); ready != endpoints/2 {
-				t.Errorf("with the next list: %d endpoints are ready, want %d", ready, endpoints/2)
+				t.Errorf("with the next list: got %d ready endpoints, want %d", ready, endpoints/2)
 			}
 		})
 	}
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestWhatPassesUnchanged(t *testing.T) {
+func TestHeadersAndBodyAreForwarded(t *testing.T) {
 	t.Parallel()
 	got := make(chan *http.Request, 1)
 	b := newBackend(t, func(c net.Conn, r *http.Request) { got <- r; io.WriteString(c, typedResponse) })
@@ -154,7 +154,7 @@
 }
 
 // Rule 3: nothing is sent to an endpoint that the list states to be draining or gone.
-func TestDrain(t *testing.T) {
+func TestWithdrawnEndpointGetsNoRequests(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name string
