--- a/proxy/activity_test.go
+++ b/proxy/activity_test.go
@@ -12,8 +12,8 @@
 	"ryerill/fleet"
 )
 
-// The fleet's host asks for the activity of the pools while responses are streamed: each of them is recorded, and under
-// the pool's mutex, which the race detector checks.
+// The fleet host reads the activity of the pools while responses are streamed. Each response is recorded under the pool's
+// mutex, which the race detector checks.
 func TestActivityRacesWithStreamedResponses(t *testing.T) {
 	t.Parallel()
 	const (
@@ -45,7 +45,7 @@
 					return
 				}
 				if n, err := io.Copy(io.Discard, response.Body); err != nil || n != int64(len(body)) {
-					t.Errorf("%d of %d bytes, status %d, %v", n, len(body), response.StatusCode, err)
+					t.Errorf("got %d of %d bytes, status %d, error %v", n, len(body), response.StatusCode, err)
 					return
 				}
 			}
@@ -61,7 +61,7 @@
 		default:
 		}
 	}
-	// A client may have read its response just before the end of it is recorded.
+	// A client may have read its response before the end of the response is recorded.
 	waitUntil(t, "all responses to be recorded", func() bool {
 		all := p.poolActivity()
 		return len(all) == 1 && all[0].Responses == clients*requestsPerClient
--- a/proxy/clock_test.go
+++ b/proxy/clock_test.go
@@ -10,24 +10,24 @@
 	"ryerill/override"
 )
 
-// takenBeforeStep is a time that was taken before the machine's wall clock stepped: its monotonic reading is as it was,
-// and its wall time is behind that of today by the step. The first word of a time.Time with a monotonic reading holds
-// its wall time, seconds from bit 30 on.
+// takenBeforeStep returns taken as if it had been read before a step of the wall clock: the monotonic reading is
+// unchanged and the wall time lies behind by the step. The first word of a time.Time with a monotonic reading holds the
+// wall time, with the seconds from bit 30 on.
 func takenBeforeStep(t *testing.T, taken time.Time, step time.Duration) time.Time {
 	t.Helper()
 	word := (*uint64)(unsafe.Pointer(&taken))
 	*word -= uint64(int64(step/time.Second)) << 30
 	behind := time.Now().Round(0).Sub(taken.Round(0))
 	if off := behind - step; off < -time.Minute || off > time.Minute || time.Since(taken).Abs() > time.Minute {
-		t.Fatalf("a step of %v makes a time that is %v behind, %v ago", step, behind, time.Since(taken))
+		t.Fatalf("step of %v: got a wall time %v behind, taken %v ago", step, behind, time.Since(taken))
 	}
 	return taken
 }
 
-// clockSteps are steps of the wall clock that must not matter.
+// clockSteps are steps of the wall clock that must have no effect.
 var clockSteps = []time.Duration{time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second}
 
-// The decisions' clock goes on evenly when the wall clock steps: no timer, window or wait of the Balancer's sees it.
+// The decision clock ignores steps of the wall clock, so that no timer, window or wait of the Balancer is affected.
 func TestClockIgnoresWallClockSteps(t *testing.T) {
 	for _, step := range clockSteps {
 		c := clock{takenBeforeStep(t, time.Now(), step)}
@@ -36,16 +36,16 @@
 		time.Sleep(10 * time.Millisecond)
 		second := c.now()
 		if first < started || first > started+10*time.Second {
-			t.Errorf("step of %v: %v after its start at once", step, first-started)
+			t.Errorf("step of %v: got first reading %v after the start, want 0 to 10s", step, first-started)
 		}
 		if passed := second - first; passed < 10*time.Millisecond || passed > 10*time.Second {
-			t.Errorf("step of %v: %v passed", step, passed)
+			t.Errorf("step of %v: %v passed during a sleep of 10ms", step, passed)
 		}
 	}
 }
 
-// A drain that was ordered before the wall clock stepped back, or at a process whose clock is ahead, begins now, and
-// from then on it runs on monotonic time. One from before a step forward counts as long under way.
+// A drain whose order lies in the future, because the wall clock stepped back or another process's clock is ahead, begins
+// now and continues on monotonic time. After a step forward the drain counts as older by the step.
 func TestDrainStartAcrossWallClockStep(t *testing.T) {
 	for _, tc := range []struct{ ordered, want time.Duration }{ // ago
 		{0, 0}, {-time.Hour, 0}, {-3 * time.Second, 0}, {time.Second, time.Second}, {time.Hour, time.Hour},
@@ -54,16 +54,16 @@
 		p := &Proxy{overrides: override.Set{DrainSince: ordered}}
 		start := p.drainStartLocked()
 		if ago := time.Since(start); ago < tc.want || ago > tc.want+10*time.Second {
-			t.Errorf("ordered %v ago: began %v ago", tc.ordered, ago)
+			t.Errorf("drain ordered %v ago: began %v ago", tc.ordered, ago)
 		}
 		if !strings.Contains(start.String(), " m=") {
-			t.Errorf("ordered %v ago: its start has no monotonic reading", tc.ordered)
+			t.Errorf("drain ordered %v ago: start has no monotonic reading", tc.ordered)
 		}
 	}
 }
 
-// sentRequests returns how many of 100 requests, 20 a second, are sent to the one endpoint of a list. It started some time ago
-// by the clock of the machine that states it.
+// sentRequests returns how many of 100 requests, 20 per second, are sent to the only endpoint of a list, which states that
+// it started startedAgo before now.
 func sentRequests(startedAgo time.Duration) (sent int) {
 	now := 500_000 * time.Hour // Unix time
 	b := balancer.New(balancer.Config{
@@ -88,16 +88,16 @@
 	return sent
 }
 
-// An endpoint that has started, by the clock of the machine that states it, only later than it is here counts as just
-// started: the doubt never makes it warm.
+// An endpoint whose stated start lies in the future, because the clock of its machine is ahead, counts as just started
+// and not as warm.
 func TestEndpointStartInFutureIsCold(t *testing.T) {
 	justStarted := sentRequests(0)
 	for _, ahead := range []time.Duration{time.Second, 3 * time.Second, time.Hour} {
 		if sent := sentRequests(-ahead); sent > justStarted {
-			t.Errorf("%v ahead: %d requests sent, %d to one just started", ahead, sent, justStarted)
+			t.Errorf("start %v ahead: got %d requests, want at most the %d of a just started endpoint", ahead, sent, justStarted)
 		}
 	}
 	if warm := sentRequests(time.Hour); warm != 100 {
-		t.Errorf("%d of 100 requests sent to a warm endpoint", warm)
+		t.Errorf("warm endpoint: got %d of 100 requests, want all", warm)
 	}
 }
--- a/proxy/compatibility_test.go
+++ b/proxy/compatibility_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// What a process of another version publishes of its pools is read whole, and written to the letter.
+// The published state of pools keeps its format, so that processes of different versions can read it: the recorded text
+// is written again unchanged.
 func TestPoolStateFormat(t *testing.T) {
 	const want = `{"main":{"in_flight":3,"learnt":{"Limit":12.5,"Rate":100.25,"Usual":[0.5,0.25],"Fails":[0.125,0.0625]}}}`
 	var pools map[string]poolState
@@ -14,6 +15,6 @@
 	}
 	text, err := json.Marshal(pools)
 	if err != nil || string(text) != want {
-		t.Errorf("%v\nwritten %s\nwas     %s", err, text, want)
+		t.Errorf("error %v\ngot  %s\nwant %s", err, text, want)
 	}
 }
--- a/proxy/decisions_test.go
+++ b/proxy/decisions_test.go
@@ -8,40 +8,40 @@
 	"ryerill/balancer"
 )
 
-// Events that arise while the queue is worked off are decided after those before them, by the
-// caller that began.
+// Events that arise while the queue is processed are handled in order by the caller that is
+// processing it.
 func TestEventsAreHandledInOrder(t *testing.T) {
 	loop := decisionLoop{log: slog.New(slog.DiscardHandler), clock: clock{time.Now()}, balancer: balancer.New(balancer.Config{}, 1)}
 	if !loop.push(balancer.Event{Kind: balancer.TimerFired, Token: 1}) {
-		t.Fatal("the first caller is not to work the queue off")
+		t.Fatal("first push returned false, want the caller to process the queue")
 	}
-	var decided []uint32
+	var handled []uint32
 	for loop.decideNext() {
 		token := loop.queue[loop.next-1].Token
-		decided = append(decided, token)
+		handled = append(handled, token)
 		if token < 3 && loop.push(balancer.Event{Kind: balancer.TimerFired, Token: token + 1}) {
-			t.Error("a caller further down is to work the queue off as well")
+			t.Error("nested push returned true, want only the first caller to process the queue")
 		}
 	}
-	if len(decided) != 3 || decided[0] != 1 || decided[1] != 2 || decided[2] != 3 {
-		t.Errorf("decided %v", decided)
+	if len(handled) != 3 || handled[0] != 1 || handled[1] != 2 || handled[2] != 3 {
+		t.Errorf("got tokens %v handled, want [1 2 3]", handled)
 	}
 	if len(loop.queue) != 0 || !loop.push(balancer.Event{Kind: balancer.TimerFired}) {
-		t.Errorf("afterwards: %d queued, running %v", len(loop.queue), loop.running)
+		t.Errorf("after the last event: got %d queued, running %v; want an empty queue and a successful push", len(loop.queue), loop.running)
 	}
 }
 
-// A timer that was stopped, or has fired, does not fire.
+// A timer that was stopped or has fired does not fire again.
 func TestTimersFireOnceUnlessStopped(t *testing.T) {
 	set := timerSet{pending: map[*time.Timer]struct{}{}}
 	one, two := time.NewTimer(time.Hour), time.NewTimer(time.Hour)
 	set.pending[one] = struct{}{}
 	set.pending[two] = struct{}{}
 	if !set.fired(one) || set.fired(one) {
-		t.Error("a timer fires once")
+		t.Error("timer did not fire exactly once")
 	}
 	set.stop()
 	if set.fired(two) || !set.stopped || two.Stop() {
-		t.Error("a timer that was stopped fires")
+		t.Error("stopped timer fired")
 	}
 }
--- a/proxy/endpoints_test.go
+++ b/proxy/endpoints_test.go
@@ -11,8 +11,8 @@
 	"ryerill/upstream"
 )
 
-// New endpoints come under new ids all day, in lists of changes: those
-// that are gone are forgotten, or the proxy would grow until it is killed.
+// Lists of changes name new endpoints under new ids all day. Gone endpoints
+// must be removed, or the memory of the proxy grows without bound.
 func TestGoneEndpointsAreForgotten(t *testing.T) {
 	t.Parallel()
 	c := &core{log: slog.New(slog.DiscardHandler), decisions: decisionLoop{balancer: balancer.New(balancer.Config{}, 1)},
@@ -25,16 +25,15 @@
 		c.applyListLocked(balancer.ListChanges, discovery.EndpointList{Index: uint64(i), Endpoints: []discovery.Endpoint{gone, e}})
 	}
 	if len(c.endpoints.byID) != 1 || c.endpoints.byID[endpointID(e.Name)] == nil {
-		t.Errorf("%d endpoints are known", len(c.endpoints.byID))
+		t.Errorf("got %d known endpoints, want the last one only", len(c.endpoints.byID))
 	}
 }
 
-// Names beyond the bound are forgotten all at once. That is work for all that are
-// listed, so it must be rare however many these are: each entry of a list of 7,000
-// once cost it.
+// Names beyond the bound are removed all at once. The cost is linear in the number of
+// listed endpoints, so it must be rare: with a list of 7,000 each entry once caused it.
 func TestNameEvictionIsRare(t *testing.T) {
 	endpoints := newEndpointTable()
-	forgotten := 0
+	evictions := 0
 	const listed = 7000
 	for i := range 3 * listed {
 		name := fmt.Sprint("s", i)
@@ -43,16 +42,16 @@
 		endpoints.knownNames["mark"] = struct{}{}
 		endpoints.addName(name)
 		if _, there := endpoints.knownNames["mark"]; !there {
-			forgotten++
+			evictions++
 		}
 		if len(endpoints.knownNames) > maxNames+2*listed+2 {
-			t.Fatalf("%d names are remembered", len(endpoints.knownNames))
+			t.Fatalf("got %d known names, above the bound", len(endpoints.knownNames))
 		}
 	}
-	if forgotten > 3 {
-		t.Errorf("forgotten %d times in %d names", forgotten, 3*listed)
+	if evictions > 3 {
+		t.Errorf("got %d evictions for %d names, want at most 3", evictions, 3*listed)
 	}
 	if _, there := endpoints.knownNames[fmt.Sprint("s", 3*listed-1)]; !there {
-		t.Error("the newest is forgotten")
+		t.Error("the newest name was removed")
 	}
 }
--- a/proxy/faults_test.go
+++ b/proxy/faults_test.go
@@ -14,8 +14,7 @@
 	"ryerill/internal/http1"
 )
 
-// The time that an endpoint is told is what the client has left when the attempt is written: for the first and for a
-// repeat.
+// Each attempt, first or retry, states the time that the client has left when the attempt is written.
 func TestEachAttemptGetsRemainingTime(t *testing.T) {
 	t.Parallel()
 	const (
@@ -28,12 +27,12 @@
 	}{{"safe", "read"}, {"keyed", "pay"}, {"unsafe", "burn"}} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			var asked, attempts atomic.Int64 // asked: when the client sent its request
+			var sentAt, attempts atomic.Int64 // sentAt: when the client sent its request
 			behave := func(c net.Conn, r *http.Request) {
-				left := waits - time.Duration(time.Now().UnixNano()-asked.Load())
-				told, err := strconv.Atoi(r.Header.Get(http1.HeaderDeadline))
-				if err != nil || time.Duration(told)*time.Millisecond > left+slack || told < 1 {
-					t.Errorf("attempt %d is told of %d ms, the client has %v left: %v", attempts.Load()+1, told, left, err)
+				left := waits - time.Duration(time.Now().UnixNano()-sentAt.Load())
+				stated, err := strconv.Atoi(r.Header.Get(http1.HeaderDeadline))
+				if err != nil || time.Duration(stated)*time.Millisecond > left+slack || stated < 1 {
+					t.Errorf("attempt %d states a deadline of %d ms, client has %v left: %v", attempts.Load()+1, stated, left, err)
 				}
 				if attempts.Add(1) < 2 {
 					time.Sleep(delay)
@@ -45,21 +44,21 @@
 			x, y := newBackend(t, behave), newBackend(t, behave)
 			client := dial(t, start(t, nil, x.endpoint("x", 1), y.endpoint("y", 1)))
 			text := request(tc.class, int(waits.Milliseconds()))
-			asked.Store(time.Now().UnixNano())
+			sentAt.Store(time.Now().UnixNano())
 			if status, _ := client.ask(text); status != http.StatusOK || attempts.Load() != 2 {
-				t.Errorf("answered %d after %d attempts", status, attempts.Load())
+				t.Errorf("got status %d after %d attempts, want 200 after 2", status, attempts.Load())
 			}
 		})
 	}
 }
 
-// A request that streams is told what its client waits for from its last byte on, not the time that its upload may take.
+// A streamed request states the time that its client waits after the last byte, without the time allowed for the upload.
 func TestStreamedRequestGetsRemainingTime(t *testing.T) {
 	t.Parallel()
 	const waits = 5 * time.Second
-	told := make(chan string, 1)
+	stated := make(chan string, 1)
 	b := newBackend(t, func(c net.Conn, r *http.Request) {
-		told <- r.Header.Get(http1.HeaderDeadline)
+		stated <- r.Header.Get(http1.HeaderDeadline)
 		_, _ = io.WriteString(c, okay)
 	})
 	body := strings.Repeat("x", 200<<10)
@@ -67,10 +66,10 @@
 	client := dial(t, start(t, nil, b.endpoint("s1", 1)))
 	status, _ := client.ask(fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(body), body))
 	if status != http.StatusOK {
-		t.Fatalf("answered %d", status)
+		t.Fatalf("got status %d, want 200", status)
 	}
-	ms, err := strconv.Atoi(<-told)
+	ms, err := strconv.Atoi(<-stated)
 	if err != nil || ms < 1 || time.Duration(ms)*time.Millisecond > waits {
-		t.Errorf("told of %d ms, the client waits %v: %v", ms, waits, err)
+		t.Errorf("got deadline of %d ms, want 1 ms to %v: %v", ms, waits, err)
 	}
 }
--- a/proxy/fleet_test.go
+++ b/proxy/fleet_test.go
@@ -9,7 +9,7 @@
 	"ryerill/fleet"
 )
 
-// A process that waits for the fleet's address serves on without a fleet if a reload takes the fleet away meanwhile.
+// A process that waits for the address of the fleet continues without one if a reload removes the fleet meanwhile.
 func TestFleetRemovedWhileWaitingForAddress(t *testing.T) {
 	held, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,6 +28,6 @@
 	p.cfg.Fleet = nil // as a reload does
 	p.mu.Unlock()
 	if p.awaitFleetHost(t.Context()) {
-		t.Error("it has joined a fleet that is configured no more")
+		t.Error("joined a fleet that the configuration no longer has")
 	}
 }
--- a/proxy/hash_test.go
+++ b/proxy/hash_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Ids of endpoints are the same in every version of the proxy, since the replicas of a pool rank endpoints by them.
+// Endpoint ids must be the same in every version of the proxy, since the replicas of a pool rank endpoints by id.
 func TestHashesMatchFNV(t *testing.T) {
 	t.Parallel()
 	for _, text := range []string{"", "a", "endpoint-00001", "127.0.0.1:7070", "zone \xff\x00 é"} {
@@ -13,7 +13,7 @@
 		want32.Write([]byte(text))
 		want64.Write([]byte(text))
 		if hash32(text) != want32.Sum32() || hash64(text) != want64.Sum64() {
-			t.Errorf("%q: %x, %x", text, hash32(text), hash64(text))
+			t.Errorf("%q: got hash32 %x, hash64 %x, want those of FNV-1a", text, hash32(text), hash64(text))
 		}
 	}
 }
--- a/proxy/invalidlist_test.go
+++ b/proxy/invalidlist_test.go
@@ -36,8 +36,8 @@
 // and applies the next valid list.
 func TestInvalidListKeepsLastList(t *testing.T) {
 	const (
-		endpoints     = 40
-		withdrawn     = endpoints / 2 // by the invalid list, which omits the others
+		endpoints      = 40
+		withdrawn      = endpoints / 2 // by the invalid list, which omits the others
 		invalidVersion = 9
 	)
 	farm := newEndpointFarm(t, endpoints)
--- a/proxy/listbench_test.go
+++ b/proxy/listbench_test.go
@@ -12,13 +12,13 @@
 	"ryerill/upstream"
 )
 
-// benchmarkSizes are numbers of endpoints: the usual one, the most of a deployment, and a multiple of that.
+// benchmarkSizes are numbers of endpoints: a usual deployment, the largest one and a multiple of that.
 var benchmarkSizes = []int{200, 3200, 10000}
 
 // benchmarkReplicas keeps the part of the endpoints that a replica uses alike at both sizes.
 const benchmarkReplicas = 20
 
-// newListCore returns a pool that knows so many endpoints, and their list.
+// newListCore returns a pool with count known endpoints, and their list.
 func newListCore(tb testing.TB, count int) (*core, discovery.EndpointList) {
 	tb.Helper()
 	c := &core{
@@ -76,7 +76,7 @@
 	}
 }
 
-// A change of one entry, as discovery tells of it while endpoints are replaced one after another.
+// Measures a change of one entry, as discovery sends it while endpoints are replaced one by one.
 func BenchmarkApplyOneChange(b *testing.B) {
 	for _, count := range benchmarkSizes {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// A decision on a request: an attempt to an idle endpoint, and its end.
+// Measures the decisions on one request: an attempt at an idle endpoint and its end.
 func BenchmarkDecision(b *testing.B) {
 	for _, count := range benchmarkSizes {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/proxy/listreport_test.go
+++ b/proxy/listreport_test.go
@@ -10,8 +10,8 @@
 	"ryerill/discovery"
 )
 
-// What a list changes is logged at once with its version, and counted in the report; of many lists soon after one
-// another there is one more line, with the sum.
+// Changes by a list are logged at once with its version and counted in the report. Further lists within the log interval
+// yield one more line with the totals.
 func TestListChangesAreLoggedAndReported(t *testing.T) {
 	t.Parallel()
 	c, list := newListCore(t, 20)
@@ -25,7 +25,7 @@
 	c.listObserver.loggedAt = time.Time{}
 	withdraw(0)
 	if !strings.Contains(log.String(), "version=2 endpoints=20 added=0 withdrawn=1 returned=0 removed=0") {
-		t.Errorf("logged at once: %s", log)
+		t.Errorf("got %s, want a line about version 2", log)
 	}
 	log.Reset()
 	c.listObserver.loggedAt = time.Now().Add(time.Hour) // no interval ends in between
@@ -36,20 +36,20 @@
 		{Name: list.Endpoints[0].Name, Status: discovery.Gone}, list.Endpoints[1],
 	}})
 	if log.Len() > 0 {
-		t.Errorf("logged at once after another line: %s", log)
+		t.Errorf("got %s within the log interval, want nothing", log)
 	}
 	c.listObserver.delayed.Stop()
 	c.logListChanges()
 	for _, want := range []string{"version=14", "endpoints=19", "withdrawn=11", "returned=1", "removed=1", list.Endpoints[8].Name} {
 		if !strings.Contains(log.String(), want) {
-			t.Errorf("%s is missing in %s", want, log)
+			t.Errorf("%s not found in log line %s", want, log)
 		}
 	}
 	if strings.Count(log.String(), "\n") != 1 || strings.Contains(log.String(), list.Endpoints[9].Name) {
-		t.Errorf("not one line of few names: %s", log)
+		t.Errorf("got %s, want one line with a limited number of names", log)
 	}
 	report := c.listReport()
 	if report.Version != 14 || report.Endpoints != 19 || report.Ready != 9 || report.Applied != 14 {
-		t.Errorf("reported %+v", report)
+		t.Errorf("got report %+v, want version 14, 19 endpoints, 9 ready, 14 applied", report)
 	}
 }
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -15,9 +15,9 @@
 	"ryerill/message"
 )
 
-// Rule 1, and the table of outcomes: whatever an endpoint does, there is one
-// response, and 200 only for a whole one. An unsafe class shows which outcomes
-// were recorded as never executed: they alone may be shed.
+// Rule 1 and the table of outcomes: whatever an endpoint does, the client gets one
+// response, with 200 only if the endpoint's response is complete. The class is unsafe,
+// since only its requests that were never executed may be shed.
 func TestResponseMatchesOutcome(t *testing.T) {
 	t.Parallel()
 	big := strings.Repeat("x", 64<<10)
@@ -28,20 +28,20 @@
 	}{
 		{"served", responds(okay), 200},
 		{"largest body", responds("HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + big), 200},
-		{"after an interim answer", responds("HTTP/1.1 100 Continue\r\n\r\n" + okay), 200},
+		{"after an interim response", responds("HTTP/1.1 100 Continue\r\n\r\n" + okay), 200},
 		{"chunks", responds("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"), 200},
 		{"error", responds("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"), 502},
 		{"declined", responds("HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), 503},
-		{"declined as over", responds("HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), 503},
+		{"declined with 504", responds("HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), 503},
 		{"503 that may have run", responds("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), 502},
-		{"error that calls itself declined", responds("HTTP/1.1 500 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), 502},
+		{"500 marked as declined", responds("HTTP/1.1 500 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"), 502},
 		{"no content", responds("HTTP/1.1 204 No Content\r\n\r\n"), 502},
 		{"breaks at once", respondsAndCloses(""), 502},
 		{"breaks in the head", respondsAndCloses("HTTP/1.1 200 OK\r\nConte"), 502},
 		{"breaks in the body", respondsAndCloses("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfine"), 502},
 		{"breaks in a chunk", respondsAndCloses("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nfine"), 502},
-		{"a body that passes through", responds("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\nx" + big), 200},
-		{"length beyond all bounds", responds("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx"), 502}, // known from its head
+		{"streamed body", responds("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\nx" + big), 200},
+		{"excessive length", responds("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx"), 502}, // rejected by its head
 		{"no length and closed", respondsAndCloses("HTTP/1.1 200 OK\r\n\r\nfine"), 200},
 		{"length and chunks", responds("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"), 502},
 		{"two lengths", responds("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\nfine"), 502},
@@ -49,11 +49,11 @@
 		{"malformed chunk", responds("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\nzz\r\n"), 502},
 		{"no status", responds("HTTP/1.1 OK 200\r\nContent-Length: 4\r\n\r\nfine"), 502},
 		{"endless head", responds("HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: pppppppp\r\n", 3000)), 502},
-		{"five interim answers", responds(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 5) + okay), 200},
-		{"interim answers for ever", responds(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 6)), 502},
-		{"a report that can't be read", responds("HTTP/1.1 200 OK\r\nX-Load: {\xff=,\r\nContent-Length: 4\r\n\r\nfine"), 200},
-		{"a second copy behind", responds(okay + okay), 200},
-		{"noise behind", responds(okay + "\x00\x01"), 200},
+		{"five interim responses", responds(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 5) + okay), 200},
+		{"too many interim responses", responds(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 6)), 502},
+		{"unreadable load report", responds("HTTP/1.1 200 OK\r\nX-Load: {\xff=,\r\nContent-Length: 4\r\n\r\nfine"), 200},
+		{"second response after it", responds(okay + okay), 200},
+		{"garbage after it", responds(okay + "\x00\x01"), 200},
 		{"garbage", responds("\x00\x01garbage\r\n\r\n"), 502},
 		{"silence", responds(""), 504},
 	} {
@@ -67,27 +67,27 @@
 			}
 			status, body := c.ask(request("burn", ms))
 			if status != tc.want || b.requests.Load() != 1 {
-				t.Errorf("answered %d %q, sent %d times", status, body, b.requests.Load())
+				t.Errorf("got %d %q, sent %d times, want one send and the status of the case", status, body, b.requests.Load())
 			}
 			if status == 200 && body != "fine" && body != big && body != "x"+big {
-				t.Errorf("the body was changed: %.20q", body)
+				t.Errorf("got changed body %.20q", body)
 			}
 			if status, _ := c.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
-				t.Errorf("afterwards the connection answers %d", status)
+				t.Errorf("next request on the connection: got status %d, want 200", status)
 			}
 		})
 	}
 	t.Run("connection refused", func(t *testing.T) {
 		t.Parallel()
-		nobody := discovery.Endpoint{Name: "s1", Address: "127.0.0.1:1", Zone: "a", Status: discovery.Ready}
-		if status, _ := dial(t, start(t, nil, nobody)).ask(request("burn", 10_000)); status != 503 {
-			t.Errorf("answered %d", status)
+		refusing := discovery.Endpoint{Name: "s1", Address: "127.0.0.1:1", Zone: "a", Status: discovery.Ready}
+		if status, _ := dial(t, start(t, nil, refusing)).ask(request("burn", 10_000)); status != 503 {
+			t.Errorf("got status %d, want 503", status)
 		}
 	})
 }
 
-// A core whose decision code panics, here for want of a Balancer, still
-// answers what it accepts.
+// A core whose decision code panics, here because its Balancer is nil, still
+// responds to accepted requests.
 func TestDecisionPanicIsAnswered(t *testing.T) {
 	t.Parallel()
 	log := slog.New(slog.DiscardHandler)
@@ -102,11 +102,11 @@
 	}
 	for range 2 {
 		if a := <-answers; a.Kind != message.Failed {
-			t.Errorf("answered %+v", a)
+			t.Errorf("got result %+v, want kind Failed", a)
 		}
 	}
 	if len(c.requests.open) != 0 {
-		t.Errorf("%d requests are still open", len(c.requests.open))
+		t.Errorf("got %d open requests, want 0", len(c.requests.open))
 	}
 }
 
@@ -117,21 +117,21 @@
 	c := dial(t, start(t, nil, b.endpoint("s1", 1)))
 	sent := request("pay", 9000)
 	if resp := c.send(sent); resp.Header.Get("Content-Type") != "text/plain" || resp.Header.Get("X-Hop") != "" {
-		t.Errorf("headers of the answer: %v", resp.Header)
+		t.Errorf("got response headers %v, want Content-Type and no X-Hop", resp.Header)
 	}
 	r := <-got
 	body, _ := io.ReadAll(r.Body)
 	if r.Method != "POST" || r.RequestURI != "/pay/7?q=%20x" || string(body) != "hello" ||
 		!strings.Contains(sent, "Req-Id: "+r.Header.Get("Req-Id")+"\r\n") || r.Header.Get("Idempotency-Key") != "k1" {
-		t.Errorf("%s %s %q %v", r.Method, r.RequestURI, body, r.Header)
+		t.Errorf("got %s %s, body %q, headers %v; want the request as sent", r.Method, r.RequestURI, body, r.Header)
 	}
 	if left := r.Header.Values("Req-Deadline-Ms"); len(left) != 1 || len(left[0]) > 4 || left[0] > "9000" {
-		t.Errorf("time left: %v", left)
+		t.Errorf("got remaining time %v, want one value of at most 9000", left)
 	}
 }
 
-// Rule 2: a keyed request that may have been executed is retried in its cell alone, and is
-// not shed; an unsafe one is not retried.
+// Rule 2: a keyed request that may have been executed is retried only in the same cell and
+// is not shed. An unsafe one is not retried.
 func TestNoRepeatedSideEffects(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -148,12 +148,12 @@
 		address := start(t, nil, x.endpoint("x", tc.cells[0]), y.endpoint("y", tc.cells[1]))
 		status, _ := dial(t, address).ask(request(tc.class, 10_000))
 		if sent := x.requests.Load() + y.requests.Load(); status != tc.status || sent != int64(tc.sent) {
-			t.Errorf("%s in cells %v: answered %d, sent %d times", tc.class, tc.cells, status, sent)
+			t.Errorf("class %s, cells %v: got status %d after %d sends, want those of the case", tc.class, tc.cells, status, sent)
 		}
 	}
 }
 
-// Rule 3: nothing is sent to an endpoint that the list states to be draining or gone.
+// Rule 3: no request is sent to an endpoint that the list withdraws.
 func TestWithdrawnEndpointGetsNoRequests(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -169,25 +169,25 @@
 			b, g := newBackend(t, responds(okay)), newDiscoveryServer(t)
 			c := dial(t, start(t, func(cfg *config.Config) { cfg.Pools[0].Discovery = g.Listener.Addr().String() }, b.endpoint("s1", 1)))
 			if status, _ := c.ask(request("read", 10_000)); status != 200 {
-				t.Fatalf("while ready: %d", status)
+				t.Fatalf("while ready: got status %d, want 200", status)
 			}
 			g.publish(t, tc.list(b.endpoint("s1", 1)))
 			g.await(t, "since=2") // the change is applied before the next poll
 			if status, _ := c.ask(request("read", 10_000)); status != 503 || b.requests.Load() != 1 {
-				t.Errorf("afterwards: %d, sent %d times", status, b.requests.Load())
+				t.Errorf("after the withdrawal: got status %d, %d requests sent; want 503 and 1", status, b.requests.Load())
 			}
 			g.publish(t, encode(t, 3, false, b.endpoint("s1", 1)))
 			g.await(t, "since=3")
 			if status, _ := c.ask(request("read", 10_000)); status != 200 {
-				t.Errorf("ready again: %d", status)
+				t.Errorf("ready again: got status %d, want 200", status)
 			}
 		})
 	}
 }
 
-// A list that an agent on this machine pushes is watched there although the Balancer does not subscribe:
-// whatever the proxy knew at its start, what comes counts from then on, also from an agent that was down
-// at the start and from one that a reload moves to.
+// The proxy watches a list that a local agent pushes although the Balancer does not subscribe. The agent's
+// changes apply whatever the proxy knew at its start, also if the agent was down then or a reload has moved
+// the proxy to another agent.
 func TestPushedListIsWatched(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, responds(okay))
@@ -196,8 +196,8 @@
 	for _, tc := range []struct {
 		name   string
 		known  []discovery.Endpoint
-		before string // what the agent sends first, "" if it fails then
-		moved  bool   // another agent sends the rest
+		before string // first list of the agent; "" if the agent is down at the start
+		moved  bool   // a reload then moves the proxy to another agent
 	}{
 		{name: "known", known: []discovery.Endpoint{ready}, before: encode(t, 1, false)},
 		{name: "nothing known", before: encode(t, 1, true, ready)},
@@ -223,7 +223,7 @@
 				g.await(t, "since=1&")
 			}
 			if status, _ := c.ask(request("read", 10_000)); status != 200 {
-				t.Fatalf("before: %d", status)
+				t.Fatalf("before the change: got status %d, want 200", status)
 			}
 			if tc.moved {
 				g = newDiscoveryServer(t)
@@ -239,15 +239,15 @@
 			g.await(t, "since=2&")
 			before := b.requests.Load()
 			if status, _ := c.ask(request("read", 10_000)); status != 503 || b.requests.Load() != before {
-				t.Errorf("while it drains: %d, sent %d", status, b.requests.Load()-before)
+				t.Errorf("while the endpoint drains: got status %d, %d requests sent; want 503 and 0", status, b.requests.Load()-before)
 			}
 		})
 	}
 }
 
-// Rule 4: an endpoint that has just started gets little. This shows that since_ms
-// and the Balancer's time share their scale, or all starts would seem recent,
-// or long ago.
+// Rule 4: an endpoint that has just started gets few requests. This fails if since_ms
+// and the Balancer's time differ in scale, since all starts would then seem recent or
+// long past.
 func TestWarmingEndpointGetsFewRequests(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -262,7 +262,7 @@
 			c.ask(request("read", 10_000))
 		}
 		if n := b.requests.Load(); n < tc.least || n > tc.most {
-			t.Errorf("started %v ago: %d of 60 sent", tc.age, n)
+			t.Errorf("endpoint started %v ago: got %d of 60 requests, want a number within the bounds of the case", tc.age, n)
 		}
 	}
 }
@@ -275,7 +275,7 @@
 	io.WriteString(c, request("read", 1_000_000))
 	await(t, sent, "a request at the endpoint")
 	c.Close()
-	await(t, b.ended, "an end of the attempt")
+	await(t, b.ended, "the end of the attempt")
 }
 
 func TestDiscoveryDownOrInvalid(t *testing.T) {
@@ -293,14 +293,14 @@
 		if g != nil {
 			g.publish(t, answer)
 			g.await(t, "since=1&") // the first call
-			g.await(t, "since=1&") // after a failure the Balancer polls again
+			g.await(t, "since=1&") // the Balancer polls again after a failure
 		}
 		c := dial(t, address)
 		if status, _ := c.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"); status != 200 {
-			t.Errorf("%q: /ready answers %d", answer, status)
+			t.Errorf("list %q: /ready: got status %d, want 200", answer, status)
 		}
 		if status, _ := c.ask(request("read", 10_000)); status != 200 {
-			t.Errorf("%q: the list known before is lost: %d", answer, status)
+			t.Errorf("list %q: got status %d, want 200 with the known list", answer, status)
 		}
 	}
 }
@@ -324,27 +324,27 @@
 		{"chunk", "POST /read HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400},
 		{"large body", "POST /read HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\nContent-Length: 67108865\r\n\r\n", 413},
 		{"large chunks", "POST /read HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" +
-			strings.Repeat("x", 65537) + "\r\n0\r\n\r\n", 405}, // it would pass through, but not with this class
+			strings.Repeat("x", 65537) + "\r\n0\r\n\r\n", 405}, // the size is allowed, but not the method of this class
 		{"large head", "GET /read HTTP/1.1\r\nHost: x\r\nReq-Id: " + strings.Repeat("1", 40<<10) + "\r\n\r\n", 431},
 	} {
 		c := dial(t, address)
 		status, _ := c.ask(tc.text)
 		if _, err := c.r.ReadByte(); status != tc.want || err != io.EOF {
-			t.Errorf("%s: answered %d, then %v", tc.name, status, err)
+			t.Errorf("%s: got status %d, then error %v; want the status of the case, then EOF", tc.name, status, err)
 		}
 	}
 	if n := b.requests.Load(); n != 0 {
-		t.Errorf("%d of them reached an endpoint", n)
+		t.Errorf("got %d malformed requests at an endpoint, want 0", n)
 	}
 	c := dial(t, address)
 	odd := "GET /read HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\nReq-Owner: ?\r\nReq-Extra: a=\r\nX-Y: \xff\r\nReq-Deadline-Ms: 99999999999\r\n\r\n"
 	if status, _ := c.ask(odd); status != 200 {
-		t.Errorf("odd but legal headers: %d", status)
+		t.Errorf("unusual valid headers: got status %d, want 200", status)
 	}
 }
 
-// An id names one open request: another with the same id is rejected, and
-// the first is not disturbed. Once it is answered the id is free.
+// A request with the id of an open request is rejected without disturbing the
+// open one. The id is free after the response.
 func TestDuplicateOpenIDIsRejected(t *testing.T) {
 	t.Parallel()
 	hold, sent := make(chan struct{}), make(chan struct{}, 8)
@@ -355,19 +355,19 @@
 	io.WriteString(first, text)
 	await(t, sent, "a request at the endpoint")
 	if status, _ := dial(t, address).ask(text); status != 409 || b.requests.Load() != 1 {
-		t.Errorf("the same id again: %d, %d sent", status, b.requests.Load())
+		t.Errorf("duplicate id: got status %d, %d requests sent; want 409 and 1", status, b.requests.Load())
 	}
 	close(hold)
 	if status, _ := first.ask(""); status != 200 {
-		t.Errorf("the first: %d", status)
+		t.Errorf("first request: got status %d, want 200", status)
 	}
 	if status, _ := dial(t, address).ask(text); status != 200 {
-		t.Errorf("afterwards: %d", status)
+		t.Errorf("id used again after the response: got status %d, want 200", status)
 	}
 }
 
-// At the limit on sockets an idle connection is closed for a new one; if none is idle, a
-// new client is rejected.
+// At the socket limit the proxy closes an idle connection for a new client. If none is idle,
+// it rejects the new client.
 func TestClientConnectionLimit(t *testing.T) {
 	t.Parallel()
 	hold, sent := make(chan struct{}), make(chan struct{}, 64)
@@ -375,27 +375,27 @@
 	b := newBackend(t, func(c net.Conn, _ *http.Request) { sent <- struct{}{}; <-hold; io.WriteString(c, okay) })
 	address := start(t, func(cfg *config.Config) {
 		cfg.Limits.Sockets = 64                   // 16 clients
-		cfg.Pools[0].Settings.Balancer.Tiers = 10 // the Balancer's limit is higher
+		cfg.Pools[0].Settings.Balancer.Tiers = 10 // keeps the Balancer's limit above it
 	}, b.endpoint("s1", 1))
 	ready := "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"
 	var idle []*client
 	for range 16 {
 		c := dial(t, address)
 		if status, _ := c.ask(ready); status != 200 {
-			t.Fatalf("answered %d", status)
+			t.Fatalf("got status %d, want 200", status)
 		}
 		idle = append(idle, c)
 	}
-	for range 16 { // each replaces an idle one
+	for range 16 { // each replaces an idle connection
 		io.WriteString(dial(t, address), request("read", 1_000_000))
 		await(t, sent, "a request at the endpoint")
 	}
 	for _, c := range idle {
 		if _, err := c.r.ReadByte(); err != io.EOF {
-			t.Fatalf("an idle connection was not closed: %v", err)
+			t.Fatalf("idle connection: got %v, want EOF", err)
 		}
 	}
 	if status, _ := dial(t, address).ask(request("read", 1_000_000)); status != 503 || b.requests.Load() != 16 {
-		t.Errorf("beyond the limit: %d, %d sent", status, b.requests.Load())
+		t.Errorf("beyond the limit: got status %d, %d requests sent; want 503 and 16", status, b.requests.Load())
 	}
 }
--- a/proxy/request_test.go
+++ b/proxy/request_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A table is drained once it is to be and its last request is gone, whichever comes first.
+// A table is drained once draining has been requested and the last request has been removed, in either order.
 func TestRequestTableDrainsWithItsLastRequest(t *testing.T) {
 	drained := func(table *requestTable) bool {
 		select {
@@ -14,31 +14,31 @@
 	}
 	empty := newRequestTable()
 	if empty.checkDrained(); drained(&empty) {
-		t.Error("drained without being asked to")
+		t.Error("table drained before drain was called")
 	}
 	if empty.drain(); !drained(&empty) {
-		t.Error("an empty table is not drained")
+		t.Error("empty table not drained")
 	}
-	empty.drain() // a second time is none
+	empty.drain() // repeated calls have no effect
 
 	table := newRequestTable()
 	one, two := &openRequest{}, &openRequest{}
 	table.add(one)
 	table.add(two)
 	if one.id == two.id || one.id == noTicket {
-		t.Errorf("ids %d and %d", one.id, two.id)
+		t.Errorf("got ids %d and %d, want distinct ids other than noTicket", one.id, two.id)
 	}
 	table.drain()
 	for i, r := range []*openRequest{one, two} {
 		if drained(&table) {
-			t.Errorf("drained with %d requests open", 2-i)
+			t.Errorf("table drained with %d requests open", 2-i)
 		}
 		if !table.remove(r.id) || table.remove(r.id) {
-			t.Error("a request is removed once")
+			t.Error("request was not removed exactly once")
 		}
 		table.checkDrained()
 	}
 	if !drained(&table) {
-		t.Error("not drained without requests")
+		t.Error("table not drained after its last request")
 	}
 }
--- a/proxy/sendguard_test.go
+++ b/proxy/sendguard_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Guards against sends to withdrawn endpoints that nobody notices: one later than the grace is counted and logged once,
-// whether it is a first attempt or a retry; none within the grace is.
+// A send to a withdrawn endpoint after the grace is counted and logged. Sends within the grace are not. Otherwise sends
+// against the rule would go unnoticed.
 func TestSendsAfterGraceAreCounted(t *testing.T) {
 	const grace = time.Second
 	log := new(lockedBuffer)
@@ -20,26 +20,26 @@
 	}
 	send(time.Hour)
 	guard.set(false, 7)
-	guard.set(false, 8) // by a later list: it was withdrawn before
+	guard.set(false, 8) // by a later list; the endpoint is already withdrawn
 	if guard.MaySend() {
-		t.Error("a withdrawn endpoint may be sent to")
+		t.Error("MaySend is true for a withdrawn endpoint")
 	}
 	send(grace / 2)
 	if count := check.violations.Load(); count != 0 {
-		t.Errorf("%d counted within the grace", count)
+		t.Errorf("got %d violations within the grace, want 0", count)
 	}
 	for range 3 {
 		send(2 * grace)
 	}
 	if count := check.violations.Load(); count != 3 {
-		t.Errorf("%d counted, want 3", count)
+		t.Errorf("got %d violations, want 3", count)
 	}
 	if lines := strings.Count(log.String(), "endpoint=s1 version=7"); lines != 2 {
-		t.Errorf("logged %d times, want the first and the second:\n%s", lines, log.String())
+		t.Errorf("got %d log lines, want 2, for the first and second send:\n%s", lines, log.String())
 	}
 	guard.set(true, 9)
 	send(2 * grace)
 	if !guard.MaySend() || check.violations.Load() != 3 {
-		t.Error("an endpoint that is back counts as withdrawn")
+		t.Error("endpoint that is ready again counts as withdrawn")
 	}
 }
