--- a/proxy/drainscale_test.go
+++ b/proxy/drainscale_test.go
@@ -18,40 +18,40 @@
 )
 
 const (
-	scaleEndpoints = 3200 // the most that a deployment has
+	scaleEndpoints = 3200 // the largest deployment
 	scaleProxies   = 3
 
-	// drainGrace is how long after it was told a proxy may send to what drains or is gone. A proxy that is held up
-	// between reading its clock and writing by holdUp has to keep it all the same.
+	// drainGrace is how long a proxy may send to a withdrawn endpoint after it has learnt of the change. It must hold
+	// even if the proxy is delayed by holdUp between reading its clock and writing.
 	drainGrace = time.Second
 	holdUp     = 150 * time.Millisecond
 
-	// sendsAfterChange is how long requests go on after the last change: as long as a proxy may not know of it, the grace
-	// and a while.
+	// sendsAfterChange is how long clients send requests after the last change: the longest time until a proxy must know
+	// of it, the grace and a margin.
 	sendsAfterChange = unseenChangeKnown + drainGrace + 2*time.Second
 
-	// moveKnown is when what an agent has counts as told after a reload that has moved the proxy to it.
+	// moveKnown is the delay after a reload moves a proxy to an agent until the proxy must know the agent's list.
 	moveKnown = 4 * time.Second
 
-	scaleSockets  = 200                   // of each proxy; the endpoints' ends are in the same process
+	scaleSockets  = 200                   // of each proxy; the endpoints' sockets are in the same process
 	scaleClients  = 4                     // of each proxy
 	clientPause   = 20 * time.Millisecond // between a client's requests
 	settlingPause = 300 * time.Millisecond
 )
 
-// drainScenario is some proxies before thousands of endpoints, of which many leave.
+// drainScenario describes proxies with thousands of endpoints, many of which are withdrawn.
 type drainScenario struct {
 	name   string
 	pushed bool
-	faults listFaults // of each list service from the start
-	// before happens before the proxies start, which know the list as it was before that.
+	faults listFaults // initial faults of each list service
+	// before runs before the proxies start. Their known list is the one before it ran.
 	before func(*endpointRegistry)
-	// play has endpoints withdrawn, and does what else happens.
-	play func(s *drainScene)
+	// play withdraws endpoints and causes the faults of the scenario.
+	play func(s *drainRun)
 }
 
-// drainScene is a scenario that is being played.
-type drainScene struct {
+// drainRun is a running scenario.
+type drainRun struct {
 	t        *testing.T
 	scenario drainScenario
 	farm     *endpointFarm
@@ -64,13 +64,13 @@
 	statuses map[int]int // of the responses
 }
 
-// Endpoints that drain or are gone get nothing new after the grace, however many are listed and whatever the discovery
-// service does to the list that tells of them.
+// Draining and gone endpoints get no new requests after the grace, with thousands of endpoints listed and with faults of
+// the discovery service that delivers the list.
 func TestDrainGraceWithThousandsOfEndpoints(t *testing.T) {
-	drainQuarter := func(s *drainScene) { s.registry.change(discovery.Terminating, everyNth(4)...) }
-	removeQuarter := func(s *drainScene) { s.registry.change(discovery.Gone, everyNth(4)...) }
-	resetWatches := func(s *drainScene) { s.each((*listService).resetAll) }
-	silenceWatches := func(s *drainScene) { s.each((*listService).silenceAll) }
+	drainQuarter := func(s *drainRun) { s.registry.change(discovery.Terminating, everyNth(4)...) }
+	removeQuarter := func(s *drainRun) { s.registry.change(discovery.Gone, everyNth(4)...) }
+	resetWatches := func(s *drainRun) { s.each((*listService).resetAll) }
+	silenceWatches := func(s *drainRun) { s.each((*listService).silenceAll) }
 	goDown := func(services []*listService) {
 		for _, service := range services {
 			service.goDown()
@@ -80,112 +80,112 @@
 		return listFaults{wholeFirst: true, indented: true, pieces: 20, piecePause: pause}
 	}
 	playDrainScenarios(t, []drainScenario{
-		{name: "asked, in force", play: drainQuarter},
-		{name: "pushed, in force", pushed: true, play: removeQuarter},
-		{name: "asked, whole list takes 2 s after a reset", faults: inPieces(100 * time.Millisecond), play: func(s *drainScene) {
+		{name: "polled, no faults", play: drainQuarter},
+		{name: "pushed, no faults", pushed: true, play: removeQuarter},
+		{name: "polled, whole list takes 2 s after a reset", faults: inPieces(100 * time.Millisecond), play: func(s *drainRun) {
 			resetWatches(s)
 			drainQuarter(s)
 		}},
-		{name: "pushed, whole list takes 0.5 s after a reset", pushed: true, faults: inPieces(25 * time.Millisecond), play: func(s *drainScene) {
+		{name: "pushed, whole list takes 0.5 s after a reset", pushed: true, faults: inPieces(25 * time.Millisecond), play: func(s *drainRun) {
 			resetWatches(s)
 			drainQuarter(s)
 		}},
-		{name: "asked, whole list leaves out what drains", faults: listFaults{wholeFirst: true, omitDraining: true, pieces: 20, piecePause: 100 * time.Millisecond}, play: func(s *drainScene) {
+		{name: "polled, whole list leaves out what drains", faults: listFaults{wholeFirst: true, omitDraining: true, pieces: 20, piecePause: 100 * time.Millisecond}, play: func(s *drainRun) {
 			drainQuarter(s)
 			resetWatches(s)
 		}},
-		{name: "asked, watches fall silent", play: func(s *drainScene) {
+		{name: "polled, watches fall silent", play: func(s *drainRun) {
 			silenceWatches(s)
 			drainQuarter(s)
 		}},
-		{name: "pushed, watches fall silent", pushed: true, faults: inPieces(10 * time.Millisecond), play: func(s *drainScene) {
+		{name: "pushed, watches fall silent", pushed: true, faults: inPieces(10 * time.Millisecond), play: func(s *drainRun) {
 			drainQuarter(s)
 			resetWatches(s)
 		}},
-		{name: "asked, crowded, reset between two calls of a watch", play: func(s *drainScene) {
+		{name: "polled, overloaded, reset between two calls of a watch", play: func(s *drainRun) {
 			s.awaitWatches()
 			s.each(func(service *listService) {
-				service.setFaults(func(f *listFaults) { f.crowded = true; f.resetBetween = true })
+				service.setFaults(func(f *listFaults) { f.overloaded = true; f.resetBetween = true })
 			})
-			s.registry.change(discovery.Terminating, 1) // each watch is answered
+			s.registry.change(discovery.Terminating, 1) // the service responds to each watch
 			time.Sleep(resetDelay / 3)
 			drainQuarter(s)
 		}},
-		{name: "asked, crowded after a reset", play: func(s *drainScene) {
+		{name: "polled, overloaded after a reset", play: func(s *drainRun) {
 			s.each(func(service *listService) {
 				service.setFaults(func(f *listFaults) { f.rejected = 3; f.rejectionDelay = 30 * time.Millisecond })
 				service.resetAll()
 			})
 			drainQuarter(s)
 		}},
-		{name: "asked, down and back", faults: inPieces(100 * time.Millisecond), play: func(s *drainScene) {
+		{name: "polled, down and back", faults: inPieces(100 * time.Millisecond), play: func(s *drainRun) {
 			s.each((*listService).goDown)
 			time.Sleep(3 * time.Second)
 			drainQuarter(s)
 			s.each((*listService).comeBack)
 		}},
-		{name: "pushed, down and back", pushed: true, faults: inPieces(10 * time.Millisecond), play: func(s *drainScene) {
+		{name: "pushed, down and back", pushed: true, faults: inPieces(10 * time.Millisecond), play: func(s *drainRun) {
 			s.each((*listService).goDown)
 			time.Sleep(3 * time.Second)
 			removeQuarter(s)
 			s.each((*listService).comeBack)
 		}},
-		{name: "asked, moved", faults: inPieces(100 * time.Millisecond), play: func(s *drainScene) {
+		{name: "polled, moved", faults: inPieces(100 * time.Millisecond), play: func(s *drainRun) {
 			s.moveServices(s.scenario.faults)
 			drainQuarter(s)
 		}},
-		{name: "pushed, moved", pushed: true, faults: inPieces(25 * time.Millisecond), play: func(s *drainScene) {
+		{name: "pushed, moved", pushed: true, faults: inPieces(25 * time.Millisecond), play: func(s *drainRun) {
 			s.moveServices(s.scenario.faults)
 			drainQuarter(s)
 		}},
-		{name: "asked, moved to a crowded service", play: func(s *drainScene) {
+		{name: "polled, moved to a overloaded service", play: func(s *drainRun) {
 			s.awaitWatches()
-			before := s.moveServices(listFaults{crowded: true, letsIn: 1, rejectionDelay: 15 * time.Millisecond})
+			before := s.moveServices(listFaults{overloaded: true, admittedFirst: 1, rejectionDelay: 15 * time.Millisecond})
 			time.Sleep(time.Second)
 			goDown(before)
 			time.Sleep(500 * time.Millisecond)
 			drainQuarter(s)
 		}},
-		{name: "asked, a crowded service at another address", play: func(s *drainScene) {
+		{name: "polled, a overloaded service at another address", play: func(s *drainRun) {
 			s.awaitWatches()
-			before := s.moveServices(listFaults{crowded: true, goesOn: true, rejectionDelay: 15 * time.Millisecond})
-			time.Sleep(2500 * time.Millisecond) // until each call that was out has been answered
+			before := s.moveServices(listFaults{overloaded: true, continuesWatches: true, rejectionDelay: 15 * time.Millisecond})
+			time.Sleep(2500 * time.Millisecond) // until the service has responded to each outstanding call
 			goDown(before)
 			drainQuarter(s)
 		}},
-		{name: "asked, whole list takes 4 s after a reset", faults: inPieces(200 * time.Millisecond), play: func(s *drainScene) {
+		{name: "polled, whole list takes 4 s after a reset", faults: inPieces(200 * time.Millisecond), play: func(s *drainRun) {
 			resetWatches(s)
 			drainQuarter(s)
 		}},
-		{name: "asked, new settings while the service is down", play: func(s *drainScene) {
+		{name: "polled, new settings while the service is down", play: func(s *drainRun) {
 			drainQuarter(s)
 			time.Sleep(2 * time.Second)
 			s.each((*listService).goDown)
 			s.changeSettings(func(*config.Config) {})
 		}},
-		{name: "asked, new settings before the first answer of a crowded service", faults: listFaults{
-			wholeFirst: true, pieces: 20, piecePause: 100 * time.Millisecond, crowded: true, letsIn: 1,
-		}, play: func(s *drainScene) {
+		{name: "polled, new settings before the first answer of a overloaded service", faults: listFaults{
+			wholeFirst: true, pieces: 20, piecePause: 100 * time.Millisecond, overloaded: true, admittedFirst: 1,
+		}, play: func(s *drainRun) {
 			drainQuarter(s)
 			s.awaitCalls()
 			s.changeSettings(func(*config.Config) {})
 		}},
-		{name: "asked, a pool renamed while the service is down", play: func(s *drainScene) {
+		{name: "polled, a pool renamed while the service is down", play: func(s *drainRun) {
 			drainQuarter(s)
 			time.Sleep(2 * time.Second)
 			s.each((*listService).goDown)
 			s.changeSettings(renamePool)
 		}},
-		{name: "asked, a pool renamed while the service is crowded", play: func(s *drainScene) {
+		{name: "polled, a pool renamed while the service is overloaded", play: func(s *drainRun) {
 			s.awaitWatches()
 			s.each(func(service *listService) {
-				service.setFaults(func(f *listFaults) { f.crowded = true })
+				service.setFaults(func(f *listFaults) { f.overloaded = true })
 			})
 			s.changeSettings(renamePool)
 			time.Sleep(500 * time.Millisecond)
 			drainQuarter(s)
 		}},
-		{name: "pushed, new settings while the service is slow", pushed: true, play: func(s *drainScene) {
+		{name: "pushed, new settings while the service is slow", pushed: true, play: func(s *drainRun) {
 			drainQuarter(s)
 			time.Sleep(2 * time.Second)
 			s.each(func(service *listService) {
@@ -193,18 +193,18 @@
 			})
 			s.changeSettings(func(*config.Config) {})
 		}},
-		{name: "asked, then pushed", faults: inPieces(25 * time.Millisecond), play: func(s *drainScene) {
+		{name: "polled, then pushed", faults: inPieces(25 * time.Millisecond), play: func(s *drainRun) {
 			s.awaitWatches()
-			s.turnToAgents()
+			s.switchToAgents()
 			drainQuarter(s)
 		}},
-		{name: "asked, a wholly new pool", faults: inPieces(100 * time.Millisecond), play: func(s *drainScene) {
+		{name: "polled, a wholly new pool", faults: inPieces(100 * time.Millisecond), play: func(s *drainRun) {
 			s.awaitWatches()
 			drainQuarter(s)
 			time.Sleep(time.Second)
 			s.replacePools(false)
 		}},
-		{name: "pushed, a wholly new pool", pushed: true, faults: inPieces(25 * time.Millisecond), play: func(s *drainScene) {
+		{name: "pushed, a wholly new pool", pushed: true, faults: inPieces(25 * time.Millisecond), play: func(s *drainRun) {
 			s.awaitWatches()
 			drainQuarter(s)
 			time.Sleep(time.Second)
@@ -213,8 +213,8 @@
 		{name: "pushed, withdrawn before the start", pushed: true, faults: inPieces(25 * time.Millisecond), before: func(registry *endpointRegistry) {
 			registry.change(discovery.Terminating, everyNth(4)...)
 			time.Sleep(2 * time.Second)
-		}, play: func(*drainScene) {}},
-		{name: "asked, one after another", play: func(s *drainScene) {
+		}, play: func(*drainRun) {}},
+		{name: "polled, one after another", play: func(s *drainRun) {
 			for _, endpoint := range everyNth(4) {
 				s.registry.change(discovery.Terminating, endpoint)
 				time.Sleep(time.Millisecond)
@@ -223,7 +223,7 @@
 	})
 }
 
-// playDrainScenarios plays scenarios side by side before the same endpoints.
+// playDrainScenarios runs scenarios in parallel with the same endpoints.
 func playDrainScenarios(t *testing.T, scenarios []drainScenario) {
 	t.Helper()
 	farm := newEndpointFarm(t, scaleEndpoints)
@@ -231,7 +231,7 @@
 		for i, scenario := range scenarios {
 			t.Run(scenario.name, func(t *testing.T) {
 				t.Parallel()
-				s := newDrainScene(t, scenario, farm)
+				s := newDrainRun(t, scenario, farm)
 				stopClients := s.startClients(fmt.Sprint(i))
 				s.awaitReady()
 				time.Sleep(settlingPause)
@@ -244,8 +244,8 @@
 	})
 }
 
-func newDrainScene(t *testing.T, scenario drainScenario, farm *endpointFarm) *drainScene {
-	s := &drainScene{t: t, scenario: scenario, farm: farm, registry: newEndpointRegistry(farm), statuses: make(map[int]int)}
+func newDrainRun(t *testing.T, scenario drainScenario, farm *endpointFarm) *drainRun {
+	s := &drainRun{t: t, scenario: scenario, farm: farm, registry: newEndpointRegistry(farm), statuses: make(map[int]int)}
 	known := s.registry.whole(false)
 	if scenario.before != nil {
 		scenario.before(s.registry)
@@ -273,8 +273,8 @@
 	return s
 }
 
-// awaitReady waits until all proxies serve.
-func (s *drainScene) awaitReady() {
+// awaitReady waits until all proxies are ready.
+func (s *drainRun) awaitReady() {
 	s.t.Helper()
 	for _, proxy := range s.proxies {
 		for deadline := time.Now().Add(testTimeout); proxy.Readiness() != nil; time.Sleep(10 * time.Millisecond) {
@@ -285,32 +285,32 @@
 	}
 }
 
-// awaitWatches waits until all proxies' watches have been answered once.
-func (s *drainScene) awaitWatches() {
+// awaitWatches waits until each list service has sent a response to its proxy.
+func (s *drainRun) awaitWatches() {
 	s.t.Helper()
 	for _, service := range s.services {
 		for deadline := time.Now().Add(testTimeout); service.answerCount() == 0; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(deadline) {
-				s.t.Fatal("a proxy does not watch its list")
+				s.t.Fatal("a proxy did not watch its list")
 			}
 		}
 	}
 }
 
 // awaitCalls waits until all proxies have called their service.
-func (s *drainScene) awaitCalls() {
+func (s *drainRun) awaitCalls() {
 	s.t.Helper()
 	for _, service := range s.services {
 		for deadline := time.Now().Add(testTimeout); service.callCount() == 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
-				s.t.Fatal("a proxy does not call its service")
+				s.t.Fatal("a proxy did not call its list service")
 			}
 		}
 	}
 }
 
-// each does something to each list service.
-func (s *drainScene) each(do func(*listService)) {
+// each calls do for each list service.
+func (s *drainRun) each(do func(*listService)) {
 	for _, service := range s.services {
 		do(service)
 	}
@@ -326,28 +326,28 @@
 	return endpoints
 }
 
-// moveServices has a reload move each proxy to another list service of the same registry, with faults of its own. It
-// returns those before.
-func (s *drainScene) moveServices(faults listFaults) (before []*listService) {
+// moveServices reloads each proxy with another list service of the same registry that has the given faults. It returns
+// the previous services.
+func (s *drainRun) moveServices(faults listFaults) (before []*listService) {
 	return s.replaceServices(faults, s.scenario.pushed, func(*config.Config) {})
 }
 
-// turnToAgents has a reload turn each proxy from a service that is asked to an agent.
-func (s *drainScene) turnToAgents() {
+// switchToAgents reloads each proxy to receive its list from an agent instead of polling a service.
+func (s *drainRun) switchToAgents() {
 	s.replaceServices(s.scenario.faults, true, func(cfg *config.Config) {
 		cfg.Pools[0].Settings.PushedDiscovery = true
 		cfg.Pools[0].Settings.Balancer.Subscribe = false
 	})
 }
 
-// replacePools has a reload replace each proxy's pool by one of another name at another service, which follows none.
-func (s *drainScene) replacePools(pushed bool) {
+// replacePools reloads each proxy with a pool of another name at another list service.
+func (s *drainRun) replacePools(pushed bool) {
 	s.replaceServices(s.scenario.faults, pushed, renamePool)
 }
 
-// replaceServices has a reload give each proxy another list service of the same registry and a further change. It
-// returns the services before.
-func (s *drainScene) replaceServices(
+// replaceServices reloads each proxy with another list service of the same registry and a further change. It returns
+// the previous services.
+func (s *drainRun) replaceServices(
 	faults listFaults, pushed bool, change func(*config.Config),
 ) (before []*listService) {
 	before = slices.Clone(s.services)
@@ -369,15 +369,14 @@
 	return before
 }
 
-// renamePool gives the pool another name.
 func renamePool(cfg *config.Config) {
 	cfg.Pools[0].Name = "renamed"
 	cfg.Routes[0].Pool = "renamed"
 }
 
-// changeSettings has a reload bring a setting into force with which a pool can't go on, and a further change: a new pool
-// takes its place.
-func (s *drainScene) changeSettings(change func(*config.Config)) {
+// changeSettings reloads each proxy with a further change and a setting that a pool cannot take over: a new pool replaces
+// the old one.
+func (s *drainRun) changeSettings(change func(*config.Config)) {
 	for i, proxy := range s.proxies {
 		cfg := s.configs[i]
 		cfg.Pools = slices.Clone(cfg.Pools)
@@ -391,8 +390,8 @@
 	}
 }
 
-// startClients has each proxy sent requests until stop is called, which waits for the last response.
-func (s *drainScene) startClients(scenario string) (stop func()) {
+// startClients sends requests to each proxy until stop is called. stop waits for the last response.
+func (s *drainRun) startClients(scenario string) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var clients sync.WaitGroup
 	for i, proxy := range s.proxies {
@@ -407,7 +406,7 @@
 }
 
 // sendRequests sends one request after another on one connection.
-func (s *drainScene) sendRequests(ctx context.Context, address, path string) {
+func (s *drainRun) sendRequests(ctx context.Context, address, path string) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		s.t.Error(err)
@@ -432,8 +431,9 @@
 	}
 }
 
-// check compares what arrived at the endpoints with what the list services told, and wants nothing after the grace.
-func (s *drainScene) check(scenario string) {
+// check fails the test if a withdrawn endpoint got a request later than the grace after its proxy had to know of the
+// withdrawal.
+func (s *drainRun) check(scenario string) {
 	withdrawn := s.registry.withdrawn()
 	breaks, requests := 0, 0
 	var worst time.Duration
@@ -444,22 +444,22 @@
 			if !bound {
 				continue
 			}
-			late := arrived.at.Sub(service.told(change)) - (drainGrace - holdUp)
+			late := arrived.at.Sub(service.knownAt(change)) - (drainGrace - holdUp)
 			if late > 0 {
 				breaks++
 				worst = max(worst, late)
-				s.t.Logf("proxy %d, endpoint %d: told %v after the change, sent %v after it", i, arrived.endpoint,
-					service.told(change).Sub(change.changedAt), arrived.at.Sub(change.changedAt))
+				s.t.Logf("proxy %d, endpoint %d: change known after %v, request received after %v", i, arrived.endpoint,
+					service.knownAt(change).Sub(change.changedAt), arrived.at.Sub(change.changedAt))
 				if breaks == 1 {
-					s.t.Logf("its services, from the change on: %s", service.exchanges(change.changedAt))
+					s.t.Logf("exchanges of its list services, relative to the change: %s", service.exchanges(change.changedAt))
 				}
 			}
 		}
 	}
 	if breaks > 0 {
-		s.t.Errorf("%d of %d requests went to withdrawn endpoints after the grace, up to %v late", breaks, requests, worst)
+		s.t.Errorf("%d of %d requests reached withdrawn endpoints after the grace, up to %v late; want none", breaks, requests, worst)
 	}
 	if s.statuses[http.StatusOK] < requests*9/10 || requests == 0 {
-		s.t.Errorf("%d requests arrived, answered %v", requests, s.statuses)
+		s.t.Errorf("%d requests reached endpoints, statuses %v; want some, and 200 for at least nine tenths of them", requests, s.statuses)
 	}
 }
--- a/proxy/drainsoak_test.go
+++ b/proxy/drainsoak_test.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	drawnScenarios = 4 // without RYERILL_SLOW
-	slowScenarios  = 32
-	drawnEvents    = 6 // of each scenario
+	defaultScenarios  = 4 // without RYERILL_SLOW
+	slowScenarios     = 32
+	eventsPerScenario = 6 // of each scenario
 
-	// envDrainSeed states the seed of the first drawn scenario, to play one again.
+	// envDrainSeed sets the seed of the first scenario, to reproduce a failure.
 	envDrainSeed = "RYERILL_DRAIN_SEED"
 )
 
-// Endpoints that drain or are gone get nothing new after the grace, whatever is drawn to happen to discovery meanwhile.
-// The name of a scenario is its seed.
-func TestDrainGraceUnderDrawnFaults(t *testing.T) {
+// Draining and gone endpoints get no new requests after the grace while random faults of discovery occur. The name of a
+// scenario is its seed.
+func TestDrainGraceWithRandomFaults(t *testing.T) {
 	first, err := strconv.ParseUint(os.Getenv(envDrainSeed), 10, 64)
 	if err != nil {
 		first = 1
 	}
-	count := drawnScenarios
+	count := defaultScenarios
 	if os.Getenv("RYERILL_SLOW") != "" {
 		count = slowScenarios
 	}
 	var scenarios []drainScenario
 	for i := range uint64(count) {
-		scenarios = append(scenarios, drawScenario(first+i))
+		scenarios = append(scenarios, randomScenario(first+i))
 	}
 	playDrainScenarios(t, scenarios)
 }
 
-// drawScenario draws what happens from a seed.
-func drawScenario(seed uint64) drainScenario {
+// randomScenario returns the scenario of a seed.
+func randomScenario(seed uint64) drainScenario {
 	random := rand.New(rand.NewPCG(seed, 0))
 	pushed := random.IntN(2) == 0
 	faults := listFaults{
@@ -50,32 +50,32 @@
 		pieces:       1 + random.IntN(20),
 		piecePause:   time.Duration(random.IntN(15)) * time.Millisecond, // an agent's list takes 0.3 s at most
 	}
-	events := []func(*drainScene){
-		func(s *drainScene) { s.each((*listService).resetAll) },
-		func(s *drainScene) {
+	events := []func(*drainRun){
+		func(s *drainRun) { s.each((*listService).resetAll) },
+		func(s *drainRun) {
 			s.each((*listService).goDown)
 			time.Sleep(500 * time.Millisecond)
 			s.each((*listService).comeBack)
 		},
-		func(s *drainScene) {
+		func(s *drainRun) {
 			s.each(func(service *listService) {
 				service.setFaults(func(f *listFaults) { f.rejected = 3 })
 				service.resetAll()
 			})
 		},
-		func(s *drainScene) { s.moveServices(s.scenario.faults) },
-		func(s *drainScene) { s.changeSettings(func(*config.Config) {}) },
+		func(s *drainRun) { s.moveServices(s.scenario.faults) },
+		func(s *drainRun) { s.changeSettings(func(*config.Config) {}) },
 	}
-	if !pushed { // an agent's silence has rules of its own, which the account of a list service lacks
+	if !pushed { // listService does not model the rules for a silent agent
 		faults.piecePause *= 5
-		events = append(events, func(s *drainScene) { s.each((*listService).silenceAll) })
+		events = append(events, func(s *drainRun) { s.each((*listService).silenceAll) })
 	}
 	return drainScenario{
 		name:   fmt.Sprint("seed ", seed),
 		pushed: pushed,
 		faults: faults,
-		play: func(s *drainScene) {
-			for part := range drawnEvents {
+		play: func(s *drainRun) {
+			for part := range eventsPerScenario {
 				events[random.IntN(len(events))](s)
 				s.withdrawPart(random, part)
 				time.Sleep(time.Duration(random.IntN(1200)) * time.Millisecond)
@@ -84,10 +84,10 @@
 	}
 }
 
-// withdrawPart has one of so many parts of the endpoints drain or go, as the events of a drawn scenario are counted.
-func (s *drainScene) withdrawPart(random *rand.Rand, part int) {
+// withdrawPart sets one part of the endpoints, by the number of the event, to draining or gone.
+func (s *drainRun) withdrawPart(random *rand.Rand, part int) {
 	var endpoints []int
-	for i := part; i < scaleEndpoints; i += 2 * drawnEvents {
+	for i := part; i < scaleEndpoints; i += 2 * eventsPerScenario {
 		endpoints = append(endpoints, i)
 	}
 	status := discovery.Terminating
