--- a/fleet/membership/bounds_test.go
+++ b/fleet/membership/bounds_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Beyond the greatest number of members a new one is refused, counted and reported; those that are known go on.
-func TestMembersBeyondTheBoundAreRefused(t *testing.T) {
+// A full table drops new members, and counts and reports them. Known members are still updated.
+func TestFullTableDropsNewMembers(t *testing.T) {
 	const most = 8
 	l := New(Config{Name: "a", MaxMembers: most, Tags: Tags{Address: "a"}})
 	l.Handle(0, Event{Kind: Start}, nil)
@@ -25,16 +25,16 @@
 		}
 	}
 	if n := len(l.Members()); n != most+1 || l.Stats.TableFull != 3 || reported != 3 {
-		t.Errorf("%d members with itself, %d refused, %d reported", n, l.Stats.TableFull, reported)
+		t.Errorf("got %d members including the local one, %d drops counted, %d reported; want 9, 3, 3", n, l.Stats.TableFull, reported)
 	}
 	l.Handle(0, gossipFrom(sender, recordOf(1, 2)), nil)
 	if r, _ := l.Find("m1"); r.Epoch != 2 {
-		t.Errorf("a restart of one that is known: %+v", r)
+		t.Errorf("restart of a known member: got record %+v, want epoch 2", r)
 	}
 }
 
-// Of more updates than the queue holds the one that was sent most often is dropped, never the latest.
-func TestFullQueueDropsWhatWasSentMostOften(t *testing.T) {
+// A full queue drops the update that was sent most often, never the newest.
+func TestFullQueueDropsMostSentUpdate(t *testing.T) {
 	var q updateQueue
 	for i := range maxQueuedUpdates {
 		q.push(update(fmt.Sprint("m", i), Alive))
@@ -46,36 +46,35 @@
 	mostSent := q.entries[len(q.entries)-1].Name
 	q.push(update("latest", Dead))
 	if len(q.entries) != maxQueuedUpdates || q.entries[0].Name != "latest" {
-		t.Errorf("%d updates, the first is %s", len(q.entries), q.entries[0].Name)
+		t.Errorf("got %d updates starting with %s, want maxQueuedUpdates starting with latest", len(q.entries), q.entries[0].Name)
 	}
 	for _, u := range q.entries {
 		if u.Name == mostSent {
-			t.Errorf("%s is still queued", mostSent)
+			t.Errorf("update of %s, which was sent most often, is still queued", mostSent)
 		}
 	}
 }
 
-// Indirect probes for others are bounded, and end.
-func TestIndirectProbesForOthersAreBounded(t *testing.T) {
-	l := newStarted(t)
+// The number of relayed probes is bounded, and they expire.
+func TestRelaysAreBoundedAndExpire(t *testing.T) {
+	l := newStartedList(t)
 	requester := State{Name: "b", Epoch: 5, Incarnation: 1, Status: Alive}
 	for seq := range uint32(2 * maxRelays) {
 		request := &Message{Kind: PingReq, Seq: seq, From: requester, Target: "b"}
 		l.Handle(0, Event{Kind: MessageReceived, Message: request, From: "b"}, nil)
 	}
 	if n := len(l.relays); n != maxRelays {
-		t.Errorf("%d probes for others, want %d", n, maxRelays)
+		t.Errorf("got %d relays, want %d", n, maxRelays)
 	}
 	for now := time.Duration(0); now < 5*time.Second; now += 50 * time.Millisecond {
 		l.Handle(now, Event{Kind: Tick}, nil)
 	}
 	if n := len(l.relays); n != 0 {
-		t.Errorf("%d probes for others do not end", n)
+		t.Errorf("got %d relays after 5 s, want 0", n)
 	}
 }
 
-// Members that others consider dead are asked to refute a number at a time, and no more than a bound wait for that; the
-// others come with a later synchronization.
+// The queue of disputed deaths is bounded; a later synchronization raises the dropped disputes again.
 func TestDisputedDeathsAreBounded(t *testing.T) {
 	l := New(Config{Name: "a", Tags: Tags{Address: "a"}})
 	l.Handle(0, Event{Kind: Start}, nil)
@@ -91,15 +90,15 @@
 	view := &Message{Kind: SyncRequest, From: alive[0].State, Updates: dead}
 	l.Handle(0, Event{Kind: SyncRequested, Message: view}, nil)
 	if waiting := len(l.gossiper.disputes); waiting > maxDisputes || waiting < maxDisputes-disputesPerGossip {
-		t.Errorf("%d are waiting, and %d may", waiting, maxDisputes)
+		t.Errorf("got %d queued disputes, want at most %d and at most disputesPerGossip fewer", waiting, maxDisputes)
 	}
 	if _, _, dead := l.Count(); dead != 0 {
-		t.Errorf("%d are held for dead since another says so", dead)
+		t.Errorf("got %d dead members on the word of another, want 0", dead)
 	}
 }
 
-// Tags that exceed their bounds are cut by who announces them: others would refuse the record.
-func TestTagsAreCutToTheirBounds(t *testing.T) {
+// A member truncates its own tags that exceed the bounds, since other members would reject its record.
+func TestBoundTruncatesTags(t *testing.T) {
 	long := strings.Repeat("x", MaxName+1)
 	for name, tags := range map[string]Tags{
 		"an address":     {Address: long},
@@ -112,36 +111,36 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if tags.valid() {
-				t.Error("others accept them as they are")
+				t.Error("tags beyond the bounds are valid, want invalid")
 			}
 			if cut := tags.Bound(); !cut || !tags.valid() {
-				t.Errorf("cut %v, %+v", cut, tags)
+				t.Errorf("Bound: got cut %v and tags %+v, want true and valid tags", cut, tags)
 			}
 			if tags.Bound() {
-				t.Error("cut again")
+				t.Error("second Bound: got cut true, want false")
 			}
 		})
 	}
 }
 
-// A neighbour that suspects a member in vain waits ever longer until it suspects it again, up to a bound.
-func TestRefutedSuspicionsAreBackedOff(t *testing.T) {
+// Each refuted suspicion doubles the time until the next local suspicion, up to a bound.
+func TestRefutedSuspicionsBackOff(t *testing.T) {
 	var m member
 	for i, want := range []time.Duration{1, 2, 4, 8, 16, 32, 32, 32} {
 		m.recordFalseSuspicion(time.Minute)
 		if got := m.localSuspicionBlockedUntil - time.Minute; got != want*time.Second {
-			t.Errorf("after refutation %d: %v, want %v", i+1, got, want*time.Second)
+			t.Errorf("after refutation %d: got backoff %v, want %v", i+1, got, want*time.Second)
 		}
 	}
 	m.startEpoch()
 	if m.localSuspicionBlockedUntil != 0 || m.falseSuspicions != 0 {
-		t.Error("its next process inherits them")
+		t.Error("after a restart: backoff or false suspicions remain, want both reset")
 	}
 }
 
-// Whoever declares a member dead says who suspected it and who confirmed that.
-func TestReasonOfADeathNamesWhoSuspected(t *testing.T) {
-	l := newStarted(t)
+// The reason of a death names the members that suspected the dead one, in order.
+func TestDeathReasonNamesReporters(t *testing.T) {
+	l := newStartedList(t)
 	for _, name := range []string{"c", "d", "e"} {
 		known := Record{State: State{Name: name, Epoch: 1, Status: Alive}, Tags: &Tags{Address: name}}
 		l.Handle(0, gossipFrom(State{Name: "c", Epoch: 1, Status: Alive}, known), nil)
@@ -155,11 +154,11 @@
 		for _, action := range l.Handle(now, Event{Kind: Tick}, nil) {
 			if action.Kind == MemberChanged && action.Record.Name == "b" && action.Record.Status == Dead {
 				if want := "suspected by d, e, c, did not refute"; action.Reason != want {
-					t.Errorf("%q, want %q", action.Reason, want)
+					t.Errorf("got reason %q, want %q", action.Reason, want)
 				}
 				return
 			}
 		}
 	}
-	t.Error("it is not declared dead")
+	t.Error("b was not declared dead within 10 s")
 }
--- a/fleet/membership/config.go
+++ b/fleet/membership/config.go
@@ -5,20 +5,20 @@
 // Config configures a List.
 type Config struct {
 	Name  string
-	Epoch uint64 // greater than that of any earlier start; 0 is not allowed
-	Seed  uint64 // of the random numbers
+	Epoch uint64 // must exceed the epoch of every earlier start; must not be 0
+	Seed  uint64 // seeds the random numbers
 	Tags  Tags
-	Seeds []string // addresses where a member may be found
+	Seeds []string // addresses of possible members, to join through
 
-	ProbeInterval        time.Duration // between probes, in good health
-	ProbeTimeout         time.Duration // shortest wait for an ack before indirect probes
-	MaxMembers           int           // members that are kept track of
-	GossipBytesPerSecond int           // bytes of updates that may be sent a second
-	IndirectProbes       int           // members that are asked to probe one that does not answer
+	ProbeInterval        time.Duration // between probes at local health 0
+	ProbeTimeout         time.Duration // minimum wait for an ack before indirect probes are requested
+	MaxMembers           int           // maximum number of other members tracked
+	GossipBytesPerSecond int           // maximum byte rate of updates sent
+	IndirectProbes       int           // members asked to probe a member that did not answer
 }
 
-// Defaults of a Config. With 1,000 members one that dies is pinged within 4.6
-// intervals in 99 of 100 cases, and all members are to know of it within 3 s.
+// Defaults of a Config. In a fleet of 1,000 members, a member that dies is pinged within
+// 4.6 intervals in 99 of 100 cases; the goal is that all members learn of it within 3 s.
 const (
 	DefaultProbeInterval        = 200 * time.Millisecond
 	DefaultProbeTimeout         = 60 * time.Millisecond
@@ -27,8 +27,8 @@
 	DefaultIndirectProbes       = 4
 )
 
-// complete sets what is missing to the defaults.
-func (c *Config) complete() {
+// setDefaults replaces unset fields with their defaults and truncates the tags to their bounds.
+func (c *Config) setDefaults() {
 	setDefault(&c.ProbeInterval, DefaultProbeInterval)
 	setDefault(&c.ProbeTimeout, DefaultProbeTimeout)
 	setDefault(&c.MaxMembers, DefaultMaxMembers)
--- a/fleet/membership/doc.go
+++ b/fleet/membership/doc.go
@@ -5,16 +5,16 @@
 // Health Awareness for More Accurate Failure Detection", 2018).
 //
 // It is a pure state machine: a [List] takes one event and its time, and returns
-// the actions that its host carries out. It has no clock, socket, goroutine or
-// global, and draws random numbers from a seed.
+// the actions that its host must carry out. It uses no clock, socket, goroutine or
+// global variable, and draws random numbers from a seeded source.
 //
-// A List is composed of types with one concern each:
+// A List combines these types:
 //
-//   - memberTable: the known members, the order in which they are probed, and the dead ones
-//   - viewDigest: the digest by which members compare what they know
-//   - prober: the probe under way, its timeouts and the local health that scales them
-//   - relays: pings that this member sends for others
-//   - suspectList: the suspicions under way and when they time out
-//   - gossiper: updates that wait to be disseminated, within a rate of bytes
+//   - memberTable: the known members by status, and the order in which they are probed
+//   - viewDigest: the digest by which members compare their views
+//   - prober: the probe in progress, its timeouts and the local health that scales them
+//   - relays: indirect probes that this member runs for others
+//   - suspectList: the suspected members and when their suspicions time out
+//   - gossiper: updates queued for dissemination, limited to a byte rate
 //   - syncer: push/pull synchronization with a member whose digest differs
 package membership
--- a/fleet/membership/event.go
+++ b/fleet/membership/event.go
@@ -7,28 +7,28 @@
 
 // The kinds of event.
 const (
-	// Restore hands over Records, the members that were known before a restart. It comes before Start.
+	// Restore passes Records, the members known before a restart. It must precede Start.
 	Restore EventKind = iota + 1
 	// Start begins probing and gossip.
 	Start
-	// Tick signals that the time that List.NextTick returned has come.
+	// Tick signals that the time returned by List.NextTick has been reached.
 	Tick
-	// MessageReceived hands over Message, a datagram that came from the address From.
+	// MessageReceived passes Message, a datagram received from the address From.
 	MessageReceived
-	// SyncRequested hands over Message, with which another member began the synchronization Exchange. The
-	// reply is among the actions.
+	// SyncRequested passes Message, the request of the synchronization Exchange that another member started.
+	// Handle returns the response as a Reply action.
 	SyncRequested
-	// SyncAnswered hands over Message, the response in the synchronization Exchange that was started here.
+	// SyncAnswered passes Message, the response in the synchronization Exchange that this member started.
 	SyncAnswered
-	// SyncFinished hands over Message, the last one of a synchronization that another member began.
+	// SyncFinished passes Message, the final message of a synchronization that another member started.
 	SyncFinished
-	// SyncFailed reports that the synchronization Exchange that was started here failed.
+	// SyncFailed reports that the synchronization Exchange that this member started failed.
 	SyncFailed
-	// SetTags replaces what this member announces by Tags.
+	// SetTags replaces the tags that this member announces with Tags.
 	SetTags
-	// Leave announces that this member leaves for good.
+	// Leave announces that this member leaves the fleet permanently.
 	Leave
-	// Forget declares the dead member Name to be gone for good, on behalf of an operator.
+	// Forget marks the dead member Name as left, at an operator's request.
 	Forget
 )
 
@@ -36,8 +36,8 @@
 type Event struct {
 	Kind     EventKind
 	Message  *Message
-	From     string // address that a datagram came from
-	Exchange uint64 // identifies a synchronization to the member that started it
+	From     string // source address of a datagram
+	Exchange uint64 // ID that the starting member gave the synchronization
 	Tags     Tags
 	Name     string
 	Records  []Record
@@ -54,38 +54,38 @@
 	StartSync
 	// Reply sends Message over the connection of the synchronization that the event belongs to.
 	Reply
-	// MemberChanged reports that a member's record is now Record, that its status was PreviousStatus, and the
-	// Reason.
+	// MemberChanged reports a member's new Record, its PreviousStatus and the Reason of the change.
 	MemberChanged
-	// Displaced reports that another process of this member's name started later, with Record: this one is not
-	// part of the fleet any more.
+	// Displaced reports that a later process uses this member's name, with Record: this process is no longer
+	// part of the fleet.
 	Displaced
-	// NameConflict reports that a process still sends that was replaced by a later one of its name, with Record.
+	// NameConflict reports that a process still sends messages although a later process of its name, with
+	// Record, has replaced it.
 	NameConflict
-	// TableFull reports that the new member of Record was dropped, since MaxMembers are known.
+	// TableFull reports that the new member of Record was dropped because MaxMembers are already known.
 	TableFull
-	// Stalled reports that this process was stopped or starved for the duration Wait.
+	// Stalled reports that this process was suspended or got no CPU time for the duration Wait.
 	Stalled
 )
 
-// Action is what the host is to do, or to report.
+// Action is an output of a List: an operation for the host to carry out, or a report.
 type Action struct {
 	Kind           ActionKind
-	Name           string // empty where only the address is known
+	Name           string // empty if only the address is known
 	Address        string
 	Message        *Message
 	Exchange       uint64
 	Record         Record
 	PreviousStatus Status // 0 if the member was not known
-	Reason         string // for logs, save ReasonRestarted
+	Reason         string // for logs; callers may only compare it with ReasonRestarted
 	Wait           time.Duration
 }
 
-// ReasonRestarted is the Reason of a MemberChanged action if the member is another
-// process than the one that was known.
+// ReasonRestarted is the Reason of a MemberChanged action if a new process has replaced
+// the known process of the member.
 const ReasonRestarted = "restarted"
 
-// The other reasons that don't name a member.
+// The other fixed reasons.
 const (
 	reasonDiscovered = "discovered"
 	reasonForgotten  = "forgotten by an operator"
@@ -102,8 +102,8 @@
 	Refuted        uint64 `json:"Refuted"`   // refutations by this member
 	Stalls         uint64 `json:"Stalls"`
 	Exchanges      uint64 `json:"Exchanges"`  // synchronizations that this member started
-	InvalidRecords uint64 `json:"BadRecords"` // that can't be true
-	TableFull      uint64 `json:"NoRoom"`     // new members that were dropped
-	Stale          uint64 `json:"Stale"`      // records that were not newer than the known one
-	NameConflicts  uint64 `json:"Twins"`      // messages of processes that a later one of their name replaced
+	InvalidRecords uint64 `json:"BadRecords"` // records that failed validation
+	TableFull      uint64 `json:"NoRoom"`     // new members dropped because MaxMembers were known
+	Stale          uint64 `json:"Stale"`      // records not newer than the known record
+	NameConflicts  uint64 `json:"Twins"`      // messages from processes that a later process of their name had replaced
 }
--- a/fleet/membership/explore_test.go
+++ b/fleet/membership/explore_test.go
@@ -12,9 +12,9 @@
 	"ryerill/lab/modelcheck/mutant"
 )
 
-// trio is three members, each with a clock of its own, and the messages in transit.
-// Whatever the order in which messages arrive and clocks advance, with one restart, one
-// departure and one forgotten member: all of it is a move.
+// trio is a model of three members with separate clocks and the messages in transit. Its
+// moves deliver or lose messages in any order, advance a clock, restart one member, have
+// one leave and have one forgotten.
 type trio struct {
 	members     []*List
 	now         []time.Duration
@@ -22,9 +22,9 @@
 	restarts    int
 	departures  int
 	forgotten   bool
-	partitioned bool // isolated has no connection to the others
+	partitioned bool // the member at index isolated is cut off
 	isolated    int
-	broken      error
+	violation   error
 }
 
 type packet struct {
@@ -35,7 +35,7 @@
 }
 
 const (
-	maxInTransit = 3 // packets; of more the oldest are lost
+	maxInTransit = 3 // packets; beyond it the oldest are lost
 	maxRestarts  = 1
 )
 
@@ -46,7 +46,7 @@
 	for i := range 3 {
 		s.members = append(s.members, s.member(i, 1))
 	}
-	for i, l := range s.members { // they know each other already
+	for i, l := range s.members { // all start with full views
 		for j := range s.members {
 			if i != j {
 				record := s.members[j].self
@@ -66,13 +66,13 @@
 
 func (s *trio) member(i int, epoch uint64) *List {
 	cfg := Config{Name: name(i), Epoch: epoch, Seed: 7, Tags: Tags{Address: name(i), Phase: Serving}}
-	if i == 0 || epoch > 1 { // the others know each other, and must find each other again by that
+	if i == 0 || epoch > 1 { // the other two must reconnect without seeds
 		cfg.Seeds = []string{name((i + 1) % 3)}
 	}
 	return New(cfg)
 }
 
-// handle hands an event over and checks what must hold at every step.
+// handle passes an event to member i and checks the invariants of each step.
 func (s *trio) handle(i int, event Event) {
 	l := s.members[i]
 	before := snapshotOf(l)
@@ -96,11 +96,11 @@
 		digest ^= m.hash()
 	}
 	if digest != l.view.value {
-		s.fail("%s: its digest is not that of what it knows", l.self.Name)
+		s.fail("%s: view digest differs from the digest of its records", l.self.Name)
 	}
 }
 
-// snapshot is what a member knew before an event.
+// snapshot is a copy of a member's view before an event.
 type snapshot struct {
 	self       Record
 	records    map[string]Record
@@ -134,22 +134,22 @@
 	}
 }
 
-// at returns the index of the member of an address; -1 if there is none.
+// at returns the index of the member with an address, or -1 if there is none.
 func (s *trio) at(address string) int {
 	return slices.IndexFunc(s.members, func(l *List) bool { return l.self.Tags.Address == address })
 }
 
-// fail keeps the first violation.
+// fail records the first violation.
 func (s *trio) fail(format string, args ...any) {
-	if s.broken == nil {
-		s.broken = fmt.Errorf(format, args...)
+	if s.violation == nil {
+		s.violation = fmt.Errorf(format, args...)
 	}
 }
 
 func (s *trio) checkSelf(l *List, before *snapshot, suspected bool) {
 	self := &before.self
 	if l.self.Epoch == self.Epoch && l.self.Incarnation < self.Incarnation || l.self.Epoch < self.Epoch {
-		s.fail("%s: its own incarnation went back", l.self.Name)
+		s.fail("%s: its own epoch or incarnation decreased", l.self.Name)
 	}
 	refuted := l.self.Incarnation > self.Incarnation || l.self.Epoch != self.Epoch
 	if suspected && !refuted && !l.displaced && self.Status != Left {
@@ -164,17 +164,17 @@
 	}
 	actual := s.members[name[0]-'a'].self
 	if m.Epoch > actual.Epoch || m.Epoch == actual.Epoch && m.Incarnation > actual.Incarnation {
-		s.fail("%s holds %s for %v, which it never announced: it is %v", l.self.Name, name, m.State, actual.State)
+		s.fail("%s has a record of %s with state %v, newer than its actual state %v", l.self.Name, name, m.State, actual.State)
 	}
 	if known && old.Status == Left && m.Status != Left && m.Epoch == old.Epoch {
-		s.fail("%s: %s is back in the epoch that it had left", l.self.Name, name)
+		s.fail("%s: %s is no longer left, in the same epoch", l.self.Name, name)
 	}
 	if m.Status == Left && m.Epoch == actual.Epoch && actual.Status != Left && !s.forgotten {
-		s.fail("%s holds %s for left, which it never announced", l.self.Name, name)
+		s.fail("%s has a record of %s as left, although it never left", l.self.Name, name)
 	}
 }
 
-// checkDeclaredDead checks a member that l itself may have declared dead at a tick.
+// checkDeclaredDead checks that l declares a member dead at a tick only after the minimum suspicion.
 func (s *trio) checkDeclaredDead(l *List, name string, m *member, before *snapshot, now time.Duration) {
 	old, known := before.records[name]
 	if !known || m.Status != Dead || old.Status == Dead || m.ReportedBy != l.self.Name {
@@ -182,17 +182,17 @@
 	}
 	suspicion, suspected := before.suspicions[name]
 	if !suspected || now-suspicion.startedAt < suspicion.min {
-		s.fail("%s declared %s dead without a suspicion that lasted long enough", l.self.Name, name)
+		s.fail("%s declared %s dead before the minimum suspicion ended", l.self.Name, name)
 	}
 }
 
 func (s *trio) checkTable(l *List, name string, m *member) {
 	if (m.suspicion != nil) != (m.Status == Suspect) {
-		s.fail("%s: %s is %v, and suspected: %v", l.self.Name, name, m.Status, m.suspicion != nil)
+		s.fail("%s: %s has status %v and a suspicion: %v", l.self.Name, name, m.Status, m.suspicion != nil)
 	}
 	index := slices.Index(l.members.reachable, m)
 	if (index >= 0) != (m.Status == Alive || m.Status == Suspect) || index >= 0 && m.index != index {
-		s.fail("%s: %s is %v, and at %d of the reachable", l.self.Name, name, m.Status, index)
+		s.fail("%s: %s has status %v and is at %d in reachable, which contradicts its status or index", l.self.Name, name, m.Status, index)
 	}
 }
 
@@ -206,8 +206,8 @@
 	}
 }
 
-// Moves returns the possible moves: each packet arrives or is lost, each member's time
-// passes until its next tick, one restarts, one leaves, one is forgotten.
+// Moves returns the possible moves: each packet arrives or is lost, each clock advances to
+// the member's next tick, c restarts, b leaves, a forgets c.
 func (s *trio) Moves() (moves []string) {
 	for i, p := range s.transit {
 		moves = append(moves, fmt.Sprintf("%d arrives: %s to %s %v", i, name(p.from), name(p.to), p.message.Kind),
@@ -223,12 +223,12 @@
 		moves = append(moves, "b leaves")
 	}
 	if s.forgettable() {
-		moves = append(moves, "an operator has a forget c")
+		moves = append(moves, "a forgets c")
 	}
 	return moves
 }
 
-// forgettable reports whether an operator may have a forget c.
+// forgettable reports whether a forgetting c is a possible move.
 func (s *trio) forgettable() bool {
 	return !s.forgotten && s.members[0].members.byName["c"].Status == Dead
 }
@@ -238,7 +238,7 @@
 	if s.forgettable() && move == len(s.Moves())-1 {
 		s.forgotten = true
 		s.handle(0, Event{Kind: Forget, Name: "c"})
-		return s.broken
+		return s.violation
 	}
 	if move < 2*len(s.transit) {
 		p := s.transit[move/2]
@@ -246,7 +246,7 @@
 		if move%2 == 0 {
 			s.deliver(p)
 		}
-		return s.broken
+		return s.violation
 	}
 	switch move -= 2 * len(s.transit); {
 	case move < 3:
@@ -262,15 +262,15 @@
 		s.departures++
 		s.handle(1, Event{Kind: Leave})
 	}
-	return s.broken
+	return s.violation
 }
 
 func (s *trio) deliver(p packet) {
 	s.handle(p.to, Event{Kind: p.event, Message: p.message, Exchange: p.exchange})
 }
 
-// Key is what may matter later: what each member knows, suspects and waits for, and the
-// packets, with times as far as they lie ahead.
+// Key identifies a state by all that affects later behaviour: each member's view, suspicions
+// and timeouts, and the packets. Times are relative to the member's clock.
 func (s *trio) Key() string {
 	var b strings.Builder
 	for i, l := range s.members {
@@ -305,7 +305,7 @@
 	}
 }
 
-// step delivers all packets, and then lets time pass for all alike until a tick is due.
+// step delivers all packets, and then advances all clocks equally to the next tick.
 func (s *trio) step() {
 	for len(s.transit) > 0 {
 		p := s.transit[0]
@@ -326,14 +326,14 @@
 	s.handle(next, Event{Kind: Tick})
 }
 
-// settle delivers everything while time passes for all alike, and returns an error unless
-// all that are there then know the same.
+// settle delivers all packets while all clocks advance equally, and returns an error unless
+// the running members end with equal views in which all of them are alive.
 func (s *trio) settle() error {
 	for range 4000 {
 		s.step()
 	}
-	if s.broken != nil {
-		return s.broken
+	if s.violation != nil {
+		return s.violation
 	}
 	digest := uint64(0)
 	for _, l := range s.members {
@@ -341,22 +341,22 @@
 			continue
 		}
 		if digest != 0 && l.view.value != digest {
-			return errors.New("the views stay different")
+			return errors.New("views did not converge")
 		}
 		digest = l.view.value
 		for _, other := range s.members {
 			m := l.members.byName[other.self.Name]
 			if other != l && other.self.Status != Left && (m == nil || m.Status != Alive) {
-				return fmt.Errorf("%s holds %s for %v in the end", l.self.Name, other.self.Name, m)
+				return fmt.Errorf("%s: final record of %s is %v, want alive", l.self.Name, other.self.Name, m)
 			}
 		}
 	}
 	return nil
 }
 
-// Of three members, whatever is lost, late or out of order: a record never goes back, nobody
-// holds of another what it never announced, who is suspected refutes, nobody is declared dead
-// without a suspicion that lasted.
+// With messages lost, late or out of order: no record is replaced by an older one, no record is
+// newer than its member's own state, a suspected member refutes, and no member is declared dead
+// before the minimum suspicion has ended.
 func TestExploreTrio(t *testing.T) {
 	bounds := modelcheck.Bounds{Depth: 6, States: 200_000}
 	if testing.Short() {
@@ -374,9 +374,9 @@
 	t.Log("walks:", walked)
 }
 
-// From wherever a walk leads, once messages arrive again all views become equal, with each
-// member that runs alive.
-func TestTrioSettles(t *testing.T) {
+// After any random walk, views converge once messages arrive again, with all running members
+// alive.
+func TestTrioConvergesAfterRandomWalk(t *testing.T) {
 	for seed := range uint64(40) {
 		var last *trio
 		modelcheck.Walk(func() modelcheck.System { last = newTrio().(*trio); return last }, seed, 1, 60)
@@ -386,9 +386,8 @@
 	}
 }
 
-// After a partition that lasts until each side holds the other for dead, the three find each
-// other again.
-func TestPartitionedTrioSettles(t *testing.T) {
+// After a partition that lasts until each side considers the other dead, the members reconnect.
+func TestPartitionedTrioReconnects(t *testing.T) {
 	for isolated := range 3 {
 		s := newTrio().(*trio)
 		s.partitioned = true
@@ -399,7 +398,7 @@
 		}
 		s.partitioned = false
 		if _, _, dead := s.members[isolated].Count(); dead != 2 {
-			t.Errorf("%s holds %d for dead", name(isolated), dead)
+			t.Errorf("%s: got %d dead members, want 2", name(isolated), dead)
 		}
 		if err := s.settle(); err != nil {
 			t.Errorf("%s isolated: %v", name(isolated), err)
@@ -409,34 +408,34 @@
 
 func TestMutantsAreFound(t *testing.T) {
 	mutant.Find(t, "Trio", []mutant.Mutant{
-		{Name: "refutation left out", File: "learn.go",
+		{Name: "no refutation", File: "learn.go",
 			From: "	case record.Status != Alive && record.Incarnation >= l.self.Incarnation:",
 			To:   "	case false:"},
 		{Name: "incarnation not raised", File: "learn.go",
 			From: "		l.raiseIncarnation(record.Incarnation+1, nil)\n	case record.Incarnation",
 			To:   "		l.raiseIncarnation(record.Incarnation, nil)\n	case record.Incarnation"},
-		{Name: "stale update taken", File: "learn.go",
+		{Name: "stale update accepted", File: "learn.go",
 			From: "	case !record.Newer(m.State):\n",
 			To:   "	case !record.Newer(m.State) && record.Incarnation == m.Incarnation:\n"},
 		{Name: "suspicion of an older incarnation overrides", File: "record.go",
 			From: "	case s.Incarnation != other.Incarnation:\n		return s.Incarnation > other.Incarnation\n", To: ""},
 		{Name: "epochs not compared", File: "record.go",
 			From: "	case s.Epoch != other.Epoch:\n		return s.Epoch > other.Epoch\n", To: ""},
-		{Name: "leaving is not final", File: "record.go",
+		{Name: "left status is not final", File: "record.go",
 			From: "	case (s.Status == Left) != (other.Status == Left):\n		return s.Status == Left\n", To: ""},
 		{Name: "declared dead at once", File: "suspicion.go",
 			From: "	if end > l.now {\n", To: "	if end > l.now+s.max {\n"},
 		{Name: "suspicion kept after a refutation", File: "learn.go",
 			From: "	if m.suspicion != nil {\n		l.suspects.remove(m)\n	}\n", To: ""},
-		{Name: "digest keeps the old record", File: "learn.go",
+		{Name: "digest keeps the previous state", File: "learn.go",
 			From: "	if previous != 0 {\n		l.view.toggle(l.now, before.State)\n	}\n", To: ""},
-		{Name: "the dead stay reachable", File: "member_table.go",
+		{Name: "dead member stays reachable", File: "member_table.go",
 			From: "	if from == to {\n		return\n	}",
 			To:   "	if from == to || m.Status == Dead {\n		return\n	}"},
-		{Name: "another's incarnation is raised for it", File: "prober.go",
+		{Name: "suspicion raises the incarnation of its target", File: "prober.go",
 			From: "	record.Status = Suspect\n",
 			To:   "	record.Status = Suspect\n	record.Incarnation++\n"},
-		{Name: "the dead are never pinged again", File: "reconnect.go",
+		{Name: "dead members are not pinged", File: "reconnect.go",
 			From: "len(lost) > 0 && l.rng.Float64() <", To: "len(lost) > 0 && 2*l.rng.Float64() < 0*"},
 	})
 }
--- a/fleet/membership/gossip.go
+++ b/fleet/membership/gossip.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	gossipInterval      = 100 * time.Millisecond // while there are updates to send
-	gossipFanout        = 3                      // members that are gossiped to at a time
-	departureFanout     = 2 * gossipFanout       // members that are sent a departure at once: the process ends soon
-	retransmitFactor    = 4.0                    // times that an update is sent, for each power of ten of members
-	maxUpdateBytes      = 1000                   // updates in a datagram, which is under 1,200 bytes
-	minBurstBytes       = 16 << 10               // bytes of updates that may be sent at once in a small fleet
-	burstBytesPerMember = 64.0                   // or, in a large fleet, for each reachable member
-	maxQueuedUpdates    = 1024                   // beyond it the one that was sent most often is dropped
-	maxDisputes         = 512                    // members that are waiting to be asked to refute
-	disputesPerGossip   = 32                     // of them at a time
-	matchesToDropQueue  = 4                      // equal digests in a row that show that all know the queued updates
+	gossipInterval      = 100 * time.Millisecond // between gossip rounds while updates are queued
+	gossipFanout        = 3                      // recipients in each round
+	departureFanout     = 2 * gossipFanout       // recipients of a departure: the process exits soon
+	retransmitFactor    = 4.0                    // transmissions of an update for each power of ten of members
+	maxUpdateBytes      = 1000                   // bytes of updates in a datagram, whose limit is 1,200 bytes
+	minBurstBytes       = 16 << 10               // burst limit of update bytes in a small fleet
+	burstBytesPerMember = 64.0                   // burst limit in a large fleet, for each reachable member
+	maxQueuedUpdates    = 1024                   // beyond it the update sent most often is dropped
+	maxDisputes         = 512                    // members queued to be asked to refute
+	disputesPerGossip   = 32                     // members asked to refute in each round
+	matchesToDropQueue  = 4                      // consecutive equal digests after which all members count as informed
 )
 
-// gossiper holds what is to be disseminated.
+// gossiper holds the information to be disseminated.
 type gossiper struct {
 	updates  updateQueue
 	disputes []dispute
 	nextAt   time.Duration
 }
 
-// dispute is a member that another one considers dead while this one does not.
+// dispute is a member that another member considers dead and this member does not.
 type dispute struct {
 	member *member
 	record Record // as the other member holds it
 }
 
-// pending reports whether there is anything to send.
+// pending reports whether any update or dispute is queued.
 func (g *gossiper) pending() bool { return len(g.updates.entries) > 0 || len(g.disputes) > 0 }
 
-// dueAt is when gossip is sent next.
+// dueAt returns when gossip is sent next.
 func (g *gossiper) dueAt() time.Duration {
 	if !g.pending() {
 		return never
@@ -45,13 +45,13 @@
 	return g.nextAt
 }
 
-// updateQueue holds the updates that are passed on with messages, those that were
-// sent least often first, and one for each member at most. It spends a credit of
-// bytes that grows with time.
+// updateQueue holds the updates to piggyback on messages, at most one for each member,
+// ordered by ascending number of transmissions. Sending spends a credit of bytes that
+// grows with time.
 type updateQueue struct {
 	entries        []queuedUpdate
 	bytesPerSecond float64
-	credit         float64 // bytes; what is urgent may overdraw it
+	credit         float64 // bytes; urgent updates may overdraw it
 	creditAt       time.Duration
 }
 
@@ -60,7 +60,7 @@
 	transmits int
 }
 
-// push queues a record in the place of older ones of its member.
+// push queues a record first and removes an older update of its member.
 func (q *updateQueue) push(record Record) {
 	q.entries = slices.DeleteFunc(q.entries, func(u queuedUpdate) bool { return u.Name == record.Name })
 	if len(q.entries) >= maxQueuedUpdates {
@@ -69,25 +69,25 @@
 	q.entries = slices.Insert(q.entries, 0, queuedUpdate{Record: record})
 }
 
-// keepSuspicions drops all updates but suspicions.
+// keepSuspicions drops all updates except suspicions.
 func (q *updateQueue) keepSuspicions() {
 	q.entries = slices.DeleteFunc(q.entries, func(u queuedUpdate) bool { return u.Status != Suspect })
 }
 
-// worthSending reports whether a message for updates alone would carry any.
-func (q *updateQueue) worthSending() bool {
+// shouldSend reports whether a gossip message would carry any update.
+func (q *updateQueue) shouldSend() bool {
 	if len(q.entries) == 0 {
 		return false
 	}
 	return q.credit >= 0 || slices.ContainsFunc(q.entries, queuedUpdate.urgent)
 }
 
-// urgent reports whether the update may overdraw the credit: that a member is
-// suspected, has refuted or is dead. Records with tags wait; a synchronization brings them too.
+// urgent reports whether the update may overdraw the credit: suspicions, refutations
+// and deaths may. Records with tags wait; a synchronization transfers them as well.
 func (u queuedUpdate) urgent() bool { return u.Tags == nil }
 
-// fill adds updates to a message: one at least, and as many more as fit into the
-// datagram and the credit. reachable is the number of members that may receive them.
+// fill adds queued updates to a message: the first one that fits into the datagram whatever
+// the credit is, then as many as both allow. reachable is the number of reachable members.
 func (q *updateQueue) fill(now time.Duration, message *Message, reachable int) {
 	burst := max(minBurstBytes, burstBytesPerMember*float64(reachable))
 	q.credit = min(q.credit+q.bytesPerSecond*(now-q.creditAt).Seconds(), burst)
@@ -119,15 +119,15 @@
 	q.dropSent(reachable)
 }
 
-// dropSent drops the updates that were sent often enough to reach all members.
+// dropSent drops the updates that were sent often enough to reach all reachable members.
 func (q *updateQueue) dropSent(reachable int) {
 	limit := int(retransmitFactor * math.Ceil(math.Log10(float64(reachable+2))))
 	q.entries = slices.DeleteFunc(q.entries, func(u queuedUpdate) bool { return u.transmits >= limit })
 	slices.SortStableFunc(q.entries, func(a, b queuedUpdate) int { return cmp.Compare(a.transmits, b.transmits) })
 }
 
-// publish queues a record for dissemination. Before the start nothing is: what is
-// restored may be known to all.
+// publish queues a record for dissemination. Before Start it does nothing: other members
+// probably know the restored records.
 func (l *List) publish(record Record) {
 	if !l.started {
 		return
@@ -136,7 +136,7 @@
 	l.gossiper.nextAt = max(l.gossiper.nextAt, l.now)
 }
 
-// runGossip sends gossip if it is due.
+// runGossip sends disputes and gossip if they are due.
 func (l *List) runGossip() {
 	if l.now < l.gossiper.nextAt || !l.gossiper.pending() {
 		return
@@ -144,7 +144,7 @@
 	l.gossiper.nextAt = l.now + gossipInterval
 	l.sendDisputes()
 	for _, m := range l.members.sample(gossipFanout, nil, &l.rng) {
-		if !l.gossiper.updates.worthSending() {
+		if !l.gossiper.updates.shouldSend() {
 			return
 		}
 		l.sendToMember(m, newGossip())
@@ -163,7 +163,7 @@
 	}
 }
 
-// disputeDeath has m asked to refute, which another member considers dead by record.
+// disputeDeath queues a request to m to refute record, by which another member considers m dead.
 func (l *List) disputeDeath(m *member, record *Record) {
 	if m.deathDisputed || len(l.gossiper.disputes) >= maxDisputes {
 		return
@@ -173,8 +173,8 @@
 	l.prober.urgent = append(l.prober.urgent, m)
 }
 
-// sendToMember sends a message with as many updates as fit. Without a known address
-// of m nothing is sent.
+// sendToMember sends a message to m with as many updates as fit. It does nothing if m is
+// nil or its address is unknown.
 func (l *List) sendToMember(m *member, message *Message) {
 	if m != nil && m.Tags != nil {
 		l.sendTo(m.Name, m.Tags.Address, message)
@@ -188,7 +188,7 @@
 	l.emit(Action{Kind: Send, Name: name, Address: address, Message: message})
 }
 
-// stamp sets what every message carries about its sender.
+// stamp sets the fields of a message that describe its sender.
 func (l *List) stamp(message *Message) {
 	message.From = l.self.State
 	message.Digest = l.view.value
--- a/fleet/membership/gossip_test.go
+++ b/fleet/membership/gossip_test.go
@@ -19,26 +19,26 @@
 	return strings.Join(all, " ")
 }
 
-// A member's newer update replaces the older one, and comes before all others.
-func TestNewestUpdateOfAMemberIsQueued(t *testing.T) {
+// A new update replaces the older one of its member, and is first in the queue.
+func TestPushReplacesOlderUpdate(t *testing.T) {
 	var q updateQueue
 	q.push(update("a", Alive))
 	q.push(update("b", Alive))
 	q.push(update("a", Suspect))
 	if len(q.entries) != 2 || q.entries[0].Name != "a" || q.entries[0].Status != Suspect {
-		t.Errorf("%+v", q.entries)
+		t.Errorf("got queue %+v, want the suspicion of a, then b", q.entries)
 	}
 	for i := range maxQueuedUpdates + 10 {
 		q.push(update(fmt.Sprint("m", i), Alive))
 	}
 	if len(q.entries) != maxQueuedUpdates {
-		t.Errorf("%d updates are queued", len(q.entries))
+		t.Errorf("got %d queued updates, want maxQueuedUpdates", len(q.entries))
 	}
 }
 
-// Updates are sent least often sent first, as many as fit, and dropped once they were sent
-// often enough for the number of members.
-func TestUpdatesAreRetransmittedInTurn(t *testing.T) {
+// Messages carry as many updates as fit, those with the fewest transmissions first. An update is
+// dropped once it was sent often enough for the number of members.
+func TestFillPrefersLeastSentUpdates(t *testing.T) {
 	q := updateQueue{bytesPerSecond: 1e9}
 	for i := range 40 {
 		q.push(update(fmt.Sprint("m", i), Alive))
@@ -51,21 +51,21 @@
 		size += first.Updates[i].Size()
 	}
 	if len(first.Updates) == 0 || size > maxUpdateBytes {
-		t.Errorf("%d updates of %d bytes", len(first.Updates), size)
+		t.Errorf("got %d updates of %d bytes, want at least one within maxUpdateBytes", len(first.Updates), size)
 	}
 	if names(first.Updates) == names(second.Updates) {
-		t.Errorf("the same updates twice: %s", names(second.Updates))
+		t.Errorf("both messages carry the same updates: %s", names(second.Updates))
 	}
 	messages := 0
 	for ; len(q.entries) > 0 && messages < 1000; messages++ {
 		q.fill(time.Second, &Message{}, 5)
 	}
 	if len(q.entries) > 0 {
-		t.Errorf("%d updates are still queued after %d messages", len(q.entries), messages)
+		t.Errorf("got %d queued updates after %d messages, want 0", len(q.entries), messages)
 	}
 }
 
-// Without credit one update is sent all the same, and of the others those that are urgent.
+// Without credit a message still carries the first update, and further ones only if urgent.
 func TestUrgentUpdatesOverdrawCredit(t *testing.T) {
 	var q updateQueue
 	whole := update("whole", Alive)
@@ -76,13 +76,13 @@
 	message := &Message{}
 	q.fill(0, message, 3)
 	if got := names(message.Updates); got != "first suspect" {
-		t.Errorf("sent: %s", got)
+		t.Errorf("got updates %s, want first suspect", got)
 	}
-	if q.credit >= 0 || !q.worthSending() {
-		t.Errorf("credit %v, worth sending %v", q.credit, q.worthSending())
+	if q.credit >= 0 || !q.shouldSend() {
+		t.Errorf("got credit %v and shouldSend %v, want negative and true", q.credit, q.shouldSend())
 	}
 	q.entries = []queuedUpdate{{Record: whole}}
-	if q.worthSending() {
-		t.Error("a whole record alone overdraws the credit")
+	if q.shouldSend() {
+		t.Error("record with tags: got shouldSend true without credit, want false")
 	}
 }
--- a/fleet/membership/learn.go
+++ b/fleet/membership/learn.go
@@ -1,7 +1,6 @@
 package membership
 
-// learn merges a record of a member. A reason that is not empty replaces the one
-// that follows from the record.
+// learn merges a record. A non-empty reason replaces the reason derived from the record.
 func (l *List) learn(record *Record, reason string) {
 	if !record.valid() {
 		l.Stats.InvalidRecords++
@@ -19,14 +18,14 @@
 		l.Stats.Stale++
 		l.completeRecord(m, record)
 	case record.Tags == nil && !record.sameTags(m.State):
-		// Its tags are not known. The digests differ, and a synchronization brings them.
+		// The new tags are unknown. The digests differ, so a synchronization will transfer them.
 	default:
 		l.update(m, record, m.Status, reason)
 	}
 }
 
-// addMember adds a member that is not known. Without tags it can't be: a
-// synchronization brings them.
+// addMember adds an unknown member. It ignores a record without tags: a synchronization
+// will transfer the complete record.
 func (l *List) addMember(record *Record, reason string) {
 	if record.Tags == nil || record.Status == Left {
 		return
@@ -39,8 +38,8 @@
 	l.update(l.members.add(record.Name), record, 0, reason)
 }
 
-// completeRecord takes from a record that is not newer what is missing: tags, and a
-// further reporter of a suspicion.
+// completeRecord takes missing tags and a further reporter of a suspicion from a record
+// that is not newer.
 func (l *List) completeRecord(m *member, record *Record) {
 	if record.Epoch != m.Epoch {
 		return
@@ -53,8 +52,8 @@
 	}
 }
 
-// update replaces the record of m, whose status was previous, by a newer one, and
-// passes it on.
+// update replaces the record of m with a newer one and publishes it. previous is the
+// status of m before, 0 if m was unknown.
 func (l *List) update(m *member, record *Record, previous Status, reason string) {
 	before := m.Record
 	if previous != 0 {
@@ -84,7 +83,7 @@
 	l.members.statusChanged(m, previous, &l.rng)
 	changed := m.Record
 	if previous != 0 && before.sameTags(m.State) {
-		changed.Tags = nil // known wherever the member is
+		changed.Tags = nil // every member that knows m has its tags
 	}
 	l.publish(changed)
 	if m.Status == Suspect {
@@ -97,12 +96,12 @@
 	l.emit(Action{Kind: MemberChanged, Record: m.Record, PreviousStatus: previous, Reason: reason})
 }
 
-// refutes reports whether record, which is of m's epoch, is m's refutation of its suspicion.
+// refutes reports whether record refutes the suspicion of m. It must be of m's epoch.
 func refutes(record *Record, m *member) bool {
 	return m.Status == Suspect && record.Status == Alive && record.Incarnation > m.Incarnation
 }
 
-// reasonOf names why the record of m is no longer the one before.
+// reasonOf derives from the records why m changed.
 func reasonOf(m *member, before *Record, previous Status) string {
 	switch {
 	case m.Status == Suspect:
@@ -119,7 +118,7 @@
 	return reasonDiscovered
 }
 
-// learnAboutSelf handles a record that others have of this member, and refutes what is wrong.
+// learnAboutSelf handles another member's record of this member, and refutes it if it is wrong.
 func (l *List) learnAboutSelf(record *Record) {
 	switch {
 	case l.displaced || record.Epoch < l.self.Epoch || l.self.Status == Left:
@@ -127,19 +126,19 @@
 		l.displaced = true
 		l.emit(Action{Kind: Displaced, Record: *record})
 	case record.Epoch > l.self.Epoch || record.Status == Left:
-		// An earlier process of this name, which is gone or whose clock was ahead; or an operator forgot this one.
+		// An earlier process of this name has ended or had a clock that was ahead, or an operator forgot this one.
 		l.restart(record.Epoch + 1)
 	case record.Status != Alive && record.Incarnation >= l.self.Incarnation:
 		l.Stats.Refuted++
 		l.prober.health.refuted(l.now)
 		l.raiseIncarnation(record.Incarnation+1, nil)
 	case record.Incarnation > l.self.Incarnation:
-		// Only this member raises its incarnation, so its own record must be the newest one again.
+		// Only this member may raise its incarnation, so its own record must become the newest.
 		l.raiseIncarnation(record.Incarnation+1, nil)
 	}
 }
 
-// restart gives this member another epoch.
+// restart moves this member to another epoch.
 func (l *List) restart(epoch uint64) {
 	l.view.toggle(l.now, l.self.State)
 	l.self.Epoch = epoch
@@ -150,9 +149,9 @@
 }
 
 // raiseIncarnation publishes this member's record under a higher incarnation, with
-// other tags unless they are nil.
+// new tags unless tags is nil.
 func (l *List) raiseIncarnation(incarnation uint32, tags *Tags) {
-	if incarnation >= maxIncarnation { // forged: another epoch is beyond it
+	if incarnation >= maxIncarnation { // forged: only a new epoch overrides it
 		l.restart(l.self.Epoch + 1)
 		return
 	}
@@ -170,7 +169,7 @@
 	l.publish(record)
 }
 
-// leave announces that this member leaves.
+// leave announces the departure of this member.
 func (l *List) leave() {
 	l.view.toggle(l.now, l.self.State)
 	l.self.Status = Left
@@ -181,7 +180,7 @@
 	}
 }
 
-// forget declares a dead member to have left.
+// forget marks a dead member as left.
 func (l *List) forget(name string) {
 	m := l.members.byName[name]
 	if m == nil || m.Status != Dead {
--- a/fleet/membership/list.go
+++ b/fleet/membership/list.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	lateTick   = 100 * time.Millisecond // a later tick gave suspects no time in which a refutation was read
-	minStall   = 500 * time.Millisecond // a tick that is later shows that this process was stopped or starved
-	stallTicks = 2                      // and only if it is also late by this many probe intervals
+	lateTick   = 100 * time.Millisecond // a tick later than this extends suspicions: refutations may be unread
+	minStall   = 500 * time.Millisecond // a tick later than this means that the process was suspended or starved
+	stallTicks = 2                      // and it must also be late by this many probe intervals
 )
 
 // List is one replica's view of the fleet. It is not safe for concurrent use.
@@ -13,12 +13,12 @@
 	cfg     Config
 	rng     random
 	now     time.Duration
-	actions []Action // of the Handle that is running
+	actions []Action // output of the current call of Handle
 
 	self             Record
 	started          bool
-	joined           bool // a whole view was exchanged with another member
-	displaced        bool // by a later process of this name
+	joined           bool // whole views were exchanged with another member
+	displaced        bool // a later process uses this member's name
 	replicaSetDigest uint64
 
 	members       memberTable
@@ -29,15 +29,15 @@
 	gossiper      gossiper
 	syncer        syncer
 	nextReconnect time.Duration
-	nextForget    time.Duration // of members that left
+	nextForget    time.Duration // when members that left are removed next
 
 	// Stats may be read between calls of Handle.
 	Stats Stats
 }
 
-// New returns the view of a replica that has not started.
+// New returns a List that knows only this member. The Start event starts it.
 func New(cfg Config) *List {
-	cfg.complete()
+	cfg.setDefaults()
 	tags := cfg.Tags
 	l := &List{
 		cfg:      cfg,
@@ -53,8 +53,8 @@
 	return l
 }
 
-// Handle processes one event and appends what is to be done to out. Times must not go
-// back; one much later than NextTick shows that this process was stopped or starved.
+// Handle processes one event and appends the resulting actions to out. Times must not
+// decrease. A time much later than NextTick means that the process was suspended or starved.
 func (l *List) Handle(now time.Duration, event Event, out []Action) []Action {
 	now = max(now, l.now)
 	l.actions = out
@@ -71,7 +71,7 @@
 	return out
 }
 
-// running reports whether this member takes part in the fleet.
+// running reports whether this member participates in the fleet.
 func (l *List) running() bool { return l.started && !l.displaced }
 
 func (l *List) dispatch(event *Event) {
@@ -101,7 +101,7 @@
 	}
 }
 
-// NextTick returns when Tick is due next.
+// NextTick returns the time at which the host must send the next Tick event.
 func (l *List) NextTick() time.Duration {
 	if !l.running() {
 		return never
@@ -127,8 +127,8 @@
 	l.publish(l.self)
 }
 
-// restore adds the members that were known before a restart. They are taken to be
-// alive, and probed like others, until they are found to be gone.
+// restore adds the members known before a restart. They count as alive and are probed
+// like all others until a probe fails.
 func (l *List) restore(records []Record) {
 	for _, record := range records {
 		if record.Status != Left {
@@ -139,8 +139,8 @@
 	}
 }
 
-// checkStall detects whether this process was stopped until now. What it waited for
-// meanwhile proves nothing about others; they keep the time that they had left.
+// checkStall detects that this process did not run until now. Timeouts that expired
+// meanwhile prove nothing about other members, so suspicions keep their remaining time.
 func (l *List) checkStall(now time.Duration) {
 	late := now - l.NextTick()
 	if late > lateTick {
@@ -163,7 +163,7 @@
 	l.emit(Action{Kind: Stalled, Wait: late})
 }
 
-// runDue does all that is due.
+// runDue runs all tasks that are due.
 func (l *List) runDue() {
 	l.runProbe()
 	l.runSuspicions()
--- a/fleet/membership/local_health.go
+++ b/fleet/membership/local_health.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	maxLocalHealth     = 8 // a member in poor health waits up to nine times as long
+	maxLocalHealth     = 8 // timeouts grow up to ninefold
 	stalledLocalHealth = maxLocalHealth / 2
-	refutationWindow   = time.Second // refutations within it worsen the local health only once
+	refutationWindow   = time.Second // refutations within this window worsen the score only once
 )
 
-// localHealth is Lifeguard's local health score: 0 is good. It rises as this member
-// finds signs that it is itself slow or badly connected.
+// localHealth is Lifeguard's local health score. 0 is good; the score rises with each sign
+// that this member itself is slow or badly connected.
 type localHealth struct {
 	score     int
 	refutedAt time.Duration // when the score last rose for a refutation
@@ -18,7 +18,7 @@
 func (h *localHealth) worsen()  { h.score = min(h.score+1, maxLocalHealth) }
 func (h *localHealth) improve() { h.score = max(h.score-1, 0) }
 
-// stalled records that this member was stopped or starved.
+// stalled records that this process was suspended or starved.
 func (h *localHealth) stalled() { h.score = stalledLocalHealth }
 
 // refuted records that this member had to refute: it did not answer a probe in time.
@@ -29,5 +29,5 @@
 	}
 }
 
-// multiplier is by how much timeouts are longer than in good health.
+// multiplier returns the factor by which timeouts exceed those at score 0.
 func (h *localHealth) multiplier() time.Duration { return time.Duration(1 + h.score) }
--- a/fleet/membership/member_table.go
+++ b/fleet/membership/member_table.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// leftRetention is how long a member that left is kept: older records of it may
-// still arrive.
+// leftRetention is how long members that left stay in the table, to reject older records
+// that still arrive.
 const leftRetention = 10 * time.Minute
 
-// memberTable holds the other members. Each one that is alive or suspect is in
-// reachable, each dead one in unreachable, once, at its index.
+// memberTable holds the other members. Alive and suspect members are in reachable, dead
+// members in unreachable, each exactly once and at its index.
 type memberTable struct {
 	byName      map[string]*member
 	reachable   []*member // in probe order: shuffled for each round
-	nextInRound int       // index in reachable of the member to be probed next
+	nextInRound int       // index in reachable of the next member to probe
 	unreachable []*member
 }
 
@@ -22,14 +22,14 @@
 	return memberTable{byName: map[string]*member{}}
 }
 
-// add adds a member whose status is not known yet.
+// add adds a member without a status; statusChanged must follow.
 func (t *memberTable) add(name string) *member {
 	m := &member{lastHeard: neverHeard, index: noIndex}
 	t.byName[name] = m
 	return m
 }
 
-// list returns the list that members of a status are on; nil if there is none.
+// list returns the list for members of a status, or nil if there is none.
 func (t *memberTable) list(status Status) *[]*member {
 	switch status {
 	case Alive, Suspect:
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// statusChanged moves m to the list of its status. One that becomes reachable gets a
-// random place among those still to be probed in this round.
+// statusChanged moves m to the list of its status. A member that becomes reachable gets
+// a random position among those still to be probed in this round.
 func (t *memberTable) statusChanged(m *member, previous Status, rng *random) {
 	from, to := t.list(previous), t.list(m.Status)
 	if from == to {
@@ -64,9 +64,9 @@
 	}
 }
 
-// next returns the member to be probed next, nil if there is none. In a round each
-// member is probed once, in an order of this table's own, so that all members
-// together probe each member evenly.
+// next returns the next member to probe, or nil if none is reachable. Each round visits
+// every reachable member once, in a random order that differs between replicas, which
+// spreads the probes of a fleet evenly over its members.
 func (t *memberTable) next(rng *random) *member {
 	if len(t.reachable) == 0 {
 		return nil
@@ -89,7 +89,7 @@
 	t.reachable[j].index = j
 }
 
-// sample draws up to n different reachable members other than except, which may be nil.
+// sample draws up to n distinct reachable members other than except, which may be nil.
 func (t *memberTable) sample(n int, except *member, rng *random) []*member {
 	const drawsPerMember = 4
 	var drawn []*member
@@ -102,7 +102,7 @@
 	return drawn
 }
 
-// forgetLeft removes the members that left long ago.
+// forgetLeft removes the members that left at least leftRetention ago.
 func (t *memberTable) forgetLeft(now time.Duration) {
 	for name, m := range t.byName {
 		if m.Status == Left && now-m.statusSince >= leftRetention {
--- a/fleet/membership/member_table_test.go
+++ b/fleet/membership/member_table_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// tableOf returns a table of so many alive members.
+// tableOf returns a table of n alive members.
 func tableOf(n int, rng *random) memberTable {
 	table := newMemberTable()
 	for i := range n {
@@ -18,8 +18,8 @@
 	return table
 }
 
-// Each reachable member is probed once in a round, whichever members join or die meanwhile.
-func TestEachMemberIsProbedOnceARound(t *testing.T) {
+// Each round visits each reachable member once.
+func TestEachMemberIsProbedOncePerRound(t *testing.T) {
 	rng := newRandom(1, "a")
 	table := tableOf(10, &rng)
 	for round := range 20 {
@@ -28,12 +28,12 @@
 			probed[table.next(&rng)]++
 		}
 		if len(probed) != len(table.reachable) {
-			t.Fatalf("round %d: %d of %d are probed", round, len(probed), len(table.reachable))
+			t.Fatalf("round %d: got %d members probed, want %d", round, len(probed), len(table.reachable))
 		}
 	}
 }
 
-func TestMemberIsOnTheListOfItsStatus(t *testing.T) {
+func TestMemberIsInListOfItsStatus(t *testing.T) {
 	rng := newRandom(1, "a")
 	table := tableOf(5, &rng)
 	m := table.byName["m2"]
@@ -49,18 +49,18 @@
 			found := false
 			for i, other := range listed.list {
 				if other.index != i {
-					t.Errorf("%v: %s is at %d of %s and has the index %d", status, other.Name, i, listed.name, other.index)
+					t.Errorf("%v: %s is at %d in %s but has index %d", status, other.Name, i, listed.name, other.index)
 				}
 				found = found || other == m
 			}
 			if found != listed.want {
-				t.Errorf("%v: it is among the %s: %v", status, listed.name, found)
+				t.Errorf("%v: got member in %s: %v, want the opposite", status, listed.name, found)
 			}
 		}
 	}
 }
 
-func TestSampleDrawsDifferentMembers(t *testing.T) {
+func TestSampleDrawsDistinctMembers(t *testing.T) {
 	rng := newRandom(1, "a")
 	table := tableOf(6, &rng)
 	except := table.byName["m3"]
@@ -69,18 +69,18 @@
 		seen := map[*member]bool{}
 		for _, m := range drawn {
 			if m == except || seen[m] {
-				t.Fatalf("drew %s", m.Name)
+				t.Fatalf("drew %s, which is excluded or was drawn before", m.Name)
 			}
 			seen[m] = true
 		}
 	}
 	empty := newMemberTable()
 	if drawn := empty.sample(3, nil, &rng); len(drawn) != 0 {
-		t.Errorf("drew %d of none", len(drawn))
+		t.Errorf("drew %d members from an empty table, want 0", len(drawn))
 	}
 }
 
-func TestMemberThatLeftIsForgottenLater(t *testing.T) {
+func TestLeftMemberIsRemovedAfterRetention(t *testing.T) {
 	rng := newRandom(1, "a")
 	table := tableOf(2, &rng)
 	left := table.byName["m0"]
@@ -88,10 +88,10 @@
 	table.statusChanged(left, Alive, &rng)
 	table.forgetLeft(leftRetention - time.Second)
 	if len(table.byName) != 2 {
-		t.Error("it is forgotten too early")
+		t.Error("member that left was removed before leftRetention")
 	}
 	table.forgetLeft(leftRetention)
 	if len(table.byName) != 1 {
-		t.Error("it is not forgotten")
+		t.Error("member that left was not removed after leftRetention")
 	}
 }
--- a/fleet/membership/prober.go
+++ b/fleet/membership/prober.go
@@ -4,24 +4,23 @@
 
 const (
 	maxProbeTimeout   = 1500 * time.Millisecond // before it is scaled by the local health
-	timeoutsPerPeriod = 2.5                     // a period has time for a direct ack, then for an indirect one
-	recentPings       = 8                       // direct pings whose late acks still give a round-trip time
+	timeoutsPerPeriod = 2.5                     // a period leaves time for a direct ack and then an indirect one
+	recentPings       = 8                       // latest pings of probes, whose late acks still yield a round-trip time
 )
 
-// never is the time of what is not scheduled.
+// never is the due time of a task that is not scheduled.
 const never = time.Duration(1<<63 - 1)
 
-// prober keeps the probe under way, and how long its steps may take. At most one
-// probe is under way.
+// prober holds the probe in progress, at most one, and computes its timeouts.
 type prober struct {
 	interval   time.Duration
 	minTimeout time.Duration
 	health     localHealth
 	rtt        rttEstimator
-	sequence   uint32 // of the latest ping, whether sent for this member or for another
-	current    *probe // nil if none is under way
+	sequence   uint32 // of the latest ping, own or relayed
+	current    *probe // nil if no probe is in progress
 	recent     [recentPings]sentPing
-	urgent     []*member // to be probed before those of the round
+	urgent     []*member // members to probe ahead of the round
 	nextAt     time.Duration
 }
 
@@ -30,9 +29,9 @@
 	target           *member
 	epoch            uint64 // of the target at the start
 	seq              uint32
-	indirectAt       time.Duration // when indirect probes are asked for
-	endsAt           time.Duration // when it has failed
-	indirect         bool          // whether they were asked for
+	indirectAt       time.Duration // when indirect probes are requested
+	endsAt           time.Duration // when the probe fails
+	indirect         bool          // indirect probes were requested
 	indirectRequests int
 	nacks            int
 }
@@ -44,24 +43,24 @@
 	target *member
 }
 
-// nextSequence numbers a ping.
+// nextSequence returns the sequence number of a new ping.
 func (p *prober) nextSequence() uint32 {
 	p.sequence++
 	return p.sequence
 }
 
-// ackTimeout is how long an ack is waited for before indirect probes are asked for.
+// ackTimeout returns how long to wait for an ack before requesting indirect probes.
 func (p *prober) ackTimeout() time.Duration {
 	return min(max(p.minTimeout, p.rtt.timeout()), maxProbeTimeout) * p.health.multiplier()
 }
 
-// period is the time from the start of a probe to that of the next one.
+// period returns the time between the starts of two probes.
 func (p *prober) period() time.Duration {
 	scaled := p.interval * p.health.multiplier()
 	return max(scaled, time.Duration(timeoutsPerPeriod*float64(p.ackTimeout())))
 }
 
-// dueAt is when the next step is due.
+// dueAt returns when the next step is due.
 func (p *prober) dueAt() time.Duration {
 	due := p.nextAt
 	if p.current != nil {
@@ -73,8 +72,8 @@
 	return due
 }
 
-// nextUrgent takes the next member that is to be probed before those of the round;
-// nil if there is none.
+// nextUrgent removes and returns the next reachable member to probe ahead of the round,
+// or nil if there is none.
 func (p *prober) nextUrgent() *member {
 	for len(p.urgent) > 0 {
 		m := p.urgent[0]
@@ -98,7 +97,7 @@
 	p.recent[p.current.seq%recentPings] = sentPing{seq: p.current.seq, sentAt: now, target: target}
 }
 
-// acknowledgedDirectly handles the ack of a member, which may belong to a probe that ended.
+// acknowledgedDirectly handles an ack from m itself, possibly of a probe that has ended.
 func (p *prober) acknowledgedDirectly(now time.Duration, m *member, seq uint32) {
 	sent := p.recent[seq%recentPings]
 	if sent.seq == seq && sent.target == m {
@@ -109,14 +108,14 @@
 	}
 }
 
-// acknowledgedIndirectly records that another member got an ack of target.
+// acknowledgedIndirectly handles an ack of target that another member relayed.
 func (p *prober) acknowledgedIndirectly(target string, seq uint32) {
 	if p.current != nil && p.current.seq == seq && p.current.target.Name == target {
 		p.succeeded()
 	}
 }
 
-// nacked records that a member that was asked for an indirect probe has no ack yet.
+// nacked records that a member running an indirect probe has no ack yet.
 func (p *prober) nacked(seq uint32) {
 	if p.current != nil && p.current.seq == seq {
 		p.current.nacks++
@@ -128,7 +127,7 @@
 	p.health.improve()
 }
 
-// runProbe takes the steps of probing that are due, up to the end of a probe.
+// runProbe runs the due steps of the current probe: requesting indirect probes, and failing it.
 func (l *List) runProbe() {
 	current := l.prober.current
 	if current != nil && !current.indirect && l.now >= current.indirectAt {
@@ -139,7 +138,7 @@
 	}
 }
 
-// runNextProbe begins a probe if it is due.
+// runNextProbe starts a probe if one is due, or postpones it to the end of the current one.
 func (l *List) runNextProbe() {
 	switch {
 	case l.now < l.prober.nextAt:
@@ -164,8 +163,9 @@
 	l.ping(target, l.prober.current.seq)
 }
 
-// ping sends a ping. It carries what makes its target refute, and this member's own
-// record if the target may not know it: only known members get an ack.
+// ping sends a ping. A ping to a suspected or disputed member carries the record to refute.
+// It also carries this member's own record if m may not know it: only known members get
+// an ack.
 func (l *List) ping(m *member, seq uint32) {
 	message := newPing(seq, m.Name)
 	if m.deathDisputed || m.Status != Alive {
@@ -181,7 +181,7 @@
 	l.sendToMember(m, message)
 }
 
-// probeIndirectly sends a second ping and asks other members for theirs.
+// probeIndirectly pings the target again and requests indirect probes from other members.
 func (l *List) probeIndirectly(p *probe) {
 	p.indirect = true
 	l.ping(p.target, p.seq)
@@ -191,16 +191,16 @@
 	}
 }
 
-// probeFailed ends a probe that got no ack, and suspects its target.
+// probeFailed ends a probe that got no ack, and suspects its target unless that is blocked.
 func (l *List) probeFailed() {
 	p := l.prober.current
 	l.prober.current = nil
 	l.Stats.Failed++
-	// The members that were asked for an indirect probe send a nack at least. If none arrives it is this
-	// member that does not receive.
-	unheard := p.indirectRequests > 0 && p.nacks == 0
-	nobodyAsked := p.indirectRequests == 0 && len(l.members.reachable) > 1
-	if unheard || nobodyAsked {
+	// Members that run an indirect probe send at least a nack. If none arrives, this member itself is likely
+	// not receiving.
+	noNacks := p.indirectRequests > 0 && p.nacks == 0
+	noHelpers := p.indirectRequests == 0 && len(l.members.reachable) > 1
+	if noNacks || noHelpers {
 		l.prober.health.worsen()
 	}
 	target := p.target
@@ -208,7 +208,7 @@
 		return
 	}
 	if target.Status == Alive && l.now < target.localSuspicionBlockedUntil {
-		return // it has just refuted this member's suspicion: others may suspect it
+		return // it refuted this member's suspicion recently; other members may still suspect it
 	}
 	record := target.withoutTags()
 	record.Status = Suspect
--- a/fleet/membership/prober_test.go
+++ b/fleet/membership/prober_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Timeouts follow round-trip times between bounds, and grow with poor local health.
+// The ack timeout follows round-trip times within bounds, and grows with poor local health.
 func TestAckTimeout(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		rtt   time.Duration // 0 is none yet
+		rtt   time.Duration // 0 for none measured
 		score int
 		want  time.Duration
 	}{
@@ -26,18 +26,17 @@
 				p.rtt.observe(tc.rtt)
 			}
 			if got := p.ackTimeout().Round(time.Millisecond); got > tc.want || got < tc.want-tc.want/8 {
-				t.Errorf("%v, want %v", got, tc.want)
+				t.Errorf("got ack timeout %v, want %v", got, tc.want)
 			}
 			if p.period() < 2*p.ackTimeout() {
-				t.Errorf("a period of %v holds no two timeouts of %v", p.period(), p.ackTimeout())
+				t.Errorf("got period %v, want at least two ack timeouts of %v", p.period(), p.ackTimeout())
 			}
 		})
 	}
 }
 
-// An ack ends the probe it belongs to, also one that another member passed on; a late one
-// gives a round-trip time all the same.
-func TestAckEndsItsProbe(t *testing.T) {
+// A direct or relayed ack ends its probe. A late direct ack still yields a round-trip time.
+func TestAckEndsProbe(t *testing.T) {
 	target, other := &member{Record: update("b", Alive)}, &member{Record: update("c", Alive)}
 	begin := func() *prober {
 		p := &prober{interval: DefaultProbeInterval, minTimeout: DefaultProbeTimeout}
@@ -51,10 +50,10 @@
 		timed bool
 	}{
 		{"direct", func(p *prober) { p.acknowledgedDirectly(1001*time.Millisecond, target, 1) }, true, true},
-		{"of another member", func(p *prober) { p.acknowledgedDirectly(1001*time.Millisecond, other, 1) }, false, false},
+		{"from another member", func(p *prober) { p.acknowledgedDirectly(1001*time.Millisecond, other, 1) }, false, false},
 		{"of another probe", func(p *prober) { p.acknowledgedDirectly(1001*time.Millisecond, target, 2) }, false, false},
 		{"indirect", func(p *prober) { p.acknowledgedIndirectly("b", 1) }, true, false},
-		{"indirect of another", func(p *prober) { p.acknowledgedIndirectly("c", 1) }, false, false},
+		{"indirect of another member", func(p *prober) { p.acknowledgedIndirectly("c", 1) }, false, false},
 		{"late", func(p *prober) {
 			p.current = nil
 			p.acknowledgedDirectly(5*time.Second, target, 1)
@@ -64,7 +63,7 @@
 			p := begin()
 			tc.ack(p)
 			if ended, timed := p.current == nil, p.rtt.smoothed > 0; ended != tc.ended || timed != tc.timed {
-				t.Errorf("ended %v, timed %v", ended, timed)
+				t.Errorf("got ended %v and timed %v, not as the test case wants", ended, timed)
 			}
 		})
 	}
@@ -74,19 +73,19 @@
 	var h localHealth
 	h.improve()
 	if h.multiplier() != 1 {
-		t.Errorf("better than good: %d", h.score)
+		t.Errorf("improved from 0: got score %d, want 0", h.score)
 	}
 	for range 2 * maxLocalHealth {
 		h.worsen()
 	}
 	if h.score != maxLocalHealth {
-		t.Errorf("worse than worst: %d", h.score)
+		t.Errorf("got score %d, want maxLocalHealth", h.score)
 	}
 	h = localHealth{}
 	for i := range 10 { // refutations within a second count once
 		h.refuted(2*time.Second + time.Duration(i)*50*time.Millisecond)
 	}
 	if h.score != 1 {
-		t.Errorf("after one second of refutations: %d", h.score)
+		t.Errorf("after refutations within one second: got score %d, want 1", h.score)
 	}
 }
--- a/fleet/membership/query.go
+++ b/fleet/membership/query.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// MemberInfo is what a replica knows about a member, itself included.
+// MemberInfo describes what this replica knows about a member or about itself.
 type MemberInfo struct {
 	Record
 	Self             bool
-	StatusSince      time.Duration // when the status became what it is
-	LastHeard        time.Duration // when its latest own message arrived; -1 if none did
-	ReplicaSetDigest uint64        // of the replicas that it divides quotas among, as it announced last
-	SuspectedBy      []string      // names of the members that reported the suspicion under way
+	StatusSince      time.Duration // time of the latest status change
+	LastHeard        time.Duration // arrival of the latest message sent by the member itself; -1 before the first
+	ReplicaSetDigest uint64        // of the replicas among which it divides quotas, as last announced
+	SuspectedBy      []string      // names of the members that reported the current suspicion
 }
 
-// Members returns all known members in the order of their names, this one included.
+// Members returns all known members, including this one, sorted by name.
 func (l *List) Members() []MemberInfo {
 	all := make([]MemberInfo, 0, len(l.members.byName)+1)
 	all = append(all, MemberInfo{Record: l.self, Self: true, LastHeard: l.now, ReplicaSetDigest: l.replicaSetDigest})
@@ -42,16 +42,16 @@
 // LocalHealth returns Lifeguard's local health score: 0 is good, 8 is worst.
 func (l *List) LocalHealth() int { return l.prober.health.score }
 
-// Digest returns the digest of this view; it is equal where the same is known about all members.
+// Digest returns the digest of this view. Equal views have equal digests.
 func (l *List) Digest() uint64 { return l.view.value }
 
-// Displaced reports whether a process of this member's name that started later is known.
+// Displaced reports whether a later process uses this member's name.
 func (l *List) Displaced() bool { return l.displaced }
 
-// Joined reports whether a whole view was exchanged with another member yet.
+// Joined reports whether this member's view has agreed with another's or been synchronized with it.
 func (l *List) Joined() bool { return l.joined }
 
-// RTT returns the smoothed round-trip time of probes; 0 before the first.
+// RTT returns the smoothed round-trip time of probes, or 0 before the first ack.
 func (l *List) RTT() time.Duration { return l.prober.rtt.smoothed }
 
 // Count returns how many other members are alive, suspect and dead.
@@ -60,7 +60,7 @@
 	return len(l.members.reachable) - suspect, suspect, len(l.members.unreachable)
 }
 
-// Find returns the record of a member, this one included.
+// Find returns the record of a member, which may be this one.
 func (l *List) Find(name string) (Record, bool) {
 	if name == l.self.Name {
 		return l.self, true
@@ -71,6 +71,6 @@
 	return Record{}, false
 }
 
-// SetReplicaSetDigest sets the digest of the replicas that this member divides quotas
-// among, which it sends with every message.
+// SetReplicaSetDigest sets the digest of the replicas among which this member divides
+// quotas. Every message carries it.
 func (l *List) SetReplicaSetDigest(digest uint64) { l.replicaSetDigest = digest }
--- a/fleet/membership/receive.go
+++ b/fleet/membership/receive.go
@@ -2,15 +2,14 @@
 
 import "time"
 
-// displacedGrace is how long a process may keep running beside the one that replaces it
-// until that is reported.
+// displacedGrace is how long a replaced process may run on before a NameConflict is reported.
 const displacedGrace = 10 * time.Second
 
-// conflictAnswerInterval is the time between two answers to processes that a later one of their name has replaced.
-// Their frames may have been recorded: who sends them again, from whatever address, must not get more than it sends.
+// conflictAnswerInterval is the minimum time between two answers to replaced processes of one name. An attacker may
+// replay recorded frames from any address, and must not receive more traffic than it sends.
 const conflictAnswerInterval = time.Second
 
-// receive handles a datagram that came from an address.
+// receive handles a datagram received from address.
 func (l *List) receive(message *Message, address string) {
 	if l.displaced || message == nil || message.From.Name == "" {
 		return
@@ -32,7 +31,7 @@
 	if message.ReplicaSetDigest != 0 && message.From.Epoch == sender.Epoch {
 		sender.replicaSetDigest = message.ReplicaSetDigest
 	}
-	if message.Kind < Gossip { // gossip is sent while views differ in any case
+	if message.Kind < Gossip { // views normally differ while gossip is sent
 		l.compareDigest(sender, message.Digest)
 	}
 	switch message.Kind {
@@ -49,13 +48,13 @@
 
 func (l *List) receivePing(sender *member, ping *Message) {
 	if ping.Target != "" && ping.Target != l.self.Name {
-		return // for a member that had this address before
+		return // meant for a member that had this address before
 	}
 	ack := newAck(ping.Seq, sender.Name)
 	if ping.Target == "" || ping.mentions(l.self.Name) {
 		ack.Updates = append(ack.Updates, l.self)
 	}
-	if sender.Status != Alive { // it runs, and may refute
+	if sender.Status != Alive { // lets the sender refute
 		ack.Updates = append(ack.Updates, sender.withoutTags())
 	}
 	l.sendToMember(sender, ack)
@@ -75,21 +74,21 @@
 	}
 }
 
-// compareDigest compares the digest of m's view with this member's.
+// compareDigest compares the digest of m's view with the digest of this view.
 func (l *List) compareDigest(m *member, digest uint64) {
 	if !l.view.matches(digest) {
 		l.syncer.differs(m)
 		return
 	}
-	l.joined = true // as after a synchronization
+	l.joined = true // equal views are as good as a synchronization
 	l.syncer.agrees(m.Name)
 	if l.view.matchesInARow >= matchesToDropQueue {
-		l.gossiper.updates.keepSuspicions() // they are not part of the digest
+		l.gossiper.updates.keepSuspicions() // the digest does not cover suspicions
 	}
 }
 
-// sender records that a member sent something, and returns it: nil if it is not
-// known, or is a process that a later one of its name replaced.
+// sender records that a member sent a message, and returns the member. It returns nil if
+// the sender is unknown, uses this member's name, or is not the known process of its name.
 func (l *List) sender(state *State, address string) *member {
 	if state.Name == l.self.Name {
 		l.learnAboutSelf(&Record{State: *state})
@@ -113,8 +112,8 @@
 	return m
 }
 
-// nameConflict records that a process sent from an address that m, a later one
-// of its name, has replaced; it is sent m's record, from which it learns that.
+// nameConflict handles a message from a process that m, a later process of its name, has
+// replaced. It answers with m's record, so that the sender learns of its replacement.
 func (l *List) nameConflict(m *member, address string) {
 	l.Stats.NameConflicts++
 	if l.now-m.statusSince > displacedGrace && m.Status == Alive {
@@ -124,7 +123,7 @@
 		return
 	}
 	m.conflictAnswerBlockedUntil = l.now + conflictAnswerInterval
-	answer := newGossip(m.withoutTags()) // without updates: it is not a member
+	answer := newGossip(m.withoutTags()) // without queued updates: the sender is not a member
 	l.stamp(answer)
 	l.emit(Action{Kind: Send, Address: address, Message: answer})
 }
--- a/fleet/membership/receive_test.go
+++ b/fleet/membership/receive_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// A process that a later one of its name has replaced learns that, but frames of it that somebody sends again and again
-// are not answered with more than they bring.
-func TestReplacedProcessIsAnsweredSeldomAndBriefly(t *testing.T) {
-	l := newStarted(t)
+// A replaced process learns of its replacement. Answers are rare and small, so that replayed frames of it can't be
+// used to amplify traffic.
+func TestAnswersToReplacedProcessAreLimited(t *testing.T) {
+	l := newStartedList(t)
 	for _, name := range []string{"c", "d", "e"} { // updates that a message could carry
 		news := Record{State: State{Name: name, Epoch: 1, Status: Alive}, Tags: &Tags{Address: name}}
 		l.Handle(0, gossipFrom(State{Name: "b", Epoch: 5, Incarnation: 1, Status: Alive}, news), nil)
@@ -25,11 +25,11 @@
 			answers++
 			updates := action.Message.Updates
 			if len(updates) != 1 || updates[0].Name != "b" || updates[0].Epoch != 5 || updates[0].Tags != nil {
-				t.Fatalf("answered with %+v", updates)
+				t.Fatalf("got answer with %+v, want only the record of b, epoch 5, without tags", updates)
 			}
 		}
 	}
 	if want := int(span / conflictAnswerInterval); answers != want {
-		t.Errorf("%d answers in %v, want %d", answers, span, want)
+		t.Errorf("got %d answers in %v, want %d", answers, span, want)
 	}
 }
--- a/fleet/membership/reconnect.go
+++ b/fleet/membership/reconnect.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	reconnectInterval   = time.Second // between attempts to reconnect, on average
-	reconnectingMembers = 4.0         // members of the whole fleet, on average, that attempt it each time
+	reconnectInterval   = time.Second // mean time between attempts to reconnect
+	reconnectingMembers = 4.0         // mean number of members in the whole fleet that attempt it per interval
 )
 
-// runReconnect tries to reconnect if it is due.
+// runReconnect contacts dead members and seeds if that is due.
 func (l *List) runReconnect() {
 	if l.now < l.nextReconnect {
 		return
@@ -17,9 +17,9 @@
 	l.contactSeed()
 }
 
-// pingUnreachable occasionally pings a dead member: that is how the sides of a
-// partition find each other again. Of the whole fleet the same number of members
-// does so each time, whatever its size.
+// pingUnreachable pings a dead member with a small probability, so that the sides of a
+// healed partition find each other. The probability is such that the number of members
+// that ping a dead one does not depend on the size of the fleet.
 func (l *List) pingUnreachable() {
 	fleet := float64(len(l.members.reachable) + 1)
 	lost := l.members.unreachable
@@ -31,8 +31,8 @@
 	}
 }
 
-// contactSeed synchronizes with a seed while no member is reachable, and pings one
-// occasionally otherwise.
+// contactSeed synchronizes with a seed while no member is reachable; otherwise it pings a
+// seed with a small probability.
 func (l *List) contactSeed() {
 	if len(l.cfg.Seeds) == 0 {
 		return
--- a/fleet/membership/record.go
+++ b/fleet/membership/record.go
@@ -2,17 +2,17 @@
 
 import "ryerill/internal/seedrand"
 
-// State orders the records of a member. Of two states the newer one holds wherever
-// both have arrived, in whatever order: that is why all views converge.
+// State is the versioned part of a record. Every member keeps the newer of two states,
+// in whatever order they arrive, so all views converge.
 type State struct {
 	Name            string `json:"Name"`
-	Epoch           uint64 `json:"Epoch"` // identifies a start of the member: a restart has a greater one
-	Incarnation     uint32 `json:"Inc"`   // raised by the member alone, to refute or to change its tags
+	Epoch           uint64 `json:"Epoch"` // identifies one start of the member; increases with each restart
+	Incarnation     uint32 `json:"Inc"`   // raised only by the member itself, to refute or to change its tags
 	Status          Status `json:"Status"`
 	TagsIncarnation uint32 `json:"Tagged"` // the incarnation at which its tags last changed
 }
 
-// Newer reports whether s overrides other, which is a state of the same member.
+// Newer reports whether s overrides other. Both must be states of the same member.
 func (s State) Newer(other State) bool {
 	switch {
 	case s.Epoch != other.Epoch:
@@ -25,12 +25,12 @@
 	return s.Status > other.Status
 }
 
-// sameTags reports whether s and other, states of the same member, have the same tags.
+// sameTags reports whether s and other have the same tags. Both must be states of the same member.
 func (s State) sameTags(other State) bool {
 	return s.Epoch == other.Epoch && s.TagsIncarnation == other.TagsIncarnation
 }
 
-// The places of numbers in the version that a state's hash covers. They do not overlap: a status has two bits, and an
+// Bit positions in the version that hash covers. The fields do not overlap: a status has two bits, and an
 // incarnation is less than maxIncarnation.
 const (
 	incarnationShift     = 32
@@ -38,9 +38,9 @@
 	statusMask           = 1<<tagsIncarnationShift - 1
 )
 
-// hash is the state's contribution to the digest of a view: views that hold the
-// same have the same digest. Whether a member is suspected changes quickly and is
-// not part of it; neither are members that left.
+// hash returns the state's contribution to the digest of a view: equal views have equal
+// digests. Suspect counts as Alive, since suspicions change quickly; members that left
+// contribute nothing.
 func (s State) hash() uint64 {
 	if s.Status == Left {
 		return 0
@@ -55,19 +55,19 @@
 	return seedrand.Mix(identity ^ seedrand.Mix(version))
 }
 
-// Record is what is known about a member. Tags may be missing: then the known ones
-// hold, if they are of the same TagsIncarnation.
+// Record describes a member. If Tags is nil, the receiver keeps the tags it knows,
+// provided that they have the same TagsIncarnation.
 type Record struct {
 	State
-	Tags       *Tags  `json:"Tags"` // shared between records and never changed
-	ReportedBy string `json:"By"`   // name of the member that suspected it or declared it dead
+	Tags       *Tags  `json:"Tags"` // shared between records, immutable
+	ReportedBy string `json:"By"`   // name of the member that suspected this one or declared it dead
 }
 
-// maxIncarnation bounds incarnations: a member raises its own by one at a time and
-// never comes near, so a greater one is forged or corrupt.
+// maxIncarnation bounds incarnations. A member raises its own by one at a time and never
+// gets near the bound, so a greater incarnation is forged or corrupt.
 const maxIncarnation = 1 << 30
 
-// valid reports whether a state can be true at all.
+// valid reports whether a state is well formed.
 func (s *State) valid() bool {
 	switch {
 	case s.Name == "" || len(s.Name) > MaxName:
@@ -78,7 +78,7 @@
 	return s.TagsIncarnation <= s.Incarnation && s.Incarnation < maxIncarnation
 }
 
-// valid reports whether a record can be true at all.
+// valid reports whether a record is well formed.
 func (r *Record) valid() bool {
 	if !r.State.valid() || len(r.ReportedBy) > MaxName {
 		return false
@@ -86,20 +86,20 @@
 	return r.Tags == nil || r.Tags.valid()
 }
 
-// withoutTags returns the record without its tags, for members that know them already.
+// withoutTags returns a copy without tags, for recipients that already know them.
 func (r Record) withoutTags() Record {
 	r.Tags = nil
 	return r
 }
 
-// Upper bounds of what CBOR takes beside the texts themselves.
+// Upper bounds of the CBOR overhead, in addition to the strings themselves.
 const (
-	recordOverhead = 40 // bytes of a record's keys and numbers
-	tagsOverhead   = 40 // bytes of the keys and numbers of its tags
-	poolOverhead   = 2  // bytes of the length of a pool's name
+	recordOverhead = 40 // bytes for the keys and numbers of a record
+	tagsOverhead   = 40 // bytes for the keys and numbers of its tags
+	poolOverhead   = 2  // bytes for the length of a pool name
 )
 
-// Size returns an upper bound of the bytes that a record needs in a datagram.
+// Size returns an upper bound on the encoded size of the record, in bytes.
 func (r *Record) Size() int {
 	size := recordOverhead + len(r.Name) + len(r.ReportedBy)
 	if r.Tags == nil {
--- a/fleet/membership/relays.go
+++ b/fleet/membership/relays.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	maxRelays       = 256 // indirect probes for other members that are under way
-	relayAckTimeout = 4   // ack timeouts after which an indirect probe is given up
+	maxRelays       = 256 // maximum number of indirect probes in progress
+	relayAckTimeout = 4   // in ack timeouts: an indirect probe is abandoned after this time
 )
 
-// relay is an indirect probe that another member asked for.
+// relay is an indirect probe that another member requested.
 type relay struct {
 	requester string
 	seq       uint32 // of the requester's probe
@@ -20,17 +20,17 @@
 	endsAt    time.Duration
 }
 
-// relays are the indirect probes under way, by the sequence number of their ping.
+// relays holds the indirect probes in progress, by the sequence number of their ping.
 type relays map[uint32]relay
 
-// take removes the relay that an ack belongs to.
+// take removes and returns the relay whose ping has the sequence number seq.
 func (r relays) take(seq uint32) (relay, bool) {
 	found, ok := r[seq]
 	delete(r, seq)
 	return found, ok
 }
 
-// dueAt is when the next nack is due.
+// dueAt returns when the next nack is due.
 func (r relays) dueAt() time.Duration {
 	due := never
 	for _, pending := range r {
@@ -41,11 +41,11 @@
 	return due
 }
 
-// sequences returns the keys in ascending order, so that the order of what is sent
-// is reproducible.
+// sequences returns the keys in ascending order, which makes the order of sent messages
+// reproducible.
 func (r relays) sequences() []uint32 { return slices.Sorted(maps.Keys(r)) }
 
-// runRelays sends the nacks that are due and gives up what took too long.
+// runRelays sends the due nacks and abandons relays that have expired.
 func (l *List) runRelays() {
 	for _, seq := range l.relays.sequences() {
 		pending := l.relays[seq]
@@ -60,7 +60,7 @@
 	}
 }
 
-// relayPing probes target because requester got no ack of it.
+// relayPing pings target on behalf of requester, which got no ack from it.
 func (l *List) relayPing(requester *member, target string, requesterSeq uint32) {
 	m := l.members.byName[target]
 	if m == nil || len(l.relays) >= maxRelays {
--- a/fleet/membership/rtt.go
+++ b/fleet/membership/rtt.go
@@ -4,9 +4,9 @@
 
 // The parameters of RFC 6298.
 const (
-	rttDivisor        = 8 // an observation moves the smoothed time by 1/8 of the distance
-	deviationDivisor  = 4 // and the deviation by 1/4
-	timeoutDeviations = 4 // above the smoothed time, for the timeout
+	rttDivisor        = 8 // each observation moves the smoothed time by 1/8 of the difference
+	deviationDivisor  = 4 // and the deviation by 1/4 of its difference
+	timeoutDeviations = 4 // the timeout is the smoothed time plus 4 deviations
 )
 
 // rttEstimator smooths round-trip times as TCP does (RFC 6298).
@@ -26,5 +26,5 @@
 	e.smoothed += (rtt - e.smoothed) / rttDivisor
 }
 
-// timeout is the time within which nearly all acks arrive.
+// timeout returns the time within which nearly all acks arrive.
 func (e *rttEstimator) timeout() time.Duration { return e.smoothed + timeoutDeviations*e.deviation }
--- a/fleet/membership/status.go
+++ b/fleet/membership/status.go
@@ -1,18 +1,18 @@
 package membership
 
-// Status is what is known about whether a member runs.
+// Status is a member's status in the failure detector.
 type Status uint8
 
-// The statuses, in the order in which later ones override earlier ones at the
-// same epoch and incarnation. The zero value means that the member is not known.
+// The statuses. At the same epoch and incarnation a later one in this list overrides an
+// earlier one. The zero value stands for an unknown member.
 const (
 	Alive   Status = iota + 1
-	Suspect        // probes of it failed; it may still refute
-	Dead           // it did not refute in time: it does not run or can't be reached
+	Suspect        // a probe of it failed; it may still refute
+	Dead           // it did not refute in time: it has stopped or is unreachable
 	Left           // it announced that it leaves: final for its epoch
 )
 
-// String returns the name of the status that tables and logs show.
+// String returns the name of the status for tables and logs.
 func (s Status) String() string {
 	names := [...]string{"unknown", "alive", "suspect", "dead", "left"}
 	if int(s) >= len(names) {
@@ -21,10 +21,10 @@
 	return names[s]
 }
 
-// reachable reports whether a member of this status is probed and gossiped to.
+// reachable reports whether members of this status are probed and receive gossip.
 func (s Status) reachable() bool { return s == Alive || s == Suspect }
 
-// Phase is the stage of its lifecycle that a member announces.
+// Phase is the lifecycle phase that a member announces.
 type Phase uint8
 
 // The phases of a member.
@@ -35,7 +35,7 @@
 	Leaving
 )
 
-// String returns the name of the phase that tables and logs show.
+// String returns the name of the phase for tables and logs.
 func (p Phase) String() string {
 	names := [...]string{"starting", "serving", "draining", "leaving"}
 	if int(p) >= len(names) {
--- a/fleet/membership/suspicion.go
+++ b/fleet/membership/suspicion.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	neededConfirmations = 2   // further members that shorten a suspicion to its minimum
-	minSuspicionPeriods = 6.0 // probe intervals: time to disseminate a suspicion and to receive the refutation
-	maxSuspicionFactor  = 6.0 // times the minimum that a suspicion lasts if nobody confirms it
-	lastChancePingers   = 300 // members of the fleet, on average, that ping a suspect before they declare it dead
-	unconfirmableFactor = 2   // times the minimum that a suspicion lasts if no other member could confirm it
-	verifiers           = 4.0 // members of the fleet, on average, that probe a newly suspected member at once
+	neededConfirmations = 2   // confirmations by other members that shorten a suspicion to its minimum
+	minSuspicionPeriods = 6.0 // in probe intervals: time to disseminate a suspicion and receive the refutation
+	maxSuspicionFactor  = 6.0 // a suspicion without confirmations lasts this many times the minimum
+	lastChancePingers   = 300 // mean number of members in the fleet that ping a suspect before declaring it dead
+	unconfirmableFactor = 2   // a suspicion that no other member could confirm lasts this many times the minimum
+	verifiers           = 4.0 // mean number of members in the fleet that probe a new suspect at once
 )
 
-// suspicion is the time that a suspect has to refute.
+// suspicion determines how long a suspect has to refute.
 type suspicion struct {
 	startedAt           time.Duration
-	min                 time.Duration // how long it lasts once it is confirmed
-	max                 time.Duration // how long it lasts if nobody confirms it
+	min                 time.Duration // duration with all needed confirmations
+	max                 time.Duration // duration without confirmations
 	neededConfirmations int
-	reporters           []string      // who suspected the member and who confirmed it
-	lastChanceUntil     time.Duration // until when the last ping may be answered; 0 before the timeout
+	reporters           []string      // the member that raised the suspicion, then those that confirmed it
+	lastChanceUntil     time.Duration // the last ping may be answered until then; 0 before the timeout
 }
 
-// timeoutAt is when a suspicion that is not refuted ends: the earlier, the more
-// members confirmed it independently.
+// timeoutAt returns when the suspicion ends unless it is refuted. Each independent
+// confirmation makes it end earlier.
 func (s *suspicion) timeoutAt() time.Duration {
-	if s.neededConfirmations <= 0 { // nobody else could confirm it
+	if s.neededConfirmations <= 0 { // no other member could confirm it
 		return s.startedAt + unconfirmableFactor*s.min
 	}
 	confirmations := min(len(s.reporters)-1, s.neededConfirmations)
@@ -37,10 +37,10 @@
 	return s.startedAt + s.max - time.Duration(fraction*float64(s.max-s.min))
 }
 
-// confirmed reports whether as many members reported the suspicion as can shorten it.
+// confirmed reports whether the suspicion has all needed confirmations.
 func (s *suspicion) confirmed() bool { return len(s.reporters) > s.neededConfirmations }
 
-// confirm adds a reporter, and reports whether it was a further one.
+// confirm adds a reporter, and reports whether it counts as a new confirmation.
 func (s *suspicion) confirm(reporter string) bool {
 	if s.confirmed() || slices.Contains(s.reporters, reporter) {
 		return false
@@ -49,7 +49,7 @@
 	return true
 }
 
-// postpone gives the suspect more time.
+// postpone extends the time to refute.
 func (s *suspicion) postpone(by time.Duration) {
 	s.startedAt += by
 	if s.lastChanceUntil > 0 {
@@ -57,8 +57,8 @@
 	}
 }
 
-// suspectList holds the members that are suspected. nextTimeout is no later than the
-// end of any suspicion.
+// suspectList holds the suspected members. nextTimeout is never later than the end of a
+// suspicion.
 type suspectList struct {
 	members     []*member
 	nextTimeout time.Duration
@@ -75,11 +75,11 @@
 	s.members = slices.DeleteFunc(s.members, func(other *member) bool { return other == m })
 }
 
-// schedule has the suspicions looked at no later than at.
+// schedule makes sure that the suspicions are checked no later than at.
 func (s *suspectList) schedule(at time.Duration) { s.nextTimeout = min(s.nextTimeout, at) }
 
-// postpone gives all suspects back the time in which this member received nothing:
-// their refutations may be among what it reads next.
+// postpone extends all suspicions by the time in which this member received nothing:
+// unread messages may contain refutations.
 func (s *suspectList) postpone(by time.Duration) {
 	for _, m := range s.members {
 		m.suspicion.postpone(by)
@@ -89,7 +89,7 @@
 	}
 }
 
-// suspect begins the suspicion of m, which reporter found.
+// suspect starts a suspicion of m that reporter raised.
 func (l *List) suspect(m *member, reporter string) {
 	shortest := time.Duration(minSuspicionPeriods * float64(l.cfg.ProbeInterval))
 	l.suspects.add(m, &suspicion{
@@ -100,11 +100,11 @@
 		reporters:           []string{reporter},
 	})
 	if reporter != l.self.Name && l.rng.Float64() < verifiers/float64(len(l.members.reachable)+1) {
-		l.prober.urgent = append(l.prober.urgent, m) // a second probe, independent of the first
+		l.prober.urgent = append(l.prober.urgent, m) // independent of the reporter's probe
 	}
 }
 
-// confirmSuspicion records that reporter suspects m too, and passes it on.
+// confirmSuspicion records that reporter suspects m too, and publishes the confirmation.
 func (l *List) confirmSuspicion(m *member, reporter string) {
 	if m.suspicion == nil || !m.suspicion.confirm(reporter) {
 		return
@@ -115,7 +115,7 @@
 	l.publish(record)
 }
 
-// runSuspicions ends the suspicions that are due.
+// runSuspicions checks the suspicions if one may have timed out.
 func (l *List) runSuspicions() {
 	for l.suspects.nextTimeout <= l.now {
 		l.suspects.nextTimeout = never
@@ -125,14 +125,14 @@
 	}
 }
 
-// expireSuspicion declares m dead if its suspicion has ended. Before that it gets a
-// last chance: it is pinged once more with the suspicion, since its refutation may
-// have missed this member, and what has arrived meanwhile at a member that stood
-// still is read before it decides.
+// expireSuspicion declares m dead if its suspicion has timed out and a last chance has
+// passed. For the last chance some members ping m with the suspicion, since its refutation
+// may not have reached them. The delay also lets a member that was stalled read the
+// messages that arrived meanwhile before it decides.
 func (l *List) expireSuspicion(m *member) {
 	s := m.suspicion
 	end := s.timeoutAt()
-	if m.lastHeard >= s.startedAt && !s.confirmed() { // it sends: it may just not receive
+	if m.lastHeard >= s.startedAt && !s.confirmed() { // m still sends; it may only fail to receive
 		end = s.startedAt + s.max
 	}
 	if end > l.now {
--- a/fleet/membership/sync.go
+++ b/fleet/membership/sync.go
@@ -7,29 +7,29 @@
 )
 
 const (
-	viewQuietPeriod        = 600 * time.Millisecond  // a view unchanged for so long is synchronized if it differs
-	maxSyncDelay           = 1500 * time.Millisecond // and one that keeps changing after so long
-	syncBacklog            = 64                      // queued updates from which gossip would take seconds
+	viewQuietPeriod        = 600 * time.Millisecond  // an unchanged view is synchronized after this time
+	maxSyncDelay           = 1500 * time.Millisecond // a changing view is synchronized after this time
+	syncBacklog            = 64                      // queued updates above which gossip would take seconds
 	minSyncInterval        = 500 * time.Millisecond  // between synchronizations that this member starts
-	membersPerSyncInterval = 1000.0                  // above so many members the interval grows in proportion to them
-	syncTimeout            = 5 * time.Second         // a synchronization that has not ended by then is given up
-	maxSyncBytes           = 3 << 19                 // records in one message, which is under 2 MiB with the names
+	membersPerSyncInterval = 1000.0                  // above it the interval grows in proportion to the members
+	syncTimeout            = 5 * time.Second         // a synchronization that takes longer is abandoned
+	maxSyncBytes           = 3 << 19                 // bytes of records in a message, under 2 MiB with the names
 )
 
-// syncer schedules push/pull synchronizations of whole views. At most one that was
-// started here is under way.
+// syncer schedules push/pull synchronizations of whole views. At most one started by this
+// member is in progress.
 type syncer struct {
 	candidate     string // name of a member whose digest differs; empty if there is none
-	current       uint64 // identifies the synchronization under way; 0 if there is none
+	current       uint64 // ID of the synchronization in progress; 0 if there is none
 	endsAt        time.Duration
-	started       uint64 // synchronizations started
+	started       uint64 // number of synchronizations started, and the ID of the latest
 	lastStartedAt time.Duration
-	nextAt        time.Duration // not before then
+	nextAt        time.Duration // the next one must not start earlier
 }
 
-// startAt is when a synchronization with the candidate is due: once the view is
-// quiet, or has kept changing for long, or at once where more has changed than
-// gossip carries, as after a partition.
+// startAt returns when a synchronization with the candidate is due: once the view has
+// been quiet or has kept changing for long enough, or as soon as allowed if the queue is
+// too long for gossip, as after a partition.
 func (s *syncer) startAt(viewChangedAt time.Duration, queuedUpdates int) time.Duration {
 	if queuedUpdates >= syncBacklog {
 		return s.nextAt
@@ -37,7 +37,7 @@
 	return max(s.nextAt, min(viewChangedAt+viewQuietPeriod, s.lastStartedAt+maxSyncDelay))
 }
 
-// dueAt is when the next step is due.
+// dueAt returns when the next step is due.
 func (s *syncer) dueAt(viewChangedAt time.Duration, queuedUpdates int) time.Duration {
 	switch {
 	case s.current != 0:
@@ -55,14 +55,14 @@
 	}
 }
 
-// agrees records that the digest of a member is the same.
+// agrees records that a member's digest equals this member's.
 func (s *syncer) agrees(name string) {
 	if s.candidate == name {
 		s.candidate = ""
 	}
 }
 
-// start begins a synchronization. reachable is the number of reachable members.
+// start records the start of a synchronization. reachable is the number of reachable members.
 func (s *syncer) start(now time.Duration, reachable int, rng *random) {
 	s.started++
 	s.current = s.started
@@ -72,7 +72,7 @@
 	s.nextAt = now + gap + rng.duration(gap)
 }
 
-// end ends the synchronization under way, if it is the given one.
+// end ends the synchronization in progress if its ID is id.
 func (s *syncer) end(id uint64) (ended bool) {
 	if id != s.current {
 		return false
@@ -81,10 +81,10 @@
 	return true
 }
 
-// abort gives up the synchronization under way.
+// abort abandons the synchronization in progress.
 func (s *syncer) abort() { s.current = 0 }
 
-// runSync gives up a synchronization that took too long and starts one that is due.
+// runSync abandons a synchronization that has timed out, and starts one that is due.
 func (l *List) runSync() {
 	s := &l.syncer
 	if s.current != 0 && l.now >= s.endsAt {
@@ -100,8 +100,7 @@
 	s.candidate = ""
 }
 
-// startSync starts a synchronization with the member at an address; name is empty
-// if it is a seed's.
+// startSync starts a synchronization with the member at address. name is empty for a seed.
 func (l *List) startSync(name, address string) {
 	l.Stats.Exchanges++
 	l.syncer.start(l.now, len(l.members.reachable), &l.rng)
@@ -110,7 +109,7 @@
 	l.emit(Action{Kind: StartSync, Name: name, Address: address, Message: request, Exchange: l.syncer.current})
 }
 
-// viewWithoutTags returns all records without tags, save this member's own.
+// viewWithoutTags returns all records; only this member's own has tags.
 func (l *List) viewWithoutTags() []Record {
 	view := make([]Record, 0, len(l.members.byName)+1)
 	view = append(view, l.self)
@@ -125,8 +124,8 @@
 	slices.SortFunc(records, func(a, b Record) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// syncRequested answers a synchronization that another member started: with the
-// records that are newer here, and the names of those that are requested.
+// syncRequested answers a synchronization that another member started, with the records
+// that are newer here and the names of the records requested from the other member.
 func (l *List) syncRequested(request *Message, exchange uint64) {
 	if l.displaced || request == nil {
 		return
@@ -152,13 +151,13 @@
 		}
 	}
 	sortByName(response.Updates)
-	response.Updates = whatFits(response.Updates)
+	response.Updates = fittingPrefix(response.Updates)
 	l.synchronized(&request.From)
 	l.emit(Action{Kind: Reply, Message: response, Exchange: exchange})
 }
 
-// compareRecord merges one record of a request, or adds to the response what its
-// sender lacks.
+// compareRecord merges one record of a request, requests its tags, or adds the newer
+// known record to the response.
 func (l *List) compareRecord(record *Record, response *Message) {
 	if record.Name == l.self.Name {
 		if record.State != l.self.State {
@@ -186,7 +185,7 @@
 	}
 }
 
-// syncAnswered ends a synchronization that was started here, and sends the records
+// syncAnswered ends a synchronization that this member started, and sends the records
 // that the other member requested.
 func (l *List) syncAnswered(response *Message, exchange uint64) {
 	if l.displaced || response == nil || !l.syncer.end(exchange) {
@@ -206,13 +205,13 @@
 			final.Updates = append(final.Updates, l.self)
 		}
 	}
-	final.Updates = whatFits(final.Updates)
+	final.Updates = fittingPrefix(final.Updates)
 	l.emit(Action{Kind: Reply, Message: final, Exchange: exchange})
 }
 
-// whatFits returns the first records, as many as a message carries. While any are missing the digests differ, and the
-// next synchronization brings further ones.
-func whatFits(records []Record) []Record {
+// fittingPrefix returns the first records, as many as fit into a message. The digests differ until all records have
+// been transferred, so later synchronizations transfer the rest.
+func fittingPrefix(records []Record) []Record {
 	size := 0
 	for i := range records {
 		size += records[i].Size()
@@ -231,8 +230,8 @@
 	l.learnView(final)
 }
 
-// synchronized records that views were exchanged with another member. A seed's
-// address may turn out to be this member's own.
+// synchronized records that views were exchanged. It ignores an exchange of this member
+// with itself, since a seed may have its address.
 func (l *List) synchronized(from *State) {
 	if from.Name != l.self.Name {
 		l.joined = true
@@ -245,9 +244,9 @@
 	}
 }
 
-// learnFromView merges a record of another member's whole view. One that the other
-// considers dead and this member does not gets the chance to refute: after a
-// partition each side considers the other one dead, and neither is believed.
+// learnFromView merges a record of another member's whole view. A member that only the
+// other considers dead gets the chance to refute first: after a partition each side
+// considers the other dead, and neither is right.
 func (l *List) learnFromView(record *Record) {
 	m := l.members.byName[record.Name]
 	if m != nil && record.valid() && disputable(m, record) {
@@ -257,7 +256,7 @@
 	l.learn(record, "")
 }
 
-// disputable reports whether record declares m dead in a way that m can still refute.
+// disputable reports whether record declares m dead while m is reachable here and can still refute.
 func disputable(m *member, record *Record) bool {
 	current := record.Epoch == m.Epoch && record.Incarnation >= m.Incarnation
 	return current && record.Status == Dead && m.Status.reachable()
--- a/fleet/membership/tags.go
+++ b/fleet/membership/tags.go
@@ -1,14 +1,14 @@
 package membership
 
-// Bounds of what a member may announce. What exceeds them is cut by [Tags.Bound].
+// Bounds of the tags that a member may announce. [Tags.Bound] enforces them.
 const (
 	MaxName      = 64  // bytes of a name, an address or a tag
 	MaxPools     = 16  // number of pools
 	MaxPoolBytes = 256 // bytes of the names of all pools together
-	MaxUnknown   = 128 // bytes of tags that only a later program knows
+	MaxUnknown   = 128 // bytes of tags that only a later version knows
 )
 
-// Tags is what a member announces about itself, beyond that it is there.
+// Tags is the metadata that a member announces about itself.
 type Tags struct {
 	Address        string   `json:"Address"` // for datagrams and sync connections, as the member itself advertises it
 	Zone           string   `json:"Zone"`
@@ -17,13 +17,13 @@
 	ProgramVersion string   `json:"Program"`
 	SettingsHash   string   `json:"Settings"`
 	Phase          Phase    `json:"Phase"`
-	MinLevel       uint8    `json:"Least"` // lowest protocol level that it understands: see package codec
-	MaxLevel       uint8    `json:"Most"`  // highest protocol level that it understands
-	Unknown        string   `json:"Later"` // encoded tags that this program does not know, passed on as received
+	MinLevel       uint8    `json:"Least"` // lowest supported protocol level: see package codec
+	MaxLevel       uint8    `json:"Most"`  // highest supported protocol level
+	Unknown        string   `json:"Later"` // encoded tags unknown to this version, forwarded as received
 }
 
-// Bound cuts what exceeds the bounds that others check, and reports whether
-// anything was cut.
+// Bound truncates tags that exceed the bounds, since other members reject them otherwise.
+// It reports whether anything was cut.
 func (t *Tags) Bound() (cut bool) {
 	for _, text := range []*string{&t.Address, &t.Zone, &t.ProgramVersion, &t.SettingsHash} {
 		if len(*text) > MaxName {
@@ -42,7 +42,7 @@
 	return cut
 }
 
-// PoolsFit reports whether the names of pools keep the bounds.
+// PoolsFit reports whether the pool names are within MaxPools and MaxPoolBytes.
 func PoolsFit(names []string) bool {
 	total := 0
 	for _, name := range names {
@@ -51,7 +51,7 @@
 	return len(names) <= MaxPools && total <= MaxPoolBytes
 }
 
-// valid reports whether tags keep the bounds.
+// valid reports whether the tags are within the bounds.
 func (t *Tags) valid() bool {
 	for _, text := range []string{t.Address, t.Zone, t.ProgramVersion, t.SettingsHash} {
 		if len(text) > MaxName {
--- a/fleet/membership/view_digest.go
+++ b/fleet/membership/view_digest.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// viewDigest is a digest of all records that are known, which members compare. It
-// is the exclusive or of the hashes of their states.
+// viewDigest is a digest of all known records: the XOR of the hashes of their states.
+// Members compare their digests to detect differing views.
 type viewDigest struct {
 	value         uint64
 	changedAt     time.Duration
-	matchesInARow int // members, one after the other, whose digest was the same
+	matchesInARow int // consecutive digests of other members that were equal
 }
 
-// toggle removes a state from the digest, or adds it.
+// toggle adds a state to the digest, or removes it if it is included.
 func (d *viewDigest) toggle(now time.Duration, state State) {
 	hash := state.hash()
 	if hash == 0 {
@@ -21,7 +21,7 @@
 	d.matchesInARow = 0
 }
 
-// matches compares the digest of another member's view.
+// matches reports whether another member's digest is equal, and counts consecutive matches.
 func (d *viewDigest) matches(digest uint64) bool {
 	if digest != d.value {
 		d.matchesInARow = 0
