--- a/fleet/placement/doc.go
+++ b/fleet/placement/doc.go
@@ -1,10 +1,11 @@
-// Package placement derives a replica's position from what it knows about its fleet:
-// among how many replicas quotas are divided, which of them it is, and whether that is
-// confirmed. It is pure: the known members and their time go in, positions come out.
+// Package placement derives a replica's position in each of its pools from its view of
+// the fleet: its index in the ring order, the number of replicas among which quotas are
+// divided, and whether its fraction is confirmed. It does no I/O and has no clock: the
+// caller passes the known members and the time.
 //
-// Two numbers are kept apart. Quotas are divided among all replicas that may run: one
-// that can't be reached may spend its fraction all the same, so it counts until it
-// announces that it leaves, its name restarts, or an operator declares it to be gone.
-// The ring order follows the replicas that are alive, with a delay against flapping.
-// While this replica may itself be the partitioned one the order stays as it is.
+// Quotas are divided among all replicas that may run. An unreachable replica may still
+// spend its fraction, so it counts until it announces that it leaves, its name restarts,
+// or an operator forgets it. The ring order contains the reachable replicas. It follows
+// changes with a delay, to ignore flapping, and removes no replica while this replica may
+// itself be partitioned.
 package placement
--- a/fleet/placement/partition.go
+++ b/fleet/placement/partition.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	lossWindow              = 5 * time.Second // losses within it are attributed to one cause
-	partitionedLossFraction = 0.5             // a replica that lost a greater fraction is likely the partitioned one
-	poorHealth              = 4               // local health from which any loss is attributed to this replica
+	lossWindow              = 5 * time.Second // losses within this window are attributed to one cause
+	partitionedLossFraction = 0.5             // a replica that lost a greater fraction is likely partitioned itself
+	poorHealth              = 4               // local health score from which any loss is attributed to this replica
 )
 
-// partitionDetector finds whether this replica is likely the partitioned one: it lost
-// most of the others at once, or its local health is poor while it loses some.
+// partitionDetector detects that this replica itself is likely partitioned: it lost most
+// other replicas at once, or lost some while its local health is poor.
 type partitionDetector struct {
 	partitioned bool
 	since       time.Duration
-	lastHeard   time.Duration // when the latest message of any other replica arrived; 0 if none did
+	lastHeard   time.Duration // arrival of the latest message of any other replica; 0 before the first
 	losses      []time.Duration
 	statuses    map[string]membership.Status // of the other members at the last update
 }
@@ -27,7 +27,7 @@
 	return partitionDetector{statuses: map[string]membership.Status{}}
 }
 
-// update processes the members.
+// update processes a snapshot.
 func (d *partitionDetector) update(now time.Duration, snapshot *Snapshot) {
 	alive := 0
 	for i := range snapshot.Members {
@@ -58,7 +58,7 @@
 	}
 }
 
-// dropMissing forgets the statuses of those that are not members any more.
+// dropMissing removes the statuses of replicas that are no longer members.
 func (d *partitionDetector) dropMissing(members []membership.MemberInfo) {
 	if len(d.statuses) <= len(members) {
 		return
@@ -70,8 +70,8 @@
 	}
 }
 
-// staleFor returns since when no message of another replica arrived; 0 while messages
-// arrive, and before the first.
+// staleFor returns the time since the latest message of another replica, or 0 if that is
+// at most lossWindow or no message has arrived yet.
 func (d *partitionDetector) staleFor(now time.Duration) time.Duration {
 	silence := now - d.lastHeard
 	if d.lastHeard <= 0 || silence <= lossWindow {
@@ -80,8 +80,8 @@
 	return silence
 }
 
-// majorityReachable reports whether more than half of the members that may run are
-// reachable, this replica included.
+// majorityReachable reports whether more than half of the members that may run, including
+// this replica, are reachable.
 func majorityReachable(members []membership.MemberInfo) bool {
 	all, reached := 0, 0
 	for i := range members {
--- a/fleet/placement/pool.go
+++ b/fleet/placement/pool.go
@@ -7,25 +7,25 @@
 	"ryerill/fleet/membership"
 )
 
-// How long a change must last before the ring order follows it. What makes a quota
-// fraction smaller holds at once.
+// How long a change must last before the ring order follows it. Changes that reduce a
+// quota fraction apply at once.
 const (
-	JoinDelay = time.Second      // replicas were added: more may join beside them
-	LossDelay = 10 * time.Second // a replica is missing: it may only flap
+	JoinDelay = time.Second      // after additions: more replicas may be joining
+	LossDelay = 10 * time.Second // after a loss: the replica may only be flapping
 )
 
-// pool is the position in one pool.
+// pool holds the position and the ring order of one pool.
 type pool struct {
 	position Position
 	ring     ring
 }
 
-// replicaCount counts the replicas of a pool.
+// replicaCount holds the numbers of replicas of a pool by status.
 type replicaCount struct {
-	all         int // that may run
-	alive       int // that are not even suspected
+	all         int // replicas that may run
+	alive       int // replicas that are alive and not suspected
 	unreachable int
-	ring        []string // names of those that should be in the ring order, sorted
+	ring        []string // sorted names of the replicas that should be in the ring order
 }
 
 func countReplicas(poolName string, snapshot *Snapshot) (count replicaCount) {
@@ -49,19 +49,19 @@
 	return count
 }
 
-// ring is the ring order of a pool's replicas: their names, sorted.
+// ring is the ring order of a pool's replicas, which is the order of their names.
 type ring struct {
 	started  bool
 	replicas []string
-	next     []string // the latest ones, which replace replicas once they have lasted
+	next     []string // latest replicas, which replace replicas after a delay
 	since    time.Duration
 }
 
-// changing reports whether a change waits until it has lasted.
+// changing reports whether a change is pending.
 func (r *ring) changing() bool { return !slices.Equal(r.replicas, r.next) }
 
-// position returns the index of a replica and their number. A replica that is not
-// among them has the first index.
+// position returns the index of a replica and the number of replicas. A replica that is
+// not in the ring order gets index 0.
 func (r *ring) position(name string) (index, of int) {
 	index, found := slices.BinarySearch(r.replicas, name)
 	if !found {
@@ -70,8 +70,8 @@
 	return index, len(r.replicas)
 }
 
-// update has the order follow the latest replicas once they have lasted. While this
-// replica is partitioned none is taken out.
+// update applies the latest replicas once they have been stable for JoinDelay, or LossDelay
+// if a replica is missing. It removes no replica while this replica is partitioned.
 func (r *ring) update(now time.Duration, latest []string, partitioned bool) {
 	if !r.started {
 		r.started = true
@@ -99,7 +99,7 @@
 	}
 }
 
-// losing reports whether the next replicas lack one of the present ones.
+// losing reports whether the pending change removes a replica.
 func (r *ring) losing() bool {
 	return slices.ContainsFunc(r.replicas, func(name string) bool {
 		_, found := slices.BinarySearch(r.next, name)
--- a/fleet/placement/position.go
+++ b/fleet/placement/position.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Position is a replica's position among those of one pool.
+// Position is a replica's position among the replicas of one pool.
 type Position struct {
 	Index         int // in the ring order, below Of
 	Of            int // replicas in the ring order
-	QuotaReplicas int // replicas that may run: each has an equal fraction of a quota
-	// Confirmed reports whether all of them count this replica too, so that its fraction is one of theirs.
-	// Otherwise it has none, unless QuotaReplicas is within the minimum that an operator has configured.
+	QuotaReplicas int // replicas that may run, or the configured minimum: each has an equal fraction of a quota
+	// Confirmed reports whether all of these replicas count this one, so that it may spend its fraction.
+	// It is also set while QuotaReplicas is within the minimum that an operator has configured.
 	Confirmed   bool
 	Alive       int           // replicas of the pool that are alive and not suspected
-	Unreachable int           // replicas of the pool that are dead, but may run
-	StaleFor    time.Duration // since when no message of another replica arrived; 0 while messages do
+	Unreachable int           // replicas of the pool that are dead but may still run
+	StaleFor    time.Duration // time since the latest message of another replica; 0 while messages arrive
 }
 
-// QuotaFraction returns the fraction of a quota that the replica may spend by itself.
+// QuotaFraction returns the fraction of a quota that the replica may spend without a loan.
 func (p Position) QuotaFraction() float64 {
 	if !p.Confirmed {
 		return 0
--- a/fleet/placement/replica_set.go
+++ b/fleet/placement/replica_set.go
@@ -5,16 +5,16 @@
 	"ryerill/internal/seedrand"
 )
 
-// replicaSet is the set of all replicas that may run, and whether this one is
-// confirmed as one of them.
+// replicaSet holds the digest of the set of all replicas that may run, and whether this
+// replica is confirmed as part of it.
 type replicaSet struct {
 	digest    uint64
 	confirmed bool
 }
 
-// update processes the members. The replica is confirmed once all others announce the
-// same set: from then on nobody drops it from theirs unless it leaves. A later process
-// of its name takes the confirmation over.
+// update processes a snapshot. The replica is confirmed once all others announce the same
+// set: they count it until it leaves. A later process of its name takes the confirmation
+// over.
 func (r *replicaSet) update(snapshot *Snapshot) {
 	before := r.digest
 	r.digest = setDigest(snapshot.Members)
@@ -27,7 +27,7 @@
 	}
 }
 
-// announcedByAll reports whether all others that may run announced the same set.
+// announcedByAll reports whether all other replicas that may run announced the same set.
 func (r *replicaSet) announcedByAll(members []membership.MemberInfo) bool {
 	for i := range members {
 		m := &members[i]
@@ -38,10 +38,10 @@
 	return true
 }
 
-// poolHashFactor makes the hash of a replica depend on the order of its pools.
+// poolHashFactor makes a replica's hash depend on the order of its pools.
 const poolHashFactor = 31
 
-// setDigest is a digest of the names and pools of the members that may run.
+// setDigest returns a digest of the names and pools of the members that may run.
 func setDigest(members []membership.MemberInfo) (digest uint64) {
 	for i := range members {
 		m := &members[i]
--- a/fleet/placement/stale_test.go
+++ b/fleet/placement/stale_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// How long nothing was heard from anybody is stated once it is longer than a moment, and ends with the next message. Who
-// never heard anybody, or is alone, misses nothing.
-func TestSilenceIsStated(t *testing.T) {
+// StaleFor is set once the silence exceeds lossWindow, and reset by the next message. It stays 0 for a replica that is
+// alone or has received no message yet.
+func TestStaleFor(t *testing.T) {
 	heardAt := func(at time.Duration, others ...string) Snapshot {
 		s := snapshotOf(0, others...)
 		for i := range s.Members {
@@ -22,7 +22,7 @@
 	}{
 		"messages arrive": {heardAt(time.Minute, "+b", "+c"), time.Minute + lossWindow, 0},
 		"silence":         {heardAt(time.Minute, "+b", "+c"), time.Minute + 2*lossWindow, 2 * lossWindow},
-		"from the dead":   {heardAt(time.Minute, "-b", "-c"), 2 * time.Minute, time.Minute},
+		"all dead":        {heardAt(time.Minute, "-b", "-c"), 2 * time.Minute, time.Minute},
 		"never heard":     {heardAt(-1, "+b"), time.Hour, 0},
 		"alone":           {heardAt(time.Minute), time.Hour, 0},
 	} {
@@ -30,17 +30,17 @@
 			tracker := New(nil)
 			tracker.Update(tc.now, tc.snapshot)
 			if got := tracker.Position("main").StaleFor; got != tc.want {
-				t.Errorf("%v, want %v", got, tc.want)
+				t.Errorf("got StaleFor %v, want %v", got, tc.want)
 			}
 		})
 	}
 	tracker := New(nil)
 	tracker.Update(time.Hour, heardAt(time.Minute, "+b"))
 	if tracker.Update(time.Hour+time.Second, heardAt(time.Minute, "+b")) {
-		t.Error("growing silence counts as another position")
+		t.Error("Update with only a longer silence: got changed true, want false")
 	}
 	tracker.Update(time.Hour+2*time.Second, heardAt(time.Hour, "+b"))
 	if got := tracker.Position("main").StaleFor; got != 0 {
-		t.Errorf("after a message: %v", got)
+		t.Errorf("after a message: got StaleFor %v, want 0", got)
 	}
 }
