--- a/fleet/codec/codec.go
+++ b/fleet/codec/codec.go
@@ -14,11 +14,11 @@
 
 // Bounds of a frame.
 const (
-	MaxDatagram    = 1200    // bytes: under the least MTU that is met in practice
-	MaxSyncMessage = 2 << 20 // bytes of one message of a connection: a view of 8,192 members
+	MaxDatagram    = 1200    // bytes: below the smallest MTU common in practice
+	MaxSyncMessage = 2 << 20 // bytes of one message of a connection; fits a view of 8,192 members
 )
 
-// The layout of a frame: where its parts are, in bytes.
+// The layout of a frame: offsets and sizes of its parts, in bytes.
 const (
 	versionAt  = 0
 	fleetAt    = 1
@@ -34,12 +34,12 @@
 	fleet   string
 	fleetID [fleetSize]byte
 	keys    keyRing
-	number  uint64 // of the latest frame that was encoded
+	number  uint64 // of the latest encoded frame
 	wire    wireCodec
 	replays replayFilter
 }
 
-// New returns a codec. The first key signs, all are accepted.
+// New returns a codec. It signs with the first key and accepts all keys.
 func New(fleet string, keys [][]byte) (*Codec, error) {
 	ring, err := newKeyRing(keys)
 	if err != nil {
@@ -59,7 +59,7 @@
 	}, nil
 }
 
-// SetKeys replaces the keys. After an error the previous ones stay.
+// SetKeys replaces the keys. On an error it keeps the previous keys.
 func (c *Codec) SetKeys(keys [][]byte) error {
 	ring, err := newKeyRing(keys)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// Encode returns the frame of a message.
+// Encode returns a message as a signed frame.
 func (c *Codec) Encode(m *membership.Message) ([]byte, error) {
 	body, err := c.wire.encodeMessage(m)
 	if err != nil {
@@ -85,8 +85,8 @@
 	return append(frame, authenticationCode(c.keys.byID[c.keys.signing], c.fleet, frame)...), nil
 }
 
-// CheckHead returns which fault shows at the head of a frame of at most maxSize bytes, at next to no cost; nil if the
-// frame may be one of this fleet.
+// CheckHead checks the size and the header of a frame of at most maxSize bytes, without the cost of authentication.
+// It returns one of Errors, or nil if the frame may belong to this fleet.
 func (c *Codec) CheckHead(frame []byte, maxSize int) error {
 	switch {
 	case len(frame) > maxSize:
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// Decode returns the message of a frame of at most maxSize bytes. An error wraps one of
-// Errors.
+// Decode authenticates a frame of at most maxSize bytes and returns its message. An error
+// wraps one of Errors.
 func (c *Codec) Decode(frame []byte, maxSize int) (*membership.Message, error) {
 	if err := c.CheckHead(frame, maxSize); err != nil {
 		return nil, err
--- a/fleet/codec/codec_test.go
+++ b/fleet/codec/codec_test.go
@@ -29,7 +29,7 @@
 	key2 = "two-key-of-sixteen-bytes-or-more"
 )
 
-// largeMessage is a message that uses all fields of a datagram, at their bounds.
+// largeMessage returns a message that sets all fields of a datagram to their bounds.
 func largeMessage() *membership.Message {
 	long := strings.Repeat("x", membership.MaxName)
 	tags := &membership.Tags{
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestEncodedMessageIsDecoded(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	writer := newCodec(t, "f", key1)
 	reader := newCodec(t, "f", key2, key1)
 	for name, m := range map[string]*membership.Message{
@@ -56,21 +56,21 @@
 		t.Run(name, func(t *testing.T) {
 			frame, err := writer.Encode(m)
 			if err != nil || len(frame) > MaxDatagram {
-				t.Fatalf("%d bytes, %v", len(frame), err)
+				t.Fatalf("Encode: got %d bytes and error %v, want at most MaxDatagram and none", len(frame), err)
 			}
 			got, err := reader.Decode(frame, MaxDatagram)
 			if err != nil || !reflect.DeepEqual(got, m) {
-				t.Errorf("%v\n%+v\n%+v", err, got, m)
+				t.Errorf("Decode: got error %v and message\n%+v\nwant\n%+v", err, got, m)
 			}
 			if _, err := reader.Decode(frame, MaxDatagram); !errors.Is(err, ErrReplayed) {
-				t.Errorf("a second time: %v", err)
+				t.Errorf("second Decode: got error %v, want ErrReplayed", err)
 			}
 		})
 	}
 }
 
-// The size by which updates are packed is never less than what they take.
-func TestRecordTakesNoMoreThanItsSize(t *testing.T) {
+// Record.Size, by which updates are packed into messages, is an upper bound of the encoded size.
+func TestRecordSizeIsUpperBound(t *testing.T) {
 	c := newCodec(t, "f", key1)
 	one, two := largeMessage(), largeMessage()
 	two.Updates = append(two.Updates, two.Updates[0])
@@ -83,11 +83,11 @@
 		t.Fatal(err)
 	}
 	if grown := len(longer) - len(shorter); grown > one.Updates[0].Size() {
-		t.Errorf("a record takes %d bytes and its size is %d", grown, one.Updates[0].Size())
+		t.Errorf("record takes %d bytes, want at most its Size %d", grown, one.Updates[0].Size())
 	}
 }
 
-func TestFaultsOfFramesAreNamed(t *testing.T) {
+func TestDecodeReturnsFault(t *testing.T) {
 	encode := func(c *Codec) []byte {
 		frame, err := c.Encode(largeMessage())
 		if err != nil {
@@ -106,7 +106,7 @@
 		want  error
 	}{
 		"empty":             {nil, ErrMalformed},
-		"cut":               {good[:len(good)-1], ErrAuthentication},
+		"truncated":         {good[:len(good)-1], ErrAuthentication},
 		"version":           {change(versionAt), ErrVersion},
 		"other fleet":       {encode(newCodec(t, "g", key1)), ErrFleet},
 		"other key":         {encode(newCodec(t, "f", key2)), ErrKey},
@@ -117,24 +117,24 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := newCodec(t, "f", key1).Decode(tc.frame, MaxDatagram); !errors.Is(err, tc.want) {
-				t.Errorf("%v, want %v", err, tc.want)
+				t.Errorf("got error %v, want %v", err, tc.want)
 			}
 		})
 	}
 }
 
-func TestBadKeysAreRefused(t *testing.T) {
+func TestInvalidKeysAreRefused(t *testing.T) {
 	if _, err := New("f", [][]byte{[]byte("short")}); err == nil {
-		t.Error("a short key is accepted")
+		t.Error("short key: got no error")
 	}
 	if _, err := New("f", nil); err == nil {
-		t.Error("no key is accepted")
+		t.Error("no key: got no error")
 	}
 }
 
-// Each number counts once, in any order within the window; what is older than the window
-// does not count, and another epoch has a window of its own.
-func TestNumbersCountOnce(t *testing.T) {
+// A number is accepted once, in any order within the window. Numbers older than the window are
+// rejected. Each epoch and sender has its own window.
+func TestNumbersAreAcceptedOnce(t *testing.T) {
 	c := newCodec(t, "f", key1)
 	rng := rand.New(rand.NewPCG(1, 1))
 	used := map[uint64]bool{}
@@ -149,19 +149,19 @@
 			continue
 		}
 		if got := c.replays.firstUse("a", 1, number); got != want {
-			t.Fatalf("number %d at %d: %v, want %v", number, highest, got, want)
+			t.Fatalf("number %d with highest %d: got first use %v, want %v", number, highest, got, want)
 		}
 		used[number] = true
 		highest = max(highest, number)
 	}
 	if !c.replays.firstUse("a", 2, 1) || c.replays.firstUse("a", 2, 1) || !c.replays.firstUse("b", 1, 1) {
-		t.Error("another epoch or sender has no window of its own")
+		t.Error("another epoch or sender shares a window, want separate ones")
 	}
 }
 
-// A frame of an earlier process counts once too, whatever has started under its name since: it may have been recorded
-// and be sent again.
-func TestFramesOfEarlierProcessesCountOnce(t *testing.T) {
+// A frame of an earlier process is accepted only once, even after later processes of its name have started: an
+// attacker may have recorded it.
+func TestFramesOfEarlierProcessesAreAcceptedOnce(t *testing.T) {
 	writer, reader := newCodec(t, "f", key1), newCodec(t, "f", key1)
 	frameOf := func(epoch uint64) []byte {
 		frame, err := writer.Encode(&membership.Message{
@@ -176,24 +176,24 @@
 	for epoch := range uint64(windowsPerSender) {
 		frames = append(frames, frameOf(epoch+1))
 	}
-	slices.Reverse(frames[:2]) // an earlier process may be heard first after a later one
+	slices.Reverse(frames[:2]) // the first frame of an earlier process may arrive after that of a later one
 	for round, want := range []error{nil, ErrReplayed, ErrReplayed} {
 		for i, frame := range frames {
 			if _, err := reader.Decode(frame, MaxDatagram); !errors.Is(err, want) {
-				t.Errorf("round %d, frame %d: %v, want %v", round, i, err, want)
+				t.Errorf("round %d, frame %d: got error %v, want %v", round, i, err, want)
 			}
 		}
 	}
 	if _, err := reader.Decode(frameOf(1), MaxDatagram); err != nil {
-		t.Errorf("another frame of the first process, which still runs: %v", err)
+		t.Errorf("new frame of the first process, which still runs: got error %v", err)
 	}
 	for epoch := range uint64(100) {
 		if _, err := reader.Decode(frameOf(epoch+10), MaxDatagram); err != nil {
-			t.Errorf("start %d: %v", epoch, err)
+			t.Errorf("start %d: got error %v", epoch, err)
 		}
 	}
 	if kept := len(reader.replays.windows["a"]); kept > windowsPerSender {
-		t.Errorf("%d windows are kept of one sender", kept)
+		t.Errorf("got %d windows of one sender, want at most windowsPerSender", kept)
 	}
 }
 
@@ -205,11 +205,11 @@
 	}
 	f.Add(good)
 	f.Fuzz(func(_ *testing.T, frame []byte) {
-		_, _ = c.Decode(frame, MaxDatagram) // it must not panic
+		_, _ = c.Decode(frame, MaxDatagram) // must not panic
 		if len(frame) <= headerSize+codeSize {
 			return
 		}
-		// Nor must anything behind a good code.
+		// Nor may a body with a valid code cause a panic.
 		frame = slices.Clone(frame)
 		copy(frame, good[:numberAt])
 		codeAt := len(frame) - codeSize
--- a/fleet/codec/compatibility_test.go
+++ b/fleet/codec/compatibility_test.go
@@ -14,7 +14,7 @@
 	"ryerill/fleet/membership"
 )
 
-// recordedMessages are messages as members send them, in the order of their kinds.
+// recordedMessages returns a message of each kind, in the order of the kinds.
 func recordedMessages() []*membership.Message {
 	state := membership.State{Name: "c1", Epoch: 1_700_000_000_000, Incarnation: 7, Status: membership.Alive, TagsIncarnation: 5}
 	other := membership.Record{State: membership.State{Name: "c2", Epoch: 1_700_000_000_001, Incarnation: 3, Status: membership.Suspect, TagsIncarnation: 2}, ReportedBy: "c1"}
@@ -37,8 +37,8 @@
 	}
 }
 
-// Each kind of frame is written as the recorded program wrote it, and read as it meant it.
-func TestRecordedFramesAreReadAndWrittenAlike(t *testing.T) {
+// Encoding each kind of message yields the recorded frame, and decoding the frame yields the message.
+func TestRecordedFramesRoundTrip(t *testing.T) {
 	file := filepath.Join("testdata", "compatibility", "frames.hex")
 	key := []byte("a-key-of-more-than-sixteen-bytes")
 	writer, err := New("recorded", [][]byte{key})
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(now.Bytes(), want) {
-		t.Errorf("written\n%swas\n%s", now.Bytes(), want)
+		t.Errorf("got frames\n%swant\n%s", now.Bytes(), want)
 	}
 	reader, err := New("recorded", [][]byte{key})
 	if err != nil {
@@ -72,7 +72,7 @@
 	}
 	lines := bytes.Split(bytes.TrimSpace(want), []byte("\n"))
 	if len(lines) != len(recordedMessages()) {
-		t.Fatalf("%d frames", len(lines))
+		t.Fatalf("got %d recorded frames, want one for each message", len(lines))
 	}
 	for i, m := range recordedMessages() {
 		text, err := hex.DecodeString(string(lines[i]))
@@ -81,23 +81,23 @@
 		}
 		got, err := reader.Decode(text, MaxSyncMessage)
 		if err != nil || !reflect.DeepEqual(got, m) {
-			t.Errorf("kind %d: %v\n%+v\n%+v", m.Kind, err, got, m)
+			t.Errorf("kind %d: got error %v and message\n%+v\nwant\n%+v", m.Kind, err, got, m)
 		}
 		if int(m.Kind) != i+1 {
-			t.Errorf("kind %d has the number %d", i+1, m.Kind)
+			t.Errorf("want kind %d, got %d", i+1, m.Kind)
 		}
 	}
 }
 
-// Other programs and operators read the levels and the names of faults.
+// Other programs and operators read the levels and the texts of faults.
 func TestRecordedLevelsAndFaults(t *testing.T) {
 	if Version != 1 || MinLevel != 1 || MaxLevel != 1 || MaxDatagram != 1200 {
-		t.Errorf("version %d, levels %d to %d, datagrams of %d bytes", Version, MinLevel, MaxLevel, MaxDatagram)
+		t.Errorf("got version %d, levels %d to %d, datagrams of %d bytes; want 1, 1 to 1, 1200", Version, MinLevel, MaxLevel, MaxDatagram)
 	}
 	names := []string{"of another version", "of another fleet", "by a key that is not known", "its code does not fit", "torn", "too large", "seen before"}
 	for i, err := range Errors {
 		if err.Error() != names[i] {
-			t.Errorf("fault %d is %q, and was %q", i, err, names[i])
+			t.Errorf("fault %d: got text %q, want %q", i, err, names[i])
 		}
 	}
 }
--- a/fleet/codec/errors.go
+++ b/fleet/codec/errors.go
@@ -2,8 +2,8 @@
 
 import "errors"
 
-// The faults of a frame. Their texts are keys of statistics and part of what other
-// programs read.
+// The faults of a frame. Their texts are keys of statistics that other programs read, and
+// must not change.
 var (
 	ErrVersion        = errors.New("of another version")
 	ErrFleet          = errors.New("of another fleet")
@@ -14,5 +14,5 @@
 	ErrReplayed       = errors.New("seen before")
 )
 
-// Errors are all faults of a frame, in the order in which they are listed.
+// Errors holds all faults of a frame, in the order in which statistics list them.
 var Errors = []error{ErrVersion, ErrFleet, ErrKey, ErrAuthentication, ErrMalformed, ErrLarge, ErrReplayed}
--- a/fleet/codec/largest_view_test.go
+++ b/fleet/codec/largest_view_test.go
@@ -10,16 +10,16 @@
 	"ryerill/fleet/membership"
 )
 
-// joining is a member that joins through another one, in virtual time.
-type joining struct {
+// joiningMember is a member that joins through another member, in virtual time.
+type joiningMember struct {
 	*membership.List
 	other *membership.List
 	now   time.Duration
-	send  func(*membership.Message) (*membership.Message, error) // through codecs, within the bound of a message
+	send  func(*membership.Message) (*membership.Message, error) // encodes and decodes, within MaxSyncMessage
 }
 
-// begin returns the first message of the next exchange, once the member begins one.
-func (j *joining) begin() (membership.Action, error) {
+// begin advances time until the member starts a synchronization, and returns that action.
+func (j *joiningMember) begin() (membership.Action, error) {
 	ping := &membership.Message{Kind: membership.Ping, From: j.other.Self().State, Digest: j.other.Digest()}
 	events := []membership.Event{{Kind: membership.MessageReceived, Message: ping}, {Kind: membership.Tick}}
 	if j.now == 0 {
@@ -37,11 +37,11 @@
 		}
 		j.now += 50 * time.Millisecond
 	}
-	return membership.Action{}, errors.New("no exchange is begun")
+	return membership.Action{}, errors.New("no synchronization started within 400 ticks")
 }
 
-// acknowledge has whom the member pings answer, so that it suspects nobody.
-func (j *joining) acknowledge(action *membership.Action) {
+// acknowledge answers pings of the member, so that it suspects no other member.
+func (j *joiningMember) acknowledge(action *membership.Action) {
 	if action.Kind != membership.Send || action.Message.Kind != membership.Ping {
 		return
 	}
@@ -53,8 +53,8 @@
 	j.Handle(j.now, membership.Event{Kind: membership.MessageReceived, Message: ack}, nil)
 }
 
-// exchange has the member synchronize once.
-func (j *joining) exchange() error {
+// exchange runs one synchronization of the member.
+func (j *joiningMember) exchange() error {
 	begun, err := j.begin()
 	if err != nil {
 		return err
@@ -78,13 +78,13 @@
 	return nil
 }
 
-// A member that joins the largest fleet receives the whole view, however long the tags are: what one message can't
-// carry comes with the next exchanges.
-func TestAMemberJoinsTheLargestFleet(t *testing.T) {
+// A member that joins the largest fleet receives the whole view, however long the tags are. Records that exceed one
+// message follow in the next synchronizations.
+func TestMemberJoinsLargestFleet(t *testing.T) {
 	long := strings.Repeat("x", membership.MaxName)
 	for name, tc := range map[string]struct {
 		tags      membership.Tags
-		exchanges int // that are enough
+		exchanges int // maximum needed
 	}{
 		"usual tags": {membership.Tags{
 			Address: "10.20.30.40:7946", Zone: "zone-a", Pools: []string{"main", "orders"},
@@ -96,7 +96,7 @@
 		}, 6},
 	} {
 		t.Run(name, func(t *testing.T) {
-			const members = 8190 // besides the two
+			const members = 8190 // in addition to the joining member and the one it contacts
 			var records []membership.Record
 			for i := range members {
 				records = append(records, membership.Record{
@@ -106,7 +106,7 @@
 			}
 			other := membership.New(membership.Config{Name: "one-of-them", Tags: tc.tags})
 			other.Handle(0, membership.Event{Kind: membership.Restore, Records: records}, nil)
-			joiner := &joining{other: other}
+			joiner := &joiningMember{other: other}
 			joiner.List = membership.New(membership.Config{Name: "joiner", Tags: tc.tags, Seeds: []string{"seed"}})
 			writer, reader := newCodec(t, "f", key1), newCodec(t, "f", key1)
 			joiner.send = func(message *membership.Message) (*membership.Message, error) {
@@ -118,10 +118,10 @@
 			}
 			for round := 1; joiner.Digest() != other.Digest(); round++ {
 				if err := joiner.exchange(); err != nil {
-					t.Fatalf("exchange %d, with %d members known: %v", round, len(joiner.Members()), err)
+					t.Fatalf("exchange %d, with %d known members: got error %v", round, len(joiner.Members()), err)
 				}
 				if round > tc.exchanges {
-					t.Fatalf("%d of %d members are known after %d exchanges", len(joiner.Members()), members+2, round)
+					t.Fatalf("got %d of %d members known after %d exchanges", len(joiner.Members()), members+2, round)
 				}
 			}
 		})
--- a/fleet/codec/level_fleetlater.go
+++ b/fleet/codec/level_fleetlater.go
@@ -4,8 +4,8 @@
 
 import "github.com/fxamacker/cbor/v2"
 
-// This build stands in for a later program in tests: it understands a further level,
-// announces a further tag, and its messages have a field that level 1 does not know.
+// In tests, this build simulates a later version: it supports an additional level, announces
+// an additional tag, and its messages have a field that is not part of level 1.
 const (
 	MinLevel      = 1
 	MaxLevel      = 2
@@ -13,7 +13,7 @@
 	UnknownTags   = "\xa1\x18\x64\x65later" // {100: "later"}
 )
 
-// marshalMessage encodes a message with a further field.
+// marshalMessage encodes a message with an additional field.
 func marshalMessage(enc cbor.EncMode, message *wireMessage) ([]byte, error) {
 	return enc.Marshal(struct {
 		*wireMessage
--- a/fleet/codec/replay.go
+++ b/fleet/codec/replay.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// maxSenders bounds the windows that are kept; beyond it all are dropped, and what was received before
-	// may count once more.
+	// maxSenders bounds the senders with windows. Beyond it all windows are dropped, and frames received
+	// before may be accepted once more.
 	maxSenders = 16384
 
-	// windowsPerSender bounds the epochs of a sender that have a window, the latest ones: an earlier process may run
-	// beside the one that replaces it.
+	// windowsPerSender bounds the epochs of a sender that have a window. The latest epochs keep theirs: an earlier
+	// process may run on together with its replacement.
 	windowsPerSender = 4
 
 	bitsPerWord = 64
@@ -19,13 +19,12 @@
 	windowSpan  = windowWords * bitsPerWord // numbers
 )
 
-// replayFilter distinguishes frames that were received before from new ones, by sender.
+// replayFilter detects replayed frames by their sender, epoch and number.
 type replayFilter struct {
-	windows map[string][]*replayWindow // of a sender, those of later epochs first
+	windows map[string][]*replayWindow // by sender, later epochs first
 }
 
-// firstUse reports whether a number of a sender's epoch was not used before, and takes
-// note that it is now.
+// firstUse marks a number of a sender's epoch as used, and reports whether it was unused before.
 func (f *replayFilter) firstUse(sender string, epoch, number uint64) bool {
 	known := f.windows[sender]
 	if known == nil && len(f.windows) >= maxSenders {
@@ -38,7 +37,7 @@
 		return known[index].firstUse(number)
 	}
 	if index >= windowsPerSender {
-		return true // of a process that several have replaced: membership finds that out, and seldom answers it
+		return true // of a process replaced several times: package membership detects it and rarely answers
 	}
 	window := &replayWindow{epoch: epoch}
 	known = slices.Insert(known, index, window)
@@ -46,12 +45,12 @@
 	return window.firstUse(number)
 }
 
-// replayWindow holds which numbers of one epoch of a sender were used. Those that are
-// older than its span count as used.
+// replayWindow records the used numbers of one epoch of a sender. Numbers older than its
+// span count as used.
 type replayWindow struct {
 	epoch   uint64
 	highest uint64
-	used    [windowWords]uint64 // a bit for each number of the span up to highest, at the number modulo the span
+	used    [windowWords]uint64 // one bit per number of the span ending at highest, at the number modulo the span
 }
 
 func (w *replayWindow) firstUse(number uint64) bool {
@@ -76,7 +75,7 @@
 	return true
 }
 
-// position returns the word and the bit of a number in a window.
+// position returns the word index and the bit mask of a number in a window.
 func position(number uint64) (word int, bit uint64) {
 	return int(number % windowSpan / bitsPerWord), 1 << (number % bitsPerWord)
 }
--- a/fleet/codec/wire.go
+++ b/fleet/codec/wire.go
@@ -8,7 +8,7 @@
 	"ryerill/fleet/membership"
 )
 
-// The forms on the wire. A key is never used for another meaning.
+// The wire formats. A key must never be reused with another meaning.
 type (
 	wireTags struct {
 		Address        string   `cbor:"1,keyasint,omitempty"`
@@ -46,14 +46,14 @@
 // maxTagsKey is the highest key of wireTags.
 const maxTagsKey = 9
 
-// Bounds of what is decoded, beyond the size of a frame.
+// Bounds of decoded CBOR, in addition to the size of a frame.
 const (
 	maxArrayElements = 1 << 14
 	maxMapPairs      = 64
 	maxNestedLevels  = 8
 )
 
-// wireCodec converts messages to CBOR and back.
+// wireCodec encodes and decodes messages as CBOR.
 type wireCodec struct {
 	enc cbor.EncMode
 	dec cbor.DecMode
@@ -154,7 +154,7 @@
 	return r, err
 }
 
-// encodeTags encodes tags together with those that this program does not know.
+// encodeTags encodes tags, including those that this version does not know.
 func (c *wireCodec) encodeTags(t *membership.Tags) (cbor.RawMessage, error) {
 	known, err := c.enc.Marshal(wireTags{
 		Address:        t.Address,
@@ -172,7 +172,7 @@
 	}
 	all := map[uint64]cbor.RawMessage{}
 	if c.dec.Unmarshal([]byte(t.Unknown), &all) != nil || c.dec.Unmarshal(known, &all) != nil {
-		return known, nil // unknown tags that can't be decoded are no reason to withhold the known ones
+		return known, nil // send the known tags even if the unknown ones can't be decoded
 	}
 	return c.enc.Marshal(all)
 }
@@ -200,8 +200,8 @@
 	}, nil
 }
 
-// unknownTags returns the tags that this program does not know, encoded; empty if there
-// are none or they exceed the bound.
+// unknownTags returns the encoded tags that this version does not know. It returns "" if
+// there are none or they exceed the bound.
 func (c *wireCodec) unknownTags(text cbor.RawMessage) (string, error) {
 	tags := map[uint64]cbor.RawMessage{}
 	if err := c.dec.Unmarshal(text, &tags); err != nil {
@@ -217,7 +217,7 @@
 	}
 	unknown, err := c.enc.Marshal(tags)
 	if err != nil || len(unknown) > membership.MaxUnknown {
-		return "", nil // what can't be passed on is dropped; the known tags hold
+		return "", nil // drop unknown tags that can't be forwarded; the known tags stay valid
 	}
 	return string(unknown), nil
 }
