--- a/fleet/membership/gossip.go
+++ b/fleet/membership/gossip.go
@@ -86,8 +86,9 @@
 // and deaths may. Records with tags wait; a synchronization transfers them as well.
 func (u queuedUpdate) urgent() bool { return u.Tags == nil }
 
-// fill adds queued updates to a message: the first one that fits into the datagram whatever
-// the credit is, then as many as both allow. reachable is the number of reachable members.
+// fill adds queued updates to a message: the first one whatever the credit is, if it fits
+// into the datagram, then as many as datagram and credit allow. reachable is the number of
+// reachable members.
 func (q *updateQueue) fill(now time.Duration, message *Message, reachable int) {
 	burst := max(minBurstBytes, burstBytesPerMember*float64(reachable))
 	q.credit = min(q.credit+q.bytesPerSecond*(now-q.creditAt).Seconds(), burst)
