--- a/fleet/rollout/application.go
+++ b/fleet/rollout/application.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// startupGrace is how long after its start a replica is certain to know which others are alive.
+// startupGrace is the time after its start by which a replica certainly knows which peers are alive.
 const startupGrace = 5 * time.Second
 
-// order is what a replica was ordered to change to.
+// order is a change that the leader ordered a replica to make.
 type order struct {
 	plan   string
 	target string // empty for the version before the plan
 }
 
-// application is how this replica executes orders.
+// application tracks the execution of orders by this replica.
 type application struct {
 	latest    order // zero if there was none
 	completed bool  // this replica has since reached the ordered version
 }
 
-// isResting reports whether nothing follows from a phase before an operator decides.
+// isResting reports whether a plan in this phase makes no progress without an operator's decision.
 func isResting(phase Phase) bool { return phase.Ended() || phase == Stopped }
 
-// beginAttempt has orders executed that were executed in an earlier attempt at the plan, or at one of its name.
+// beginAttempt forgets the orders of earlier attempts at a plan with this ID, so that they are executed again.
 func (p *Participant) beginAttempt() {
 	p.attempts++
 	p.application = application{}
@@ -33,13 +33,13 @@
 	}
 	p.election.highestToken = message.FencingToken
 	if p.state.Plan.ID != message.Plan {
-		return // its plan isn't known here yet: the order will be repeated
+		return // this replica doesn't know the plan yet; the leader repeats the order
 	}
 	p.apply(message.Target, message.RollBack)
 }
 
-// apply has this replica change as the plan orders: once for each order in an attempt, and once more if it had reached
-// the ordered version and an operator has since changed it by hand.
+// apply makes this replica change to the ordered version: once for each order in an attempt, and once more if the
+// replica had reached the ordered version and an operator has since changed it by hand.
 func (p *Participant) apply(target string, rollBack bool) {
 	plan := &p.state.Plan
 	ordered := order{plan: plan.ID, target: target}
@@ -70,8 +70,8 @@
 	return self.Version == latest.target
 }
 
-// applyOutcome has a replica that was away change to the outcome of the plan. Many may come back at once, so they take
-// turns by name, with no more unavailable than the plan allows.
+// applyOutcome makes a replica that was unreachable change to the version that the plan ended with. Many replicas may
+// return at once, so they change in order of name, with no more unavailable than the plan allows.
 func (p *Participant) applyOutcome() {
 	state := &p.state
 	self := p.env.replicas.find(p.env.name)
@@ -90,7 +90,7 @@
 	}
 }
 
-// unavailableBeforeSelf counts the peers that aren't ready, and those that apply the outcome before this replica.
+// unavailableBeforeSelf counts the peers that aren't ready, and the outdated peers with smaller names.
 func (p *Participant) unavailableBeforeSelf() int {
 	count := 0
 	for i := range p.env.replicas {
--- a/fleet/rollout/attempt.go
+++ b/fleet/rollout/attempt.go
@@ -7,16 +7,16 @@
 	"strings"
 )
 
-// What the history notes where an attempt begins: who began it, and the fencing token under which that was. The state
-// has no field for it, as older programs would not forward one; they do forward the history.
+// The history entry that begins an attempt names the replica that began it and its fencing token. The state has no
+// field for the attempt because older programs would not forward it; they do forward the history.
 const (
 	takenPrefix      = "taken by "
 	takenAgainPrefix = "taken up again by "
 	tokenSeparator   = ", number "
 )
 
-// AttemptOf returns the number of the latest attempt at a plan, by the plan's history. Each attempt of a fleet has a
-// number of its own, and later ones have greater numbers; it is 0 where an older program began the plan.
+// AttemptOf returns the number of the latest attempt in a plan's history. Numbers are unique in a fleet, and later
+// attempts have greater numbers. The number is 0 if an older program began the plan.
 func AttemptOf(history []string) uint64 {
 	if i := latestAttempt(history); i >= 0 {
 		return attemptNumber(history[i])
@@ -24,7 +24,7 @@
 	return 0
 }
 
-// latestAttempt returns the index of the entry with which the latest attempt begins; negative if there is none.
+// latestAttempt returns the index of the entry that begins the latest attempt, or -1 if there is none.
 func latestAttempt(history []string) int {
 	for i, entry := range slices.Backward(history) {
 		if attemptNumber(entry) != 0 {
@@ -34,7 +34,7 @@
 	return -1
 }
 
-// attemptNumber returns the number of the attempt that begins with an entry; 0 if none does.
+// attemptNumber returns the number of the attempt that an entry begins, or 0 if the entry begins none.
 func attemptNumber(entry string) uint64 {
 	if !strings.HasPrefix(entry, takenPrefix) && !strings.HasPrefix(entry, takenAgainPrefix) {
 		return 0
@@ -47,12 +47,12 @@
 	return number
 }
 
-// attemptEntry is the entry with which an attempt begins.
+// attemptEntry returns the history entry that begins an attempt.
 func attemptEntry(prefix, replica string, token uint64) string {
 	return fmt.Sprintf("%s%s%s%d", prefix, replica, tokenSeparator, token)
 }
 
-// beginsAttempt reports whether a state begins another attempt than the one that it supersedes.
+// beginsAttempt reports whether s belongs to a later attempt than the state that it supersedes.
 func (s *State) beginsAttempt(before *State) bool {
 	if isResting(s.Phase) {
 		return false
--- a/fleet/rollout/attempt_test.go
+++ b/fleet/rollout/attempt_test.go
@@ -7,9 +7,8 @@
 	"time"
 )
 
-// An order that led to nothing is executed again when its plan is taken up again or handed over again, and once only
-// while it goes on.
-func TestAnOrderIsExecutedAgainInANewAttempt(t *testing.T) {
+// An order is executed once per attempt, and again when its plan is resumed or started again.
+func TestOrderIsExecutedAgainInNewAttempt(t *testing.T) {
 	for _, between := range []Phase{Stopped, Aborted, RolledBack, Expired} {
 		t.Run(between.String(), func(t *testing.T) {
 			plan := Plan{ID: "p", Kind: Settings, Target: target}
@@ -35,31 +34,31 @@
 			enter(Changing)
 			attempts := replica.Attempts()
 			if executed() != 1 || executed() != 0 {
-				t.Error("the first order is not executed, or twice")
+				t.Error("want the first order executed exactly once")
 			}
 			now += time.Second
 			enter(Changing) // under another leader
 			if executed() != 0 || replica.Attempts() != attempts {
-				t.Error("a change of the leader counts as another attempt")
+				t.Error("got a new attempt after a change of leader, want the same")
 			}
 			enter(between)
 			enter(Changing)
 			if executed() != 1 || executed() != 0 || replica.Attempts() != attempts+1 {
-				t.Errorf("the order of the second attempt is not executed, or twice; attempts %d, then %d",
+				t.Errorf("want the order of the second attempt executed exactly once; got %d attempts before, %d after",
 					attempts, replica.Attempts())
 			}
 		})
 	}
 }
 
-// At the replica that an operator talks to, a command and a start count as well.
+// A start and a resume begin an attempt at the replica that receives the operator's command too.
 func TestCommandsBeginAttempts(t *testing.T) {
 	plan := Plan{ID: "p", Kind: Settings, Target: target}
 	plan.Complete()
 	replica := New("a", 0)
 	replica.Tick(time.Second, []Replica{{Name: "a", Alive: true, Ready: true}}, nil)
 	if err := replica.Start(time.Second, plan); err != nil || replica.Attempts() != 1 {
-		t.Fatalf("%v, %d attempts", err, replica.Attempts())
+		t.Fatalf("got error %v, %d attempts", err, replica.Attempts())
 	}
 	replica.state.transition(Stopped, "a replica refused")
 	for _, command := range []string{commandResume, commandPause, commandResume} {
@@ -68,12 +67,12 @@
 		}
 	}
 	if replica.Attempts() != 2 {
-		t.Errorf("%d attempts, want that of the start and that after the stop", replica.Attempts())
+		t.Errorf("got %d attempts, want 2: the start and the resume after the stop", replica.Attempts())
 	}
 }
 
-// A plan that is resumed goes on with what it did: one that was rolling back does not change replicas again.
-func TestAPlanResumesWhatItDid(t *testing.T) {
+// A resumed plan continues in its earlier direction: a plan that was rolling back does not change replicas again.
+func TestPlanResumesPreviousDirection(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		past []Phase
@@ -95,31 +94,31 @@
 				replica.state.record("led by a")
 			}
 			if err := replica.Command(time.Second, commandResume); err != nil || replica.state.Phase != tc.want {
-				t.Errorf("%v: %v, want %v", err, replica.state.Phase, tc.want)
+				t.Errorf("got error %v, phase %v, want phase %v", err, replica.state.Phase, tc.want)
 			}
 		})
 	}
 }
 
-// Each attempt has a greater number than those before, at every replica that knows the history, and keeps it however
-// long the history grows. What replicas or older programs write does not pass for an attempt.
+// Attempt numbers increase, and survive the truncation of the history. Other history entries, such as those of older
+// programs, have no attempt number.
 func TestAttemptsAreNumbered(t *testing.T) {
 	plan := Plan{ID: "p", Kind: Program, Target: target}
 	plan.Complete()
 	replica := New("a", 0)
 	number := func() uint64 { return AttemptOf(replica.State().History) }
 	if err := replica.Start(time.Second, plan); err != nil || number() == 0 {
-		t.Fatalf("%v, number %d", err, number())
+		t.Fatalf("got error %v, attempt number %d", err, number())
 	}
 	first := number()
 	for _, command := range []string{commandPause, commandResume} { // goes on with the same attempt
 		if err := replica.Command(time.Second, command); err != nil || number() != first {
-			t.Fatalf("%v, number %d after %s, want %d", err, number(), command, first)
+			t.Fatalf("got error %v, attempt number %d after %s, want %d", err, number(), command, first)
 		}
 	}
 	replica.transition(Stopped, "b could not take it: taken by c, number 99")
 	if err := replica.Command(time.Second, commandResume); err != nil || number() <= first {
-		t.Fatalf("%v, number %d after %d", err, number(), first)
+		t.Fatalf("got error %v, attempt number %d after attempt %d", err, number(), first)
 	}
 	second := number()
 	for range 3 * maxHistory {
@@ -127,17 +126,17 @@
 	}
 	history := replica.State().History
 	if number() != second || len(history) != maxHistory || !strings.HasPrefix(history[0], takenPrefix) {
-		t.Errorf("number %d, want %d; %d entries, the first %q", number(), second, len(history), history[0])
+		t.Errorf("got attempt number %d, want %d; got %d history entries, the first %q", number(), second, len(history), history[0])
 	}
 	for _, entry := range []string{"taken by a", "taken by a, number", "taken by a, number -1", "led by a, number 3"} {
 		if got := AttemptOf([]string{entry}); got != 0 {
-			t.Errorf("%q has number %d", entry, got)
+			t.Errorf("entry %q: got attempt number %d, want 0", entry, got)
 		}
 	}
 }
 
-// A replica that did not hear that the plan had stopped learns of the new attempt too.
-func TestANewAttemptIsKnownByItsNumber(t *testing.T) {
+// A replica that missed the stop of a plan recognizes the new attempt by its number.
+func TestNewAttemptIsRecognizedByNumber(t *testing.T) {
 	plan := Plan{ID: "p", Kind: Program, Target: target}
 	plan.Complete()
 	replica := New("b", 0)
@@ -149,14 +148,14 @@
 		state := State{Plan: plan, FencingToken: token, Version: 1, Phase: Changing, History: history}
 		replica.Handle(time.Second, Message{Kind: StateUpdate, From: "a", FencingToken: token, State: &state}, nil)
 		if replica.Attempts() != token {
-			t.Errorf("%d attempts, want %d", replica.Attempts(), token)
+			t.Errorf("got %d attempts, want %d", replica.Attempts(), token)
 		}
 	}
 }
 
-// A replica that dies when it is changed, and comes back with its version before, is ordered again in time: so the plan
-// learns whether it refuses.
-func TestAReplicaThatCameBackIsOrderedAgain(t *testing.T) {
+// A replica that dies during its change and returns with its previous version is ordered again before the ready
+// timeout, so that the plan learns whether it refuses.
+func TestReturnedReplicaIsOrderedAgain(t *testing.T) {
 	c := newFleet(5, quickPlan)
 	c.deadly = true
 	c.step(4 * time.Second)
@@ -169,6 +168,6 @@
 	c.start(i)
 	c.until(t, "second order", func() bool { return dead() >= 0 })
 	if phase := c.leader().participant.state.Phase; dead() != i || phase != Changing {
-		t.Errorf("replica %d was ordered while the plan is %v, want %d", dead(), phase, i)
+		t.Errorf("got replica %d ordered in phase %v, want replica %d", dead(), phase, i)
 	}
 }
--- a/fleet/rollout/baseline.go
+++ b/fleet/rollout/baseline.go
@@ -7,38 +7,39 @@
 )
 
 const (
-	minBaselineWeight   = 20.0          // offered, before the difference of a replica counts
-	sufficiencyFactor   = 4.0           // by which the variance of a sufficiently known difference is below the limit
-	minVariance         = 0.004 * 0.004 // of the goodput of replicas that are alike
+	minBaselineWeight   = 20.0          // offered weight from which a replica's difference counts
+	sufficiencyFactor   = 4.0           // ratio of the variance limit to the largest sufficient variance
+	minVariance         = 0.004 * 0.004 // of the goodput of equal replicas
 	minBinomialVariance = 0.002         // least variance of the outcome of one request
 )
 
-// Baseline is how replicas differed before any of them was changed, so that a replica which always serves less than
-// others of its zone isn't taken for a regression.
+// Baseline holds the differences between replicas before any of them was changed, so that a replica that always serves
+// less than others of its zone isn't taken for a regression.
 type Baseline struct {
 	open           map[cell][]Report
 	newestInterval uint64
 	replicas       map[string]*difference
 
 	variance         float64 // see varianceOfReplicas
-	varianceInterval uint64  // that it was computed in
+	varianceInterval uint64  // newest interval when variance was computed
 }
 
-// difference is what a replica served, against what the others of its cells would have of as much.
+// difference compares the weight that a replica served with what the others of its cells would have served of the
+// same offered weight.
 type difference struct {
 	offered  float64
 	served   float64
-	expected float64 // that the others would have served
+	expected float64 // weight that the others would have served
 	spread   float64 // variance of served by chance
 }
 
-// mean is by how much the replica's goodput lay above that of the others.
+// mean returns the replica's goodput minus that of the others.
 func (d *difference) mean() float64 { return (d.served - d.expected) / d.offered }
 
-// chanceVariance is the variance of the mean by chance.
+// chanceVariance returns the variance of the mean that is due to chance.
 func (d *difference) chanceVariance() float64 { return d.spread / (d.offered * d.offered) }
 
-// NewBaseline returns one that knows no replica.
+// NewBaseline returns a Baseline without reports.
 func NewBaseline() *Baseline {
 	return &Baseline{open: map[cell][]Report{}, replicas: map[string]*difference{}}
 }
@@ -65,7 +66,7 @@
 	}
 }
 
-// closeCell adds the reports of a cell to the differences of its replicas.
+// closeCell updates the differences of a cell's replicas from the cell's reports.
 func (b *Baseline) closeCell(reports []Report) {
 	slices.SortFunc(reports, func(x, y Report) int { return strings.Compare(x.Name, y.Name) })
 	offered := 0.0
@@ -94,8 +95,8 @@
 	}
 }
 
-// Difference is by how much the goodput of a replica lies above that of others, as a fraction of what it is offered,
-// and the variance of that. How far replicas differ at all is estimated from all of them: the more they do, the less
+// Difference estimates the goodput of a replica minus that of others, as a fraction of its offered weight, and the
+// variance of the estimate. The variance between replicas is estimated from all of them: the greater it is, the less
 // the difference of one replica is shrunk towards 0.
 func (b *Baseline) Difference(name string) (mean, variance float64) {
 	if b == nil {
@@ -110,16 +111,15 @@
 	return replica.mean() * prior / (prior + byChance), prior * byChance / (prior + byChance)
 }
 
-// Sufficient reports whether the difference of a replica is known well enough to detect what a change costs it.
-// Its variance must be small against the loss of goodput that the guardrails allow.
+// Sufficient reports whether the difference of a replica is known precisely enough to detect a regression: its variance
+// must be small against the loss of goodput that the guardrails allow.
 func (b *Baseline) Sufficient(guardrails Guardrails, name string) bool {
 	_, variance := b.Difference(name)
 	upper, _ := guardrails.bounds()
 	return variance <= guardrails.Goodput*guardrails.Goodput/(sufficiencyFactor*upper)
 }
 
-// varianceOfReplicas is the variance of how replicas differ by themselves, beyond chance. It is computed once an
-// interval.
+// varianceOfReplicas returns the variance between unchanged replicas beyond chance. It is computed once an interval.
 func (b *Baseline) varianceOfReplicas() float64 {
 	if b.variance == 0 || b.varianceInterval != b.newestInterval {
 		b.variance = b.computeVariance()
@@ -131,7 +131,7 @@
 func (b *Baseline) computeVariance() float64 {
 	sum := 0.0
 	count := 0.0
-	for _, name := range slices.Sorted(maps.Keys(b.replicas)) { // sorted, so that sums come out alike on every run
+	for _, name := range slices.Sorted(maps.Keys(b.replicas)) { // sorted, so that sums round alike on every run
 		replica := b.replicas[name]
 		if replica.offered >= minBaselineWeight {
 			mean := replica.mean()
--- a/fleet/rollout/compatibility_test.go
+++ b/fleet/rollout/compatibility_test.go
@@ -13,8 +13,8 @@
 	"ryerill/internal/golden"
 )
 
-// What other programs of this fleet send or have stored is read whole and written back to the letter.
-func TestRecordedRolloutsAreReadAndWrittenAlike(t *testing.T) {
+// Recorded messages and states of other versions are decoded completely and encoded to the same bytes.
+func TestRecordedEncodingsRoundTrip(t *testing.T) {
 	for name, value := range map[string]any{"message": new(Message), "state": new(State), "plan": new(Plan)} {
 		t.Run(name, func(t *testing.T) {
 			text := golden.Recorded(t, name+".cbor.hex", func() []byte {
@@ -32,10 +32,10 @@
 				t.Fatal(err)
 			}
 			if missing := golden.Zeros(got.Elem(), name); len(missing) > 0 {
-				t.Errorf("not read: %v", missing)
+				t.Errorf("got fields that were not decoded: %v", missing)
 			}
 			if again, err := cbor.Marshal(got.Interface()); err != nil || !bytes.Equal(again, want) {
-				t.Errorf("%v\nwritten %x\nwas     %x", err, again, want)
+				t.Errorf("got error %v\nencoded  %x\nrecorded %x", err, again, want)
 			}
 		})
 	}
@@ -50,25 +50,25 @@
 		t.Fatal(err)
 	}
 	if again, err := json.Marshal(s); err != nil || !bytes.Equal(again, text) || len(golden.Zeros(reflect.ValueOf(s), "state")) > 0 {
-		t.Errorf("%v\nwritten %s\nwas     %s", err, again, text)
+		t.Errorf("got error %v\nencoded  %s\nrecorded %s", err, again, text)
 	}
 }
 
-// The numbers and names by which a plan, a phase and a message are known outside this program.
+// The numbers and names of plan kinds, phases and message kinds are part of the protocol and must not change.
 func TestRecordedNumbers(t *testing.T) {
 	var b bytes.Buffer
 	for i := range 12 {
 		b.WriteString(strconv.Itoa(i) + " " + Phase(i).String() + " " + strconv.FormatBool(Phase(i).Ended()) + "\n")
 	}
 	if want := golden.Recorded(t, "phases.txt", b.Bytes); !bytes.Equal(b.Bytes(), want) {
-		t.Errorf("%s\nwas\n%s", b.Bytes(), want)
+		t.Errorf("got phases\n%s\nrecorded\n%s", b.Bytes(), want)
 	}
 	for i, kind := range []MessageKind{VoteRequest, VoteGranted, PreVoteRequest, PreVoteGranted, StateUpdate, ChangeOrder, ReportUpdate} {
 		if int(kind) != i+1 {
-			t.Errorf("message kind %d is %d", i+1, kind)
+			t.Errorf("want message kind %d, got %d", i+1, kind)
 		}
 	}
 	if Settings != 1 || Program != 2 {
-		t.Errorf("settings %d, program %d", Settings, Program)
+		t.Errorf("got Settings %d and Program %d, want 1 and 2", Settings, Program)
 	}
 }
--- a/fleet/rollout/election.go
+++ b/fleet/rollout/election.go
@@ -9,47 +9,47 @@
 
 // Parameters of elections.
 const (
-	// Lease is how long a vote holds for the voter, by its clock without allowance for drift.
+	// Lease is the validity of a vote by the voter's clock, before the allowance for clock drift.
 	Lease = 3 * time.Second
 
-	maxClockDrift   = 0.02 // fraction by which a clock runs fast or slow at most
+	maxClockDrift   = 0.02 // greatest fraction by which a clock runs fast or slow
 	renewInterval   = Lease / 3
-	campaignTimeout = Lease / 2 // a candidate without a quorum by then gives up
-	campaignSpread  = 4 * Lease // over which candidates spread
-	maxBallots      = 4         // requests for votes to which answers count
+	campaignTimeout = Lease / 2 // after which a candidate without a quorum gives up
+	campaignSpread  = 4 * Lease // range of the random delay before a candidacy
+	maxBallots      = 4         // latest requests for votes whose answers count
 )
 
-// withMaxDrift is a duration by the voter's clock that is no shorter than span by any other clock.
+// withMaxDrift returns the duration on the voter's clock that lasts at least span on every other clock.
 func withMaxDrift(span time.Duration) time.Duration {
 	return time.Duration(float64(span) * (1 + 2*maxClockDrift))
 }
 
-// election is a replica's part in electing the leader. A candidate first asks in a pre-vote whether it would be
-// elected, then requests votes under a new fencing token. With the votes of a quorum it holds a lease, which it
-// renews by requesting votes again. The lease counts from the request and so ends before the votes do. Requests carry
-// the head of the candidate's state of the plan: voters with a newer state refuse.
+// election is a replica's side of leader elections. A candidate first checks in a pre-vote whether it would be elected,
+// then requests votes under a new fencing token. With the votes of a quorum it holds a lease, which it renews by
+// requesting votes again. The lease starts at the request and so ends before the votes expire. Requests carry the
+// head of the candidate's plan state: voters with a newer state refuse.
 type election struct {
-	highestToken uint64 // fencing token that was seen
-	vote         vote   // that this replica gave
+	highestToken uint64 // highest fencing token seen
+	vote         vote   // given by this replica
 
-	// Of a candidate or leader.
+	// State of a candidate or leader.
 	token          uint64 // its fencing token; 0 if it is neither
 	lastSeq        uint64
 	preVote        ballot
-	ballots        []ballot      // the latest; answers to one may arrive after the next was sent
+	ballots        []ballot      // the latest ones; answers to one may arrive after the next was sent
 	leaseUntil     time.Duration // 0 until the election is won
-	ordersFrom     time.Duration // when it may give orders: votes for a previous leader have ended
-	nextCampaignAt time.Duration // or, as a candidate, when it gives up; 0 if not yet chosen
+	ordersFrom     time.Duration // when it may give orders: votes for a previous leader have expired
+	nextCampaignAt time.Duration // as a candidate, when it gives up; 0 if not yet scheduled
 	nextRenewalAt  time.Duration
 }
 
-// vote is given to one candidate at a time, and holds until a time.
+// vote is given to one candidate at a time, and expires.
 type vote struct {
 	candidate string
 	until     time.Duration
 }
 
-// allows reports whether a candidate may be given the vote, or has it.
+// allows reports whether the vote is free or already given to candidate.
 func (v *vote) allows(candidate string, now time.Duration) bool {
 	return now >= v.until || v.candidate == candidate
 }
@@ -61,8 +61,8 @@
 	voters map[string]bool
 }
 
-// newElection returns the election of a replica that has just started. It votes for nobody until any vote that it may
-// have given before a restart has ended.
+// newElection returns the election of a replica that has just started. The replica does not vote until any vote that it
+// may have given before a restart has expired.
 func newElection(now time.Duration) election {
 	return election{vote: vote{until: now + withMaxDrift(Lease)}}
 }
@@ -76,7 +76,7 @@
 
 func (e *election) sawToken(token uint64) { e.highestToken = max(e.highestToken, token) }
 
-// nextToken returns a fencing token that is higher than any that was seen.
+// nextToken returns a fencing token above the highest seen.
 func (e *election) nextToken() uint64 {
 	e.highestToken++
 	return e.highestToken
@@ -88,7 +88,7 @@
 	e.leaseUntil = 0
 }
 
-// withdraw gives up the candidacy or leadership of a plan that has ended. The time of the lease stays as it is.
+// withdraw gives up the candidacy or leadership of a plan that has ended. It keeps leaseUntil.
 func (e *election) withdraw() { e.token = 0 }
 
 // stepDown resigns and defers the next candidacy.
@@ -99,9 +99,9 @@
 
 func (e *election) deferCampaign(env *environment) { e.nextCampaignAt = env.now + e.campaignDelay(env) }
 
-// campaignDelay is how long a replica waits before a candidacy: until votes for others have ended, and then a time that
-// is random by its name and the token, so that not all become candidates at once, vote for themselves, and none is
-// elected. The first by name doesn't wait longer.
+// campaignDelay returns how long a replica waits before a candidacy: until votes for others have expired, plus a random
+// delay derived from its name and the token. Without that delay all replicas would become candidates at once and vote
+// for themselves, and none would be elected. The first replica by name has no random delay.
 func (e *election) campaignDelay(env *environment) time.Duration {
 	if env.replicas.isFirst(env.name) {
 		return withMaxDrift(Lease)
@@ -110,8 +110,8 @@
 	return withMaxDrift(Lease) + time.Duration(spread)
 }
 
-// considerCampaign starts a pre-vote when it is time. Without a quorum in sight a new token would only disturb those
-// that have one.
+// considerCampaign starts a pre-vote when it is due and a quorum is alive. Without a quorum, a new token would only
+// disturb replicas that have one.
 func (e *election) considerCampaign(env *environment, head *State) {
 	if e.nextCampaignAt == 0 {
 		e.deferCampaign(env)
@@ -119,7 +119,7 @@
 	if env.now < e.nextCampaignAt || !e.vote.allows(env.name, env.now) || !env.replicas.hasQuorum() {
 		return
 	}
-	// A candidacy without a chance would keep votes from others for a lease, so voters are asked first.
+	// A failed candidacy would keep votes from others for the length of a lease, so a pre-vote comes first.
 	e.lastSeq++
 	e.preVote = ballot{seq: e.lastSeq, sentAt: env.now, voters: map[string]bool{env.name: true}}
 	env.sendToPeers(Message{Kind: PreVoteRequest, FencingToken: e.highestToken + 1, Seq: e.lastSeq, State: head})
@@ -146,16 +146,16 @@
 	switch {
 	case e.superseded():
 		e.stepDown(env)
-	case !won && env.now >= e.nextCampaignAt: // too few votes: others may get more
+	case !won && env.now >= e.nextCampaignAt: // too few votes: lets another candidate try
 		e.stepDown(env)
-	case won && env.now >= e.leaseUntil+Lease: // lost: another may try
+	case won && env.now >= e.leaseUntil+Lease: // lease lost: lets another candidate try
 		e.stepDown(env)
 	case env.now >= e.nextRenewalAt:
 		e.requestVotes(env, head)
 	}
 }
 
-// requestVotes requests the votes of all, and votes for itself if it may.
+// requestVotes requests votes from all peers, and votes for this replica if its own vote is free.
 func (e *election) requestVotes(env *environment, head *State) {
 	e.nextRenewalAt = env.now + renewInterval
 	e.lastSeq++
@@ -172,7 +172,7 @@
 	e.count(env, &added)
 }
 
-// count takes or extends the lease if a quorum has voted. It counts from when the votes were requested.
+// count acquires or extends the lease if a quorum has voted. The lease starts when the votes were requested.
 func (e *election) count(env *environment, counted *ballot) {
 	if !env.replicas.isMajority(len(counted.voters)) {
 		return
@@ -188,7 +188,7 @@
 	e.vote = vote{candidate: candidate, until: now + withMaxDrift(Lease)}
 }
 
-// handleVoteRequest gives the vote to one candidate at a time, and to none with a token below the highest seen.
+// handleVoteRequest votes for one candidate at a time, and for none whose token is below the highest seen.
 func (e *election) handleVoteRequest(env *environment, request *Message) {
 	switch {
 	case request.FencingToken >= e.highestToken && e.vote.allows(request.From, env.now):
@@ -240,7 +240,7 @@
 	}
 }
 
-// acceptsOrder reports whether an order is of the leader that this replica voted for, and of no earlier one.
+// acceptsOrder reports whether an order comes from the leader that this replica currently votes for.
 func (e *election) acceptsOrder(order *Message, now time.Duration) bool {
 	return order.FencingToken != 0 && order.FencingToken >= e.highestToken &&
 		order.From == e.vote.candidate && now < e.vote.until
--- a/fleet/rollout/election_test.go
+++ b/fleet/rollout/election_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A vote holds for its time, over a restart too, goes to no lower token, and orders are accepted only from the leader
-// that has it.
+// A vote is valid for its whole period, even across a restart, and is not given to a lower token. Orders are accepted
+// only from the leader that has the vote.
 func TestVotesAndOrders(t *testing.T) {
 	voter := func() *Participant {
 		r, p := New("v", 0), Plan{ID: "p", Kind: Settings, Target: target}
@@ -28,30 +28,30 @@
 	after := withMaxDrift(Lease) + 1
 	r := voter()
 	if requestVote(r, Lease, "a", 9) {
-		t.Error("it votes although it may have voted before its restart")
+		t.Error("got a vote right after a restart, want none")
 	}
 	if requestVote(r, after, "a", 2) || !requestVote(r, after, "a", 4) || requestVote(r, after+time.Second, "b", 5) || !requestVote(r, after+time.Second, "a", 4) {
-		t.Error("votes for a lower token, not for a higher, for two at once, or not again")
+		t.Error("want votes for higher tokens only, for one candidate at a time, and renewed votes")
 	}
 	if giveOrder(r, after+time.Second, "b", 9) || giveOrder(r, after+time.Second, "a", 3) || !giveOrder(r, after+time.Second, "a", 4) || giveOrder(r, after+time.Second, "a", 4) {
-		t.Error("accepts orders without a vote, with a lower token, not from the leader, or one twice")
+		t.Error("want orders accepted once, only from the leader with the vote, and not with a lower token")
 	}
 	late := 2*after + 2*time.Second
 	if r.application.latest = (order{}); giveOrder(r, late, "a", 4) {
-		t.Error("accepts an order when the vote has ended")
+		t.Error("got an order accepted after the vote expired, want none")
 	}
 	if !requestVote(r, late, "b", 5) || requestVote(r, late, "a", 4) {
-		t.Error("the next candidate does not get the vote, or the previous one does")
+		t.Error("want the vote for the next candidate, and none for the previous one")
 	}
 	older, newer := r.State(), r.State()
 	older.Version, older.Phase = 4, Paused
 	newer.FencingToken, newer.Phase = 6, Aborted
 	r.Handle(late, Message{Kind: StateUpdate, From: "a", FencingToken: older.FencingToken, State: &older}, nil)
 	if r.State().Phase != Changing {
-		t.Error("an older state supersedes")
+		t.Error("got an older state adopted, want it ignored")
 	}
 	r.Handle(late, Message{Kind: StateUpdate, From: "b", FencingToken: 6, State: &newer}, nil)
 	if r.State().Phase != Aborted || requestVote(r, late, "b", 5) {
-		t.Error("a newer state does not supersede, or a lower token than its gets a vote")
+		t.Error("want a newer state adopted, and no vote for a token below its own")
 	}
 }
--- a/fleet/rollout/evaluator.go
+++ b/fleet/rollout/evaluator.go
@@ -10,13 +10,13 @@
 
 const (
 	maxPoints              = 600
-	maxHighMemoryIntervals = 5   // in a row: what a change allocates at its start is released
-	minMemoryExcess        = 16  // MB: less doesn't matter
-	maxEvaluatedPools      = 256 // of further ones only what all pools together show counts
-	doubtfulEvidence       = 1   // from which a pool keeps a stage from passing
+	maxHighMemoryIntervals = 5   // consecutive, as memory allocated at the start of a change is released again
+	minMemoryExcess        = 16  // MB; a smaller excess is ignored
+	maxEvaluatedPools      = 256 // further pools count only in the total over all pools
+	doubtfulEvidence       = 1   // evidence from which a pool keeps a stage from passing
 )
 
-// Assessment is what is known about a stage.
+// Assessment is the verdict on a stage.
 type Assessment uint8
 
 // The assessments.
@@ -42,8 +42,8 @@
 	LowerBound       float64 `json:"Down"`     // of Evidence, from which it has passed
 }
 
-// Evaluator compares replicas that were changed with the others, over the same interval, zone and pool. It is a
-// sequential probability ratio test (Wald, 1945) of no cost against the cost that the guardrails name.
+// Evaluator compares changed with unchanged replicas of the same interval, zone and pool. It is a sequential
+// probability ratio test (Wald, 1945) of no cost against the cost that the guardrails name.
 type Evaluator struct {
 	guardrails Guardrails
 	changed    map[string]bool
@@ -54,20 +54,20 @@
 	latestReports  map[reporterPool]uint64 // interval of the latest report
 
 	total               evidence             // over all pools
-	pools               map[string]*evidence // by pool: what one costs is not made up for by another
+	pools               map[string]*evidence // by pool, so that a gain in one doesn't hide a loss in another
 	highMemoryIntervals int                  // in a row
 	comparedIntervals   int
 	points              []Point
 }
 
-// reporterPool is what a replica reports on.
+// reporterPool is a replica and a pool that it reports on.
 type reporterPool struct {
 	replica string
 	pool    string
 }
 
-// NewEvaluator returns one for replicas that were changed. baseline is how they differed before; nil if it isn't
-// known.
+// NewEvaluator returns an Evaluator of the named changed replicas. baseline holds their earlier differences; nil if
+// unknown.
 func NewEvaluator(guardrails Guardrails, changed []string, baseline *Baseline) *Evaluator {
 	guardrails.complete()
 	evaluator := &Evaluator{
@@ -84,7 +84,7 @@
 	return evaluator
 }
 
-// AddReport adds a report of any replica. Invalid, late and repeated ones are ignored.
+// AddReport adds a report of any replica. Invalid, late and repeated reports are ignored.
 func (e *Evaluator) AddReport(_ time.Duration, report Report) {
 	if !report.valid() || report.Interval+closingDelay < e.newestInterval || len(e.open) >= maxOpenCells {
 		return
@@ -110,7 +110,7 @@
 	}
 }
 
-// Assess returns what is known about the stage, and why.
+// Assess returns the assessment of the stage and its reason.
 func (e *Evaluator) Assess(time.Duration) (Assessment, string) {
 	upper, lower := e.guardrails.bounds()
 	if reason := e.total.regression(&e.guardrails, upper); reason != "" {
@@ -136,8 +136,8 @@
 		goodput, lower, upper, e.comparedIntervals)
 }
 
-// regressionOfPool says which pool has regressed, and how; empty if none has. Pools share the probability of a false
-// alarm.
+// regressionOfPool describes the pool that has regressed, or returns "" if none has. Pools share the probability of a
+// false alarm.
 func (e *Evaluator) regressionOfPool(upper float64) string {
 	upper += math.Log(float64(max(len(e.pools), 1)))
 	for _, pool := range slices.Sorted(maps.Keys(e.pools)) {
@@ -148,7 +148,7 @@
 	return ""
 }
 
-// doubtfulPool is a pool that may have lost goodput, although all pools together have not; empty if there is none.
+// doubtfulPool returns a pool that may have lost goodput although the total has not, or "" if there is none.
 func (e *Evaluator) doubtfulPool() string {
 	for _, pool := range slices.Sorted(maps.Keys(e.pools)) {
 		if e.pools[pool].ofGoodput() >= doubtfulEvidence {
@@ -158,8 +158,8 @@
 	return ""
 }
 
-// closeIntervals compares the intervals that are over: in each zone that has both changed and unchanged replicas, or,
-// if no zone of a pool has, over all zones.
+// closeIntervals compares changed and unchanged replicas in completed intervals: within each zone that has both, or
+// over all zones if no zone of the pool has both.
 func (e *Evaluator) closeIntervals() {
 	compared := map[uint64]bool{}
 	totals := map[cell]*comparison{} // over all zones
@@ -206,8 +206,8 @@
 	e.pools[pool].add(c, &e.guardrails)
 }
 
-// compareMemory counts the intervals in a row in which the median memory of changed replicas exceeds that of any
-// unchanged one.
+// compareMemory counts the consecutive intervals in which the median memory of changed replicas exceeds the largest of
+// the unchanged ones.
 func (e *Evaluator) compareMemory(c *comparison) {
 	if len(c.baseline.memory) == 0 || len(c.changed.memory) == 0 {
 		return
@@ -252,7 +252,7 @@
 	}
 }
 
-// largest is 0 if there are no values.
+// largest returns the largest value, or 0 if there are none.
 func largest(values []float64) float64 {
 	result := 0.0
 	for _, value := range values {
--- a/fleet/rollout/evaluator_test.go
+++ b/fleet/rollout/evaluator_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// What changed replicas cost is detected within an observation, and differences that were there earlier are not: a
-// table of what two of twelve replicas report, earlier and since they were changed.
-func TestEvaluatorFindsRegressions(t *testing.T) {
+// Regressions of changed replicas are detected within an observation period; differences that existed before the change
+// are not regressions. Each case sets the reports of two of twelve replicas before and after their change.
+func TestEvaluatorDetectsRegressions(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		change  func(r *Report, changed bool)
@@ -124,21 +124,21 @@
 				}
 				if v, why := evaluator.Assess(0); v == Regressed {
 					if tc.verdict != Regressed || !strings.Contains(why, tc.why) {
-						t.Errorf("after %d spans: %s", span-40, why)
+						t.Errorf("got a decision after %d intervals: %s", span-40, why)
 					}
 					return
 				}
 			}
 			if v, why := evaluator.Assess(0); v != tc.verdict {
-				t.Errorf("%v: %s", v, why)
+				t.Errorf("got assessment %v: %s", v, why)
 			}
 		})
 	}
 }
 
-// Pools are compared by themselves: a change that costs one pool is found beside another that hides it in the sum, and
-// replicas that serve other pools by nature are not taken for worse.
-func TestEvaluatorTellsPoolsApart(t *testing.T) {
+// Pools are compared separately: a regression of one pool is detected although another pool hides it in the total, and
+// replicas that serve a different mix of pools are not taken for regressions.
+func TestEvaluatorComparesPoolsSeparately(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		goodput func(pool string, changed bool) float64
@@ -187,14 +187,14 @@
 				}
 			}
 			if assessment, why := evaluator.Assess(0); assessment != tc.want {
-				t.Errorf("%v: %s", assessment, why)
+				t.Errorf("got assessment %v: %s", assessment, why)
 			}
 		})
 	}
 }
 
-// A program that speaks no protocol level of some replica is refused when the plan starts.
-func TestLevelsHaveToMeet(t *testing.T) {
+// A plan whose program shares no protocol level with some replica is refused at its start.
+func TestPlanWithoutCommonProtocolLevelIsRefused(t *testing.T) {
 	for _, tc := range []struct {
 		minLevel, maxLevel, otherMin, otherMax uint8
 		accepted                               bool
@@ -205,12 +205,12 @@
 		p.Complete()
 		err := r.Start(time.Second, p)
 		if key := (*KeyError)(nil); (err == nil) != tc.accepted || err != nil && (!errors.As(err, &key) || key.Key != "speaks") {
-			t.Errorf("%+v: %v", tc, err)
+			t.Errorf("case %+v: got error %v", tc, err)
 		}
 	}
 }
 
-// A harmless change passes in as many pools as a proxy may well have, however little each of them serves.
+// A harmless change passes with many pools, however little traffic each of them has.
 func TestEvaluatorPassesHarmlessChangesOfManyPools(t *testing.T) {
 	const runs, pools, observed = 60, 12, 40
 	regressed, undecided := 0, 0
@@ -245,6 +245,6 @@
 		}
 	}
 	if regressed > 0 || undecided > 0 {
-		t.Errorf("of %d: %d regressed, %d undecided", runs, regressed, undecided)
+		t.Errorf("of %d runs: got %d regressed, %d undecided", runs, regressed, undecided)
 	}
 }
--- a/fleet/rollout/evidence.go
+++ b/fleet/rollout/evidence.go
@@ -2,21 +2,21 @@
 
 import "fmt"
 
-// evidence is what comparisons show of a change, as logs of how much more likely a cost is than none.
+// evidence holds log likelihood ratios of a cost of the change against no cost, accumulated over comparisons.
 type evidence struct {
 	goodput     float64 // before uncertainty
-	uncertainty float64 // variance of differences in the baseline, against that of the comparisons
+	uncertainty float64 // variance of baseline differences relative to that of the comparisons
 	latency     float64
 	attempts    float64
 }
 
-// add adds what one comparison shows.
+// add adds the evidence of one comparison.
 func (e *evidence) add(c *comparison, guardrails *Guardrails) {
 	goodput, uncertainty := c.goodputEvidence(guardrails.Goodput)
 	counted := clampEvidence(goodput)
 	e.goodput += counted
 	if goodput != 0 {
-		e.uncertainty += uncertainty * counted / goodput // as much of it as counts
+		e.uncertainty += uncertainty * counted / goodput // scaled to the evidence that counts
 	}
 	latency := growthEvidence(c.baseline.latency(), c.changed.latency(), guardrails.Latency)
 	e.latency += clampEvidence(latency)
@@ -24,11 +24,11 @@
 	e.attempts += clampEvidence(attempts)
 }
 
-// ofGoodput is the evidence of lower goodput. The uncertainty about how replicas differed before bounds it, however
-// long it is observed.
+// ofGoodput returns the evidence of lower goodput. The uncertainty of the baseline bounds it, however long the
+// observation lasts.
 func (e *evidence) ofGoodput() float64 { return e.goodput / (1 + e.uncertainty) }
 
-// regression says what a change costs, from a bound of the evidence on; empty if nothing is shown.
+// regression describes the cost for which the evidence has reached the upper bound, or returns "" if there is none.
 func (e *evidence) regression(guardrails *Guardrails, upper float64) string {
 	goodput := e.ofGoodput()
 	switch {
--- a/fleet/rollout/explore_test.go
+++ b/fleet/rollout/explore_test.go
@@ -111,8 +111,8 @@
 	return b.String() + c.command
 }
 
-// startedFleet is three replicas with a plan that one of them has just started, after the time in which they vote for
-// none.
+// startedFleet returns three replicas, one of which has just started a plan, after the period without votes that
+// follows their start.
 func startedFleet() modelcheck.System {
 	c := newFleet(3, Plan{Stages: []Stage{{Fraction: 1, Observation: time.Second}}, MaxUnavailable: 1, RollBack: true})
 	c.now += 2 * Lease
@@ -124,7 +124,7 @@
 	return c
 }
 
-// ledFleet is the same once one replica leads and may give orders.
+// ledFleet returns a startedFleet in which one replica is the leader and may give orders.
 func ledFleet() modelcheck.System {
 	c := startedFleet().(*fleet)
 	for range 80 {
--- a/fleet/rollout/fleet_test.go
+++ b/fleet/rollout/fleet_test.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// fleet is a number of replicas that carry out a plan, each with its version.
+// fleet simulates replicas that execute a plan.
 type fleet struct {
 	now      time.Duration
 	members  []*member
 	inFlight []delivery
 	plan     Plan
-	command  string // that an operator gave, or another event that happens once
+	command  string // given by an operator, or another one-time event
 
 	quiet       bool // there is no traffic
-	deadly      bool // the target kills a replica that takes it
-	deadlyLater bool // but some time after it is ready
+	deadly      bool // the target kills each replica that applies it
+	deadlyLater bool // the target kills each replica some time after it is ready
 	partition   int  // replicas below this index reach only each other; 0 is no partition
 	err         error
 	random      *rand.Rand
@@ -38,7 +38,7 @@
 	previous      string
 	readyAt       time.Duration
 	changingUntil time.Duration // because of the plan
-	token         uint64        // the highest whose orders it carried out
+	token         uint64        // highest fencing token of an executed order
 }
 
 type delivery struct {
@@ -78,7 +78,7 @@
 	h.participant.Restore(s)
 }
 
-// view is what one replica knows of all.
+// view returns the fleet as one replica sees it.
 func (c *fleet) view(by int) (all []Replica) {
 	for i, h := range c.members {
 		all = append(all, Replica{Name: h.name, Zone: c.zone(i), Alive: h.up && !h.suspended && c.reaches(by, i), Ready: h.up && c.now >= h.readyAt, Version: h.version, Epoch: h.epoch})
@@ -108,7 +108,7 @@
 	}
 }
 
-// apply has a replica change, and checks what must hold when it does.
+// apply changes a replica and checks the invariants of a change.
 func (c *fleet) apply(i int, a Action) {
 	h := c.members[i]
 	fail := func(format string, args ...any) {
@@ -147,7 +147,7 @@
 	}
 }
 
-// deliver has a message arrive.
+// deliver delivers a message to its recipient.
 func (c *fleet) deliver(l delivery) {
 	if h := c.members[l.to]; h.up && !h.suspended && c.reaches(l.from, l.to) {
 		c.act(l.to, h.participant.Handle(c.now, l.message, nil))
@@ -165,7 +165,7 @@
 		}
 	}
 	if leaders > 1 && c.err == nil {
-		c.err = fmt.Errorf("at %v %d replicas lead", c.now, leaders)
+		c.err = fmt.Errorf("at %v: got %d leaders, want at most 1", c.now, leaders)
 	}
 }
 
@@ -188,7 +188,7 @@
 	}
 }
 
-// report has all replicas report to the leader. cost is the goodput that the change costs.
+// report sends the reports of all replicas to the leader. cost is the loss of goodput by the change.
 func (c *fleet) report(cost float64) {
 	span := uint64(c.now / time.Second)
 	for i, h := range c.members {
@@ -238,7 +238,7 @@
 		s := h.participant.State()
 		text = append(text, fmt.Sprintf("%s up %v version %s leader %v token %d: %v stage %d selected %v: %s", h.name, h.up, h.version, h.participant.IsLeader(), h.participant.election.highestToken, s.Phase, s.Stage, s.Selected, s.Reason))
 	}
-	t.Fatalf("after %v the plan has not ended:\n%s", c.now, strings.Join(text, "\n"))
+	t.Fatalf("got no end of the plan after %v:\n%s", c.now, strings.Join(text, "\n"))
 	return State{}
 }
 
--- a/fleet/rollout/lost_order_test.go
+++ b/fleet/rollout/lost_order_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// partitioned returns a fleet of 5 with a plan under way, whose first two replicas are cut off; the rest has elected a
-// leader since.
+// partitioned returns a fleet of 5 with an active plan, whose first two replicas are partitioned; the others have
+// elected a leader. It gives the command to a partitioned replica.
 func partitioned(t *testing.T, plan Plan, during Phase, command string) *fleet {
 	t.Helper()
 	c := newFleet(5, plan)
@@ -26,7 +26,7 @@
 		c.step(100 * time.Millisecond)
 	}
 	if leader := c.leader(); leader == nil || leader == c.members[0] || leader == c.members[1] {
-		t.Fatal("the majority has no leader")
+		t.Fatal("got no leader in the majority, want one")
 	}
 	return c
 }
@@ -36,8 +36,8 @@
 	return !slices.ContainsFunc(c.members, func(m *member) bool { return m.participant.state.Phase != phase })
 }
 
-// An abort that is given where no majority hears it takes effect once one does, whatever the majority did meanwhile.
-func TestAnAbortInAMinorityTakesEffectAfterTheHeal(t *testing.T) {
+// An abort given in a minority partition takes effect after the partition heals, whatever the majority did meanwhile.
+func TestMinorityAbortAppliesAfterPartitionHeals(t *testing.T) {
 	long := []Stage{{Count: 1, Observation: time.Hour}, {Fraction: 1, Observation: time.Hour}}
 	for _, tc := range []struct {
 		name      string
@@ -58,10 +58,10 @@
 			c := partitioned(t, tc.plan, tc.during, tc.command)
 			cutOff := c.members[0].participant
 			if cutOff.state.Phase != tc.meanwhile {
-				t.Errorf("it is %v where it was given", cutOff.state.Phase)
+				t.Errorf("got phase %v in the minority, want the effect of the command", cutOff.state.Phase)
 			}
 			if explanation, _ := cutOff.Evidence(); explanation == "" {
-				t.Error("nothing says that the order waits")
+				t.Error("got no explanation of the pending command")
 			}
 			c.partition = 0
 			c.until(t, "abort at all", func() bool { return c.allAre(tc.want) })
@@ -69,14 +69,14 @@
 				c.step(100 * time.Millisecond)
 			}
 			if !c.allAre(tc.want) || c.countVersion(target) > 0 && tc.want == RolledBack {
-				t.Errorf("a minute later: %d hold it, %q", c.countVersion(target), cutOff.state.History)
+				t.Errorf("a minute later: got %d replicas with the target, history %q", c.countVersion(target), cutOff.state.History)
 			}
 		})
 	}
 }
 
-// An abort is given again once: not to a plan that was resumed after it, that has ended, or that was handed over again.
-func TestAnAbortIsNotGivenAgainWhereItIsKnown(t *testing.T) {
+// An abort is repeated once, but not for a plan that was resumed after it, that has ended, or that was started again.
+func TestLostAbortIsRepeatedOnce(t *testing.T) {
 	const taken, aborted = "taken by a, number 1", "aborted: " + abortByOperator
 	plan := Plan{ID: "p", Kind: Settings, Target: target}
 	plan.Complete()
@@ -106,11 +106,11 @@
 			replica.Handle(time.Second, Message{Kind: StateUpdate, From: "b", FencingToken: 9, State: &newer}, nil)
 			state := replica.State()
 			if again := state.FencingToken > 9; again != tc.again || again != (state.Phase == Aborted) {
-				t.Errorf("token %d, %v: %q", state.FencingToken, state.Phase, state.History)
+				t.Errorf("got fencing token %d, phase %v, history %q", state.FencingToken, state.Phase, state.History)
 			}
 			var ended *PlanStateError
 			if err := replica.Command(time.Second, commandAbort); tc.again && !errors.As(err, &ended) {
-				t.Errorf("a second abort: %v", err)
+				t.Errorf("got %v for a second abort, want a PlanStateError", err)
 			}
 		})
 	}
--- a/fleet/rollout/message.go
+++ b/fleet/rollout/message.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Message is what replicas send each other about rollouts.
+// Message is a message between replicas about rollouts.
 type Message struct {
 	Kind         MessageKind `json:"Kind"`
 	From         string      `json:"From"`
@@ -10,9 +10,9 @@
 	Target       string      `json:"Target"` // ChangeOrder: the version to change to
 	RollBack     bool        `json:"Back"`   // ChangeOrder: change to the previous version
 	Plan         string      `json:"Plan"`   // ChangeOrder
-	State        *State      `json:"State"`  // StateUpdate; of requests for votes the sender's version alone
+	State        *State      `json:"State"`  // StateUpdate; in requests for votes only FencingToken and Version
 	Report       *Report     `json:"Report"` // ReportUpdate
-	Seq          uint64      `json:"Seq"`    // of a request for votes, and of the answers to it
+	Seq          uint64      `json:"Seq"`    // identifies a request for votes and its answers
 }
 
 // MessageKind is the purpose of a message.
@@ -22,14 +22,14 @@
 const (
 	VoteRequest    MessageKind = iota + 1
 	VoteGranted                // also notifies an outdated sender of the highest fencing token, with Seq 0
-	PreVoteRequest             // asks whether a vote would be granted: the answer promises nothing
+	PreVoteRequest             // asks whether a vote would be granted; the answer doesn't bind the voter
 	PreVoteGranted
 	StateUpdate
 	ChangeOrder  // from the leader, to one replica
 	ReportUpdate // to the leader
 )
 
-// Action is what the host is to do.
+// Action is an instruction to the host.
 type Action struct {
 	Kind     ActionKind
 	To       string  // Send
--- a/fleet/rollout/participant.go
+++ b/fleet/rollout/participant.go
@@ -1,10 +1,10 @@
-// Package rollout carries a change of settings or of the program through a fleet in stages, and stops it or rolls it
-// back when a stage regresses. It is pure: an event and its time go in, actions for the host come out.
+// Package rollout applies a change of settings or of the program to a fleet in stages, and stops it or rolls it back
+// when a stage regresses. It does no I/O and reads no clock: callers pass in events with their time and execute the
+// actions that it returns.
 //
-// One replica at a time is the leader. It holds a lease by the votes of a quorum, under a fencing token that only
-// grows; a replica accepts orders only from the leader that it voted for, under a token not below the highest it has
-// seen. The plan, its stage and its history are replicated to all, so that any replica can continue when the leader
-// is gone.
+// At most one replica is the leader. It holds a lease from the votes of a quorum, under an increasing fencing token. A
+// replica accepts orders only from the leader that it voted for, under a token not below the highest it has seen. The
+// plan, its stage and its history are replicated to all replicas, so that any of them can continue if the leader fails.
 package rollout
 
 import (
@@ -25,7 +25,7 @@
 	stages      stageController
 }
 
-// New returns a replica's side.
+// New returns the Participant of the named replica.
 func New(name string, now time.Duration) *Participant {
 	return &Participant{
 		env:       environment{name: name, now: now},
@@ -35,17 +35,17 @@
 	}
 }
 
-// State is the plan's progress as far as it is known here.
+// State returns the plan's progress as known to this replica.
 func (p *Participant) State() State { return p.state }
 
-// Attempts counts how often a plan was begun, or taken up again after it had stopped, as far as this replica knows.
-// What replicas refused in an earlier attempt does not count in the present one.
+// Attempts returns how often a plan was started, or resumed after it had stopped, as far as this replica knows.
+// Refusals of an earlier attempt do not count in the current one.
 func (p *Participant) Attempts() uint64 { return p.attempts }
 
 // IsLeader reports whether this replica holds the lease.
 func (p *Participant) IsLeader() bool { return p.election.isLeader(p.env.now) }
 
-// CandidateReason describes this replica's part in the election, to find out why there is no leader.
+// CandidateReason describes this replica's election state, to diagnose why there is no leader.
 func (p *Participant) CandidateReason() string {
 	e := &p.election
 	return fmt.Sprintf("fencing token %d seen, own %d, vote for %q for %v, next candidacy in %v, %d of %d alive",
@@ -53,8 +53,8 @@
 		p.env.replicas.aliveCount(), len(p.env.replicas))
 }
 
-// Evidence is what the leader knows about the stage that is observed, as an explanation and by interval, or what it
-// waits for. On other replicas it is empty, unless there can't be a leader.
+// Evidence returns an explanation and the points by interval of the stage under observation, or the reason why the
+// leader waits. On other replicas it is empty, unless there is no quorum for a leader.
 func (p *Participant) Evidence() (explanation string, points []Point) {
 	switch {
 	case !p.state.Phase.Ended() && !p.env.replicas.hasQuorum():
@@ -168,7 +168,8 @@
 	return nil
 }
 
-// Tick does what is due and returns the actions, appended to out. replicas are all of the fleet, this one included.
+// Tick executes what is due and returns the actions, appended to out. replicas lists the whole fleet, this replica
+// included.
 func (p *Participant) Tick(now time.Duration, replicas []Replica, out []Action) []Action {
 	previous := p.env.now
 	p.env.advance(now)
@@ -186,7 +187,7 @@
 	return p.env.takeActions()
 }
 
-// Handle processes a message and returns the actions that follow, appended to out.
+// Handle processes a message and returns the resulting actions, appended to out.
 func (p *Participant) Handle(now time.Duration, message Message, out []Action) []Action {
 	p.env.advance(now)
 	p.env.actions = append(out, p.env.actions...)
@@ -217,7 +218,7 @@
 	return p.env.takeActions()
 }
 
-// advancePlan becomes a candidate, keeps the lease and, as leader, advances the plan.
+// advancePlan runs for leader, renews the lease and, as the leader, advances the plan.
 func (p *Participant) advancePlan() {
 	if p.election.token == 0 {
 		p.election.considerCampaign(&p.env, p.state.head())
@@ -249,7 +250,7 @@
 	p.state.Version++
 	p.state.Leader = p.env.name
 	p.state.record("led by " + p.env.name)
-	p.stages = newStageController() // what an earlier term knew may be of another plan, or of processes that are gone
+	p.stages = newStageController() // data of an earlier term may concern another plan or processes that have ended
 }
 
 // transition enters a phase, and logs and records why.
--- a/fleet/rollout/participant_test.go
+++ b/fleet/rollout/participant_test.go
@@ -17,9 +17,9 @@
 		name string
 		plan Plan
 		cost float64
-		play func(c *fleet) func() // returns what happens at each step
+		play func(c *fleet) func() // returns a function to run at each step
 		want Phase
-		hold int // replicas with the target in the end, of 10; -1 for any
+		hold int // wanted number of replicas with the target at the end, of 10; -1 for any
 	}{
 		{"harmless", quickPlan, 0, nil, Done, 10},
 		{"default stages", Plan{}, 0, nil, Done, 10},
@@ -104,7 +104,7 @@
 					c.command = "resume"
 					p.Command(c.now, "resume")
 				case until > 0 && c.command == "" && c.countVersion(target) > 1:
-					c.err = fmt.Errorf("%d have the target during the pause", c.countVersion(target))
+					c.err = fmt.Errorf("got %d replicas with the target during the pause", c.countVersion(target))
 				}
 			}
 		}, Done, 10},
@@ -187,7 +187,7 @@
 			}
 			return func() {
 				if reason, _ := c.members[0].participant.Evidence(); c.now > 20*time.Second && c.now < 80*time.Second && !strings.Contains(reason, "3 of 10") {
-					c.err = fmt.Errorf("the reason is missing: %q", reason)
+					c.err = fmt.Errorf("got %q, want the reason why there is no leader", reason)
 				}
 				for i, h := range c.members {
 					if c.now > 80*time.Second && !h.up {
@@ -210,10 +210,10 @@
 				t.Fatal(err)
 			}
 			if err := c.members[2].participant.Start(c.now, c.plan); err == nil {
-				t.Error("a second plan is accepted")
+				t.Error("got a second plan accepted, want an error")
 			}
 			s := c.play(t, 15*time.Minute, tc.cost, each)
-			for i, h := range c.members { // replicas that were away return
+			for i, h := range c.members { // replicas that were down return
 				if !h.up && !c.deadly {
 					c.start(i)
 				}
@@ -222,7 +222,7 @@
 				c.step(100 * time.Millisecond)
 			}
 			if got := c.countVersion(target); s.Phase != tc.want || tc.hold >= 0 && got != tc.hold {
-				t.Errorf("%v (%s), %d have the target; want %v, %d\n%s", s.Phase, s.Reason, got, tc.want, tc.hold, strings.Join(s.History, "\n"))
+				t.Errorf("got phase %v (%s), %d replicas with the target; want %v, %d\n%s", s.Phase, s.Reason, got, tc.want, tc.hold, strings.Join(s.History, "\n"))
 			}
 			if c.err != nil {
 				t.Error(c.err)
@@ -231,13 +231,13 @@
 	}
 }
 
-// A command that there is none of is refused, and changes nothing: neither the plan nor who leads it.
-func TestAnUnknownCommandIsRefused(t *testing.T) {
+// An unknown command is refused, and changes neither the plan nor its leader.
+func TestUnknownCommandIsRefused(t *testing.T) {
 	c := newFleet(3, quickPlan)
 	c.step(4 * time.Second)
 	leader := c.members[0].participant
 	if err := leader.Command(c.now, "x"); !errors.As(err, new(*PlanStateError)) {
-		t.Errorf("without a plan: %v", err)
+		t.Errorf("without a plan: got error %v", err)
 	}
 	if err := leader.Start(c.now, c.plan); err != nil {
 		t.Fatal(err)
@@ -251,14 +251,14 @@
 		for _, word := range []string{"x", "", "Abort", "refused"} {
 			var refused *CommandError
 			if err := p.Command(c.now, word); !errors.As(err, &refused) || refused.Command != word {
-				t.Errorf("%s: %q: %v", m.name, word, err)
+				t.Errorf("%s: command %q: got error %v", m.name, word, err)
 			}
 		}
 		if after := p.State(); !reflect.DeepEqual(after, before) {
-			t.Errorf("%s: the state was %+v, is %+v", m.name, before, after)
+			t.Errorf("%s: state before %+v, after %+v, want no change", m.name, before, after)
 		}
 		if p.IsLeader() != led {
-			t.Errorf("%s: led %v, leads %v", m.name, led, p.IsLeader())
+			t.Errorf("%s: leader before %v, after %v, want no change", m.name, led, p.IsLeader())
 		}
 	}
 }
--- a/fleet/rollout/plan.go
+++ b/fleet/rollout/plan.go
@@ -38,9 +38,9 @@
 	Program
 )
 
-// Stage is one step of a plan. The largest of Count, Fraction and PerZone holds.
+// Stage is one step of a plan. The largest of Count, Fraction and PerZone determines its size.
 type Stage struct {
-	Count       int           `json:"Count"`   // replicas that are changed by its end, in all
+	Count       int           `json:"Count"`   // total of changed replicas by the end of the stage
 	Fraction    float64       `json:"Part"`    // of all replicas
 	PerZone     bool          `json:"PerZone"` // at least as many replicas as there are zones
 	Observation time.Duration `json:"Soak"`    // how long the changed replicas are observed
@@ -64,7 +64,7 @@
 	MaxLevel         uint8         `json:"Most"`
 }
 
-// Guardrails state what a stage must not cost, and how certain a decision has to be.
+// Guardrails bound the cost of a stage and the error probabilities of decisions.
 type Guardrails struct {
 	Goodput          float64 `json:"Goodput"` // greatest loss of goodput, in points as a fraction of 1
 	Latency          float64 `json:"Latency"` // greatest growth of latency, as a fraction
@@ -72,7 +72,7 @@
 	MissedRegression float64 `json:"Missed"`  // probability that a change that costs Goodput passes a stage
 
 	Attempts float64 `json:"Attempts"` // greatest growth of attempts a request, as a fraction
-	Memory   float64 `json:"Memory"`   // fraction by which memory may exceed that of unchanged replicas, and 16 MB
+	Memory   float64 `json:"Memory"`   // greatest excess over unchanged replicas, as a fraction; at least 16 MB
 }
 
 // Defaults of guardrails.
@@ -97,7 +97,7 @@
 	return fmt.Sprintf("%s: unexpected value %q, want %s", e.Key, fmt.Sprint(e.Value), e.Want)
 }
 
-// PlanStateError says that another plan is active, or that none is.
+// PlanStateError reports that another plan is active, or that none is.
 type PlanStateError struct {
 	ID    string
 	Phase Phase
@@ -111,18 +111,18 @@
 	return fmt.Sprintf("plan %s stands and is %v: wait for its end, or abort it", e.ID, e.Phase)
 }
 
-// CommandError says that a command of an operator is none that there is.
+// CommandError reports an unknown operator command.
 type CommandError struct {
 	Command string
 }
 
-// Error names the command and those that there are.
+// Error names the command and the valid ones.
 func (e *CommandError) Error() string {
 	return fmt.Sprintf("unexpected command %q, want %s, %s, %s or %s",
 		e.Command, commandPause, commandResume, commandAbort, commandBack)
 }
 
-// DefaultStages are one replica, one of each zone, then growing fractions.
+// DefaultStages returns the default stages: one replica, one per zone, then growing fractions.
 func DefaultStages() []Stage {
 	return []Stage{
 		{Count: 1, Observation: DefaultObservation},
@@ -254,11 +254,11 @@
 	return nil
 }
 
-// roundingTolerance keeps a fraction that comes out a little above a whole number from being rounded up.
+// roundingTolerance prevents a product slightly above a whole number from being rounded up.
 const roundingTolerance = 1e-9
 
-// Size is how many of all replicas, in a number of zones, are changed by the end of a stage: never fewer than by the
-// end of the stage before.
+// Size returns how many replicas are changed by the end of a stage in a fleet of this many replicas and zones. It never
+// decreases from one stage to the next.
 func (p *Plan) Size(stage, replicas, zones int) int {
 	size := 0
 	for i := 0; i <= stage && i < len(p.Stages); i++ {
--- a/fleet/rollout/plan_test.go
+++ b/fleet/rollout/plan_test.go
@@ -23,13 +23,13 @@
 		p.Complete()
 		var fault *KeyError
 		if err := p.Check(); !errors.As(err, &fault) || fault.Key != key {
-			t.Errorf("%s: %v", key, err)
+			t.Errorf("key %s: got error %v", key, err)
 		}
 	}
 }
 
-// The default stages are one replica, one of each zone, and then growing parts; replicas of all zones are changed in
-// turn, in an order of the plan's own, so that stages never shrink.
+// The default stages are one replica, one per zone, and then growing fractions; stages never shrink. Replicas are
+// changed alternating between zones, in an order that depends on the plan.
 func TestStagesGrowAndSpreadOverZones(t *testing.T) {
 	plan := Plan{ID: "p"}
 	plan.Complete()
@@ -48,7 +48,7 @@
 			sizes = append(sizes, plan.Size(stage, tc.replicas, tc.zones))
 		}
 		if !slices.Equal(sizes, tc.want) {
-			t.Errorf("%d replicas in %d zones: %v, want %v", tc.replicas, tc.zones, sizes, tc.want)
+			t.Errorf("%d replicas in %d zones: got sizes %v, want %v", tc.replicas, tc.zones, sizes, tc.want)
 		}
 	}
 	var all replicas
@@ -58,7 +58,7 @@
 	ordered := all.inChangeOrder("p")
 	for i, replica := range ordered {
 		if want := fmt.Sprint("z", i%3); replica.Zone != want {
-			t.Errorf("the replica that is changed as number %d is in %s, want %s", i, replica.Zone, want)
+			t.Errorf("replica at position %d of the order: got zone %s, want %s", i, replica.Zone, want)
 		}
 	}
 	names := func(ordered []Replica) (names []string) {
@@ -68,9 +68,9 @@
 		return names
 	}
 	if slices.Equal(names(ordered), names(all.inChangeOrder("q"))) {
-		t.Error("each plan changes the same replicas first")
+		t.Error("got the same order for different plans")
 	}
 	if !slices.Equal(names(ordered), names(all.inChangeOrder("p"))) {
-		t.Error("the order of a plan is not always the same")
+		t.Error("got different orders for the same plan")
 	}
 }
--- a/fleet/rollout/replicas.go
+++ b/fleet/rollout/replicas.go
@@ -8,16 +8,16 @@
 	"ryerill/internal/seedrand"
 )
 
-// Replica is what a participant knows of one replica, itself included.
+// Replica is a participant's knowledge of one replica of the fleet, itself included.
 type Replica struct {
 	Name          string
 	Zone          string
 	Alive         bool
 	Ready         bool
-	Version       string // settings' hash or program's version that it has
-	Epoch         uint64 // of its process: another one is a crash or a restart
+	Version       string // current settings' hash or program version
+	Epoch         uint64 // identifies the process: it changes on a crash or restart
 	RefusedReason string // why it couldn't change as the plan ordered; empty if it could
-	MinLevel      uint8  // protocol levels that it speaks; 0 if unknown
+	MinLevel      uint8  // range of supported protocol levels; 0 if unknown
 	MaxLevel      uint8
 }
 
@@ -48,7 +48,7 @@
 
 func (r replicas) isMajority(count int) bool { return 2*count > len(r) }
 
-// isFirst reports whether a replica comes first by name of those that are alive.
+// isFirst reports whether no replica that is alive has a smaller name.
 func (r replicas) isFirst(name string) bool {
 	return !slices.ContainsFunc(r, func(other Replica) bool { return other.Alive && other.Name < name })
 }
@@ -62,7 +62,7 @@
 	return len(zones)
 }
 
-// aliveWithout counts the replicas that are alive and not among the named ones.
+// aliveWithout counts the replicas that are alive, except for the named ones.
 func (r replicas) aliveWithout(names []string) int {
 	count := 0
 	for i := range r {
@@ -73,7 +73,7 @@
 	return count
 }
 
-// deadWithout counts the replicas that aren't alive and not among the named ones.
+// deadWithout counts the replicas that aren't alive, except for the named ones.
 func (r replicas) deadWithout(names []string) int {
 	count := 0
 	for i := range r {
@@ -84,7 +84,7 @@
 	return count
 }
 
-// checkLevels returns a KeyError if some replica speaks none of the protocol levels of a plan's program.
+// checkLevels returns a KeyError if some replica supports none of the protocol levels of a plan's program.
 func (r replicas) checkLevels(plan *Plan) error {
 	for i := range r {
 		replica := &r[i]
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// inChangeOrder returns the replicas in the order in which a plan changes them: zones in turn, and within a zone in an
-// order that is random by the plan's ID.
+// inChangeOrder returns the replicas in the order in which a plan changes them: alternating between zones, and within a
+// zone in a random order derived from the plan's ID.
 func (r replicas) inChangeOrder(planID string) []Replica {
 	byZone := map[string][]Replica{}
 	var zones []string
--- a/fleet/rollout/replication.go
+++ b/fleet/rollout/replication.go
@@ -7,12 +7,12 @@
 
 const periodicUpdateInterval = 2 * time.Second
 
-// replication is how the state reaches all replicas: the leader sends it to all, and every replica periodically to
-// one peer, which may have been away.
+// replication schedules state updates: the leader broadcasts its state, and every replica periodically sends its own to
+// one peer, which may have missed a broadcast.
 type replication struct {
 	nextBroadcastAt      time.Duration
 	nextPeriodicUpdateAt time.Duration
-	periodicUpdates      int // sent: peers take turns
+	periodicUpdates      int // number sent, which selects the next peer
 }
 
 // stateUpdate returns the state as it is now, as a message.
@@ -32,7 +32,7 @@
 	}
 	p.replication.nextPeriodicUpdateAt = p.env.now + periodicUpdateInterval
 	p.replication.periodicUpdates++
-	// Each begins after itself, so that those that count alike don't all send to the same peer.
+	// Each replica starts after its own index, so that replicas with equal counters choose different peers.
 	own := slices.IndexFunc(replicas, func(replica Replica) bool { return replica.Name == p.env.name })
 	for i := range replicas {
 		peer := &replicas[(max(own, 0)+p.replication.periodicUpdates+i)%len(replicas)]
@@ -56,12 +56,12 @@
 		if p.state.beginsAttempt(&before) {
 			p.beginAttempt()
 		}
-		p.giveLostOrderAgain(&before)
+		p.repeatLostCommand(&before)
 	}
 }
 
-// refuseOutdated refuses a candidate that has an older state than this replica, and sends it this one: as the leader it
-// would take up again what has ended since. Older programs don't state what they have.
+// refuseOutdated refuses a candidate that has an older state than this replica and sends it the newer one: as the
+// leader the candidate would resume a plan that has ended since. Requests of older programs carry no state.
 func (p *Participant) refuseOutdated(request *Message) bool {
 	if request.State == nil || !p.state.Newer(request.State) {
 		return false
--- a/fleet/rollout/rollback.go
+++ b/fleet/rollout/rollback.go
@@ -8,8 +8,8 @@
 // rollBackTimeoutFactor is how many times the plan's ready timeout a replica may take to roll back.
 const rollBackTimeoutFactor = 4
 
-// rollBack has all replicas that were changed return to their previous version, with no more unavailable at once than
-// the plan allows.
+// rollBack returns all changed replicas to their previous version, with no more unavailable at once than the plan
+// allows.
 func (p *Participant) rollBack() {
 	state := &p.state
 	var missing []string
@@ -43,8 +43,8 @@
 	return replica.Version != p.state.Plan.Target && replica.Ready
 }
 
-// rollBackReplica orders a replica to roll back, and repeats the order until it has. It reports whether there is still
-// time for that.
+// rollBackReplica orders a replica to roll back and repeats the order until the replica has. It reports false once the
+// replica has exceeded its time.
 func (p *Participant) rollBackReplica(replica *Replica) bool {
 	orderedAt, ordered := p.stages.orderedAt[replica.Name]
 	waited := p.env.now - orderedAt
--- a/fleet/rollout/stages.go
+++ b/fleet/rollout/stages.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// orderRetryInterval is how long an order may be without effect before it is repeated: it may be lost.
+// orderRetryInterval is the time after which an order without effect is repeated: the message may be lost.
 const orderRetryInterval = time.Second
 
-// stageController is what the leader knows about the replicas that it changes and observes.
+// stageController holds the leader's records of the replicas that it changes and observes.
 type stageController struct {
-	orderedAt map[string]time.Duration // by replica that was ordered to change and hasn't yet
-	epochs    map[string]uint64        // by replica that has changed: its process then
+	orderedAt map[string]time.Duration // by name, of replicas that were ordered to change and haven't yet
+	epochs    map[string]uint64        // by name, of changed replicas: the process epoch after the change
 	baseline  *Baseline
-	evaluator *Evaluator // of the stage that is observed; nil if there is none
+	evaluator *Evaluator // of the stage under observation; nil if there is none
 }
 
 func newStageController() stageController {
@@ -37,8 +37,8 @@
 	}
 }
 
-// unavailable counts the replicas that don't serve, whatever the reason, and those that were ordered to change and have
-// not reached the version yet.
+// unavailable counts the replicas that aren't alive or ready, for any reason, and those that were ordered to change and
+// haven't reached the version yet.
 func (c *stageController) unavailable(all replicas, changed func(*Replica) bool) int {
 	count := 0
 	for i := range all {
@@ -51,7 +51,7 @@
 	return count
 }
 
-// advanceStage takes the plan one step on. This replica is the leader.
+// advanceStage advances the plan by one step. Only the leader calls it.
 func (p *Participant) advanceStage() {
 	state := &p.state
 	if state.Age > state.Plan.ExpiresAfter && state.Phase != RollingBack && state.Phase != Observing {
@@ -68,7 +68,7 @@
 	}
 }
 
-// change has the replicas of the stage change, with no more unavailable at once than the plan allows.
+// change applies the plan to the replicas of the stage, with no more unavailable at once than the plan allows.
 func (p *Participant) change() {
 	state := &p.state
 	if len(state.Selected) == 0 && !p.baselineObserved() {
@@ -101,10 +101,11 @@
 	}
 }
 
-// maxNamed is how many replicas an explanation names.
+// maxNamed is the greatest number of replicas that an explanation names.
 const maxNamed = 5
 
-// awaited says for which replicas the leader waits while it changes replicas or rolls them back; empty if for none.
+// awaited describes the replicas that the leader waits for during a change or rollback, or returns "" if there are
+// none.
 func (p *Participant) awaited() string {
 	if ordered := slices.Sorted(maps.Keys(p.stages.orderedAt)); len(ordered) > 0 {
 		return "waiting for " + listNames(ordered)
@@ -131,7 +132,7 @@
 	return reason
 }
 
-// listNames joins names, and counts those beyond the first ones.
+// listNames joins the first maxNamed names and states how many more there are.
 func listNames(names []string) string {
 	if len(names) <= maxNamed {
 		return strings.Join(names, ", ")
@@ -139,7 +140,7 @@
 	return fmt.Sprintf("%s and %d more", strings.Join(names[:maxNamed], ", "), len(names)-maxNamed)
 }
 
-// baselineObserved reports whether enough is known about how replicas differ while all are unchanged.
+// baselineObserved reports whether the baseline is sufficient, or the time to observe it is over.
 func (p *Participant) baselineObserved() bool {
 	plan := &p.state.Plan
 	end := p.election.ordersFrom + plan.Baseline
@@ -150,7 +151,7 @@
 		p.stages.baseline.Sufficient(plan.Guardrails, p.firstToChange())
 }
 
-// firstToChange is the replica that is changed first; empty if none is alive.
+// firstToChange returns the name of the replica that is changed first, or "" if none is alive.
 func (p *Participant) firstToChange() string {
 	for _, replica := range p.env.replicas.inChangeOrder(p.state.Plan.ID) {
 		if replica.Alive {
@@ -160,7 +161,7 @@
 	return ""
 }
 
-// selectReplicas adds the replicas of the stage. One that isn't alive is passed over until it is back.
+// selectReplicas selects the replicas of the stage. Replicas that aren't alive are skipped until they return.
 func (p *Participant) selectReplicas() {
 	state := &p.state
 	size := state.Plan.Size(state.Stage, len(p.env.replicas), p.env.replicas.zoneCount())
@@ -175,7 +176,7 @@
 	}
 }
 
-// changeProgress is how far a selected replica is.
+// changeProgress is the progress of a selected replica's change.
 type changeProgress uint8
 
 const (
@@ -185,7 +186,7 @@
 	changeFailed
 )
 
-// changeReplica takes the change of a selected replica one step on. If that has failed, it says why.
+// changeReplica advances the change of a selected replica by one step. failure is the reason if the change has failed.
 func (p *Participant) changeReplica(name string) (progress changeProgress, failure string) {
 	plan := &p.state.Plan
 	replica := p.env.replicas.find(name)
@@ -220,7 +221,7 @@
 	return changePending, ""
 }
 
-// order has a replica, which may be this one, change.
+// order orders a replica, possibly this one, to change.
 func (p *Participant) order(name, target string, rollBack bool) {
 	if name == p.env.name {
 		p.apply(target, rollBack)
@@ -245,10 +246,10 @@
 	p.state.ObservationStart = p.state.Age
 }
 
-// observe compares the changed replicas with the others, and ends the stage once that decides.
+// observe compares the changed replicas with the others, and ends the stage once the result is decisive.
 func (p *Participant) observe() {
 	state := &p.state
-	if p.stages.evaluator == nil { // under another leader: it starts again
+	if p.stages.evaluator == nil { // the leader has changed: observation restarts
 		p.startObservation()
 	}
 	for _, name := range state.Selected {
@@ -282,8 +283,8 @@
 	p.transition(Changing, fmt.Sprintf("stage %d follows: %s", state.Stage+1, reason))
 }
 
-// observeReplica ends the observation if a changed replica crashed, died or lost the change, and reports whether it
-// did.
+// observeReplica ends the observation if a changed replica restarted, died or lost the change, and reports whether it
+// ended it.
 func (p *Participant) observeReplica(name string) bool {
 	replica := p.env.replicas.find(name)
 	if replica == nil {
@@ -315,22 +316,22 @@
 	}
 }
 
-// deathsAreComparable reports whether there are unchanged replicas to compare deaths with, and no partition hides most
-// replicas.
+// deathsAreComparable reports whether there are unchanged replicas to compare deaths with, and most replicas aren't
+// hidden by a partition.
 func (p *Participant) deathsAreComparable() bool {
 	all := p.env.replicas
 	dead := len(all) - all.aliveCount()
 	return len(all) > len(p.state.Selected) && !all.isMajority(dead)
 }
 
-// deathsExceedChance reports whether the death of a changed replica is more than unchanged ones show at the same time.
+// deathsExceedChance reports whether the death of a changed replica is unlikely given the deaths of unchanged ones.
 func (p *Participant) deathsExceedChance() bool {
 	all := p.env.replicas
 	selected := p.state.Selected
 	return deathExceedsChance(all.deadWithout(selected), len(all)-len(selected))
 }
 
-// failStage ends a stage that regresses, by a replica if one is named.
+// failStage ends a stage that has regressed. replica is the replica at fault, or empty.
 func (p *Participant) failStage(replica, reason string) {
 	state := &p.state
 	if replica != "" {
--- a/fleet/rollout/state.go
+++ b/fleet/rollout/state.go
@@ -9,7 +9,7 @@
 // maxHistory is the number of entries of a plan's history that are kept: see State.record.
 const maxHistory = 64
 
-// Phase is how far a plan is.
+// Phase is the phase of a plan.
 type Phase uint8
 
 // The phases. Those from Done on are final.
@@ -26,7 +26,7 @@
 	Expired
 )
 
-// String names a phase as tables and logs do.
+// String returns the name of the phase in tables, logs and the history.
 func (p Phase) String() string {
 	names := [...]string{
 		"none", "changing", "soaking", "paused", "stopped", "going back", "done", "gone back", "aborted", "expired",
@@ -40,17 +40,17 @@
 // Ended reports whether there is no plan, or it has ended.
 func (p Phase) Ended() bool { return p == Idle || p >= Done }
 
-// State is a plan and its progress, replicated to all. The one with the higher fencing token holds, and of one token
-// the later version.
+// State is a plan and its progress, replicated to all replicas. The state with the higher fencing token supersedes, and
+// with equal tokens the one with the higher version.
 type State struct {
 	Plan             Plan          `json:"Plan"`
-	FencingToken     uint64        `json:"Fence"` // of the replica that wrote it
+	FencingToken     uint64        `json:"Fence"` // of the replica that wrote the state
 	Version          uint64        `json:"Version"`
 	Leader           string        `json:"Leader"`
 	Phase            Phase         `json:"Phase"`
 	Stage            int           `json:"Stage"`
 	Reason           string        `json:"Reason"`
-	Selected         []string      `json:"Chosen"` // replicas that are to be changed by now, in order
+	Selected         []string      `json:"Chosen"` // replicas selected to be changed so far, in order
 	Failed           []string      `json:"Failed"` // replicas that couldn't change, or regressed
 	History          []string      `json:"History"`
 	Age              time.Duration `json:"Age"`     // since the start of the plan
@@ -73,13 +73,13 @@
 	s.record(historyEntry(phase, reason))
 }
 
-// historyEntry is what the history notes of a transition.
+// historyEntry returns the history entry of a transition.
 func historyEntry(phase Phase, reason string) string { return phase.String() + ": " + reason }
 
-// record adds an entry to the history. Where that is full the earliest ones go, except for the first one and for that
-// with which the latest attempt begins.
+// record appends an entry to the history. If the history is full, the oldest entries are removed, except for the first
+// one and the one that begins the latest attempt.
 func (s *State) record(entry string) {
-	s.History = append(slices.Clip(s.History), entry) // copies of the state share what was there
+	s.History = append(slices.Clip(s.History), entry) // copies of the state share the earlier entries
 	excess := len(s.History) - maxHistory
 	if excess <= 0 {
 		return
@@ -92,7 +92,7 @@
 	s.History = append(kept, s.History[1+excess:]...)
 }
 
-// resumedPhase is the phase that a plan which rests goes on with: it changes replicas, unless it was rolling them back.
+// resumedPhase returns the phase in which a paused or stopped plan resumes: Changing, unless it was rolling back.
 func (s *State) resumedPhase() Phase {
 	for _, entry := range slices.Backward(s.History) {
 		switch phase, _, _ := strings.Cut(entry, ": "); phase {
@@ -105,10 +105,10 @@
 	return Changing
 }
 
-// head is what tells whether another state is newer.
+// head returns a copy with only the fields that Newer compares.
 func (s *State) head() *State { return &State{FencingToken: s.FencingToken, Version: s.Version} }
 
-// observation is how long the current stage is observed at least.
+// observation returns the least observation period of the current stage.
 func (s *State) observation() time.Duration {
 	return s.Plan.Stages[min(s.Stage, len(s.Plan.Stages)-1)].Observation
 }
--- a/fleet/rollout/statistics.go
+++ b/fleet/rollout/statistics.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	maxLogEvidence  = 3.0 // that one interval adds at most: a single outlier decides nothing
-	sequentialTests = 3.0 // of goodput, latency and attempts: they share the probability of a false alarm
-	assumedStages   = 6.0 // among which the probability of a false alarm is divided too
+	maxLogEvidence  = 3.0 // bound of one interval's evidence, so that a single outlier decides nothing
+	sequentialTests = 3.0 // goodput, latency and attempts, which share the probability of a false alarm
+	assumedStages   = 6.0 // stages that also share the probability of a false alarm
 
-	minReplicasForSpread  = 3   // from which the differences between replicas are estimated
-	assumedOverdispersion = 1.5 // with fewer
-	overdispersionLevel   = 0.9 // quantile of chance that differences have to exceed to count
+	minReplicasForSpread  = 3   // least number of replicas to estimate overdispersion from
+	assumedOverdispersion = 1.5 // with fewer replicas
+	overdispersionLevel   = 0.9 // quantile of chance above which differences count
 	minRatio              = 1e-9
 )
 
-// sample is the sum of the reports of several replicas, changed or unchanged ones, in one interval.
+// sample sums the reports of the changed, or of the unchanged, replicas in one interval.
 type sample struct {
 	replicas float64
 
 	offered            float64
 	served             float64
-	goodputs           []float64 // by replica, less how it differed in the baseline
-	expectedDifference float64   // weight served above others in the baseline
+	goodputs           []float64 // by replica, minus its difference in the baseline
+	expectedDifference float64   // weight expected to be served beyond others, by the baseline
 	differenceVariance float64   // of expectedDifference
 
 	responses       float64
@@ -38,7 +38,7 @@
 	memory []float64 // MB, by replica
 }
 
-// add adds a report of a replica that differed from others in the baseline by a mean with a variance.
+// add adds a report of a replica whose difference in the baseline has this mean and variance.
 func (s *sample) add(report *Report, difference, variance float64) {
 	s.replicas++
 	s.expectedDifference += report.OfferedWeight * difference
@@ -80,7 +80,7 @@
 	s.memory = append(s.memory, other.memory...)
 }
 
-// goodput is the fraction served, less what the baseline lets expect.
+// goodput returns the fraction served, corrected by the difference expected from the baseline.
 func (s *sample) goodput() float64 { return (s.served - s.expectedDifference) / s.offered }
 
 func (s *sample) latency() ratio {
@@ -91,7 +91,7 @@
 	return ratio{sum: s.attempts, count: s.requests, replicas: s.replicas, byReplica: s.attemptRates}
 }
 
-// ratio is the mean of a value over a count of responses or requests.
+// ratio is a sum of values over a count of responses or requests.
 type ratio struct {
 	sum       float64
 	count     float64
@@ -99,7 +99,7 @@
 	byReplica []float64
 }
 
-// mean is 0 if nothing was counted.
+// mean returns 0 if the count is 0.
 func (r *ratio) mean() float64 { return quotient(r.sum, r.count) }
 
 func quotient(sum, count float64) float64 {
@@ -115,14 +115,14 @@
 	changed  sample
 }
 
-// isMeaningful reports whether both sides were offered enough.
+// isMeaningful reports whether both sides were offered enough weight.
 func (c *comparison) isMeaningful() bool {
 	return c.baseline.offered >= minOffered && c.changed.offered >= minOffered
 }
 
-// goodputEvidence is the log of how much more likely the comparison is if the change costs a loss of goodput than if
-// it costs none. Differences between unchanged replicas beyond chance widen what is allowed. uncertainty is the
-// variance of how replicas differed in the baseline, as a multiple of the comparison's own.
+// goodputEvidence returns the log likelihood ratio of a loss of goodput against none. Differences between unchanged
+// replicas beyond chance increase the variance. uncertainty is the variance of the baseline's differences as a multiple
+// of the comparison's own.
 func (c *comparison) goodputEvidence(loss float64) (evidence, uncertainty float64) {
 	baseline := &c.baseline
 	changed := &c.changed
@@ -137,8 +137,8 @@
 	return evidence, uncertainty
 }
 
-// overdispersion is how much more replicas that are alike differ than by chance. Only what exceeds the 0.9 quantile of
-// chance counts.
+// overdispersion returns the variance between equal replicas as a multiple of that of chance. Only the excess over the
+// 0.9 quantile of chance counts.
 func overdispersion(goodputs []float64, mean, binomial, offeredEach float64) float64 {
 	if len(goodputs) < minReplicasForSpread || offeredEach <= 0 {
 		return assumedOverdispersion
@@ -152,8 +152,8 @@
 	return max(observed/(distuv.ChiSquared{K: degrees}.Quantile(overdispersionLevel)/degrees), 1)
 }
 
-// growthEvidence is the log of how much more likely two ratios are if the change makes them grow by a fraction than
-// if it doesn't. Single values are taken to vary about as much as their mean, replicas as they show.
+// growthEvidence returns the log likelihood ratio of a growth by a fraction against none. It assumes that the standard
+// deviation of single values equals their mean; the variance between replicas is estimated.
 func growthEvidence(baseline, changed ratio, growth float64) float64 {
 	if baseline.count < minOffered || changed.count < minOffered || baseline.sum <= 0 || changed.mean() <= 0 {
 		return 0
@@ -173,7 +173,7 @@
 	return (cost*observed - cost*cost/2) / variance
 }
 
-// bounds are the logs of likelihood between which nothing is decided (Wald, 1945). Tests that follow each other share
+// bounds returns the log likelihood ratios between which the test is undecided (Wald, 1945). The tests of a plan share
 // the probability of a false alarm.
 func (g *Guardrails) bounds() (upper, lower float64) {
 	falseAlarm := g.FalseAlarm / (sequentialTests * assumedStages)
@@ -186,15 +186,15 @@
 	return min(max(evidence, -maxLogEvidence), maxLogEvidence)
 }
 
-// Prior of the fraction of replicas that are dead, as counts, and the probability below which a death isn't by chance.
+// Prior of the fraction of dead replicas, as counts, and the probability below which a death is not due to chance.
 const (
 	priorDead   = 0.02
 	priorAlive  = 2
 	deathChance = 0.1
 )
 
-// deathExceedsChance reports whether the death of one changed replica is more than chance, with so many dead of a
-// number of unchanged ones.
+// deathExceedsChance reports whether the death of one changed replica is unlikely to be chance, given how many of the
+// unchanged replicas are dead.
 func deathExceedsChance(deadUnchanged, unchanged int) bool {
 	if unchanged <= 0 {
 		return true
--- a/fleet/rollout/takeover_test.go
+++ b/fleet/rollout/takeover_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// until steps until a condition holds, for a minute at most.
+// until steps until a condition holds, and fails the test after a minute.
 func (c *fleet) until(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := c.now + time.Minute; !holds(); {
 		if c.now > end {
-			t.Fatalf("after a minute: no %s", what)
+			t.Fatalf("got no %s within a minute", what)
 		}
 		c.step(100 * time.Millisecond)
 		if c.err != nil {
@@ -21,7 +21,7 @@
 	}
 }
 
-// leader returns the replica that leads; nil if none does.
+// leader returns the leader, or nil if there is none.
 func (c *fleet) leader() *member {
 	i := slices.IndexFunc(c.members, func(m *member) bool { return m.up && !m.suspended && m.participant.IsLeader() })
 	if i < 0 {
@@ -30,7 +30,7 @@
 	return c.members[i]
 }
 
-// startPlan starts the fleet's plan at a replica, and waits until one leads that has chosen the first to change.
+// startPlan starts the fleet's plan at a replica, and waits until a leader has selected the first replica to change.
 func (c *fleet) startPlan(t *testing.T, at int) {
 	t.Helper()
 	if err := c.members[at].participant.Start(c.now, c.plan); err != nil {
@@ -42,8 +42,8 @@
 	})
 }
 
-// A replica that missed the end of a plan learns of it, and does not take the plan up again.
-func TestAPlanThatHasEndedIsNotRevived(t *testing.T) {
+// A replica that missed the end of a plan receives the final state, and does not resume the plan.
+func TestEndedPlanIsNotRevived(t *testing.T) {
 	for _, size := range []int{3, 10, 40} {
 		for _, asleep := range []int{1, 2} {
 			t.Run(fmt.Sprintf("copy %d of %d was away", asleep, size), func(t *testing.T) {
@@ -64,11 +64,11 @@
 				for c.now < returned+time.Minute {
 					c.step(100 * time.Millisecond)
 					if state := away.participant.State(); c.now > returned+2*periodicUpdateInterval && !state.Phase.Ended() {
-						t.Fatalf("%v after its return it still holds the plan to be %v", c.now-returned, state.Phase)
+						t.Fatalf("%v after its return: got phase %v, want the end of the plan", c.now-returned, state.Phase)
 					}
 					for _, m := range c.members {
 						if state := m.participant.State(); !ended(m) {
-							t.Fatalf("%v after its return %s is %v: %q", c.now-returned, m.name, state.Phase, state.History)
+							t.Fatalf("%v after its return: %s has phase %v, history %q", c.now-returned, m.name, state.Phase, state.History)
 						}
 					}
 				}
@@ -77,8 +77,8 @@
 	}
 }
 
-// Where nobody has heard of the end but a majority's voters, a candidate with an older state gets no vote.
-func TestVotersRefuseACandidateWithAnOlderState(t *testing.T) {
+// A candidate with an older state than a voter gets no vote, and receives the newer state.
+func TestVotersRefuseCandidateWithOlderState(t *testing.T) {
 	plan := Plan{ID: "p", Kind: Settings, Target: target}
 	plan.Complete()
 	voter := New("v", 0)
@@ -103,14 +103,14 @@
 				told = told || a.Message.Kind == StateUpdate && a.To == "a"
 			}
 			if got != tc.want || told == tc.want {
-				t.Errorf("%s, kind %d: voted %v, sent its state %v", tc.name, request, got, told)
+				t.Errorf("%s, kind %d: got vote %v, state sent %v", tc.name, request, got, told)
 			}
 		}
 	}
 }
 
-// What a replica knew as the leader of one plan does not count when it leads again.
-func TestALeaderForgetsWhatItKnewInAnEarlierTerm(t *testing.T) {
+// A leader discards the records of its earlier terms.
+func TestLeaderDiscardsRecordsOfEarlierTerm(t *testing.T) {
 	c := newFleet(3, Plan{Stages: []Stage{{Fraction: 1, Observation: time.Second}}, MaxUnavailable: 1})
 	c.step(4 * time.Second)
 	c.startPlan(t, 0)
@@ -124,21 +124,21 @@
 	for range 10 {
 		c.step(100 * time.Millisecond)
 	}
-	stages.epochs[name] = 99 // of a process that has been replaced since
+	stages.epochs[name] = 99 // epoch of a process that has since been replaced
 	if err := first.participant.Command(c.now, commandResume); err != nil {
 		t.Fatal(err)
 	}
 	c.until(t, "leader", func() bool { return c.leader() != nil })
 	stages = &c.leader().participant.stages
 	if c.leader() != first {
-		t.Fatalf("%s leads, and not the first by name", c.leader().name)
+		t.Fatalf("got leader %s, want the first by name", c.leader().name)
 	}
 	if at, ordered := stages.orderedAt[name]; ordered || stages.epochs[name] == 99 {
-		t.Errorf("it still knows an order at %v, epoch %d", at, stages.epochs[name])
+		t.Errorf("got an order at %v and epoch %d of an earlier term, want none", at, stages.epochs[name])
 	}
 }
 
-// The history stays bounded, however often the leader changes.
+// Repeated changes of leader do not grow the history beyond its limit.
 func TestHistoryIsBoundedWhenLeadersChange(t *testing.T) {
 	participant := New("a", 0)
 	participant.state.History = []string{"taken by a"}
@@ -146,12 +146,12 @@
 		participant.takeOver()
 	}
 	if history := participant.state.History; len(history) > maxHistory || history[0] != "taken by a" {
-		t.Errorf("%d entries, the first %q", len(history), history[0])
+		t.Errorf("got %d history entries, the first %q", len(history), history[0])
 	}
 }
 
-// A replica that fails again each time that the plan is resumed is listed once.
-func TestAReplicaThatFailsAgainIsListedOnce(t *testing.T) {
+// A replica that fails after each resume is listed in Failed once.
+func TestRepeatedlyFailingReplicaIsListedOnce(t *testing.T) {
 	participant := New("a", 0)
 	participant.state = State{Plan: Plan{ID: "p"}, Phase: Changing}
 	for range 3 {
@@ -159,12 +159,12 @@
 	}
 	participant.failStage("c", "could not take it: disk full")
 	if failed := participant.state.Failed; !slices.Equal(failed, []string{"b", "c"}) {
-		t.Errorf("%q", failed)
+		t.Errorf("got failed replicas %q", failed)
 	}
 }
 
-// A replica that starts without any state learns soon what the plan came to, also among many.
-func TestAReplicaWithoutStateLearnsTheOutcomeSoon(t *testing.T) {
+// A replica that starts without state receives the outcome of the plan soon, also in a large fleet.
+func TestReplicaWithoutStateReceivesOutcome(t *testing.T) {
 	c := newFleet(40, quickPlan)
 	c.step(4 * time.Second)
 	c.members[33].up = false
@@ -183,6 +183,6 @@
 	started := c.now
 	c.until(t, "outcome at the one that started", func() bool { return ended(c.members[33]) })
 	if took := c.now - started; took > 2*periodicUpdateInterval {
-		t.Errorf("it took %v", took)
+		t.Errorf("got the outcome after %v", took)
 	}
 }
