--- a/fleet/rollout/lost_order.go
+++ b/fleet/rollout/lost_order.go
@@ -10,7 +10,7 @@
 	switch {
 	case command == "":
 	case p.state.Phase.Ended():
-		p.env.log("plan " + p.state.Plan.ID + ": " + command + " not repeated, plan has ended: " + p.state.Phase.String())
+		p.env.log("plan " + p.state.Plan.ID + ": " + command + " not repeated, plan ended: " + p.state.Phase.String())
 	default:
 		p.env.log("plan " + p.state.Plan.ID + ": " + command + " was lost in a partition and is repeated")
 		_ = p.Command(p.env.now, command) // the plan is under way and the command is known: it can't fail
