--- a/cli/adminclient.go
+++ b/cli/adminclient.go
@@ -35,7 +35,7 @@
 	address string
 }
 
-// adminAddress is the address that is named, or that of the configuration; empty if there is none.
+// adminAddress returns the named address, or else the configured one; empty if there is neither.
 func adminAddress(named string, getenv func(string) string) string {
 	if named != "" {
 		return named
@@ -49,13 +49,13 @@
 	return ""
 }
 
-// newAdminClient returns a client for the address that is named, or that of the configuration.
+// newAdminClient returns a client for the named address, or else the configured one.
 func newAdminClient(named string, getenv func(string) string) adminClient {
 	return adminClient{address: adminAddress(named, getenv)}
 }
 
-// do sends a request on a connection of its own and returns the body of the response. A status other than 200 is an
-// error with the body as its text.
+// do sends a request on a new connection and returns the body of the response. For a status other than 200 it returns
+// an error with the body as its text.
 func (c adminClient) do(method, path, body string) ([]byte, error) {
 	if _, err := netip.ParseAddrPort(c.address); err != nil {
 		return nil, fmt.Errorf("--door: unexpected value %q: name the IP and port of an operators' door, "+
@@ -89,7 +89,7 @@
 	return err
 }
 
-// getStatus returns the status at a path, decoded and as it was received.
+// getStatus requests a status and returns it both decoded and as received.
 func getStatus[T any](c adminClient, path string) (status T, text []byte, err error) {
 	text, err = c.do(http.MethodGet, path, "")
 	if err != nil {
--- a/cli/command.go
+++ b/cli/command.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of the proxy.
+// Package cli implements the command line of the proxy: its commands, flags, output and exit statuses.
 package cli
 
 import (
@@ -14,20 +14,20 @@
 	"ryerill/fleet/codec"
 )
 
-// programName stands before messages of the command line.
+// programName is the prefix of messages of the command line.
 const programName = "proxy"
 
 // Exit statuses.
 const (
 	exitOK     = 0
 	exitFailed = 1
-	exitConfig = 2 // the configuration or the command line is at fault
+	exitConfig = 2 // invalid configuration or command line
 )
 
-// runError marks errors of a proxy whose configuration and command line are sound.
+// runError marks errors that occur although the configuration and the command line are valid.
 type runError struct{ error }
 
-// Run runs the program with arguments and returns its exit status.
+// Run executes the command line args and returns the exit status.
 func Run(args []string, getenv func(string) string, stdout, stderr io.Writer) int {
 	root := &cobra.Command{
 		Use:           programName,
@@ -69,7 +69,7 @@
 	}
 }
 
-// version is that of the module as it was built, with that of Go.
+// version returns the versions of the built module and of Go.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok || info.Main.Version == "" {
@@ -78,5 +78,5 @@
 	return info.Main.Version + " " + info.GoVersion + codec.VersionSuffix
 }
 
-// sortedNames are the keys of a map in order.
+// sortedNames returns the sorted keys of a map.
 func sortedNames[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/cli/compatibility_test.go
+++ b/cli/compatibility_test.go
@@ -10,7 +10,7 @@
 	"ryerill/internal/golden"
 )
 
-// commands are all sub-commands; each is asked for its help.
+// commands lists all sub-commands, for the test of their help texts.
 var commands = []string{"", "serve", "check", "version", "config", "config check", "config show", "config diff", "config convert", "config schema",
 	"fleet", "fleet members", "fleet status", "fleet watch", "fleet budgets", "fleet counts", "fleet verdicts", "fleet forget", "fleet key",
 	"rollout", "rollout plan", "rollout apply", "rollout status", "rollout history", "rollout pause", "rollout resume", "rollout abort", "rollout back", "rollout agent"}
@@ -35,11 +35,11 @@
 	golden.Compare(t, "faults.txt", now.Bytes())
 }
 
-// Sample configurations, sound and not: what show, check and convert print, with the exit status.
+// The output and exit status of show, check and convert for valid and invalid sample configurations.
 func TestRecordedConfigurations(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("testdata", "configurations", "*"))
 	if err != nil || len(files) < 10 {
-		t.Fatalf("%d files, %v", len(files), err)
+		t.Fatalf("got %d files, error %v", len(files), err)
 	}
 	var now bytes.Buffer
 	for _, file := range files {
--- a/cli/config.go
+++ b/cli/config.go
@@ -11,7 +11,7 @@
 	"ryerill/config"
 )
 
-// configCommands are the commands that work on configurations. Files that are not named are those of the environment.
+// configCommands are the commands on configurations. Without a file argument they use the environment's configuration.
 type configCommands struct {
 	getenv func(string) string
 	stdout io.Writer
@@ -65,7 +65,7 @@
 	}
 }
 
-// read returns the file that is named, or that of the environment, with its text.
+// read returns the name and text of the file argument, or else of the environment's configuration.
 func (c *configCommands) read(files []string) (file string, text []byte, err error) {
 	file = c.getenv(config.EnvFile)
 	if len(files) > 0 {
@@ -92,8 +92,8 @@
 	return errors.Join(faults...)
 }
 
-// checkFile reads a configuration as the proxy would and prints a line for each pool; no file is that of the
-// environment.
+// checkFile reads a configuration as the proxy does and prints a line for each pool. An empty file name selects the
+// environment's configuration.
 func (c *configCommands) checkFile(file string) error {
 	getenv := c.getenv
 	if file != "" {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// diff compares two files without the environment.
+// diff compares two files, without overrides by the environment.
 func (c *configCommands) diff(fileA, fileB string) error {
 	noEnvironment := func(string) string { return "" }
 	var effective [2][]config.Line
--- a/cli/config_test.go
+++ b/cli/config_test.go
@@ -57,14 +57,14 @@
 		t.Run(tc.name, func(t *testing.T) {
 			status, out, errs := run(t, tc.args...)
 			if status != tc.status || !strings.Contains(out, tc.out) || !strings.Contains(errs, tc.err) {
-				t.Errorf("status %d\n%s\n%s", status, out, errs)
+				t.Errorf("got status %d\n%s\n%s", status, out, errs)
 			}
 		})
 	}
 }
 
-// What is converted means the same: a proxy that decides by one decides by the other.
-func TestConvertKeepsWhatIsDecidedBy(t *testing.T) {
+// Conversion to another format preserves the meaning of a configuration.
+func TestConvertPreservesMeaning(t *testing.T) {
 	_, out, _ := run(t, "config", "convert", file(t, platform))
 	a, err := config.ParsePlatform([]byte(platform), func(string) string { return "" })
 	if err != nil {
@@ -76,6 +76,6 @@
 	}
 	x, y := a.Pools[0].Settings.Balancer.Classes[0], b.Pools[0].Settings.Balancer.Classes[0]
 	if x.Name != y.Name || x.LatencyObjective != y.LatencyObjective || x.Deadline != y.Deadline || x.Effect != y.Effect || a.Pools[0].Discovery != b.Pools[0].Discovery {
-		t.Errorf("%+v\n%+v", x, y)
+		t.Errorf("got different configurations\n%+v\n%+v", x, y)
 	}
 }
--- a/cli/fleet.go
+++ b/cli/fleet.go
@@ -25,7 +25,7 @@
 	minWatchInterval     = 100 * time.Millisecond
 )
 
-// fleetCommands are the commands that ask a proxy at its management endpoint about its fleet.
+// fleetCommands are the commands that query a proxy's management endpoint about its fleet.
 type fleetCommands struct {
 	getenv func(string) string
 	stdout io.Writer
@@ -73,7 +73,7 @@
 	return &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: run}
 }
 
-// shared returns a command that prints a table of the state that replicas share.
+// shared returns a command that prints a table of the replicas' shared state.
 func (c *fleetCommands) shared(use, short string, table func(io.Writer, *fleet.SharedStatus)) *cobra.Command {
 	run := func(*cobra.Command, []string) error {
 		status, text, err := getStatus[fleet.SharedStatus](c.client(), pathSharedState)
@@ -135,17 +135,17 @@
 	}
 }
 
-// fleetWatcher prints what changes from poll to poll.
+// fleetWatcher polls the fleet's status and prints changes.
 type fleetWatcher struct {
 	client func() adminClient
 	inJSON bool
 	stdout io.Writer
 
-	members     map[string]fleet.MemberStatus // as printed last, by name
+	members     map[string]fleet.MemberStatus // as last printed, by name
 	unreachable bool                          // at the latest poll
 }
 
-// run polls until the context ends. It fails if the first poll does.
+// run polls until the context ends. It returns an error if the first poll fails.
 func (w *fleetWatcher) run(ctx context.Context, interval time.Duration) error {
 	w.members = map[string]fleet.MemberStatus{}
 	ticker := time.NewTicker(interval)
@@ -167,7 +167,7 @@
 	}
 }
 
-// poll prints the members that have changed.
+// poll prints the members that have changed since the last poll.
 func (w *fleetWatcher) poll() error {
 	status, err := w.client().fleet()
 	if err != nil {
@@ -183,7 +183,7 @@
 		w.members[member.Name] = member
 		switch {
 		case w.inJSON:
-			_ = json.NewEncoder(w.stdout).Encode(member) // nobody to report to, as with the lines for people
+			_ = json.NewEncoder(w.stdout).Encode(member) // a failed write to stdout can't be reported
 		case !known:
 			fmt.Fprintln(w.stdout, now, member.Name, member.Status, member.Phase)
 		default:
--- a/cli/fleettables.go
+++ b/cli/fleettables.go
@@ -10,14 +10,14 @@
 	"ryerill/fleet"
 )
 
-// printTable writes a table whose columns line up.
+// printTable writes a table with aligned columns.
 func printTable(out io.Writer, table func(io.Writer)) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	table(w)
 	return w.Flush()
 }
 
-// formatMS formats milliseconds; negative ones mean that the time has not come.
+// formatMS formats milliseconds; a negative value stands for an event that has not occurred.
 func formatMS(ms int64) string {
 	if ms < 0 {
 		return "never"
@@ -88,7 +88,7 @@
 	}
 }
 
-// certainty describes how far a proxy knows its fleet.
+// certainty describes how completely a proxy knows its fleet.
 func certainty(status *fleet.Status) string {
 	switch {
 	case status.Displaced:
--- a/cli/rollout.go
+++ b/cli/rollout.go
@@ -30,7 +30,7 @@
 	"Where the two processes have doors of their own, --door names both,\n" +
 	"parted by a comma."
 
-// rolloutCommands are the commands that start rollouts of a fleet, steer them, and show their state.
+// rolloutCommands are the commands that start, control and show rollouts.
 type rolloutCommands struct {
 	getenv func(string) string
 	stdout io.Writer
@@ -86,7 +86,7 @@
 			}
 			status, err := c.client().rollout()
 			if err != nil {
-				status = fleet.RolloutStatus{} // the size of the fleet isn't known
+				status = fleet.RolloutStatus{} // the fleet's size is unknown
 			}
 			printPlan(c.stdout, &plan, status.Replicas)
 			return nil
@@ -132,7 +132,7 @@
 	return &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: run}
 }
 
-// steer returns a command that the proxy executes under the same name.
+// steer returns a command that forwards its name to the proxy for execution.
 func (c *rolloutCommands) steer(use, short string) *cobra.Command {
 	run := func(*cobra.Command, []string) error {
 		if err := c.client().post(pathRollout+"/"+use, ""); err != nil {
@@ -144,7 +144,7 @@
 	return &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: run}
 }
 
-// agent returns the command that runs an operator's command beside a proxy.
+// agent returns the command that runs a rolloutagent.Agent.
 func (c *rolloutCommands) agent() *cobra.Command {
 	timeout := defaultAgentTimeout
 	agent := &cobra.Command{
@@ -167,10 +167,10 @@
 	return agent
 }
 
-// agentProxy is the proxy beside an agent. At an upgrade it is two processes, of which one or both answer.
+// agentProxy is the proxy of an agent. During an upgrade it consists of two processes, of which one or both answer.
 type agentProxy []adminClient
 
-// Rollout returns the state of the first process that wants a version, or else of the last that answers.
+// Rollout returns the status of the first process that has a desired version, or else of the last one that answers.
 func (p agentProxy) Rollout() (fleet.RolloutStatus, error) {
 	var status fleet.RolloutStatus
 	var errs []error
@@ -201,7 +201,7 @@
 	return errors.Join(errs...)
 }
 
-// kindNames are the kinds of change as plans and tables name them.
+// kindNames are the names of the kinds of change in plans and tables.
 var kindNames = map[rollout.Kind]string{rollout.Settings: "settings", rollout.Program: "program"}
 
 func firstNonEmpty(a, b string) string {
--- a/cli/rollout_test.go
+++ b/cli/rollout_test.go
@@ -13,31 +13,31 @@
 	"ryerill/fleet"
 )
 
-// stubDoor is a management endpoint with a status of a rollout.
-type stubDoor struct {
+// stubEndpoint is a stub of a management endpoint that returns a rollout status.
+type stubEndpoint struct {
 	address string
 	status  fleet.RolloutStatus
-	refuse  string // why it refuses what is posted; empty if it doesn't
+	refuse  string // reason to refuse posted requests; empty to accept them
 
 	mu     sync.Mutex
 	posted []string // path and body
 }
 
-func newStubDoor(t *testing.T, status fleet.RolloutStatus) *stubDoor {
+func newStubDoor(t *testing.T, status fleet.RolloutStatus) *stubEndpoint {
 	t.Helper()
-	door := &stubDoor{status: status}
+	door := &stubEndpoint{status: status}
 	server := httptest.NewServer(http.HandlerFunc(door.serve))
 	t.Cleanup(server.Close)
 	door.address = strings.TrimPrefix(server.URL, "http://")
 	return door
 }
 
-func (d *stubDoor) serve(w http.ResponseWriter, request *http.Request) {
+func (d *stubEndpoint) serve(w http.ResponseWriter, request *http.Request) {
 	if request.Method == http.MethodGet {
-		_ = json.NewEncoder(w).Encode(d.status) // the client sees what is missing
+		_ = json.NewEncoder(w).Encode(d.status) // the client detects a truncated body
 		return
 	}
-	body, _ := io.ReadAll(request.Body) // the client sees what is missing
+	body, _ := io.ReadAll(request.Body) // the client detects a truncated body
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.posted = append(d.posted, request.URL.Path+" "+string(body))
@@ -46,13 +46,13 @@
 	}
 }
 
-func (d *stubDoor) received() []string {
+func (d *stubEndpoint) received() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.posted
 }
 
-// fleetOf is the status of replicas in three zones.
+// fleetOf returns the status of replicas in three zones.
 func fleetOf(count int) fleet.RolloutStatus {
 	status := fleet.RolloutStatus{Phase: "none"}
 	for i := range count {
@@ -70,12 +70,12 @@
 away: 2
 `
 
-// The stages of a plan are printed for the fleet that there is, and nothing is sent to it.
-func TestRolloutPlanPrintsItsStages(t *testing.T) {
+// The command plan prints the stages for the current fleet, and posts nothing to it.
+func TestRolloutPlanPrintsStages(t *testing.T) {
 	door := newStubDoor(t, fleetOf(40))
 	status, out, errs := run(t, "rollout", "plan", file(t, validPlan), "--over", file(t, good), "--door", door.address)
 	if status != exitOK {
-		t.Fatalf("status %d: %s", status, errs)
+		t.Fatalf("got status %d: %s", status, errs)
 	}
 	wanted := []string{
 		"later: settings to ", "at most 2 away at once, going back true", "stage 1: 1 of 40 copies", "stage 2: 3 of 40 copies",
@@ -84,20 +84,20 @@
 	}
 	for _, want := range wanted {
 		if !strings.Contains(out, want) {
-			t.Errorf("without %q:\n%s", want, out)
+			t.Errorf("want %q in output:\n%s", want, out)
 		}
 	}
 	if posted := door.received(); len(posted) > 0 {
-		t.Errorf("it has sent %q", posted)
+		t.Errorf("got posted %q, want nothing", posted)
 	}
 	status, out, errs = run(t, "rollout", "plan", file(t, validPlan), "--over", file(t, good), "--door", "127.0.0.1:1")
 	if status != exitOK || !strings.Contains(out, "stage 1: of the fleet that the door names (count 1") {
-		t.Errorf("without a fleet: status %d, %s\n%s", status, errs, out)
+		t.Errorf("without a fleet: got status %d, %s\n%s", status, errs, out)
 	}
 }
 
-// A plan at fault ends the command with status 2, and the message names file, line, key and remedy.
-func TestFaultsOfPlansAreNamed(t *testing.T) {
+// An invalid plan ends the command with status 2 and a message with file, line, key and remedy.
+func TestInvalidPlansAreReported(t *testing.T) {
 	for _, tc := range []struct{ name, from, to, want string }{
 		{"unknown key", "away: 2", "distant: 2", `r.yaml:5:1: unknown field "distant"`},
 		{"wrong type", "away: 2", "away: some", "r.yaml:5:7: "},
@@ -117,38 +117,38 @@
 		t.Run(tc.name, func(t *testing.T) {
 			plan := strings.Replace(validPlan, tc.from, tc.to, 1)
 			if plan == validPlan {
-				t.Fatal("the case changes nothing")
+				t.Fatal("the replacement of this case does not change the plan")
 			}
 			status, out, errs := run(t, "rollout", "plan", file(t, plan), "--over", file(t, good), "--door", "127.0.0.1:1")
 			if status != exitConfig || out != "" || !strings.Contains(errs, tc.want) {
-				t.Errorf("status %d, want %q in it: %s%s", status, tc.want, errs, out)
+				t.Errorf("got status %d, want output with %q: %s%s", status, tc.want, errs, out)
 			}
 		})
 	}
 }
 
-// A plan is handed over as it is written; why the fleet refuses it is printed, with status 2.
-func TestRolloutApplyHandsThePlanOver(t *testing.T) {
+// The command apply posts the plan as written. If the fleet refuses it, the reason is printed and the status is 2.
+func TestRolloutApplyPostsPlan(t *testing.T) {
 	door := newStubDoor(t, fleetOf(3))
 	status, _, errs := run(t, "rollout", "apply", file(t, validPlan), "--door", door.address)
 	if posted := door.received(); status != exitOK || len(posted) != 1 || posted[0] != "/ops/rollout "+validPlan {
-		t.Errorf("status %d, %s, sent %q", status, errs, posted)
+		t.Errorf("got status %d, %s, posted %q", status, errs, posted)
 	}
 	door.refuse = "plan other stands and is soaking: wait for its end, or abort it"
 	status, _, errs = run(t, "rollout", "apply", file(t, validPlan), "--door", door.address)
 	if status != exitConfig || !strings.Contains(errs, door.refuse) {
-		t.Errorf("while another stands: status %d, %s", status, errs)
+		t.Errorf("while another plan is active: got status %d, %s", status, errs)
 	}
 	for _, command := range []string{"pause", "resume", "abort", "back"} {
 		status, _, errs = run(t, "rollout", command, "--door", door.address)
 		posted := door.received()
 		if status != exitFailed || !strings.Contains(errs, door.refuse) || posted[len(posted)-1] != "/ops/rollout/"+command+" " {
-			t.Errorf("%s: status %d, %s, sent %q", command, status, errs, posted)
+			t.Errorf("%s: got status %d, %s, posted %q", command, status, errs, posted)
 		}
 	}
 }
 
-// The status shows the stages, the evidence or what is waited for, and what each copy holds.
+// The status shows the stages, the evidence or the awaited replicas, and the version of each replica.
 func TestRolloutStatusIsPrinted(t *testing.T) {
 	status := fleetOf(3)
 	status.Plan, status.Kind, status.Target, status.Phase = "later", "settings", "new", "changing"
@@ -167,10 +167,10 @@
 		"could not: disk full", "not there", "failed at", "through", "here",
 	} {
 		if code != exitOK || !strings.Contains(out, want) {
-			t.Errorf("status %d, %s, without %q:\n%s", code, errs, want, out)
+			t.Errorf("got status %d, %s, want %q in output:\n%s", code, errs, want, out)
 		}
 	}
 	if code, out, errs := run(t, "rollout", "history", "--door", door.address); code != exitOK || out != "taken by c00\nled by c01\n" {
-		t.Errorf("status %d, %s\n%s", code, errs, out)
+		t.Errorf("got status %d, %s\n%s", code, errs, out)
 	}
 }
--- a/cli/rolloutagent/agent.go
+++ b/cli/rolloutagent/agent.go
@@ -1,5 +1,5 @@
-// Package rolloutagent runs an operator's command beside a proxy when a rollout wants another program there. It is a
-// process of its own, as the proxy starts no other program.
+// Package rolloutagent runs an operator's command on the host of a proxy when a rollout changes the program. It runs in
+// a separate process, as the proxy never starts programs.
 package rolloutagent
 
 import (
@@ -29,16 +29,16 @@
 	RefuseRollout(plan, reason string) error
 }
 
-// Agent runs a command each time that a rollout wants another program.
+// Agent runs a command for each program version that a rollout orders.
 type Agent struct {
 	Proxy   Proxy
 	Command []string      // with its arguments
-	Timeout time.Duration // of a run of the command
-	Output  io.Writer     // for messages, and what the command prints
+	Timeout time.Duration // of one run of the command
+	Output  io.Writer     // for messages and the output of the command
 }
 
-// order is a version that is wanted, and the attempt at the plan in which it is: a plan that is resumed or handed over
-// again wants the same version once more.
+// order is a desired version and the attempt at the plan. A plan that is resumed or started again orders the same
+// version in another attempt.
 type order struct {
 	desired fleet.DesiredVersion
 	attempt uint64
@@ -48,7 +48,7 @@
 	return order{desired: status.Desired, attempt: rollout.AttemptOf(status.History)}
 }
 
-// Run polls the proxy until the context ends. What was wanted before it started counts as done.
+// Run polls the proxy until the context ends. An order that precedes the start of Run counts as executed.
 func (a *Agent) Run(ctx context.Context) error {
 	done := order{}
 	if status, err := a.Proxy.Rollout(); err == nil {
@@ -71,8 +71,8 @@
 	}
 }
 
-// change runs the command for the version that is wanted, and reports its failure to the proxy: at least once, and
-// again until the proxy has taken the report, another attempt has begun, or the context ends.
+// change runs the command for the desired version. It reports a failure to the proxy, and repeats the report until the
+// proxy has accepted it, another attempt has begun, or the context ends.
 func (a *Agent) change(ctx context.Context, status *fleet.RolloutStatus) {
 	desired := status.Desired
 	fmt.Fprintf(a.Output, "plan %s wants %s, back %v\n", desired.Plan, desired.Target, desired.RollingBack)
@@ -94,7 +94,7 @@
 	}
 }
 
-// superseded reports whether another attempt at a plan has begun since a status: a refusal does not count in it.
+// superseded reports whether another attempt has begun since status. A refusal of an earlier attempt doesn't count.
 func (a *Agent) superseded(status *fleet.RolloutStatus) bool {
 	now, err := a.Proxy.Rollout()
 	return err == nil && rollout.AttemptOf(now.History) > rollout.AttemptOf(status.History)
--- a/cli/rolloutagent/agent_test.go
+++ b/cli/rolloutagent/agent_test.go
@@ -14,11 +14,11 @@
 	"ryerill/fleet"
 )
 
-const testTimeout = 20 * time.Second // no test waits so long unless it fails
+const testTimeout = 20 * time.Second // only a failing test waits this long
 
 var errRestarting = errors.New("the proxy is being restarted")
 
-// stubProxy wants another program from the second answer on, and has each refusal judged by a test.
+// stubProxy has a desired program from the second status on, and passes refusals to the test's function.
 type stubProxy struct {
 	asked    atomic.Int64
 	refusals atomic.Int64
@@ -37,7 +37,7 @@
 
 func (p *stubProxy) RefuseRollout(string, string) error { return p.refuse(p.refusals.Add(1)) }
 
-// run runs an agent whose command fails until its context ends, and returns what is closed once it has returned.
+// run runs an agent with a failing command until the context ends. ended is closed when the agent has returned.
 func run(ctx context.Context, proxy Proxy) (ended chan struct{}) {
 	agent := &Agent{Proxy: proxy, Command: []string{"/no/such/program"}, Timeout: time.Second, Output: io.Discard}
 	ended = make(chan struct{})
@@ -48,7 +48,7 @@
 	return ended
 }
 
-// An agent that is to end does not go on reporting to a proxy that does not answer.
+// An agent whose context has ended stops reporting a refusal to a proxy that does not answer.
 func TestAgentEndsDuringRefusals(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -72,20 +72,20 @@
 			select {
 			case <-run(ctx, proxy):
 			case <-time.After(testTimeout):
-				t.Fatal("the agent does not end")
+				t.Fatal("got no return of the agent after its context ended")
 			}
 			if took := time.Since(cancelledAt); took > time.Second {
-				t.Errorf("it ended %v after it was to", took)
+				t.Errorf("got a return %v after the end of the context", took)
 			}
 			if refusals := proxy.refusals.Load(); refusals != tc.cancelAfter {
-				t.Errorf("it reported %d times, want %d", refusals, tc.cancelAfter)
+				t.Errorf("got %d reports, want %d", refusals, tc.cancelAfter)
 			}
 		})
 	}
 }
 
-// A refusal is reported again until the proxy has taken it.
-func TestARefusalIsRepeatedUntilItIsTaken(t *testing.T) {
+// The agent repeats the report of a refusal until the proxy has accepted it.
+func TestRefusalIsRepeatedUntilAccepted(t *testing.T) {
 	t.Parallel()
 	const failures = 2
 	ctx, cancel := context.WithCancel(t.Context())
@@ -94,7 +94,7 @@
 		if count <= failures {
 			return errRestarting
 		}
-		close(taken) // a second time panics: what is taken is reported no more
+		close(taken) // panics if an accepted refusal is reported again
 		return nil
 	}}
 	ended := run(ctx, proxy)
@@ -102,16 +102,16 @@
 	select {
 	case <-taken:
 	case <-time.After(testTimeout):
-		t.Fatalf("reported %d times, and none was taken", proxy.refusals.Load())
+		t.Fatalf("got %d reports, none accepted", proxy.refusals.Load())
 	}
 	time.Sleep(3 * pollInterval)
 	if refusals := proxy.refusals.Load(); refusals != failures+1 {
-		t.Errorf("reported %d times, want %d", refusals, failures+1)
+		t.Errorf("got %d reports, want %d", refusals, failures+1)
 	}
 }
 
-// The command gets what is wanted in its environment; its exit status and its time decide whether it is a refusal.
-func TestTheCommandIsJudged(t *testing.T) {
+// The command receives the order in its environment. A failing exit status or a time-out is a refusal.
+func TestCommandFailureIsRefusal(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		script  string
@@ -141,15 +141,15 @@
 			})
 			switch refused := len(reasons) == 1; {
 			case refused != (tc.refused != "") || len(reasons) > 1:
-				t.Errorf("refused with %q", reasons)
+				t.Errorf("got refusals %q", reasons)
 			case refused && !strings.Contains(reasons[0], tc.refused):
-				t.Errorf("refused with %q, want %q in it", reasons[0], tc.refused)
+				t.Errorf("got refusal %q, want %q in it", reasons[0], tc.refused)
 			}
 		})
 	}
 }
 
-// reasonProxy notes the reasons of refusals.
+// reasonProxy records the reasons of refusals.
 type reasonProxy struct{ reasons *[]string }
 
 func (p reasonProxy) Rollout() (fleet.RolloutStatus, error) { return fleet.RolloutStatus{}, nil }
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// attemptsProxy wants the same version in each attempt at a plan; tests begin them.
+// attemptsProxy has the same desired version in each attempt at a plan. Tests begin the attempts.
 type attemptsProxy struct {
 	attempt  atomic.Int64
 	refusals chan int64 // the attempt in which each was reported
@@ -179,8 +179,8 @@
 	return nil
 }
 
-// A plan that is resumed or handed over again has the command run again, once each time.
-func TestTheCommandIsRunInEachAttempt(t *testing.T) {
+// The command runs exactly once in each attempt at a plan.
+func TestCommandRunsOncePerAttempt(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(t.Context())
 	proxy := &attemptsProxy{refusals: make(chan int64, 10)}
@@ -192,20 +192,20 @@
 		select {
 		case got := <-proxy.refusals:
 			if got != attempt+1 {
-				t.Errorf("refused in attempt %d, want %d", got, attempt+1)
+				t.Errorf("got a refusal in attempt %d, want %d", got, attempt+1)
 			}
 		case <-time.After(testTimeout):
-			t.Fatalf("the command is not run in attempt %d", attempt+1)
+			t.Fatalf("got no run of the command in attempt %d", attempt+1)
 		}
 		time.Sleep(3 * pollInterval)
 		if len(proxy.refusals) > 0 {
-			t.Fatalf("the command is run twice in attempt %d", attempt+1)
+			t.Fatalf("got two runs of the command in attempt %d, want 1", attempt+1)
 		}
 	}
 }
 
-// What fails after another attempt has begun is no refusal in that one.
-func TestALateFailureIsNotReported(t *testing.T) {
+// A failure is not reported once another attempt has begun.
+func TestLateFailureIsNotReported(t *testing.T) {
 	t.Parallel()
 	proxy := &attemptsProxy{refusals: make(chan int64, 1)}
 	proxy.attempt.Store(1)
@@ -214,6 +214,6 @@
 	agent := &Agent{Proxy: proxy, Command: []string{"/no/such/program"}, Timeout: time.Second, Output: io.Discard}
 	agent.change(t.Context(), &status)
 	if len(proxy.refusals) > 0 {
-		t.Error("it is reported")
+		t.Error("got a report of a failure of an earlier attempt")
 	}
 }
--- a/cli/rolloutchange.go
+++ b/cli/rolloutchange.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	readyTimeout   = 8 * time.Second // new settings need the endpoint lists of their discovery services
-	lastGoodSuffix = ".last-good"    // of the file beside the configuration that holds what a rollout replaced
+	readyTimeout   = 8 * time.Second // time for discovery services to return the endpoint lists of new settings
+	lastGoodSuffix = ".last-good"    // of the file with the settings that a rollout replaced
 	configFileMode = 0o600
 
-	storageTimeout  = 5 * time.Second // for which a change waits for a disk that fails
+	storageTimeout  = 5 * time.Second // for which a change retries failed writes
 	minStoragePause = 50 * time.Millisecond
 	maxStoragePause = time.Second
 )
 
-// rollouts returns the option by which a proxy takes part in its fleet's rollouts. adjust changes settings before they
-// are loaded; failedTarget is the target with which the process before this one could not start, if there is one.
+// rollouts returns the option that makes a proxy take part in its fleet's rollouts. adjust modifies settings before
+// they are loaded. failedTarget is the target with which the previous process failed to start, or empty.
 func rollouts(
 	getenv func(string) string, p **proxy.Proxy, adjust func(*config.Config), failedTarget string,
 ) proxy.Option {
@@ -48,31 +48,31 @@
 	return proxy.WithRollouts(changer.change, parsePlan)
 }
 
-// settingsChanger changes this replica's settings as a rollout orders: the configuration file is replaced and reloaded.
+// settingsChanger executes a rollout's orders on this replica: it replaces the configuration file and reloads it.
 type settingsChanger struct {
 	getenv     func(string) string
 	reload     func(config.Config) error
 	awaitReady func(timeout time.Duration) error
 	files      *atomicfile.Calls // nil outside of tests
 
-	storageTimeout time.Duration // for which a disk that fails is tried again
+	storageTimeout time.Duration // for which failed writes are retried
 
 	mu           sync.Mutex
-	failedTarget string // with which the process before this one could not start; refused once
+	failedTarget string // target with which the previous process failed to start; refused once
 }
 
-// FailedStartError says that a process ended before it was ready with the settings of a rollout.
+// FailedStartError reports that a process ended before it was ready with the settings of a rollout.
 type FailedStartError struct {
 	Target string
 }
 
-// Error names the settings.
+// Error names the target.
 func (e *FailedStartError) Error() string {
 	return fmt.Sprintf("went back at a start: the process before ended before it was ready with %s", e.Target)
 }
 
-// checkFailedStart returns a FailedStartError the first time that a target is ordered with which the process before
-// could not start: the plan has to learn of it. Ordered again, in another attempt, the target is tried again.
+// checkFailedStart returns a FailedStartError for the first order of the target with which the previous process failed
+// to start, so that the failure is reported to the plan. An order in a later attempt is executed.
 func (c *settingsChanger) checkFailedStart(target string) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,8 +83,8 @@
 	return &FailedStartError{Target: target}
 }
 
-// change takes the settings of a plan over, or rolls them back. New settings that can't be loaded are rolled back at
-// once. A change of the program is left to the operator's own means: see the command "rollout agent".
+// change applies the settings of a plan, or rolls them back. New settings that can't be loaded are rolled back at once.
+// It does not change the program: the command "rollout agent" runs the operator's command for that.
 func (c *settingsChanger) change(kind rollout.Kind, target string, settings []byte, rollBack bool) error {
 	if kind != rollout.Settings {
 		return nil
@@ -119,7 +119,7 @@
 	if err != nil && !errors.Is(err, atomicfile.ErrUnsynced) {
 		return err
 	}
-	if err == nil || rollBack { // what the file holds is loaded
+	if err == nil || rollBack { // load the file's contents
 		err = errors.Join(err, c.load(cfg))
 	}
 	switch {
@@ -132,7 +132,7 @@
 	}
 }
 
-// nextSettings returns the contents of the configuration file after a change.
+// nextSettings returns the contents that the configuration file has after a change.
 func (c *settingsChanger) nextSettings(
 	file string, current []byte, target string, settings []byte, rollBack bool,
 ) ([]byte, error) {
@@ -157,7 +157,7 @@
 	return next, nil
 }
 
-// replace replaces a file. A fault of the disk that may pass is waited for.
+// replace replaces a file, and retries if a storage error may be transient.
 func (c *settingsChanger) replace(file string, contents []byte) error {
 	deadline := time.Now().Add(c.storageTimeout)
 	for pause := minStoragePause; ; pause = min(2*pause, maxStoragePause) {
@@ -177,11 +177,11 @@
 	return c.awaitReady(readyTimeout)
 }
 
-// restore puts the previous settings back, if they are valid, and reloads them.
+// restore writes the previous settings back and reloads them, if they are valid.
 func (c *settingsChanger) restore(file string, previous []byte) error {
 	cfg, _, err := config.ParseFile(file, previous, c.getenv)
 	if err != nil {
-		return nil // there is nothing valid to return to: the error of the change is what counts
+		return nil // no valid settings to restore: the caller returns the error of the change
 	}
 	return errors.Join(c.replace(file, previous), c.reload(cfg))
 }
--- a/cli/rolloutchange_test.go
+++ b/cli/rolloutchange_test.go
@@ -19,7 +19,7 @@
 	errNotReady = errors.New("discovery does not answer")
 )
 
-// changerHarness is a replica that takes part in rollouts, with stand-ins for its proxy.
+// changerHarness is a settingsChanger with stubs for the functions of its proxy.
 type changerHarness struct {
 	*settingsChanger
 	t        *testing.T
@@ -56,7 +56,7 @@
 	return h
 }
 
-// planned returns settings of a plan and the target that they come to over a file.
+// planned returns the settings of a plan, and the target that results from their merge into a file.
 func (h *changerHarness) planned(over, settings string) (text []byte, target string) {
 	h.t.Helper()
 	next, err := config.Overlay([]byte(over), []byte(settings))
@@ -76,9 +76,9 @@
 
 const laterDeadline = "classes: [{name: view, deadline: 7s, effect: safe}]\n"
 
-// A replica takes settings after the check that there is, keeps the last good ones, and goes back by itself where it
-// can't load the new ones or is not ready with them.
-func TestSettingsOfAPlanAreTaken(t *testing.T) {
+// A replica checks new settings, keeps the last good ones, and rolls back by itself if it can't load the new settings
+// or isn't ready with them.
+func TestChangeAppliesSettings(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
 		settings string
@@ -113,68 +113,68 @@
 			}
 			err := h.change(rollout.Settings, target, []byte(tc.settings), false)
 			if (err == nil) != (tc.fails == nil) || len(h.reloads) != tc.reloads {
-				t.Errorf("%v, %d reloads", err, len(h.reloads))
+				t.Errorf("got error %v, %d reloads", err, len(h.reloads))
 			}
 			for _, part := range tc.fails {
 				if err == nil || !strings.Contains(err.Error(), part) {
-					t.Errorf("%v, want %q in it", err, part)
+					t.Errorf("got error %v, want %q in it", err, part)
 				}
 			}
 			if err != nil {
 				if h.content("") != good || len(h.reloads) > 0 && h.reloads[len(h.reloads)-1] != good {
-					t.Errorf("it holds and has loaded last\n%s\n%v", h.content(""), h.reloads)
+					t.Errorf("got file\n%s\nand reloads %v", h.content(""), h.reloads)
 				}
 				return
 			}
 			if config.CommonHash([]byte(h.content(""))) != target || h.content(lastGoodSuffix) != good {
-				t.Errorf("it holds\n%s\nand as the last good ones\n%s", h.content(""), h.content(lastGoodSuffix))
+				t.Errorf("got file\n%s\nand last good settings\n%s", h.content(""), h.content(lastGoodSuffix))
 			}
 		})
 	}
 }
 
-// A replica whose other settings differ from those of the replica that took the plan refuses it.
-func TestSettingsOfAPlanMeetOtherSettings(t *testing.T) {
+// A replica refuses a plan if its other settings differ from those of the replica that accepted the plan.
+func TestChangeRefusesDifferingSettings(t *testing.T) {
 	h := newChangerHarness(t)
 	settings, target := h.planned(strings.Replace(good, "9001", "9009", 1), laterDeadline)
 	err := h.change(rollout.Settings, target, settings, false)
 	if err == nil || !strings.Contains(err.Error(), "bring them in line first") || h.content("") != good {
-		t.Errorf("%v\n%s", err, h.content(""))
+		t.Errorf("got error %v, file\n%s", err, h.content(""))
 	}
 }
 
-// Going back restores the file to the byte; where there is nothing to go back to, it says so and changes nothing.
-func TestSettingsOfAPlanAreTakenBack(t *testing.T) {
+// A rollback restores the file byte for byte. Without last good settings it returns an error and changes nothing.
+func TestRollbackRestoresSettings(t *testing.T) {
 	h := newChangerHarness(t)
 	if err := h.change(rollout.Settings, "x", nil, true); err == nil || !strings.Contains(err.Error(), "what it held before") {
-		t.Errorf("without any before: %v", err)
+		t.Errorf("without last good settings: got error %v", err)
 	}
 	settings, target := h.planned(good, laterDeadline)
-	for range 2 { // the second time the file holds it already: it was not loaded yet, say
+	for range 2 { // the second time the file already has these contents, as after a failed reload
 		if err := h.change(rollout.Settings, target, settings, false); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if h.content(lastGoodSuffix) != good {
-		t.Errorf("the last good ones are\n%s", h.content(lastGoodSuffix))
+		t.Errorf("got last good settings\n%s", h.content(lastGoodSuffix))
 	}
 	if err := h.change(rollout.Settings, "", nil, true); err != nil || h.content("") != good {
-		t.Errorf("%v\n%s", err, h.content(""))
+		t.Errorf("got error %v, file\n%s", err, h.content(""))
 	}
 	if last := h.reloads[len(h.reloads)-1]; last != good {
-		t.Errorf("loaded last:\n%s", last)
+		t.Errorf("got last reload\n%s", last)
 	}
 }
 
-// Another program is the operator's own matter.
-func TestProgramsAreNotChangedByTheProxy(t *testing.T) {
+// The proxy itself does not change its program.
+func TestProxyDoesNotChangeProgram(t *testing.T) {
 	h := newChangerHarness(t)
 	if err := h.change(rollout.Program, "v2", nil, false); err != nil || len(h.reloads) > 0 || h.content("") != good {
 		t.Errorf("%v, %d reloads\n%s", err, len(h.reloads), h.content(""))
 	}
 }
 
-// breakDisk has calls of a step that concern one file fail a number of times, after some that succeed.
+// breakDisk makes a step of writes to one file fail a number of times, after sound successful ones.
 func (h *changerHarness) breakDisk(step, suffix string, sound, failures int) {
 	h.files = atomicfile.SystemCalls()
 	concerned := h.file + suffix
@@ -209,11 +209,11 @@
 	h.files.SyncDirectory = func(*os.File) error { return due("sync directory") }
 }
 
-// lasting is a number of failures that no change outlasts.
+// lasting is a number of failures that exceeds the retries of any change.
 const lasting = 1 << 30
 
-// storageTimeoutOf is how long a change waits for a disk that fails a number of times: long enough on any machine for a
-// few of them.
+// storageTimeoutOf returns a storage timeout that is long enough on any machine for a few failures, and short for
+// lasting ones.
 func storageTimeoutOf(failures int) time.Duration {
 	if failures == lasting {
 		return 500 * time.Millisecond
@@ -221,9 +221,9 @@
 	return time.Minute
 }
 
-// A disk that fails while a replica takes settings, wherever that is, leaves the settings in the file that are loaded. A
-// fault that passes is waited for, one that stays is told of.
-func TestSettingsOfAPlanUnderStorageFaults(t *testing.T) {
+// If a write fails at any step of a change, the file still has the loaded settings. Transient faults are retried,
+// lasting ones are reported.
+func TestChangeUnderStorageFaults(t *testing.T) {
 	for _, step := range []string{"write", "sync", "rename", "sync directory"} {
 		for _, tc := range []struct {
 			name     string
@@ -251,21 +251,21 @@
 				h.breakDisk(step, tc.suffix, tc.sound, tc.failures)
 				err := h.change(rollout.Settings, target, settings, false)
 				if (err == nil) != tc.taken || tc.failures == lasting && !errors.Is(err, syscall.ENOSPC) {
-					t.Errorf("%v", err)
+					t.Errorf("got error %v", err)
 				}
 				if tc.taken && config.CommonHash([]byte(h.content(""))) != target || !tc.taken && h.content("") != tc.last {
-					t.Errorf("the file holds\n%s", h.content(""))
+					t.Errorf("got file\n%s", h.content(""))
 				}
 				if len(h.reloads) > 0 && h.reloads[len(h.reloads)-1] != h.content("") {
-					t.Errorf("the file holds\n%s\nand loaded is\n%s", h.content(""), h.reloads[len(h.reloads)-1])
+					t.Errorf("got file\n%s\nand last reload\n%s", h.content(""), h.reloads[len(h.reloads)-1])
 				}
 			})
 		}
 	}
 }
 
-// Going back is owed while the disk fails for a moment, and what is loaded in the end is what the file holds.
-func TestSettingsOfAPlanAreTakenBackUnderStorageFaults(t *testing.T) {
+// A rollback succeeds despite transient storage faults, and the loaded settings equal the file's in the end.
+func TestRollbackUnderStorageFaults(t *testing.T) {
 	for _, step := range []string{"write", "sync", "rename", "sync directory"} {
 		for name, failures := range map[string]int{"for a moment": 2, "for long": lasting} {
 			t.Run(step+" "+name, func(t *testing.T) {
@@ -279,10 +279,10 @@
 				h.breakDisk(step, "", 0, failures)
 				err := h.change(rollout.Settings, "", nil, true)
 				if (err == nil) != (failures == 2) {
-					t.Errorf("%v", err)
+					t.Errorf("got error %v", err)
 				}
 				if failures == 2 && h.content("") != good || h.reloads[len(h.reloads)-1] != h.content("") {
-					t.Errorf("the file holds\n%s\nand loaded is\n%s", h.content(""), h.reloads[len(h.reloads)-1])
+					t.Errorf("got file\n%s\nand last reload\n%s", h.content(""), h.reloads[len(h.reloads)-1])
 				}
 			})
 		}
--- a/cli/rollouttables.go
+++ b/cli/rollouttables.go
@@ -11,7 +11,7 @@
 
 const percent = 100
 
-// printPlan prints the stages of a plan. Without replicas the size of the fleet isn't known.
+// printPlan prints the stages of a plan. If replicas is empty, the size of the fleet is unknown.
 func printPlan(w io.Writer, plan *rollout.Plan, replicas []fleet.ReplicaStatus) {
 	zones := map[string]bool{}
 	for _, replica := range replicas {
--- a/cli/serve.go
+++ b/cli/serve.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	// The collector's goal is this fraction of the memory limit: stacks and sockets need some too.
+	// Fraction of the memory limit that is the collector's goal; the rest is for stacks and sockets.
 	heapFraction = 0.75
-	// Garbage is collected seldom while memory is plentiful.
+	// Collects garbage rarely while memory is plentiful.
 	gcPercent = 400
 )
 
@@ -40,10 +40,10 @@
 
 // serve runs the proxy until SIGTERM or SIGINT.
 func serve(getenv func(string) string, stderr io.Writer) error {
-	// SIGHUP is caught from the start until the process ends: by default it would end the process.
+	// Catches SIGHUP until the process ends, as it ends the process by default.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	// The reader of the log may exit: unless SIGPIPE is ignored, the next line would end the process.
+	// Ignores SIGPIPE: otherwise the next log line would end the process after the log's reader exits.
 	signal.Ignore(syscall.SIGPIPE)
 	var logLevel slog.LevelVar
 	log := logging.New(stderr, &logLevel)
@@ -81,7 +81,7 @@
 	}
 	go func() { // ends with the process: hangups is never closed
 		for range hangups {
-			if awaitStart(ctx, p) { // what the start has read may be older
+			if awaitStart(ctx, p) { // the file may have changed since the start read it
 				reload(p, getenv, maxDescriptors, log)
 			}
 		}
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// toggleAttemptLog has attempts logged, or not any more, at each signal. It ends with the process.
+// toggleAttemptLog turns the logging of attempts on or off at each signal. It runs until the process ends.
 func toggleAttemptLog(toggles <-chan os.Signal, level *slog.LevelVar, log *slog.Logger) {
 	for range toggles {
 		if level.Level() == slog.LevelDebug {
@@ -107,7 +107,7 @@
 	}
 }
 
-// awaitStart waits until the proxy serves. It reports false if the proxy is to end.
+// awaitStart waits until the proxy serves. It returns false if the proxy shuts down first.
 func awaitStart(ctx context.Context, p *proxy.Proxy) bool {
 	ticker := time.NewTicker(startPollInterval)
 	defer ticker.Stop()
@@ -120,7 +120,7 @@
 	return ctx.Err() == nil
 }
 
-// endTrial ends the trial of the settings that the proxy was started with, once it has started.
+// endTrial waits until the proxy has started, and ends the trial of the settings that it started with.
 func endTrial(ctx context.Context, p *proxy.Proxy, trial settingsTrial, log *slog.Logger) {
 	if !awaitStart(ctx, p) {
 		return
@@ -130,12 +130,12 @@
 	}
 }
 
-// setMemoryGoal sets the collector's goal for a process that has a fraction of the memory limit, in bytes.
+// setMemoryGoal sets the collector's goal for a process that may use a fraction of the memory limit, in bytes.
 func setMemoryGoal(memory int64, fraction float64) {
 	debug.SetMemoryLimit(int64(fraction * heapFraction * float64(memory)))
 }
 
-// limitSockets lowers the configured descriptors to what the process may hold, with a warning.
+// limitSockets lowers the configured descriptors to the limit of the process, with a warning.
 func limitSockets(cfg *config.Config, maxDescriptors int, log *slog.Logger) error {
 	stated := cfg.Limits.Sockets
 	if required := cfg.LimitSockets(maxDescriptors); required > 0 {
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// reload replaces the configuration of a running proxy by that of the file, if it is sound.
+// reload replaces the configuration of a running proxy by that of the file, if it is valid.
 func reload(p *proxy.Proxy, getenv func(string) string, maxDescriptors int, log *slog.Logger) {
 	cfg, warnings, err := config.Reload(getenv)
 	if err == nil {
@@ -169,7 +169,7 @@
 	}
 }
 
-// descriptorLimit is how many descriptors this process may hold.
+// descriptorLimit returns the greatest number of descriptors that this process may have open.
 func descriptorLimit() int {
 	var limit unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) != nil || limit.Cur > math.MaxInt32 {
--- a/cli/settingstrial.go
+++ b/cli/settingstrial.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	trialSuffix = ".trial" // of the file beside the configuration that says that its settings are on trial
+	trialSuffix = ".trial" // of the file with the trialRecord of the configuration
 
-	// trialPeriod is how long settings of a rollout are on trial: as long as a stage of a plan is observed at most.
+	// trialPeriod is the greatest duration of a trial, equal to the longest observation period of a stage.
 	trialPeriod = 24 * time.Hour
 
 	startPollInterval = 100 * time.Millisecond
 )
 
-// settingsTrial guards against settings of a rollout with which no process can start. They are on trial from when they
-// are taken until a process that was started with them serves. If a process ends before it is ready with them, the
-// next one starts with the last good ones. The record of the trial is a file beside the configuration.
+// settingsTrial protects against settings of a rollout with which no process can start. New settings are on trial until
+// a process that was started with them serves. If a process ends before it is ready with them, the next one starts
+// with the last good settings. The trial is recorded in a file beside the configuration.
 type settingsTrial struct {
 	file    string // of the configuration
 	replace func(path string, contents []byte) error
@@ -34,25 +34,25 @@
 	return settingsTrial{file: file, replace: replaceFile}
 }
 
-// trialRecord is what is stored of a trial.
+// trialRecord is the stored state of a trial.
 type trialRecord struct {
 	Hash    string    `json:"hash"`    // of the configuration file that is on trial
-	Since   time.Time `json:"since"`   // when it was taken
-	Process int       `json:"process"` // that loads it, or starts with it; 0 once it has been loaded
+	Since   time.Time `json:"since"`   // when the trial began
+	Process int       `json:"process"` // PID of the process that loads the file or starts with it; 0 once loaded
 }
 
-// trialStep is what a start does about a trial.
+// trialStep is the handling of a trial at the start of a process.
 type trialStep uint8
 
 const (
-	trialOver      trialStep = iota // the file has changed since, or the time is over
+	trialOver      trialStep = iota // the file has changed since, or the trial has expired
 	trialElsewhere                  // another process is loading the settings
-	trialStart                      // the settings have yet to be started with
-	trialFailed                     // the process before ended before it was ready with them
+	trialStart                      // loaded by a reload; this is the first start with the settings
+	trialFailed                     // the previous process ended before it was ready with the settings
 )
 
-// step decides what a process does that starts with a configuration file of a hash. ended reports whether the process
-// of the record has.
+// step returns the step of a process that starts with a configuration file of this hash. ended states whether the
+// recorded process has ended.
 func (r *trialRecord) step(hash string, now time.Time, ended bool) trialStep {
 	switch {
 	case r.Hash != hash || now.Sub(r.Since) > trialPeriod:
@@ -66,12 +66,12 @@
 	}
 }
 
-// begin notes that this process loads a configuration file that it is about to write.
+// begin records that this process is about to write and load a configuration file.
 func (t settingsTrial) begin(next []byte) error {
 	return t.write(&trialRecord{Hash: config.SettingsHash(next), Since: time.Now(), Process: os.Getpid()})
 }
 
-// loaded notes that this process is ready with the settings, if they are on trial.
+// loaded records that this process is ready with the settings, if they are on trial.
 func (t settingsTrial) loaded() error {
 	record, err := t.read()
 	if err != nil || record == nil {
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// endStart ends the trial once this process, which was started with the settings, serves. Another process may have
-// begun a trial of others since.
+// endStart ends the trial with which this process was started, once it serves. It keeps a trial that another process
+// has begun since.
 func (t settingsTrial) endStart() error {
 	record, err := t.read()
 	if err != nil || record == nil || record.Process != os.Getpid() {
@@ -99,9 +99,9 @@
 	return t.end()
 }
 
-// beginStart is called before the configuration file is read at a start. If the process before ended before it was
-// ready with the settings of a rollout, it restores the last good ones, and returns the target that failed. pending
-// reports whether the settings are on trial: the caller ends that once it serves.
+// beginStart must be called before the configuration file is read at a start. If the previous process ended before it
+// was ready with the settings of a rollout, beginStart restores the last good ones and returns the failed target.
+// pending reports whether the settings are on trial: the caller ends the trial once the proxy serves.
 func (t settingsTrial) beginStart(log *slog.Logger) (failedTarget string, pending bool) {
 	if t.file == "" {
 		return "", false
@@ -139,7 +139,7 @@
 	}
 }
 
-// restoreLastGood puts the settings back that the rollout replaced.
+// restoreLastGood restores the settings that the rollout replaced.
 func (t settingsTrial) restoreLastGood() error {
 	lastGood, err := atomicfile.Read(t.file + lastGoodSuffix)
 	if err != nil {
@@ -148,12 +148,12 @@
 	return errors.Join(t.replace(t.file, lastGood), t.end())
 }
 
-// hasEnded reports whether no other process has a number: in a container each process may have that of the one before.
+// hasEnded reports whether no other process has this PID. In a container, a process may have its predecessor's PID.
 func hasEnded(process int) bool {
 	return process == os.Getpid() || errors.Is(syscall.Kill(process, 0), syscall.ESRCH)
 }
 
-// read returns the record; nil if there is no trial.
+// read returns the record, or nil if there is no trial.
 func (t settingsTrial) read() (*trialRecord, error) {
 	text, err := atomicfile.Read(t.file + trialSuffix)
 	if errors.Is(err, os.ErrNotExist) {
@@ -177,7 +177,7 @@
 	return t.replace(t.file+trialSuffix, text)
 }
 
-// replaceFile replaces a file beside the configuration, or that itself.
+// replaceFile replaces the configuration file or a file beside it.
 func replaceFile(path string, contents []byte) error {
 	return atomicfile.SystemCalls().Replace(path, contents, configFileMode)
 }
--- a/cli/settingstrial_test.go
+++ b/cli/settingstrial_test.go
@@ -14,7 +14,7 @@
 	"ryerill/fleet/rollout"
 )
 
-// endedProcess returns the number of a process that has ended.
+// endedProcess returns the PID of a process that has ended.
 func endedProcess(t *testing.T) int {
 	t.Helper()
 	cmd := exec.Command("true")
@@ -24,9 +24,9 @@
 	return cmd.Process.Pid
 }
 
-// A process starts with the last good settings where the one before ended before it was ready with a rollout's, and
-// else with those that it finds.
-func TestStartsWithSettingsOnTrial(t *testing.T) {
+// A process starts with the last good settings if its predecessor ended before it was ready with a rollout's settings,
+// and otherwise with the settings of the file.
+func TestStartWithSettingsOnTrial(t *testing.T) {
 	const planned = good + "# planned\n"
 	ended := endedProcess(t)
 	for _, tc := range []struct {
@@ -63,26 +63,26 @@
 			failed, pending := trial.beginStart(slog.New(slog.NewTextHandler(&log, nil)))
 			text, err := os.ReadFile(trial.file)
 			if err != nil || (string(text) == good) != tc.restored || pending != tc.pending {
-				t.Errorf("%v, pending %v, starts with\n%s", err, pending, text)
+				t.Errorf("got error %v, pending %v, start with\n%s", err, pending, text)
 			}
 			if (failed != "") != tc.restored || strings.Contains(log.String(), "last good") != tc.restored {
-				t.Errorf("failed target %q, log %q", failed, log.String())
+				t.Errorf("got failed target %q, log %q", failed, log.String())
 			}
 			if record, err := trial.read(); err != nil || (record != nil) != tc.kept {
-				t.Errorf("record %+v, %v", record, err)
+				t.Errorf("got record %+v, error %v", record, err)
 			}
 			if err := trial.endStart(); err != nil {
 				t.Fatal(err)
 			}
 			if record, _ := trial.read(); record != nil && pending {
-				t.Errorf("still on trial after a start: %+v", record)
+				t.Errorf("got record %+v after a start, want none", record)
 			}
 		})
 	}
 }
 
-// Where the last good settings are gone, the start goes on with what there is, and says why.
-func TestAStartWithoutLastGoodSettings(t *testing.T) {
+// If the last good settings are missing, the process starts with the current ones and logs the reason.
+func TestStartWithoutLastGoodSettings(t *testing.T) {
 	trial := newSettingsTrial(file(t, good))
 	if err := trial.begin([]byte(good)); err != nil {
 		t.Fatal(err)
@@ -90,13 +90,13 @@
 	var log bytes.Buffer
 	trial.beginStart(slog.New(slog.NewTextHandler(&log, nil)))
 	if text, err := os.ReadFile(trial.file); err != nil || string(text) != good || !strings.Contains(log.String(), lastGoodSuffix) {
-		t.Errorf("%v\n%s\nlog %q", err, text, log.String())
+		t.Errorf("got error %v\n%s\nlog %q", err, text, log.String())
 	}
 }
 
-// A replica whose process dies while it loads settings starts with the last good ones, and refuses the order that
-// follows once: the plan learns of it, and another attempt tries again.
-func TestAProcessThatDiesWithSettingsGoesBack(t *testing.T) {
+// If a process dies while it loads settings, the next one starts with the last good settings and refuses the next
+// order, so that the failure is reported to the plan. An order in another attempt is executed.
+func TestDeathDuringLoadRestoresLastGoodSettings(t *testing.T) {
 	h := newChangerHarness(t)
 	settings, target := h.planned(good, laterDeadline)
 	trial := newSettingsTrial(h.file)
@@ -105,34 +105,34 @@
 	func() {
 		defer func() {
 			if recovered, _ := recover().(error); !errors.Is(recovered, died) {
-				t.Error("it was not loaded")
+				t.Error("want the panic of the reload")
 			}
 		}()
 		_ = h.change(rollout.Settings, target, settings, false) // panics
 	}()
 	if config.CommonHash([]byte(h.content(""))) != target {
-		t.Fatalf("the file was not replaced:\n%s", h.content(""))
+		t.Fatalf("want the file replaced, got\n%s", h.content(""))
 	}
 	restarted := newChangerHarness(t)
 	restarted.file = h.file
 	restarted.failedTarget, _ = trial.beginStart(slog.New(slog.DiscardHandler))
 	if h.content("") != good {
-		t.Fatalf("it starts with\n%s", h.content(""))
+		t.Fatalf("want a start with the last good settings, got\n%s", h.content(""))
 	}
 	var failed *FailedStartError
 	if err := restarted.change(rollout.Settings, target, settings, false); !errors.As(err, &failed) || failed.Target != target {
-		t.Errorf("the order that follows: %v", err)
+		t.Errorf("next order: got %v, want a FailedStartError", err)
 	}
 	if err := restarted.change(rollout.Settings, target, settings, false); err != nil {
-		t.Errorf("another attempt: %v", err)
+		t.Errorf("order in another attempt: got error %v", err)
 	}
 	if record, err := trial.read(); err != nil || record == nil || record.Process != 0 {
-		t.Errorf("after the settings were loaded: %+v, %v", record, err)
+		t.Errorf("after the settings were loaded: got record %+v, error %v", record, err)
 	}
 	if err := restarted.change(rollout.Settings, "", nil, true); err != nil {
 		t.Fatal(err)
 	}
 	if record, err := trial.read(); record != nil || err != nil {
-		t.Errorf("after it went back: %+v, %v", record, err)
+		t.Errorf("after the rollback: got record %+v, error %v", record, err)
 	}
 }
