--- a/admin/server.go
+++ b/admin/server.go
@@ -220,7 +220,7 @@
 	}
 	defer c.tcp.Close()
 	c.tcp.SetReadDeadline(c.acceptedAt.Add(readTimeout))
-	steady := socket.Steady{Conn: c.tcp} // transient faults do not end the call
+	steady := socket.RetryingConn{Conn: c.tcp} // transient faults do not end the call
 	req, err := readRequest(bufio.NewReaderSize(steady, maxHead), steady)
 	var invalid *statusError
 	var resp response
--- a/cli/rolloutchange.go
+++ b/cli/rolloutchange.go
@@ -162,7 +162,7 @@
 	deadline := time.Now().Add(c.storageTimeout)
 	for pause := minStoragePause; ; pause = min(2*pause, maxStoragePause) {
 		err := c.files.Replace(file, contents, configFileMode)
-		if err == nil || !atomicfile.MayPass(err) || time.Now().Add(pause).After(deadline) {
+		if err == nil || !atomicfile.IsTransient(err) || time.Now().Add(pause).After(deadline) {
 			return err
 		}
 		time.Sleep(pause)
--- a/config/build.go
+++ b/config/build.go
@@ -130,20 +130,20 @@
 type resourceKey struct {
 	guarantee string // key below pools[i].guarantee
 	machine   string // key below machine that has to be raised for more of it
-	amount    func(Shares) int
+	amount    func(Resources) int
 }
 
 var resourceKeys = []resourceKey{
-	{"sockets", "sockets", func(s Shares) int { return s.Sockets }},
-	{"bodies_kb", "memory_mb", func(s Shares) int { return s.Bodies >> 10 }},
-	{"open", "memory_mb", func(s Shares) int { return s.Open }},
-	{"work_per_s", "work_per_s", func(s Shares) int { return s.Work }},
+	{"sockets", "sockets", func(s Resources) int { return s.Sockets }},
+	{"bodies_kb", "memory_mb", func(s Resources) int { return s.Bodies >> 10 }},
+	{"open", "memory_mb", func(s Resources) int { return s.Open }},
+	{"work_per_s", "work_per_s", func(s Resources) int { return s.Work }},
 }
 
 // checkGuarantees requires that the guarantees of all pools fit the machine together. It reports the first pool that
 // exceeds a resource.
 func checkGuarantees(cfg *Config, c *checker) {
-	machine := cfg.Shared()
+	machine := cfg.SharedResources()
 	sums := make([]int, len(resourceKeys))
 	for i, pool := range cfg.Pools {
 		for k, resource := range resourceKeys {
@@ -172,7 +172,7 @@
 		Discovery: p.Discovery,
 		Weight:    p.Weight,
 		Drain:     p.Drain,
-		Guarantee: Shares{
+		Guarantee: Resources{
 			Sockets: p.Guarantee.Sockets,
 			Bodies:  p.Guarantee.BodiesKB << 10,
 			Open:    p.Guarantee.Open,
--- a/config/config.go
+++ b/config/config.go
@@ -44,7 +44,7 @@
 	Discovery      string                 // address of the discovery service; if empty, KnownEndpoints is the full list
 	KnownEndpoints discovery.EndpointList // endpoints at startup; with discovery, possibly long outdated
 	Settings       Settings
-	Guarantee      Shares        // resources that no other pool can take
+	Guarantee      Resources     // resources that no other pool can take
 	Weight         float64       // share of lent resources, relative to the weights of other pools
 	Drain          time.Duration // how long requests may continue after a reload has removed the pool
 
--- a/config/resources.go
+++ b/config/resources.go
@@ -5,8 +5,8 @@
 	"ryerill/fairshare"
 )
 
-// Shares are the resources that pools share on one machine, or the part that one pool is guaranteed.
-type Shares struct {
+// Resources are the resources that pools share on one machine, or the part that one pool is guaranteed.
+type Resources struct {
 	Sockets int // connections to endpoints
 	Bodies  int // bytes of bodies held in memory
 	Open    int // open requests
@@ -27,8 +27,8 @@
 	minMemoryMB = 16
 )
 
-// Cost returns the units of work of a body, in a request or in its response. The request itself costs one more unit.
-func Cost(bodyBytes int) int { return (bodyBytes + bytesPerWorkUnit/2) / bytesPerWorkUnit }
+// WorkUnits returns the units of work of a body, in a request or in its response. The request itself costs one more unit.
+func WorkUnits(bodyBytes int) int { return (bodyBytes + bytesPerWorkUnit/2) / bytesPerWorkUnit }
 
 // reservedSockets returns the number of descriptors not available to clients and endpoints, including those of the
 // management endpoint and the fleet if they are configured.
@@ -66,23 +66,23 @@
 
 // ResourcesOf returns the resources of a machine for all pools: half of its connections for endpoints, a quarter of
 // its memory (bytes) for bodies, and half of its memory for open requests.
-func ResourcesOf(connections int, memory int64) Shares {
-	return Shares{
+func ResourcesOf(connections int, memory int64) Resources {
+	return Resources{
 		Sockets: max(connections/2, 0),
 		Bodies:  int(memory / 4),
 		Open:    int(memory / 2 / bytesPerOpenRequest),
 	}
 }
 
-// Shared returns the resources that the pools of a configuration share.
-func (c *Config) Shared() Shares {
+// SharedResources returns the resources that the pools of a configuration share.
+func (c *Config) SharedResources() Resources {
 	shares := ResourcesOf(c.Connections(), c.Limits.Memory)
 	shares.Work = c.Limits.Work
 	return shares
 }
 
 // Claims returns the claims of the pools on a resource, by pool name. pick selects the resource.
-func Claims(pools []Pool, pick func(Shares) int) map[string]fairshare.Claim {
+func Claims(pools []Pool, pick func(Resources) int) map[string]fairshare.Claim {
 	claims := make(map[string]fairshare.Claim, len(pools))
 	for _, pool := range pools {
 		claims[pool.Name] = fairshare.Claim{Guarantee: pick(pool.Guarantee), Weight: pool.Weight}
--- a/discovery/connection.go
+++ b/discovery/connection.go
@@ -80,7 +80,7 @@
 		c.reserve.Fill()
 		return err
 	}
-	c.conn = socket.Steady{Conn: conn, Observer: c.faults} // for writes; answer does the reads
+	c.conn = socket.RetryingConn{Conn: conn, Observer: c.faults} // for writes; answer does the reads
 	c.answer = &pacedReader{conn: conn, timing: c.timing, observer: c.faults}
 	c.reader = c.buffers.Reader(c.answer)
 	return nil
--- a/internal/socket/fault.go
+++ b/internal/socket/fault.go
@@ -53,7 +53,7 @@
 type Caller interface {
 	// StillWants reports whether the call may be retried. The conditions under which it was first made may have
 	// changed.
-	StillWants() bool
+	MayRetry() bool
 }
 
 // Retry decides for all parts of the proxy whether a failed call is retried or the connection has ended. A Retry is
@@ -92,7 +92,7 @@
 	}
 	r.lastFault = err
 	time.Sleep(r.Backoff.Next())
-	return r.partial || r.Caller == nil || r.Caller.StillWants()
+	return r.partial || r.Caller == nil || r.Caller.MayRetry()
 }
 
 func (r *Retry) judge(err error) Verdict {
@@ -137,9 +137,9 @@
 	}
 }
 
-// Lasting returns the last fault since the call last made progress, or nil. If a deadline then ends the call, the local
+// PendingFault returns the last fault since the call last made progress, or nil. If a deadline then ends the call, the local
 // fault is the cause and not the peer.
-func (r *Retry) Lasting() error { return r.lastFault }
+func (r *Retry) PendingFault() error { return r.lastFault }
 
 // Read makes one read. It retries local faults until the connection's read deadline.
 func Read(conn io.Reader, p []byte, retry Retry) (int, error) {
@@ -151,19 +151,19 @@
 	}
 }
 
-// Steady is a connection whose Read and Write retry local faults.
-type Steady struct {
+// RetryingConn is a connection whose Read and Write retry local faults.
+type RetryingConn struct {
 	net.Conn
 	Observer Observer // nil is none
 }
 
 // Read implements [io.Reader].
-func (s Steady) Read(p []byte) (int, error) {
+func (s RetryingConn) Read(p []byte) (int, error) {
 	return Read(s.Conn, p, Retry{Call: "read", Observer: s.Observer})
 }
 
 // Write implements [io.Writer]. It reports 0 bytes on any error.
-func (s Steady) Write(p []byte) (int, error) {
+func (s RetryingConn) Write(p []byte) (int, error) {
 	retry := Retry{Call: "write", Observer: s.Observer}
 	if err := Write(s.Conn, &net.Buffers{p}, &retry); err != nil {
 		return 0, err
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -129,7 +129,7 @@
 	c.ends.attemptEnded(outcome)
 	c.logAttemptLocked(a)
 	if response != nil { // the cost of a response depends on its size
-		c.resources.work.used.Add(int64(config.Cost(response.Body.Len())))
+		c.resources.work.used.Add(int64(config.WorkUnits(response.Body.Len())))
 	}
 	if outcome != balancer.OK || !c.replyLocked(r, message.Result{Kind: message.Served, Response: response}) {
 		response.Free()
--- a/proxy/overrides.go
+++ b/proxy/overrides.go
@@ -58,7 +58,7 @@
 func (p *Proxy) openOverrides(path string) {
 	p.store = overridestore.Open(path, p.log, p.setOverrides)
 	p.storedOverrides = p.store.Current()
-	p.overrides = p.storedOverrides.Found(p.clock.now())
+	p.overrides = p.storedOverrides.AtStartup(p.clock.now())
 	p.drainStart.foundAtStartup = p.overrides.DrainSince
 }
 
@@ -69,7 +69,7 @@
 	previous := p.overrides
 	stated := p.storedOverrides
 	p.storedOverrides = overrides
-	overrides = overrides.Observed(stated, previous, p.clock.now())
+	overrides = overrides.AfterReread(stated, previous, p.clock.now())
 	p.overrides = overrides
 	for c := range p.pools.all() {
 		c.setOverrides(overrides)
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -101,7 +101,7 @@
 		cfg:       cfg,
 		log:       slog.Default(),
 		buffers:   new(buffer.Pool),
-		resources: newResources(cfg.Shared()),
+		resources: newResources(cfg.SharedResources()),
 		pools:     poolSet{draining: make(map[*core]struct{})},
 		processes: newProcesses(),
 		failed:    make(chan error, 1),
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -79,7 +79,7 @@
 
 // Accept implements [message.Handler].
 func (c *core) Accept(req *message.Request) (ticket uint64) {
-	if !c.resources.work.Take(1+config.Cost(req.Outgoing.Body.Len())) || !c.resources.openRequests.Take(1) {
+	if !c.resources.work.Take(1+config.WorkUnits(req.Outgoing.Body.Len())) || !c.resources.openRequests.Take(1) {
 		req.Outgoing.Free()
 		c.classCounters[req.Class].ended(message.Shed)
 		c.ends.requestEnded(endNoAllowance)
@@ -239,7 +239,7 @@
 		if onFree != nil {
 			onFree()
 		}
-		c.resources.work.used.Add(int64(config.Cost(stream.bytes)))
+		c.resources.work.used.Add(int64(config.WorkUnits(stream.bytes)))
 		kind := message.Failed
 		if stream.complete {
 			kind = message.Served
--- a/proxy/resources.go
+++ b/proxy/resources.go
@@ -19,7 +19,7 @@
 type resources struct {
 	mu sync.Mutex
 	// The fields below are guarded by mu.
-	total      config.Shares // constant
+	total      config.Resources // constant
 	ledgers    [len(resourceKinds)]*fairshare.Ledger
 	pools      map[string]*poolResources
 	claims     []config.Pool          // active pools
@@ -30,7 +30,7 @@
 
 // resourceKind is a resource that requests hold and give back.
 type resourceKind struct {
-	share  func(config.Shares) int
+	share  func(config.Resources) int
 	budget func(*poolResources) *budget
 }
 
@@ -38,20 +38,20 @@
 // is divided separately.
 var resourceKinds = [...]resourceKind{
 	{
-		share:  func(s config.Shares) int { return s.Sockets },
+		share:  func(s config.Resources) int { return s.Sockets },
 		budget: func(r *poolResources) *budget { return &r.sockets },
 	},
 	{
-		share:  func(s config.Shares) int { return s.Bodies },
+		share:  func(s config.Resources) int { return s.Bodies },
 		budget: func(r *poolResources) *budget { return &r.bodies },
 	},
 	{
-		share:  func(s config.Shares) int { return s.Open },
+		share:  func(s config.Resources) int { return s.Open },
 		budget: func(r *poolResources) *budget { return &r.openRequests },
 	},
 }
 
-func newResources(total config.Shares) *resources {
+func newResources(total config.Resources) *resources {
 	r := &resources{
 		total:     total,
 		pools:     map[string]*poolResources{},
@@ -265,7 +265,7 @@
 		}
 		return
 	}
-	claims := config.Claims(r.claims, func(s config.Shares) int { return workPerInterval(s.Work) })
+	claims := config.Claims(r.claims, func(s config.Resources) int { return workPerInterval(s.Work) })
 	for name, pool := range r.draining {
 		claims[name] = fairshare.Claim{Weight: pool.Weight}
 	}
--- a/proxy/resources_test.go
+++ b/proxy/resources_test.go
@@ -24,9 +24,9 @@
 // Work per second is divided among pools: a flood is shed beyond its share, and another pool
 // still gets its guarantee.
 func TestWorkIsDivided(t *testing.T) {
-	total := config.Shares{Sockets: 100, Bodies: 1 << 20, Open: 100, Work: 2000}
+	total := config.Resources{Sockets: 100, Bodies: 1 << 20, Open: 100, Work: 2000}
 	m := newResources(total)
-	pools := []config.Pool{{Name: "calm", Weight: 1, Guarantee: config.Shares{Sockets: 10, Work: 500}}, {Name: "flood", Weight: 1, Guarantee: config.Shares{Sockets: 10, Work: 500}}}
+	pools := []config.Pool{{Name: "calm", Weight: 1, Guarantee: config.Resources{Sockets: 10, Work: 500}}, {Name: "flood", Weight: 1, Guarantee: config.Resources{Sockets: 10, Work: 500}}}
 	if !m.claim(pools) {
 		t.Fatal("claims that fit were rejected")
 	}
--- a/upstream/attempt.go
+++ b/upstream/attempt.go
@@ -104,9 +104,9 @@
 	return a.writing
 }
 
-// StillWants implements [socket.Caller]: it reports whether a request whose first write failed without writing a byte
+// MayRetry implements [socket.Caller]: it reports whether a request whose first write failed without writing a byte
 // may be tried again.
-func (a *Attempt) StillWants() bool {
+func (a *Attempt) MayRetry() bool {
 	if !a.maySend() {
 		return false
 	}
--- a/upstream/write.go
+++ b/upstream/write.go
@@ -109,8 +109,8 @@
 func (c *conn) writeAll(buffers net.Buffers, caller socket.Caller) error {
 	retry := socket.Retry{Call: "write", Observer: c.pool, Caller: caller}
 	err := socket.Write(c.transport, &buffers, &retry)
-	if errors.Is(err, os.ErrDeadlineExceeded) && retry.Lasting() != nil {
-		return retry.Lasting() // a local fault, no evidence against the endpoint
+	if errors.Is(err, os.ErrDeadlineExceeded) && retry.PendingFault() != nil {
+		return retry.PendingFault() // a local fault, no evidence against the endpoint
 	}
 	return err
 }
