--- a/proxy/drainscale_test.go
+++ b/proxy/drainscale_test.go
@@ -80,8 +80,8 @@
 		return listFaults{wholeFirst: true, indented: true, pieces: 20, piecePause: pause}
 	}
 	playDrainScenarios(t, []drainScenario{
-		{name: "polled, in force", play: drainQuarter},
-		{name: "pushed, in force", pushed: true, play: removeQuarter},
+		{name: "polled, no faults", play: drainQuarter},
+		{name: "pushed, no faults", pushed: true, play: removeQuarter},
 		{name: "polled, whole list takes 2 s after a reset", faults: inPieces(100 * time.Millisecond), play: func(s *drainRun) {
 			resetWatches(s)
 			drainQuarter(s)
@@ -460,6 +460,6 @@
 		s.t.Errorf("%d of %d requests reached withdrawn endpoints after the grace, up to %v late; want none", breaks, requests, worst)
 	}
 	if s.statuses[http.StatusOK] < requests*9/10 || requests == 0 {
-		s.t.Errorf("%d requests reached endpoints, statuses %v; want some, and 200 for at least 90%% of them", requests, s.statuses)
+		s.t.Errorf("%d requests reached endpoints, statuses %v; want some, and 200 for at least nine tenths of them", requests, s.statuses)
 	}
 }
--- a/proxy/invalidlist_test.go
+++ b/proxy/invalidlist_test.go
@@ -76,7 +76,7 @@
 	}{
 		{"no JSON", "<html>" + unchanged, false, endpoints},
 		{"cut off in an entry", unchanged[:len(unchanged)-60], false, endpoints - withdrawn + 1},
-		{"cut off behind all entries", unchanged[:len(unchanged)-1], false, endpoints - withdrawn},
+		{"cut off after all entries", unchanged[:len(unchanged)-1], false, endpoints - withdrawn},
 		{"too large", unchanged + strings.Repeat(" ", tooMuch), false, endpoints - withdrawn},
 		{"two lists", unchanged + unchanged, false, endpoints - withdrawn},
 		{"changes of an earlier version", invalidList(func(l *discovery.EndpointList) { l.Index, l.Snapshot = 0, false }), false, endpoints},
--- a/proxy/listbench_test.go
+++ b/proxy/listbench_test.go
@@ -15,7 +15,7 @@
 // benchmarkSizes are numbers of endpoints: a usual deployment, the largest one and a multiple of that.
 var benchmarkSizes = []int{200, 3200, 10000}
 
-// benchmarkReplicas keeps the part of the endpoints that a replica uses alike at both sizes.
+// benchmarkReplicas is the replica count, the same for all sizes, so that a replica uses a similar part of the endpoints.
 const benchmarkReplicas = 20
 
 // newListCore returns a pool with count known endpoints, and their list.
--- a/proxy/listservice_test.go
+++ b/proxy/listservice_test.go
@@ -344,14 +344,14 @@
 
 // knownAt returns when the proxy must know a change, from this service or a previous one.
 func (s *listService) knownAt(change registeredEndpoint) time.Time {
-	told := s.knownHereAt(change)
+	known := s.knownHereAt(change)
 	if s.before == nil || !change.changedAt.Before(s.replacedAt) {
-		return told
+		return known
 	}
-	if before := s.before.knownAt(change); before.Before(told) {
+	if before := s.before.knownAt(change); before.Before(known) {
 		return before
 	}
-	return told
+	return known
 }
 
 // knownHereAt returns when the proxy must know a change from this service alone.
@@ -365,18 +365,18 @@
 	if s.pushed {
 		return had
 	}
-	told := had.Add(unseenChangeKnown)
+	known := had.Add(unseenChangeKnown)
 	for _, answer := range s.answers {
-		if answer.version >= change.version && answer.at.Before(told) {
-			told = answer.at
+		if answer.version >= change.version && answer.at.Before(known) {
+			known = answer.at
 		}
 		// A change between two calls of a watch counts as known at once.
 		between := !change.changedAt.Before(answer.at) && change.changedAt.Before(s.gapEndLocked(answer.at))
-		if between && change.changedAt.Before(told) && answer.at.After(s.silentAt) {
-			told = change.changedAt
+		if between && change.changedAt.Before(known) && answer.at.After(s.silentAt) {
+			known = change.changedAt
 		}
 	}
-	return told
+	return known
 }
 
 // gapEndLocked returns the end of the gap between a response and the next call of a watch. Callers must hold s.mu.
--- a/proxy/management_test.go
+++ b/proxy/management_test.go
@@ -96,9 +96,9 @@
 	w.Failed++
 	want["read"] = w
 	dial(t, p.Address()).ask("GET /none HTTP/1.1\r\nHost: x\r\nReq-Id: 2\r\n\r\n")
-	torn := dial(t, p.Address())
-	io.WriteString(torn, request("pay", 15000)[:60])
-	torn.Close()
+	truncated := dial(t, p.Address())
+	io.WriteString(truncated, request("pay", 15000)[:60])
+	truncated.Close()
 	if s := statsOf(t, p); s.InFlight != 0 {
 		t.Errorf("got %d requests in flight, want 0", s.InFlight)
 	}
