--- a/downstream/faults_test.go
+++ b/downstream/faults_test.go
@@ -217,9 +217,12 @@
 // client got no response, only the end of the connection; a trace showed the request being read between the failed call
 // and the close. Such a request must be served as if the connection had not been evicted.
 func TestRequestServedWhenCloseWriteFails(t *testing.T) {
-	for name, end := range map[string]func(s *Server, stop func()){
-		"evicted":   func(s *Server, _ func()) { evictAll(s) },
-		"shut down": func(_ *Server, stop func()) { stop() },
+	for name, end := range map[string]func(t *testing.T, s *Server, stop func()){
+		"evicted": func(t *testing.T, s *Server, _ func()) {
+			awaitIdle(t, s)
+			evictAll(s)
+		},
+		"shut down": func(_ *testing.T, _ *Server, stop func()) { stop() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, stop := startServer(t, immediateCloseService{readingService{immediateService{testClasses}}}, 64)
@@ -240,7 +243,7 @@
 				}
 				return socket.CloseWrite(nc)
 			}
-			end(s, stop)
+			end(t, s, stop)
 			expectOK(t, reader)
 			if failures.Load() == 0 {
 				t.Error("got no CloseWrite call, want the connection evicted")
@@ -249,6 +252,28 @@
 	}
 }
 
+// awaitIdle waits until the server's only connection is idle. The client may have the whole response before that, and a
+// busy connection is not evictable.
+func awaitIdle(t *testing.T, s *Server) {
+	t.Helper()
+	for until := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		s.mu.Lock()
+		open, idle := len(s.conns), 0
+		for c := range s.conns {
+			if c.state == stateIdle {
+				idle++
+			}
+		}
+		s.mu.Unlock()
+		if open == 1 && idle == 1 {
+			return
+		}
+		if time.Now().After(until) {
+			t.Fatalf("after %v: got %d connections, %d of them idle, want one idle connection", testTimeout, open, idle)
+		}
+	}
+}
+
 // evictAll evicts all connections that are evictable now.
 func evictAll(s *Server) {
 	s.mu.Lock()
@@ -273,6 +298,7 @@
 	client, reader := connect(t, s.Address())
 	send(t, client, get(1, ""))
 	expectOK(t, reader)
+	awaitIdle(t, s)
 	s.closeWrite = func(*net.TCPConn) error { return syscall.ENOBUFS }
 	began := time.Now()
 	evictAll(s)
