--- a/cli/rollout_test.go
+++ b/cli/rollout_test.go
@@ -23,33 +23,33 @@
 	posted []string // path and body
 }
 
-func newStubDoor(t *testing.T, status fleet.RolloutStatus) *stubEndpoint {
+func newStubEndpoint(t *testing.T, status fleet.RolloutStatus) *stubEndpoint {
 	t.Helper()
-	door := &stubEndpoint{status: status}
-	server := httptest.NewServer(http.HandlerFunc(door.serve))
+	endpoint := &stubEndpoint{status: status}
+	server := httptest.NewServer(http.HandlerFunc(endpoint.serve))
 	t.Cleanup(server.Close)
-	door.address = strings.TrimPrefix(server.URL, "http://")
-	return door
+	endpoint.address = strings.TrimPrefix(server.URL, "http://")
+	return endpoint
 }
 
-func (d *stubEndpoint) serve(w http.ResponseWriter, request *http.Request) {
+func (e *stubEndpoint) serve(w http.ResponseWriter, request *http.Request) {
 	if request.Method == http.MethodGet {
-		_ = json.NewEncoder(w).Encode(d.status) // the client detects a truncated body
+		_ = json.NewEncoder(w).Encode(e.status) // the client detects a truncated body
 		return
 	}
 	body, _ := io.ReadAll(request.Body) // the client detects a truncated body
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.posted = append(d.posted, request.URL.Path+" "+string(body))
-	if d.refuse != "" {
-		http.Error(w, d.refuse, http.StatusConflict)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.posted = append(e.posted, request.URL.Path+" "+string(body))
+	if e.refuse != "" {
+		http.Error(w, e.refuse, http.StatusConflict)
 	}
 }
 
-func (d *stubEndpoint) received() []string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.posted
+func (e *stubEndpoint) received() []string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.posted
 }
 
 // fleetOf returns the status of replicas in three zones.
@@ -72,8 +72,8 @@
 
 // The command plan prints the stages for the current fleet, and posts nothing to it.
 func TestRolloutPlanPrintsStages(t *testing.T) {
-	door := newStubDoor(t, fleetOf(40))
-	status, out, errs := run(t, "rollout", "plan", file(t, validPlan), "--over", file(t, good), "--door", door.address)
+	endpoint := newStubEndpoint(t, fleetOf(40))
+	status, out, errs := run(t, "rollout", "plan", file(t, validPlan), "--over", file(t, good), "--door", endpoint.address)
 	if status != exitOK {
 		t.Fatalf("got status %d: %s", status, errs)
 	}
@@ -87,7 +87,7 @@
 			t.Errorf("want %q in output:\n%s", want, out)
 		}
 	}
-	if posted := door.received(); len(posted) > 0 {
+	if posted := endpoint.received(); len(posted) > 0 {
 		t.Errorf("got posted %q, want nothing", posted)
 	}
 	status, out, errs = run(t, "rollout", "plan", file(t, validPlan), "--over", file(t, good), "--door", "127.0.0.1:1")
@@ -129,20 +129,20 @@
 
 // The command apply posts the plan as written. If the fleet refuses it, the reason is printed and the status is 2.
 func TestRolloutApplyPostsPlan(t *testing.T) {
-	door := newStubDoor(t, fleetOf(3))
-	status, _, errs := run(t, "rollout", "apply", file(t, validPlan), "--door", door.address)
-	if posted := door.received(); status != exitOK || len(posted) != 1 || posted[0] != "/ops/rollout "+validPlan {
+	endpoint := newStubEndpoint(t, fleetOf(3))
+	status, _, errs := run(t, "rollout", "apply", file(t, validPlan), "--door", endpoint.address)
+	if posted := endpoint.received(); status != exitOK || len(posted) != 1 || posted[0] != "/ops/rollout "+validPlan {
 		t.Errorf("got status %d, %s, posted %q", status, errs, posted)
 	}
-	door.refuse = "plan other stands and is soaking: wait for its end, or abort it"
-	status, _, errs = run(t, "rollout", "apply", file(t, validPlan), "--door", door.address)
-	if status != exitConfig || !strings.Contains(errs, door.refuse) {
+	endpoint.refuse = "plan other stands and is soaking: wait for its end, or abort it"
+	status, _, errs = run(t, "rollout", "apply", file(t, validPlan), "--door", endpoint.address)
+	if status != exitConfig || !strings.Contains(errs, endpoint.refuse) {
 		t.Errorf("while another plan is active: got status %d, %s", status, errs)
 	}
 	for _, command := range []string{"pause", "resume", "abort", "back"} {
-		status, _, errs = run(t, "rollout", command, "--door", door.address)
-		posted := door.received()
-		if status != exitFailed || !strings.Contains(errs, door.refuse) || posted[len(posted)-1] != "/ops/rollout/"+command+" " {
+		status, _, errs = run(t, "rollout", command, "--door", endpoint.address)
+		posted := endpoint.received()
+		if status != exitFailed || !strings.Contains(errs, endpoint.refuse) || posted[len(posted)-1] != "/ops/rollout/"+command+" " {
 			t.Errorf("%s: got status %d, %s, posted %q", command, status, errs, posted)
 		}
 	}
@@ -160,8 +160,8 @@
 	status.Replicas[2].Alive = false
 	status.FailedReplicas = []string{"c01"}
 	status.History = []string{"taken by c00", "led by c01"}
-	door := newStubDoor(t, status)
-	code, out, errs := run(t, "rollout", "status", "--door", door.address)
+	endpoint := newStubEndpoint(t, status)
+	code, out, errs := run(t, "rollout", "status", "--door", endpoint.address)
 	for _, want := range []string{
 		"later: settings to new", "changing", "stage 2 follows", "c01, number 7", "waiting for c02", "holds it",
 		"could not: disk full", "not there", "failed at", "through", "here",
@@ -170,7 +170,7 @@
 			t.Errorf("got status %d, %s, want %q in output:\n%s", code, errs, want, out)
 		}
 	}
-	if code, out, errs := run(t, "rollout", "history", "--door", door.address); code != exitOK || out != "taken by c00\nled by c01\n" {
+	if code, out, errs := run(t, "rollout", "history", "--door", endpoint.address); code != exitOK || out != "taken by c00\nled by c01\n" {
 		t.Errorf("got status %d, %s\n%s", code, errs, out)
 	}
 }
