--- a/config/resources.go
+++ b/config/resources.go
@@ -27,7 +27,8 @@
 	minMemoryMB = 16
 )
 
-// WorkUnits returns the units of work of a body, in a request or in its response. The request itself costs one more unit.
+// WorkUnits returns the units of work of a body, in a request or in its response. The request itself costs one more
+// unit.
 func WorkUnits(bodyBytes int) int { return (bodyBytes + bytesPerWorkUnit/2) / bytesPerWorkUnit }
 
 // reservedSockets returns the number of descriptors not available to clients and endpoints, including those of the
--- a/internal/atomicfile/calls.go
+++ b/internal/atomicfile/calls.go
@@ -52,8 +52,8 @@
 // the file, or the directory can be synced.
 var retryableWriteErrors = []error{syscall.ENOSPC, syscall.EDQUOT, ErrBusy, ErrUnsynced}
 
-// IsTransient reports whether an error of a replacement may be temporary: a full or failing disk, no free descriptors, or
-// another process that is replacing the file.
+// IsTransient reports whether an error of a replacement may be temporary: a full or failing disk, no free descriptors,
+// or another process that is replacing the file.
 func IsTransient(err error) bool {
 	return isAnyOf(err, transientErrors) || isAnyOf(err, retryableWriteErrors)
 }
--- a/internal/socket/fault.go
+++ b/internal/socket/fault.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// PendingFault returns the last fault since the call last made progress, or nil. If a deadline then ends the call, the local
-// fault is the cause and not the peer.
+// PendingFault returns the last fault since the call last made progress, or nil. If a deadline then ends the call, the
+// local fault is the cause and not the peer.
 func (r *Retry) PendingFault() error { return r.lastFault }
 
 // Read makes one read. It retries local faults until the connection's read deadline.
--- a/override/overrides.go
+++ b/override/overrides.go
@@ -109,8 +109,8 @@
 	return down
 }
 
-// AtStartup returns the set for a process that reads it at its start; now is the process's time. It sets restores that are
-// in the future to now, as the wall clock has stepped back since they were made. Other times are unchanged.
+// AtStartup returns the set for a process that reads it at its start; now is the process's time. It sets restores that
+// are in the future to now, as the wall clock has stepped back since they were made. Other times are unchanged.
 func (s Set) AtStartup(now time.Duration) Set {
 	s.Restored = clone(s.Restored)
 	for name, at := range s.Restored {
@@ -119,8 +119,8 @@
 	return s
 }
 
-// AfterReread returns the set for a running process that reads it after another set; now is the process's time. stored is
-// the other set as it was read, applied as Found or Observed returned it. It sets new restores to now, as the wall
+// AfterReread returns the set for a running process that reads it after another set; now is the process's time. stored
+// is the other set as it was read, applied as AtStartup or AfterReread returned it. It sets new restores to now, as the wall
 // clock that they were ordered by may have stepped since the process started. Known restores keep their applied time.
 func (s Set) AfterReread(stored, applied Set, now time.Duration) Set {
 	if len(s.Restored) == 0 {
