--- a/internal/socket/fault.go
+++ b/internal/socket/fault.go
@@ -51,7 +51,7 @@
 
 // Caller decides whether a call that has made no progress is still needed.
 type Caller interface {
-	// StillWants reports whether the call may be retried. The conditions under which it was first made may have
+	// MayRetry reports whether the call may be retried. The conditions under which it was first made may have
 	// changed.
 	MayRetry() bool
 }
--- a/override/overrides.go
+++ b/override/overrides.go
@@ -120,8 +120,9 @@
 }
 
 // AfterReread returns the set for a running process that reads it after another set; now is the process's time. stored
-// is the other set as it was read, applied as AtStartup or AfterReread returned it. It sets new restores to now, as the wall
-// clock that they were ordered by may have stepped since the process started. Known restores keep their applied time.
+// is the other set as it was read, applied as AtStartup or AfterReread returned it. It sets new restores to now, as the
+// wall clock that they were ordered by may have stepped since the process started. Known restores keep their applied
+// time.
 func (s Set) AfterReread(stored, applied Set, now time.Duration) Set {
 	if len(s.Restored) == 0 {
 		return s
