--- a/fleet/membership_host.go
+++ b/fleet/membership_host.go
@@ -74,10 +74,11 @@
 			"epoch", record.Epoch, "incarnation", record.Incarnation, "address", address)
 	case membership.Displaced:
 		f.log.Error("replica displaced by a newer process with the same name, left the fleet: "+
-			"expected during an upgrade, otherwise rename one of them", "replica", record.Name, "epoch", record.Epoch)
+			"expected during an upgrade, otherwise give one of them another name",
+			"replica", record.Name, "epoch", record.Epoch)
 	case membership.NameConflict:
 		f.log.errorThrottled("two running processes share a replica name and the older one still sends: "+
-			"rename one of them", "replica", record.Name)
+			"give one of them another name", "replica", record.Name)
 	case membership.TableFull:
 		f.log.warnThrottled("fleet member table full, member ignored", "replica", record.Name)
 	case membership.Stalled:
