--- a/proxy/sendguard_test.go
+++ b/proxy/sendguard_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A send to a withdrawn endpoint after the grace is counted and logged. Sends within the grace are not. Otherwise sends
-// against the rule would go unnoticed.
+// A send to a withdrawn endpoint after the grace is counted and logged once, whether it is a first attempt or a retry.
+// Sends within the grace are not. Otherwise sends against the rule would go unnoticed.
 func TestSendsAfterGraceAreCounted(t *testing.T) {
 	const grace = time.Second
 	log := new(lockedBuffer)
